--- a/benchlink/src/main/java/gradereach/benchlink/Benchlink.java
+++ b/benchlink/src/main/java/gradereach/benchlink/Benchlink.java
@@ -12,7 +12,7 @@
     /** The exit code: 0 at the end of input between frames, 1 on bad input. */
     public static int serve(InputStream in, OutputStream out, PrintStream err) {
         try {
-            new Host().run(new FrameReader(in), out);
+            new InstanceHost().run(new FrameReader(in), out);
             return 0;
         } catch (IOException e) {
             err.println("benchlink: " + e.getMessage());
--- a/benchlink/src/main/java/gradereach/benchlink/BadInput.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InvalidInputException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** Input that is no proper frame, record or start message; the message is one plain line. */
-public final class BadInput extends IOException {
+public final class InvalidInputException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    public BadInput(String what) {
+    public InvalidInputException(String what) {
         super(what);
     }
 }
--- a/benchlink/src/main/java/gradereach/benchlink/LongMap.java
+++ b/benchlink/src/main/java/gradereach/benchlink/LongMap.java
@@ -6,14 +6,14 @@
     private Object[] values = new Object[64];
     private int size;
 
-    private static int spread(long key) {
+    private static int hash(long key) {
         long h = key * 0x9e3779b97f4a7c15L;
         return (int) (h >>> 32);
     }
 
-    private int find(long key) {
+    private int slotOf(long key) {
         int mask = keys.length - 1;
-        int i = spread(key) & mask;
+        int i = hash(key) & mask;
         while (values[i] != null && keys[i] != key) {
             i = i + 1 & mask;
         }
@@ -22,11 +22,11 @@
 
     @SuppressWarnings("unchecked")
     V get(long key) {
-        return (V) values[find(key)];
+        return (V) values[slotOf(key)];
     }
 
     void put(long key, V value) {
-        int i = find(key);
+        int i = slotOf(key);
         if (values[i] == null && ++size * 2 > keys.length) {
             long[] oldKeys = keys;
             Object[] oldValues = values;
@@ -34,19 +34,19 @@
             values = new Object[oldKeys.length * 2];
             for (int j = 0; j < oldKeys.length; j++) {
                 if (oldValues[j] != null) {
-                    int to = find(oldKeys[j]);
+                    int to = slotOf(oldKeys[j]);
                     keys[to] = oldKeys[j];
                     values[to] = oldValues[j];
                 }
             }
-            i = find(key);
+            i = slotOf(key);
         }
         keys[i] = key;
         values[i] = value;
     }
 
     void remove(long key) {
-        int i = find(key);
+        int i = slotOf(key);
         if (values[i] == null) {
             return;
         }
@@ -54,7 +54,7 @@
         int mask = keys.length - 1;
         int hole = i;
         for (int j = i + 1 & mask; values[j] != null; j = j + 1 & mask) {
-            int home = spread(keys[j]) & mask;
+            int home = hash(keys[j]) & mask;
             if ((j - home & mask) >= (j - hole & mask)) {
                 keys[hole] = keys[j];
                 values[hole] = values[j];
--- a/benchlink/src/test/java/gradereach/benchlink/WireTest.java
+++ b/benchlink/src/test/java/gradereach/benchlink/WireTest.java
@@ -114,7 +114,7 @@
             assertEquals(i % 2 == 0 ? null : "v" + i, map.get(i * 64));
         }
         ByteBuffer to = ByteBuffer.allocate(6);
-        ReplyWriter.address(to, 0x0a124a071b5bL);
+        ReplyWriter.putAddress(to, 0x0a124a071b5bL);
         assertEquals("0a124a071b5b", HexFormat.of().formatHex(to.array()));
     }
 }
--- a/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
@@ -4,31 +4,31 @@
 import gradereach.api.ColdStartRule;
 import gradereach.api.DedupScope;
 import gradereach.api.ForwardRules;
-import gradereach.api.LoadRation;
-import gradereach.api.Loading;
+import gradereach.api.LoadOrderBudget;
+import gradereach.api.LoadingRules;
 import gradereach.api.ModelGroup;
 import gradereach.api.Outcome;
-import gradereach.api.Repeat;
-import gradereach.api.RosterForm;
-import gradereach.api.Standing;
-import gradereach.api.Tier;
-import gradereach.api.Warmth;
+import gradereach.api.RetrySafety;
+import gradereach.api.RosterUpdateKind;
+import gradereach.api.ExecutorState;
+import gradereach.api.FrontEndSettings;
+import gradereach.api.LoadStatus;
 import gradereach.counts.Counts;
-import gradereach.desk.Arrival;
-import gradereach.desk.Asker;
-import gradereach.desk.Catalogue;
-import gradereach.desk.Desk;
-import gradereach.desk.Input;
-import gradereach.desk.Flight;
-import gradereach.desk.Life;
-import gradereach.desk.Links;
-import gradereach.desk.MessageMemory;
-import gradereach.desk.Order;
-import gradereach.desk.Place;
+import gradereach.desk.IncomingMessage;
+import gradereach.desk.AnswerObserver;
+import gradereach.desk.ModelCatalog;
+import gradereach.desk.InferenceCoordinator;
+import gradereach.desk.InferenceInput;
+import gradereach.desk.InFlightForward;
+import gradereach.desk.InferenceState;
+import gradereach.desk.ExecutorTransport;
+import gradereach.desk.MessageStore;
+import gradereach.desk.LoadOrder;
+import gradereach.desk.ExecutorEndpoint;
 import gradereach.desk.Probe;
-import gradereach.desk.RosterLine;
+import gradereach.desk.RosterEntry;
 import gradereach.desk.Timers;
-import gradereach.loop.Clock;
+import gradereach.loop.MonotonicClock;
 import gradereach.loop.DecisionLoop;
 import gradereach.message.FinalAnswer;
 import java.util.ArrayDeque;
@@ -62,99 +62,99 @@
     @Param({"10", "100"})
     public int executors;
 
-    private final ModelGroup group = new ModelGroup("g", Repeat.RETRIABLE, DedupScope.ALL, 0, 500, 0, 5000, 1, 0, false);
-    private final Catalogue.Entry model = new Catalogue.Entry("m", 1, group, 100, 64, 100);
-    private final ArrayDeque<Flight> flights = new ArrayDeque<>();
-    private final List<Order> orders = new ArrayList<>();
-    private final Asker nobody = new Asker() {
+    private final ModelGroup group = new ModelGroup("g", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 500, 0, 5000, 1, 0, false);
+    private final ModelCatalog.Entry model = new ModelCatalog.Entry("m", 1, group, 100, 64, 100);
+    private final ArrayDeque<InFlightForward> inFlightForwards = new ArrayDeque<>();
+    private final List<LoadOrder> orders = new ArrayList<>();
+    private final AnswerObserver ignoringObserver = new AnswerObserver() {
         @Override
-        public void answer(FinalAnswer answer) { }
+        public void onFinalAnswer(FinalAnswer answer) { }
 
         @Override
-        public void refuse(int status, String word, String why) { }
+        public void onRejected(int status, String word, String why) { }
     };
-    private Desk desk;
+    private InferenceCoordinator coordinator;
     private double now = 1e9;
     private long id;
     private DecisionLoop loop;
-    private volatile long hops;
+    private volatile long hopCount;
 
-    private Desk desk(Timers timers, Counts counts) {
-        Loading loading = new Loading(true, false, 1e9, 3000, 0, List.of());
+    private InferenceCoordinator coordinator(Timers timers, Counts counts) {
+        LoadingRules loading = new LoadingRules(true, false, 1e9, 3000, 0, List.of());
         ForwardRules forwarding = new ForwardRules(4, false, true, 250, 8, 1000, true, 500);
         ColdStartRule cold = new ColdStartRule(1, 0, 0, 0);
-        Links links = new Links() {
+        ExecutorTransport links = new ExecutorTransport() {
             @Override
-            public void forward(Flight flight) {
-                flights.add(flight);
+            public void forward(InFlightForward flight) {
+                inFlightForwards.add(flight);
             }
 
             @Override
-            public void giveUp(Flight flight) { }
+            public void cancel(InFlightForward flight) { }
 
             @Override
-            public void order(Order order) {
+            public void sendLoadOrder(LoadOrder order) {
                 orders.add(order);
             }
 
             @Override
-            public void unloadIdle(Place place, String name) { }
+            public void unloadIdle(ExecutorEndpoint place, String name) { }
 
             @Override
-            public void probe(Probe probe) { }
+            public void sendProbe(Probe probe) { }
 
             @Override
-            public void inquire(Place place, String forward, Told then) { }
+            public void inquire(ExecutorEndpoint place, String forward, InquiryCallback then) { }
 
             @Override
-            public void identify(Place place, DoubleConsumer then) { }
+            public void requestProcessId(ExecutorEndpoint place, DoubleConsumer then) { }
 
             @Override
-            public void hangUp(Place place) { }
+            public void closeWhenIdle(ExecutorEndpoint place) { }
         };
-        Desk.Chronicle chronicle = new Desk.Chronicle() {
+        InferenceCoordinator.InferenceListener chronicle = new InferenceCoordinator.InferenceListener() {
             @Override
-            public void ended(Life life, double at) { }
+            public void onInferenceEnded(InferenceState life, double at) { }
 
             @Override
-            public void moduleFailed(RuntimeException why, String during, int inferences) {
+            public void onRouterFailed(RuntimeException why, String during, int inferences) {
                 throw why;
             }
 
             @Override
-            public void said(String line) { }
+            public void onLogLine(String line) { }
         };
-        return new Desk("fe", out -> new Policy(out, new Random(1), new Tier(0, 1, 0, false, false, false, 0, 0, 2),
-                List.of(group), List.of(), 1, cold, new LoadRation(0, 0, 0), loading, forwarding), links, timers,
-                chronicle, Clock.system(), new MessageMemory(100_000, 1 << 24, 1e9, 1000, 1), gradereach.desk.Ledger.NONE,
-                gradereach.desk.Claims.ALONE, new gradereach.inquiry.InquiryBook(0, 1, 1),
-                gradereach.message.Wording.WEBHOOK,
-                new Desk.Door(10_000, 100, 8), loading, forwarding, cold, List.of("yard"), counts);
+        return new InferenceCoordinator("fe", out -> new Policy(out, new Random(1), new FrontEndSettings(0, 1, 0, false, false, false, 0, 0, 2),
+                List.of(group), List.of(), 1, cold, new LoadOrderBudget(0, 0, 0), loading, forwarding), links, timers,
+                chronicle, MonotonicClock.system(), new MessageStore(100_000, 1 << 24, 1e9, 1000, 1), gradereach.desk.Ledger.NONE,
+                gradereach.desk.ClaimService.ALONE, new gradereach.inquiry.InquiryScheduler(0, 1, 1),
+                gradereach.message.AnswerFormat.WEBHOOK,
+                new InferenceCoordinator.AdmissionLimits(10_000, 100, 8), loading, forwarding, cold, List.of("yard"), counts);
     }
 
     @Setup
     public void start() {
         Timers none = new Timers() {
             @Override
-            public long set(double at, Object whom) {
+            public long schedule(double at, Object whom) {
                 return 0;
             }
 
             @Override
             public void cancel(long timer, Object whom) { }
         };
-        desk = desk(none, new Counts());
-        desk.begin(now);
-        List<RosterLine> lines = new ArrayList<>();
+        coordinator = coordinator(none, new Counts());
+        coordinator.beginBatch(now);
+        List<RosterEntry> lines = new ArrayList<>();
         for (int i = 0; i < executors; i++) {
-            lines.add(new RosterLine("10.0.0." + i + ":80", 1, 0, Standing.READY, 0, 0, 0));
+            lines.add(new RosterEntry("10.0.0." + i + ":80", 1, 0, ExecutorState.READY, 0, 0, 0));
         }
-        desk.roster(RosterForm.FULL, lines);
-        desk.settle();
+        coordinator.onRosterUpdate(RosterUpdateKind.FULL, lines);
+        coordinator.endBatch();
         for (int i = 0; i < 100; i++) {
             inference();
         }
-        loop = new DecisionLoop("hops", Clock.system(), 1024, new Counts(), timers -> desk(timers, new Counts()));
+        loop = new DecisionLoop("hops", MonotonicClock.system(), 1024, new Counts(), timers -> coordinator(timers, new Counts()));
         loop.start();
     }
 
@@ -167,29 +167,29 @@
     @Benchmark
     public void inference() {
         now += 0.1;
-        desk.begin(now);
-        desk.arrived(new Arrival(0, "i" + id++, 1, 1, model, new Input(new byte[0], null), 0, now, 1000, null, nobody));
-        desk.settle();
-        for (Order order : List.copyOf(orders)) {
+        coordinator.beginBatch(now);
+        coordinator.onMessage(new IncomingMessage(0, "i" + id++, 1, 1, model, new InferenceInput(new byte[0], null), 0, now, 1000, null, ignoringObserver));
+        coordinator.endBatch();
+        for (LoadOrder order : List.copyOf(orders)) {
             orders.remove(order);
-            desk.begin(now);
-            desk.ordered(order, Outcome.RETURNED, Math.max(1, order.copies));
-            desk.settle();
+            coordinator.beginBatch(now);
+            coordinator.onLoadOrderEnded(order, Outcome.RETURNED, Math.max(1, order.copies));
+            coordinator.endBatch();
         }
-        for (Flight flight; (flight = flights.poll()) != null;) {
+        for (InFlightForward flight; (flight = inFlightForwards.poll()) != null;) {
             now += 0.1;
-            desk.begin(now);
-            desk.ended(flight, Outcome.RETURNED, Warmth.FOUND_LOADED, 0, null, new byte[100]);
-            desk.settle();
+            coordinator.beginBatch(now);
+            coordinator.onForwardEnded(flight, Outcome.RETURNED, LoadStatus.ALREADY_LOADED, 0, null, new byte[100]);
+            coordinator.endBatch();
         }
     }
 
     /** An event from another thread into the loop and seen to have been there. */
     @Benchmark
     public void hop() {
-        long before = hops;
-        loop.pass(d -> hops = before + 1);
-        while (hops == before) {
+        long before = hopCount;
+        loop.post(d -> hopCount = before + 1);
+        while (hopCount == before) {
             Thread.onSpinWait();
         }
     }
--- a/benchmarks/src/main/java/gradereach/benchmarks/FrontEndRecovery.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/FrontEndRecovery.java
@@ -8,7 +8,7 @@
 import gradereach.ledger.disk.LedgerFolder;
 import gradereach.message.FinalAnswer;
 import gradereach.plan.Deployment;
-import gradereach.serve.Between;
+import gradereach.serve.FaultInjection;
 import gradereach.serve.Gateway;
 import gradereach.webhook.WebhookKey;
 import java.nio.ByteBuffer;
@@ -28,7 +28,7 @@
         for (int i = 1; i < Math.max(args.length, 2); i++) {
             int messages = args.length > 1 ? Integer.parseInt(args[i]) : 500_000;
             Path ledger = folder.resolve("ledger-" + messages + "-" + System.nanoTime());
-            fill(ledger, messages);
+            writeLedger(ledger, messages);
             ObjectNode plan = (ObjectNode) new ObjectMapper().readTree("""
                     {"name": "fe", "listen": "127.0.0.1:0", "roster": {"file": "none.json"},
                      "customers": [{"name": "yard", "keys": [{"inline": "KEY"}]}],
@@ -38,9 +38,9 @@
                     .replace("KEY", WebhookKey.newSecret(new SecureRandom())));
             plan.putObject("ledger").put("folder", ledger.toAbsolutePath().toString());
             long start = System.nanoTime();
-            Gateway gateway = new Gateway(Deployment.of(plan, folder), Between.NOTHING);
+            Gateway gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
             gateway.listen();
-            while (remembered(gateway) < messages) {
+            while (storedMessages(gateway) < messages) {
                 Thread.sleep(1);
             }
             long took = (System.nanoTime() - start) / 1_000_000;
@@ -52,37 +52,37 @@
         }
     }
 
-    private static long remembered(Gateway gateway) {
+    private static long storedMessages(Gateway gateway) {
         return gateway.counts().limits().stream().filter(limit -> limit.name.equals("messages_remembered"))
-                .mapToLong(limit -> limit.present()).findFirst().orElse(0);
+                .mapToLong(limit -> limit.inUse()).findFirst().orElse(0);
     }
 
-    private static void fill(Path folder, int messages) throws Exception {
+    private static void writeLedger(Path folder, int messages) throws Exception {
         new LedgerFolder(folder).close();
         byte[] body = new byte[300];
         double now = System.currentTimeMillis();
-        ByteBuffer some = ByteBuffer.allocate(SEGMENT);
+        ByteBuffer some = ByteBuffer.allocate(SEGMENT_BYTES);
         int segments = 0;
         for (int i = 0; i < messages; i++) {
             String id = "m-" + i;
             for (LedgerRecord record : new LedgerRecord[] {
-                new LedgerRecord.Intended("yard", id, now, i, -i, "book", "book-1", "10.0.0.1:8080", "yard/" + id + "#fe-0"),
+                new LedgerRecord.ForwardIntended("yard", id, now, i, -i, "book", "book-1", "10.0.0.1:8080", "yard/" + id + "#fe-0"),
                 new LedgerRecord.Answered("yard", id, now, new FinalAnswer(FinalAnswer.Kind.RETURNED, 200, body, 0, true))}) {
-                byte[] frame = RecordCodec.frame(record);
+                byte[] frame = RecordCodec.encode(record);
                 if (frame.length > some.remaining()) {
-                    write(folder, ++segments, some);
+                    writeSegment(folder, ++segments, some);
                 }
                 some.put(frame);
             }
         }
-        write(folder, ++segments, some);
+        writeSegment(folder, ++segments, some);
     }
 
     /** What a front end's ledger has by default. */
-    private static final int SEGMENT = 64 << 20;
+    private static final int SEGMENT_BYTES = 64 << 20;
 
-    private static void write(Path folder, int number, ByteBuffer some) throws Exception {
-        try (Disk.Appender out = Disk.REAL.create(folder.resolve(String.format("%016x.ledger", number)))) {
+    private static void writeSegment(Path folder, int number, ByteBuffer some) throws Exception {
+        try (Disk.Appender out = Disk.FILE_SYSTEM.create(folder.resolve(String.format("%016x.ledger", number)))) {
             out.write(ByteBuffer.wrap("gradereach ledger 1\n".getBytes(StandardCharsets.US_ASCII)));
             out.write(some.flip());
             out.force();
--- a/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
@@ -1,8 +1,8 @@
 package gradereach.benchmarks;
 
 import gradereach.counts.Counts;
-import gradereach.ledger.CarryBook;
-import gradereach.ledger.LedgerBook;
+import gradereach.ledger.CompactionPlanner;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.RecordCodec;
 import gradereach.ledger.disk.Disk;
@@ -42,43 +42,43 @@
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args.length > 0 ? args[0] : "ledger-stores");
         int million = args.length > 1 ? Integer.parseInt(args[1]) : 1_000_000;
-        System.out.println("forced alone: " + forceAlone(folder) + " us a force of 200 bytes (median of 200)");
+        System.out.println("forced alone: " + medianForceMicros(folder) + " us a force of 200 bytes (median of 200)");
         for (int round = 0; round < 2; round++) {
-            try (Store log = log(folder.resolve("log" + round))) {
-                run("log", log);
+            try (Store log = openLedger(folder.resolve("log" + round))) {
+                measure("log", log);
             }
-            try (Store store = store(folder.resolve("mvstore" + round))) {
-                run("mvstore", store);
+            try (Store store = openMvStore(folder.resolve("mvstore" + round))) {
+                measure("mvstore", store);
             }
         }
-        try (Store log = log(folder.resolve("log-big"))) {
+        try (Store log = openLedger(folder.resolve("log-big"))) {
             fill(log, million);
         }
-        try (Store store = store(folder.resolve("mvstore-big"))) {
+        try (Store store = openMvStore(folder.resolve("mvstore-big"))) {
             fill(store, million);
         }
         long start = System.nanoTime();
-        LedgerBook book = new LedgerBook();
+        LedgerState book = new LedgerState();
         LedgerFolder.read(folder.resolve("log-big"), true, (r, s) -> book.apply(r));
         System.out.printf("log      read %d records, %d messages in %d ms%n", million, book.size(),
                 (System.nanoTime() - start) / 1_000_000);
         start = System.nanoTime();
-        LedgerBook again = new LedgerBook();
+        LedgerState again = new LedgerState();
         try (MVStore store = MVStore.open(folder.resolve("mvstore-big").toString())) {
             MVMap<Long, byte[]> map = store.openMap("records");
             for (byte[] frame : map.values()) {
-                again.apply(RecordCodec.read(frame, 0));
+                again.apply(RecordCodec.decode(frame, 0));
             }
         }
         System.out.printf("mvstore  read %d records, %d messages in %d ms%n", million, again.size(),
                 (System.nanoTime() - start) / 1_000_000);
     }
 
-    private static long forceAlone(Path folder) throws IOException {
+    private static long medianForceMicros(Path folder) throws IOException {
         Files.createDirectories(folder);
         List<Long> took = new ArrayList<>();
         Path file = folder.resolve("force-" + System.nanoTime());
-        try (Disk.Appender out = Disk.REAL.create(file)) {
+        try (Disk.Appender out = Disk.FILE_SYSTEM.create(file)) {
             for (int i = 0; i < 200; i++) {
                 long start = System.nanoTime();
                 out.write(java.nio.ByteBuffer.wrap(new byte[200]));
@@ -93,11 +93,11 @@
     private static LedgerRecord record(long i) {
         String id = "m-" + i / 2;
         return i % 2 == 0
-                ? new LedgerRecord.Intended("yard", id, 1e12 + i, i, -i, "book", "book-1", "10.0.0.1:8080", "yard/" + id + "#fe-0")
+                ? new LedgerRecord.ForwardIntended("yard", id, 1e12 + i, i, -i, "book", "book-1", "10.0.0.1:8080", "yard/" + id + "#fe-0")
                 : new LedgerRecord.Answered("yard", id, 1e12 + i, new FinalAnswer(FinalAnswer.Kind.RETURNED, 200, BODY, 0, true));
     }
 
-    private static void run(String name, Store store) throws InterruptedException {
+    private static void measure(String name, Store store) throws InterruptedException {
         int window = 2048;
         Semaphore room = new Semaphore(window);
         long start = System.nanoTime();
@@ -138,9 +138,9 @@
         room.acquire(8192);
     }
 
-    private static Store log(Path folder) throws IOException {
-        DiskLedger ledger = new DiskLedger(Disk.REAL, new DiskLedger.Bounds(64L << 20, 0, 65_536),
-                new CarryBook(1e15, 1_000_000), () -> 1e12, Runnable::run, new Counts());
+    private static Store openLedger(Path folder) throws IOException {
+        DiskLedger ledger = new DiskLedger(Disk.FILE_SYSTEM, new DiskLedger.Limits(64L << 20, 0, 65_536),
+                new CompactionPlanner(1e15, 1_000_000), () -> 1e12, Runnable::run, new Counts());
         ledger.start(new LedgerFolder(folder), 1);
         return new Store() {
             @Override
@@ -160,7 +160,7 @@
         };
     }
 
-    private static Store store(Path file) {
+    private static Store openMvStore(Path file) {
         MVStore store = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open();
         MVMap<Long, byte[]> map = store.openMap("records");
         record Waiting(byte[] frame, Runnable durable) { }
@@ -193,7 +193,7 @@
         return new Store() {
             @Override
             public void append(LedgerRecord record, Runnable durable) throws InterruptedException {
-                queue.put(new Waiting(RecordCodec.frame(record), durable));
+                queue.put(new Waiting(RecordCodec.encode(record), durable));
             }
 
             @Override
--- a/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
@@ -1,7 +1,7 @@
 package gradereach.benchmarks;
 
-import gradereach.measures.Service;
-import gradereach.measures.Times;
+import gradereach.measures.ServiceMetrics;
+import gradereach.measures.DurationHistogram;
 import gradereach.measures.TopNames;
 import io.prometheus.metrics.core.metrics.Histogram;
 import java.util.HashMap;
@@ -30,13 +30,13 @@
     private static final int NAMES = 1 << 20;
     private final String[] names = new String[NAMES];
     private final long[] hashes = new long[NAMES];
-    private final int[] draws = new int[1 << 16];
-    private int turn;
-    private Service service;
-    private TopNames top;
-    private Map<String, long[]> plain;
-    private Times times;
-    private Histogram client;
+    private final int[] nameIndexes = new int[1 << 16];
+    private int nextDraw;
+    private ServiceMetrics service;
+    private TopNames frequentNames;
+    private Map<String, long[]> plainCounts;
+    private DurationHistogram times;
+    private Histogram prometheusHistogram;
 
     @Setup
     public void setUp() {
@@ -46,44 +46,44 @@
             long h = names[i].hashCode() * 0x9e3779b97f4a7c15L;
             hashes[i] = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
         }
-        for (int i = 0; i < draws.length; i++) {
-            draws[i] = (int) Math.min(NAMES - 1, Math.exp(chance.nextDouble() * Math.log(NAMES))); // Zipf with exponent 1
+        for (int i = 0; i < nameIndexes.length; i++) {
+            nameIndexes[i] = (int) Math.min(NAMES - 1, Math.exp(chance.nextDouble() * Math.log(NAMES))); // Zipf with exponent 1
         }
-        service = new Service(List.of("a", "b"), 50, System::currentTimeMillis);
-        top = new TopNames(50, slot -> { });
-        plain = new HashMap<>();
-        times = new Times(0);
-        client = Histogram.builder().name("h").nativeOnly().nativeInitialSchema(2).build();
+        service = new ServiceMetrics(List.of("a", "b"), 50, System::currentTimeMillis);
+        frequentNames = new TopNames(50, slot -> { });
+        plainCounts = new HashMap<>();
+        times = new DurationHistogram(0);
+        prometheusHistogram = Histogram.builder().name("h").nativeOnly().nativeInitialSchema(2).build();
     }
 
-    private int next() {
-        return draws[turn++ & draws.length - 1];
+    private int nextNameIndex() {
+        return nameIndexes[nextDraw++ & nameIndexes.length - 1];
     }
 
     @Benchmark
     public void inferencesEnd() {
-        int n = next();
-        service.ended(n & 1, names[n & 15], hashes[n & 15], names[n], hashes[n], Service.End.RETURNED, 1, 1, true, 12.5, 0.4, 1);
+        int n = nextNameIndex();
+        service.recordInference(n & 1, names[n & 15], hashes[n & 15], names[n], hashes[n], ServiceMetrics.EndReason.RETURNED, 1, 1, true, 12.5, 0.4, 1);
     }
 
     @Benchmark
     public int topNames() {
-        int n = next();
-        return top.slot(names[n], hashes[n]);
+        int n = nextNameIndex();
+        return frequentNames.recordUse(names[n], hashes[n]);
     }
 
     @Benchmark
     public long plainMapOfNames() {
-        return ++plain.computeIfAbsent(names[next()], x -> new long[1])[0];
+        return ++plainCounts.computeIfAbsent(names[nextNameIndex()], x -> new long[1])[0];
     }
 
     @Benchmark
     public void times() {
-        times.add(next() * 0.01);
+        times.record(nextNameIndex() * 0.01);
     }
 
     @Benchmark
     public void clientsHistogram() {
-        client.observe(next() * 0.00001);
+        prometheusHistogram.observe(nextNameIndex() * 0.00001);
     }
 }
--- a/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
@@ -1,6 +1,6 @@
 package gradereach.benchmarks;
 
-import gradereach.message.BadMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.message.InferenceMessage;
 import gradereach.webhook.KeyRing;
 import gradereach.webhook.WebhookKey;
@@ -52,22 +52,22 @@
     }
 
     @Benchmark
-    public KeyRing.Verdict hmacOfTheLikelyCustomer() {
-        return ring.judge("id", "1000", v1, body, 1000, customers - 1);
+    public KeyRing.VerificationResult hmacOfTheLikelyCustomer() {
+        return ring.verify("id", "1000", v1, body, 1000, customers - 1);
     }
 
     @Benchmark
-    public KeyRing.Verdict hmacOfAnyCustomer() {
-        return ring.judge("id", "1000", v1, body, 1000, -1);
+    public KeyRing.VerificationResult hmacOfAnyCustomer() {
+        return ring.verify("id", "1000", v1, body, 1000, -1);
     }
 
     @Benchmark
-    public KeyRing.Verdict ed25519() {
-        return ring.judge("id", "1000", v1a, body, 1000, customers - 1);
+    public KeyRing.VerificationResult ed25519() {
+        return ring.verify("id", "1000", v1a, body, 1000, customers - 1);
     }
 
     @Benchmark
-    public InferenceMessage body() throws BadMessage {
+    public InferenceMessage body() throws InvalidMessageException {
         return InferenceMessage.parse(body);
     }
 }
--- a/benchmarks/src/main/java/gradereach/benchmarks/TenMillionIds.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/TenMillionIds.java
@@ -1,6 +1,6 @@
 package gradereach.benchmarks;
 
-import gradereach.replay.IdWheel;
+import gradereach.replay.ExpiringIdTable;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -27,8 +27,8 @@
     }
 
     private static void wheel() {
-        long before = used();
-        IdWheel wheel = new IdWheel(600_000, COUNT);
+        long before = usedHeapBytes();
+        ExpiringIdTable wheel = new ExpiringIdTable(600_000, COUNT);
         long start = System.nanoTime();
         for (int i = 0; i < COUNT; i++) {
             wheel.add(mix(i), mix(~i), i, i * 0.06);
@@ -37,23 +37,23 @@
         start = System.nanoTime();
         int found = 0;
         for (int i = 0; i < COUNT; i += 10) {
-            found += wheel.find(mix(i), mix(~i), i, 599_000) == IdWheel.Seen.SAME ? 1 : 0;
+            found += wheel.find(mix(i), mix(~i), i, 599_000) == ExpiringIdTable.Lookup.SAME_DIGEST ? 1 : 0;
         }
         double find = (System.nanoTime() - start) / (COUNT / 10d);
         start = System.nanoTime();
         for (int i = 0; i < COUNT; i += 10) {
-            found += wheel.find(mix(-i - 5L), 7, i, 599_000) == IdWheel.Seen.SAME ? 1 : 0;
+            found += wheel.find(mix(-i - 5L), 7, i, 599_000) == ExpiringIdTable.Lookup.SAME_DIGEST ? 1 : 0;
         }
         double miss = (System.nanoTime() - start) / (COUNT / 10d);
         System.out.printf("wheel: %.0f bytes an id, add %.0f ns, find %.0f ns, find nothing %.0f ns (%d found)%n",
-                (used() - before) / (double) COUNT, add, find, miss, found);
+                (usedHeapBytes() - before) / (double) COUNT, add, find, miss, found);
         if (wheel.size() != COUNT) {
             throw new IllegalStateException();
         }
     }
 
     private static void plain() {
-        long before = used();
+        long before = usedHeapBytes();
         Map<Key, Seen> map = new HashMap<>();
         long start = System.nanoTime();
         for (int i = 0; i < COUNT; i++) {
@@ -67,13 +67,13 @@
         }
         double find = (System.nanoTime() - start) / (COUNT / 10d);
         System.out.printf("plain map: %.0f bytes an id, add %.0f ns, find %.0f ns (%d found)%n",
-                (used() - before) / (double) COUNT, add, find, found);
+                (usedHeapBytes() - before) / (double) COUNT, add, find, found);
         if (map.size() != COUNT) {
             throw new IllegalStateException();
         }
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
--- a/cli/src/main/java/gradereach/cli/AlertsCommand.java
+++ b/cli/src/main/java/gradereach/cli/AlertsCommand.java
@@ -1,7 +1,7 @@
 package gradereach.cli;
 
-import gradereach.alerts.RuleFile;
-import gradereach.plan.BadPlan;
+import gradereach.alerts.AlertRuleFile;
+import gradereach.plan.InvalidDeploymentException;
 import gradereach.plan.Deployment;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -17,17 +17,17 @@
             description = "where the operators' page is served: alerts link to it (${DEFAULT-VALUE})")
     private String page;
 
-    private String text(Path file) throws BadPlan {
+    private String ruleFileFor(Path file) throws InvalidDeploymentException {
         Deployment plan = Deployment.read(file);
-        return new RuleFile(plan.objectives(), RuleFile.SLOW_LOADS * plan.longestLoad(), 60_000, page).text();
+        return new AlertRuleFile(plan.objectives(), AlertRuleFile.SLOW_LOAD_FACTOR * plan.maxLoadMillis(), 60_000, page).toYaml();
     }
 
     @Command(name = "print", mixinStandardHelpOptions = true, description = "Print the rules file.")
     int print(@Parameters(paramLabel = "FILE") Path file) {
         try {
-            System.out.print(text(file));
+            System.out.print(ruleFileFor(file));
             return 0;
-        } catch (BadPlan e) {
+        } catch (InvalidDeploymentException e) {
             e.errors().forEach(System.err::println);
             return 2;
         }
@@ -36,7 +36,7 @@
     @Command(name = "check", mixinStandardHelpOptions = true, description = "Say whether a rules file is the one for a deployment.")
     int check(@Parameters(paramLabel = "FILE") Path file, @Parameters(paramLabel = "RULES") Path rules) throws IOException {
         try {
-            String wanted = text(file);
+            String wanted = ruleFileFor(file);
             if (!Files.isReadable(rules)) {
                 System.err.println(rules + ": cannot be read");
                 return 2;
@@ -52,7 +52,7 @@
             }
             System.out.println(rules + ": good");
             return 0;
-        } catch (BadPlan e) {
+        } catch (InvalidDeploymentException e) {
             e.errors().forEach(System.err::println);
             return 2;
         }
--- a/cli/src/main/java/gradereach/cli/GrpcCall.java
+++ b/cli/src/main/java/gradereach/cli/GrpcCall.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.google.protobuf.TextFormat;
-import gradereach.oip.InferJson;
+import gradereach.oip.InferenceJsonConverter;
 import gradereach.protocol.inference.GRPCInferenceServiceGrpc;
 import gradereach.protocol.inference.InferParameter;
 import gradereach.protocol.inference.ModelInferRequest;
@@ -27,24 +27,24 @@
 /** One signed inference, or several in one stream, by gRPC; answers are printed as protobuf text. */
 final class GrpcCall {
     private static final String UNARY = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
-    private static final String STREAMED = GRPCInferenceServiceGrpc.getModelStreamInferMethod().getFullMethodName();
+    private static final String STREAMING = GRPCInferenceServiceGrpc.getModelStreamInferMethod().getFullMethodName();
 
     private final WebhookKey key;
     private final ModelInferRequest request;
     private final String id;
-    private final long budget;
+    private final long budgetMillis;
     private final PrintStream out;
 
     GrpcCall(WebhookKey key, String model, JsonNode input, String id, long budget, PrintStream out) throws IOException {
         this.key = key;
-        request = InferJson.request(input, model);
+        request = InferenceJsonConverter.requestFromJson(input, model);
         this.id = id;
-        this.budget = budget > 0 ? budget : 60_000;
+        this.budgetMillis = budget > 0 ? budget : 60_000;
         this.out = out;
     }
 
     private String signature(String of, long at, String method, ModelInferRequest bare) {
-        return KeyRing.header(List.of(key), of, at, CallSignature.signed(method, CallSignature.digest(bare)));
+        return KeyRing.signatureHeader(List.of(key), of, at, CallSignature.signedContent(method, CallSignature.digest(bare)));
     }
 
     /** The exit code. With {@code streamed} above 0 so many inferences go in one stream, as ID-0, ID-1 ... */
@@ -67,7 +67,7 @@
         try {
             out.print(TextFormat.printer().printToString(GRPCInferenceServiceGrpc.newBlockingStub(channel)
                     .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers))
-                    .withDeadlineAfter(budget, TimeUnit.MILLISECONDS).modelInfer(request)));
+                    .withDeadlineAfter(budgetMillis, TimeUnit.MILLISECONDS).modelInfer(request)));
             return 0;
         } catch (StatusRuntimeException e) {
             out.println(e.getStatus().getCode() + ": " + e.getStatus().getDescription());
@@ -89,7 +89,7 @@
     private int stream(ManagedChannel channel, int count) throws InterruptedException {
         CompletableFuture<Integer> end = new CompletableFuture<>();
         StreamObserver<ModelInferRequest> to = GRPCInferenceServiceGrpc.newStub(channel)
-                .withDeadlineAfter(budget, TimeUnit.MILLISECONDS).modelStreamInfer(new StreamObserver<>() {
+                .withDeadlineAfter(budgetMillis, TimeUnit.MILLISECONDS).modelStreamInfer(new StreamObserver<>() {
                     private int code;
 
                     @Override
@@ -112,14 +112,14 @@
         for (int i = 0; i < count; i++) {
             long at = System.currentTimeMillis() / 1000;
             ModelInferRequest bare = request.toBuilder().setId(id + "-" + i).build();
-            to.onNext(bare.toBuilder().putParameters(CallSignature.TIMESTAMP, text(Long.toString(at)))
-                    .putParameters(CallSignature.SIGNATURE, text(signature(bare.getId(), at, STREAMED, bare))).build());
+            to.onNext(bare.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(at)))
+                    .putParameters(CallSignature.SIGNATURE, stringParameter(signature(bare.getId(), at, STREAMING, bare))).build());
         }
         to.onCompleted();
         return end.join();
     }
 
-    private static InferParameter text(String value) {
+    private static InferParameter stringParameter(String value) {
         return InferParameter.newBuilder().setStringParam(value).build();
     }
 }
--- a/cli/src/main/java/gradereach/cli/Logs.java
+++ b/cli/src/main/java/gradereach/cli/LogSetup.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /** Sets up logging of a serving process: JSON lines or plain ones, on standard error, never in the way. */
-final class Logs {
-    private static final int QUEUE = 8192; // a second or so of lives; beyond it lines are let go, not waited for
+final class LogSetup {
+    private static final int QUEUE_CAPACITY = 8192; // a second or so of lives; beyond it lines are let go, not waited for
 
-    private Logs() { }
+    private LogSetup() { }
 
-    static void to(boolean json, String level, boolean lives) {
+    static void configure(boolean json, String level, boolean lives) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        EncoderBase<ILoggingEvent> encoder = json ? json() : plain();
+        EncoderBase<ILoggingEvent> encoder = json ? jsonEncoder() : plainEncoder();
         encoder.setContext(context);
         encoder.start();
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
@@ -31,7 +31,7 @@
         console.start();
         AsyncAppender async = new AsyncAppender();
         async.setContext(context);
-        async.setQueueSize(QUEUE);
+        async.setQueueSize(QUEUE_CAPACITY);
         async.setDiscardingThreshold(0);
         async.setNeverBlock(true);
         async.addAppender(console);
@@ -45,7 +45,7 @@
         }
     }
 
-    private static EncoderBase<ILoggingEvent> json() {
+    private static EncoderBase<ILoggingEvent> jsonEncoder() {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setWithSequenceNumber(false);
         encoder.setWithNanoseconds(false);
@@ -58,7 +58,7 @@
         return encoder;
     }
 
-    private static EncoderBase<ILoggingEvent> plain() {
+    private static EncoderBase<ILoggingEvent> plainEncoder() {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setPattern("%d{HH:mm:ss.SSS} %-5level %msg %kvp%n");
         return encoder;
--- a/cli/src/main/java/gradereach/cli/Main.java
+++ b/cli/src/main/java/gradereach/cli/Main.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import gradereach.benchlink.Benchlink;
-import gradereach.measure.Measure;
-import gradereach.measure.StreamMeasure;
-import gradereach.plan.BadPlan;
+import gradereach.measure.LatencyBenchmark;
+import gradereach.measure.StreamingBenchmark;
+import gradereach.plan.InvalidDeploymentException;
 import gradereach.plan.Deployment;
-import gradereach.rehearsal.AlertWatch;
+import gradereach.rehearsal.AlertMonitor;
 import gradereach.rehearsal.Auditor;
 import gradereach.rehearsal.Rehearsal;
 import gradereach.platform.serve.PlatformProcess;
@@ -46,16 +46,16 @@
             Main.Rehearse.class, Main.MeasureCommand.class, Main.Bench.class, LedgerCommand.class, AlertsCommand.class, MembersCommand.class, Main.VersionCommand.class, Main.Completion.class})
 public final class Main implements Runnable {
     /** Exit code where no rule was broken and a play could not tell all of it. */
-    static final int VOID = 3;
+    static final int EXIT_INCONCLUSIVE = 3;
 
     @Spec
     private CommandSpec spec;
 
     public static void main(String[] args) {
-        System.exit(line().execute(args));
+        System.exit(commandLine().execute(args));
     }
 
-    static CommandLine line() {
+    static CommandLine commandLine() {
         return new CommandLine(new Main()).setExecutionExceptionHandler((e, at, result) -> {
             at.getErr().println(at.getCommandSpec().qualifiedName() + ": " + (e.getMessage() == null ? e : e.getMessage()));
             return 1;
@@ -98,8 +98,8 @@
                 }
                 return PlatformProcess.run(System.getenv(), System.out);
             }
-            Logs.to(log == LogForm.json, level, !noLives);
-            return FrontEndProcess.run(file, gradereach.serve.Between.NOTHING, System.out, System.err);
+            LogSetup.configure(log == LogForm.json, level, !noLives);
+            return FrontEndProcess.run(file, gradereach.serve.FaultInjection.NONE, System.out, System.err);
         }
     }
 
@@ -118,7 +118,7 @@
                 System.out.println(file + ": good; " + plan.customers().size() + " customers, " + plan.groups().size()
                         + " model groups");
                 return 0;
-            } catch (BadPlan e) {
+            } catch (InvalidDeploymentException e) {
                 e.errors().forEach(System.err::println);
                 return 2;
             }
@@ -183,7 +183,7 @@
                     .timeout(Duration.ofMillis(budget > 0 ? budget + 1000 : 60_000))
                     .header("content-type", "application/json").header("webhook-id", messageId)
                     .header("webhook-timestamp", Long.toString(at))
-                    .header("webhook-signature", KeyRing.header(List.of(signer), messageId, at, body))
+                    .header("webhook-signature", KeyRing.signatureHeader(List.of(signer), messageId, at, body))
                     .POST(HttpRequest.BodyPublishers.ofByteArray(body));
             if (async) {
                 request.header("prefer", "respond-async");
@@ -219,7 +219,7 @@
             }
             Files.createFile(file, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
             Files.writeString(file, key + "\n");
-            System.out.println(pair ? WebhookKey.parse(key).publicPart() : file.toString());
+            System.out.println(pair ? WebhookKey.parse(key).publicKeyText() : file.toString());
             return 0;
         }
 
@@ -227,7 +227,7 @@
         int show(@Parameters(paramLabel = "FILE") Path file) throws IOException {
             String shown;
             try {
-                shown = WebhookKey.parse(Files.readString(file)).publicPart();
+                shown = WebhookKey.parse(Files.readString(file)).publicKeyText();
             } catch (IllegalArgumentException e) {
                 System.err.println(file + ": " + e.getMessage());
                 return 2;
@@ -285,8 +285,8 @@
             }
             JsonNode script;
             try {
-                script = Rehearsal.script(day);
-            } catch (Rehearsal.BadScript e) {
+                script = Rehearsal.loadScript(day);
+            } catch (Rehearsal.InvalidScriptException e) {
                 System.err.println(e.getMessage());
                 return 2;
             }
@@ -299,23 +299,23 @@
                 frontEnd.add("serve");
                 System.out.println(day + ": " + script.path("about").asText() + " (" + folder + ")");
                 Rehearsal rehearsal = new Rehearsal(script, folder, frontEnd, System.out);
-                Auditor.Findings found;
+                Auditor.AuditReport found;
                 if (alerts) {
-                    try (AlertWatch watch = new AlertWatch(script)) {
-                        found = rehearsal.watchedBy(watch).run();
+                    try (AlertMonitor watch = new AlertMonitor(script)) {
+                        found = rehearsal.withAlertMonitor(watch).run();
                         watch.print(System.out);
                     }
                 } else {
                     found = rehearsal.run();
                 }
                 found.counts().forEach((what, count) -> System.out.println("  " + what + ": " + count));
-                found.verdicts().forEach(System.out::println);
-                found.undecided().forEach(why -> System.out.println("not decided: " + why));
-                decided &= found.decided();
-                kept &= found.kept() || !found.decided();
+                found.results().forEach(System.out::println);
+                found.inconclusiveReasons().forEach(why -> System.out.println("not decided: " + why));
+                decided &= found.conclusive();
+                kept &= found.passed() || !found.conclusive();
             }
             System.out.println(!kept ? "FAIL" : decided ? "PASS" : "VOID");
-            return !kept ? 1 : decided ? 0 : VOID;
+            return !kept ? 1 : decided ? 0 : EXIT_INCONCLUSIVE;
         }
     }
 
@@ -344,16 +344,16 @@
             List<String> frontEnd = List.of(java, "-Xmx1g", "-cp", System.getProperty("java.class.path"),
                     "gradereach.cli.Main", "serve", "--no-lives");
             if (streams != null) {
-                new StreamMeasure(Files.createTempDirectory("measure"), frontEnd, System.out).run(rounds, streams);
+                new StreamingBenchmark(Files.createTempDirectory("measure"), frontEnd, System.out).run(rounds, streams);
                 return 0;
             }
             if (push) {
-                Measure measure = new Measure(Files.createTempDirectory("measure"), frontEnd, ledger, System.out);
-                measure.push(rates[0], seconds, rounds);
-                measure.sixtyPushers();
+                LatencyBenchmark measure = new LatencyBenchmark(Files.createTempDirectory("measure"), frontEnd, ledger, System.out);
+                measure.runRemoteWrite(rates[0], seconds, rounds);
+                measure.runSimultaneousPushers();
                 return 0;
             }
-            new Measure(Files.createTempDirectory("measure"), frontEnd, ledger, System.out)
+            new LatencyBenchmark(Files.createTempDirectory("measure"), frontEnd, ledger, System.out)
                     .run(rates, seconds, rounds, connections);
             return 0;
         }
@@ -381,7 +381,7 @@
     static final class Completion implements Callable<Integer> {
         @Override
         public Integer call() {
-            System.out.println(AutoComplete.bash("gradereach", line()));
+            System.out.println(AutoComplete.bash("gradereach", commandLine()));
             return 0;
         }
     }
--- a/cli/src/main/java/gradereach/cli/SoakCommand.java
+++ b/cli/src/main/java/gradereach/cli/SoakCommand.java
@@ -4,7 +4,7 @@
 import gradereach.rehearsal.soak.Soak;
 import gradereach.rehearsal.soak.SoakPlan;
 import gradereach.rehearsal.soak.SoakReport;
-import gradereach.rehearsal.soak.Trouble;
+import gradereach.rehearsal.soak.SoakFault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -31,9 +31,9 @@
     @Option(names = "--nodes", defaultValue = "3", description = "front ends at once (${DEFAULT-VALUE})")
     private int nodes;
     @Option(names = "--only", split = ",", description = "troubles to play: ${COMPLETION-CANDIDATES}")
-    private List<Trouble> only;
+    private List<SoakFault> only;
     @Option(names = "--without", split = ",", description = "troubles to leave out")
-    private List<Trouble> without;
+    private List<SoakFault> without;
     @Option(names = "--reduce", description = "cut a failing seed down: leave out each trouble without which it still fails")
     private boolean reduce;
     @Option(names = "--logs", description = "print what the front ends printed, where a seed fails")
@@ -45,7 +45,7 @@
             System.err.println("--seconds, --nodes and --seeds: at least 1");
             return 2;
         }
-        Set<Trouble> troubles = only == null ? EnumSet.allOf(Trouble.class) : EnumSet.copyOf(only);
+        Set<SoakFault> troubles = only == null ? EnumSet.allOf(SoakFault.class) : EnumSet.copyOf(only);
         if (without != null) {
             troubles.removeAll(without);
         }
@@ -56,9 +56,9 @@
         boolean failed = false;
         boolean decided = true;
         for (long next = seed; next < seed + seeds; next++) {
-            SoakReport report = play(next, troubles);
-            decided &= report.decided();
-            if (!report.kept() && report.decided()) {
+            SoakReport report = runSoak(next, troubles);
+            decided &= report.conclusive();
+            if (!report.passed() && report.conclusive()) {
                 failed = true;
                 if (reduce) {
                     reduce(next, troubles);
@@ -66,28 +66,28 @@
             }
         }
         System.out.println(failed ? "FAIL" : decided ? "PASS" : "VOID");
-        return failed ? 1 : decided ? 0 : Main.VOID;
+        return failed ? 1 : decided ? 0 : Main.EXIT_INCONCLUSIVE;
     }
 
-    private SoakReport play(long seed, Set<Trouble> troubles) throws IOException, InterruptedException {
+    private SoakReport runSoak(long seed, Set<SoakFault> troubles) throws IOException, InterruptedException {
         SoakPlan plan = new SoakPlan(seed, seconds, nodes, troubles, Rehearsal.javaCommand(FRONT_END));
         try (Soak soak = new Soak(plan, Files.createTempDirectory("soak"))) {
             SoakReport report = soak.run();
             System.out.println("seed " + seed + ": " + report);
-            if (logs && !report.kept()) {
+            if (logs && !report.passed()) {
                 soak.logs().forEach((name, lines) -> lines.forEach(line -> System.out.println(name + " " + line)));
             }
             return report;
         }
     }
 
-    private void reduce(long seed, Set<Trouble> troubles) throws IOException, InterruptedException {
-        Set<Trouble> needed = EnumSet.copyOf(troubles);
-        for (Trouble trouble : troubles) {
-            Set<Trouble> fewer = EnumSet.copyOf(needed);
+    private void reduce(long seed, Set<SoakFault> troubles) throws IOException, InterruptedException {
+        Set<SoakFault> needed = EnumSet.copyOf(troubles);
+        for (SoakFault trouble : troubles) {
+            Set<SoakFault> fewer = EnumSet.copyOf(needed);
             fewer.remove(trouble);
-            SoakReport report = fewer.isEmpty() ? null : play(seed, fewer);
-            if (report != null && report.decided() && !report.kept()) {
+            SoakReport report = fewer.isEmpty() ? null : runSoak(seed, fewer);
+            if (report != null && report.conclusive() && !report.passed()) {
                 needed = fewer;
             }
         }
--- a/cli/src/test/java/gradereach/cli/ArchitectureTest.java
+++ b/cli/src/test/java/gradereach/cli/ArchitectureTest.java
@@ -25,36 +25,36 @@
             .haveNameMatching("java\\.lang\\.Thread|java\\.util\\.concurrent\\.(locks|Executor).*");
 
     @ArchTest
-    static final ArchRule theBenchAdapterStaysLight = classes().that().resideInAPackage("gradereach.benchlink..")
+    static final ArchRule benchAdapterHasFewDependencies = classes().that().resideInAPackage("gradereach.benchlink..")
             .should().onlyDependOnClassesThat().resideInAnyPackage("gradereach", "gradereach.api..",
             "gradereach.state..", "gradereach.benchlink..", "java..");
 
     @ArchTest
-    static final ArchRule decisionsKnowNoIo = noClasses().that().resideInAnyPackage(PURE).should()
+    static final ArchRule decisionPackagesDoNoIo = noClasses().that().resideInAnyPackage(PURE).should()
             .dependOnClassesThat().resideInAnyPackage("io.netty..", "java.net..", "java.nio.file..", "java.nio.channels..");
 
     @ArchTest
-    static final ArchRule decidersBesideIoKnowNone = noClasses().that()
-            .haveNameMatching(".*\\.(PoolBook|ChangelogBook|Frame|FrameProofs|LoadWords|Proofs|LoadReport|RosterBook|DeliveryBook|KeeperBook|ClaimRounds|Members|SendQueue|Shards|ShardPace|Turns)").should()
+    static final ArchRule decisionClassesInIoPackagesDoNoIo = noClasses().that()
+            .haveNameMatching(".*\\.(StreamAllocator|ChangelogState|Frame|FrameOutcomes|LoadReportParser|ExchangeOutcomes|OrcaReportParser|RosterTracker|DeliveryScheduler|ClaimTable|ClaimCoordinator|FrontEndSet|SendQueue|Shards|ShardCalculator|PushSchedule)").should()
             .dependOnClassesThat().resideInAnyPackage("io.netty.channel..", "java.net..", "java.nio.file..", "java.nio.channels..");
 
     @ArchTest
-    static final ArchRule nothingPointsOutward = noClasses().that().resideInAnyPackage(PURE).should()
+    static final ArchRule decisionPackagesDoNotDependOnOuterPackages = noClasses().that().resideInAnyPackage(PURE).should()
             .dependOnClassesThat().resideInAnyPackage("gradereach.front..", "gradereach.link..", "gradereach.loop..",
             "gradereach.serve..", "gradereach.plan..", "gradereach.http2..", "gradereach.delivery..");
 
     @ArchTest
-    static final ArchRule thePlatformsPartsPointInward = noClasses().that().resideInAnyPackage("gradereach.platform.plan..",
+    static final ArchRule platformPartsDoNotDependOnProcesses = noClasses().that().resideInAnyPackage("gradereach.platform.plan..",
             "gradereach.platform.link..", "gradereach.platform.front..", "gradereach.platform.changelog..").should()
             .dependOnClassesThat().resideInAnyPackage("gradereach.platform.serve..", "gradereach.serve..", "gradereach.http2..");
 
     @ArchTest
-    static final ArchRule theProductKnowsNoStandIn = noClasses().that().resideOutsideOfPackages(
+    static final ArchRule productDoesNotDependOnStandIns = noClasses().that().resideOutsideOfPackages(
             "gradereach.standins..", "gradereach.rehearsal..", "gradereach.measure..", "gradereach.cli..").should().dependOnClassesThat()
             .resideInAnyPackage("gradereach.standins..", "gradereach.rehearsal..");
 
     @ArchTest
-    static final ArchRule standInsKnowNothingOfTheProduct = noClasses().that().resideInAPackage("gradereach.standins..")
+    static final ArchRule standInsDoNotDependOnTheProduct = noClasses().that().resideInAPackage("gradereach.standins..")
             .should().dependOnClassesThat(com.tngtech.archunit.base.DescribedPredicate.describe("of the product",
             c -> c.getPackageName().startsWith("gradereach") && !c.getPackageName().startsWith("gradereach.standins")
                     && !c.getPackageName().startsWith("gradereach.protocol")));
--- a/cli/src/test/java/gradereach/cli/MainTest.java
+++ b/cli/src/test/java/gradereach/cli/MainTest.java
@@ -32,7 +32,7 @@
         "ledger unknown FOLDER/none | 2 | no such folder", "ledger unknown FOLDER | 0 | 0 unknown of 0",
         "ledger show FOLDER yard a | 1 | not there", "ledger verify FOLDER/broken | 1 | 0000000000000001.ledger: bytes 0 to 3: no ledger segment",
     })
-    void everyMistakeHasItsLineAndItsExitCode(String args, int code, String says) throws Exception {
+    void printsExpectedTextAndExitCode(String args, int code, String says) throws Exception {
         Files.writeString(folder.resolve("bad.json"), "{}");
         Files.writeString(folder.resolve("old"), "x");
         Files.createDirectories(folder.resolve("broken"));
@@ -44,7 +44,7 @@
         try (PrintStream to = new PrintStream(said, true)) {
             System.setOut(to);
             System.setErr(to);
-            CommandLine line = Main.line().setErr(new PrintWriter(to, true)).setOut(new PrintWriter(to, true));
+            CommandLine line = Main.commandLine().setErr(new PrintWriter(to, true)).setOut(new PrintWriter(to, true));
             String at = folder.toString();
             assertEquals(code, line.execute(args.isEmpty() ? new String[0] : args.replace("FOLDER", at).split(" ")));
             assertTrue(said.toString().contains(says.replace("FOLDER", at)), said.toString());
--- a/client/src/main/java/gradereach/client/End.java
+++ b/client/src/main/java/gradereach/client/AttemptOutcome.java
@@ -9,7 +9,7 @@
  * @param answer of a returned one, in the form of its way; null otherwise
  * @param why a sentence, for what was not returned
  */
-public record End(Kind kind, double pause, boolean harmless, boolean leaving, Object answer, String why) {
+public record AttemptOutcome(Kind kind, double retryAfterMillis, boolean retrySafe, boolean frontEndDraining, Object answer, String detail) {
     /** Ways in which a try ends. */
     public enum Kind {
         RETURNED, SHED, FAILED,
@@ -21,11 +21,11 @@
         LOST
     }
 
-    static End returned(Object answer) {
-        return new End(Kind.RETURNED, 0, true, false, answer, null);
+    static AttemptOutcome returned(Object answer) {
+        return new AttemptOutcome(Kind.RETURNED, 0, true, false, answer, null);
     }
 
-    static End of(Kind kind, String why) {
-        return new End(kind, 0, kind == Kind.NEVER_SENT, kind == Kind.NEVER_SENT, null, why);
+    static AttemptOutcome notReturned(Kind kind, String why) {
+        return new AttemptOutcome(kind, 0, kind == Kind.NEVER_SENT, kind == Kind.NEVER_SENT, null, why);
     }
 }
--- a/client/src/main/java/gradereach/client/GradereachClient.java
+++ b/client/src/main/java/gradereach/client/GradereachClient.java
@@ -38,54 +38,54 @@
     }
 
     /** Inferences of one client at once: as many as a front end holds by default; more wait nowhere, they are refused. */
-    private static final int MOST_OPEN = 20_000;
+    private static final int MAX_OPEN_INFERENCES = 20_000;
 
     /** An inference that was not returned: its last end, and whether its effect is known not to have happened. */
     public static final class NotReturned extends Exception {
         private static final long serialVersionUID = 1L;
-        private final transient End end;
-        private final int tries;
+        private final transient AttemptOutcome lastOutcome;
+        private final int attempts;
 
-        NotReturned(End end, int tries) {
-            super(end.kind() + ": " + end.why());
-            this.end = end;
-            this.tries = tries;
+        NotReturned(AttemptOutcome end, int tries) {
+            super(end.kind() + ": " + end.detail());
+            this.lastOutcome = end;
+            this.attempts = tries;
         }
 
-        public End end() {
-            return end;
+        public AttemptOutcome lastOutcome() {
+            return lastOutcome;
         }
 
-        public int tries() {
-            return tries;
+        public int attempts() {
+            return attempts;
         }
     }
 
-    private final Way way;
-    private final FrontList fronts;
-    private final Purse purse = new Purse();
-    private final Random chance;
-    private final AtomicInteger open = new AtomicInteger();
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(work -> {
+    private final FrontEndTransport transport;
+    private final FrontEndSelector frontEnds;
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final Random random;
+    private final AtomicInteger openInferences = new AtomicInteger();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(work -> {
         Thread made = new Thread(work, "gradereach-client");
         made.setDaemon(true);
         return made;
     });
 
-    private GradereachClient(Way way, List<String> fronts, Random chance) {
-        this.way = way;
-        this.chance = chance;
-        this.fronts = new FrontList(fronts, chance);
+    private GradereachClient(FrontEndTransport way, List<String> fronts, Random chance) {
+        this.transport = way;
+        this.random = chance;
+        this.frontEnds = new FrontEndSelector(fronts, chance);
     }
 
     /** By signed webhooks; front ends as {@code host:port}. */
     public static GradereachClient webhooks(WebhookKey key, List<String> fronts) {
-        return new GradereachClient(new WebhookWay(key), fronts, new Random());
+        return new GradereachClient(new WebhookTransport(key), fronts, new Random());
     }
 
     /** By gRPC; front ends as {@code host:port} of their gRPC listeners. */
     public static GradereachClient grpc(WebhookKey key, List<String> fronts) {
-        return new GradereachClient(Way.grpc(key), fronts, new Random());
+        return new GradereachClient(FrontEndTransport.grpc(key), fronts, new Random());
     }
 
     /** @param input an inference request object of the protocol; the future holds the response object */
@@ -93,11 +93,11 @@
         ObjectNode message = JSON.createObjectNode().put("type", "inference.requested").put("timestamp", Instant.now().toString());
         message.putObject("data").put("model", model).put("budget_ms", within.toMillis()).set("input", input);
         byte[] body = message.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        return ask(new Inference(newId(), model, body), effect, within).thenApply(answer -> (JsonNode) answer);
+        return submit(new Inference(newId(), model, body), effect, within).thenApply(answer -> (JsonNode) answer);
     }
 
     public CompletableFuture<ModelInferResponse> infer(ModelInferRequest request, Effect effect, Duration within) {
-        return ask(new Inference(newId(), request.getModelName(), request), effect, within)
+        return submit(new Inference(newId(), request.getModelName(), request), effect, within)
                 .thenApply(answer -> (ModelInferResponse) answer);
     }
 
@@ -112,7 +112,7 @@
             count.incrementAndGet();
             parts.accept((ModelInferResponse) part);
         };
-        return ask(new Inference(newId(), request.getModelName(), request), effect, within, counted, count)
+        return submit(new Inference(newId(), request.getModelName(), request), effect, within, counted, count)
                 .thenApply(end -> count.get());
     }
 
@@ -124,50 +124,50 @@
         return System.nanoTime() / 1e6;
     }
 
-    private CompletableFuture<Object> ask(Inference inference, Effect effect, Duration within) {
-        return ask(inference, effect, within, null, new AtomicLong());
+    private CompletableFuture<Object> submit(Inference inference, Effect effect, Duration within) {
+        return submit(inference, effect, within, null, new AtomicLong());
     }
 
     /** @param parts null for a whole answer; {@code begun} is above 0 once one has come */
-    private CompletableFuture<Object> ask(Inference inference, Effect effect, Duration within, Consumer<Object> parts,
+    private CompletableFuture<Object> submit(Inference inference, Effect effect, Duration within, Consumer<Object> parts,
             AtomicLong begun) {
         CompletableFuture<Object> answer = new CompletableFuture<>();
-        if (open.incrementAndGet() > MOST_OPEN) {
-            open.decrementAndGet();
-            answer.completeExceptionally(new NotReturned(End.of(End.Kind.NEVER_SENT, MOST_OPEN + " inferences are open"), 0));
+        if (openInferences.incrementAndGet() > MAX_OPEN_INFERENCES) {
+            openInferences.decrementAndGet();
+            answer.completeExceptionally(new NotReturned(AttemptOutcome.notReturned(AttemptOutcome.Kind.NEVER_SENT, MAX_OPEN_INFERENCES + " inferences are open"), 0));
             return answer;
         }
-        answer.whenComplete((returned, failure) -> open.decrementAndGet());
+        answer.whenComplete((returned, failure) -> openInferences.decrementAndGet());
         double deadline = now() + within.toNanos() / 1e6;
-        thread.execute(() -> {
-            Asked asked = new Asked(inference, deadline, new Repeats(effect, deadline, chance, purse), answer,
+        scheduler.execute(() -> {
+            PendingInference asked = new PendingInference(inference, deadline, new RetryPolicy(effect, deadline, random, retryBudget), answer,
                     parts, begun);
-            thread.schedule(asked::timeUp, within.toNanos(), TimeUnit.NANOSECONDS);
+            scheduler.schedule(asked::onDeadline, within.toNanos(), TimeUnit.NANOSECONDS);
             asked.send();
         });
         return answer;
     }
 
     /** One inference over its tries. Of the client's thread. */
-    private final class Asked {
+    private final class PendingInference {
         private final Inference inference;
         private final double deadline;
-        private final Repeats repeats;
+        private final RetryPolicy retryPolicy;
         private final CompletableFuture<Object> answer;
         private final Consumer<Object> parts;
-        private final AtomicLong begun;
-        private int tries;
-        private End last = End.of(End.Kind.NEVER_SENT, "no front end could be reached");
-        private Way.Try underWay;
-        private FrontList.Front asked;
+        private final AtomicLong partsReceived;
+        private int attempts;
+        private AttemptOutcome lastOutcome = AttemptOutcome.notReturned(AttemptOutcome.Kind.NEVER_SENT, "no front end could be reached");
+        private FrontEndTransport.Attempt currentAttempt;
+        private FrontEndSelector.Target currentFrontEnd;
 
-        Asked(Inference inference, double deadline, Repeats repeats, CompletableFuture<Object> answer, Consumer<Object> parts,
+        PendingInference(Inference inference, double deadline, RetryPolicy repeats, CompletableFuture<Object> answer, Consumer<Object> parts,
                 AtomicLong begun) {
             this.parts = parts;
-            this.begun = begun;
+            this.partsReceived = begun;
             this.inference = inference;
             this.deadline = deadline;
-            this.repeats = repeats;
+            this.retryPolicy = repeats;
             this.answer = answer;
         }
 
@@ -175,69 +175,69 @@
             if (answer.isDone()) {
                 return;
             }
-            FrontList.Front front = fronts.next(now());
+            FrontEndSelector.Target front = frontEnds.next(now());
             if (front == null) {
-                later(fronts.nextAt());
+                scheduleAttempt(frontEnds.nextAvailableAt());
                 return;
             }
-            asked = front;
-            int number = ++tries;
-            Consumer<End> then = end -> thread.execute(() -> ended(number, front, end));
-            underWay = parts == null ? way.send(front.address, inference, deadline - now(), then)
-                    : way.stream(front.address, inference, deadline - now(), parts, then);
+            currentFrontEnd = front;
+            int number = ++attempts;
+            Consumer<AttemptOutcome> then = end -> scheduler.execute(() -> onAttemptEnded(number, front, end));
+            currentAttempt = parts == null ? transport.send(front.address, inference, deadline - now(), then)
+                    : transport.stream(front.address, inference, deadline - now(), parts, then);
         }
 
-        private void later(double at) {
+        private void scheduleAttempt(double at) {
             if (at < deadline) {
-                thread.schedule(this::send, (long) Math.max(0, (at - now()) * 1e6), TimeUnit.NANOSECONDS);
+                scheduler.schedule(this::send, (long) Math.max(0, (at - now()) * 1e6), TimeUnit.NANOSECONDS);
             } else {
-                finish();
+                fail();
             }
         }
 
-        private void ended(int number, FrontList.Front front, End end) {
-            if (end.leaving()) {
-                fronts.notReached(front, now());
-            } else if (end.kind() != End.Kind.LOST) {
-                fronts.reached(front);
+        private void onAttemptEnded(int number, FrontEndSelector.Target front, AttemptOutcome end) {
+            if (end.frontEndDraining()) {
+                frontEnds.markUnavailable(front, now());
+            } else if (end.kind() != AttemptOutcome.Kind.LOST) {
+                frontEnds.markReachable(front);
             }
-            if (answer.isDone() || number != tries) {
+            if (answer.isDone() || number != attempts) {
                 return;
             }
-            underWay = null;
+            currentAttempt = null;
             // What may have run before cannot be un-known by a later try that never left.
-            last = last.kind() == End.Kind.LOST && end.kind() == End.Kind.NEVER_SENT ? last : end;
-            if (end.kind() == End.Kind.RETURNED) {
+            lastOutcome = lastOutcome.kind() == AttemptOutcome.Kind.LOST && end.kind() == AttemptOutcome.Kind.NEVER_SENT ? lastOutcome : end;
+            if (end.kind() == AttemptOutcome.Kind.RETURNED) {
                 answer.complete(end.answer());
                 return;
             }
             // What has been read of a first answer cannot be unread.
-            double again = begun.get() > 0 ? Double.NaN : repeats.after(end, now());
+            double again = partsReceived.get() > 0 ? Double.NaN : retryPolicy.nextAttemptAt(end, now());
             if (Double.isNaN(again)) {
-                finish();
+                fail();
             } else {
-                later(again);
+                scheduleAttempt(again);
             }
         }
 
-        private void timeUp() {
-            if (underWay != null) {
-                underWay.giveUp();
+        private void onDeadline() {
+            if (currentAttempt != null) {
+                currentAttempt.cancel();
                 // A front end that is there answers in time, if only that it cannot: others are asked first from now on.
-                fronts.notReached(asked, now());
-                last = End.of(End.Kind.LOST, "no answer within its time");
+                frontEnds.markUnavailable(currentFrontEnd, now());
+                lastOutcome = AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "no answer within its time");
             }
-            finish();
+            fail();
         }
 
-        private void finish() {
-            answer.completeExceptionally(new NotReturned(last, tries));
+        private void fail() {
+            answer.completeExceptionally(new NotReturned(lastOutcome, attempts));
         }
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
-        way.close();
+        scheduler.shutdownNow();
+        transport.close();
     }
 }
--- a/client/src/main/java/gradereach/client/WebhookWay.java
+++ b/client/src/main/java/gradereach/client/WebhookTransport.java
@@ -18,52 +18,52 @@
 import java.util.function.Consumer;
 
 /** Signed webhooks over HTTP/1.1 (Standard Webhooks). */
-final class WebhookWay implements Way {
+final class WebhookTransport implements FrontEndTransport {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(2)).build();
     private final WebhookKey key;
 
-    WebhookWay(WebhookKey key) {
+    WebhookTransport(WebhookKey key) {
         this.key = key;
     }
 
     @Override
-    public Try send(String address, Inference inference, double left, Consumer<End> then) {
+    public Attempt send(String address, Inference inference, double left, Consumer<AttemptOutcome> then) {
         byte[] body = (byte[]) inference.message();
         long at = System.currentTimeMillis() / 1000;
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + "/v1/inferences"))
                 .header("content-type", "application/json").header("webhook-id", inference.id())
                 .header("webhook-timestamp", Long.toString(at))
-                .header("webhook-signature", KeyRing.header(List.of(key), inference.id(), at, body))
+                .header("webhook-signature", KeyRing.signatureHeader(List.of(key), inference.id(), at, body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build();
         CompletableFuture<HttpResponse<byte[]>> sent = client.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray());
-        sent.whenComplete((answer, failure) -> then.accept(answer != null ? end(answer) : end(failure)));
+        sent.whenComplete((answer, failure) -> then.accept(answer != null ? toOutcome(answer) : toOutcome(failure)));
         return () -> sent.cancel(true);
     }
 
-    private static End end(Throwable failure) {
+    private static AttemptOutcome toOutcome(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         boolean never = cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
-        return End.of(never ? End.Kind.NEVER_SENT : End.Kind.LOST, String.valueOf(cause));
+        return AttemptOutcome.notReturned(never ? AttemptOutcome.Kind.NEVER_SENT : AttemptOutcome.Kind.LOST, String.valueOf(cause));
     }
 
-    private static End end(HttpResponse<byte[]> answer) {
+    private static AttemptOutcome toOutcome(HttpResponse<byte[]> answer) {
         try {
             JsonNode body = JSON.readTree(answer.body());
             if (answer.statusCode() == 200) {
-                return End.returned(body.path("data").path("output"));
+                return AttemptOutcome.returned(body.path("data").path("output"));
             }
-            End.Kind kind = switch (body.path("outcome").asText()) {
-                case "shed" -> End.Kind.SHED;
-                case "failed" -> End.Kind.FAILED;
-                default -> End.Kind.REFUSED;
+            AttemptOutcome.Kind kind = switch (body.path("outcome").asText()) {
+                case "shed" -> AttemptOutcome.Kind.SHED;
+                case "failed" -> AttemptOutcome.Kind.FAILED;
+                default -> AttemptOutcome.Kind.REFUSED;
             };
-            return new End(kind, body.path("retry_after_ms").asDouble(0), body.path("repeat_harmless").asBoolean(),
-                    kind == End.Kind.SHED && answer.headers().firstValue("connection").orElse("").equalsIgnoreCase("close"), null,
+            return new AttemptOutcome(kind, body.path("retry_after_ms").asDouble(0), body.path("repeat_harmless").asBoolean(),
+                    kind == AttemptOutcome.Kind.SHED && answer.headers().firstValue("connection").orElse("").equalsIgnoreCase("close"), null,
                     answer.statusCode() + " " + body.path("detail").asText());
         } catch (IOException e) {
-            return End.of(End.Kind.LOST, "HTTP " + answer.statusCode() + " without a proper body");
+            return AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "HTTP " + answer.statusCode() + " without a proper body");
         }
     }
 
--- a/client/src/test/java/gradereach/client/GoingAway.java
+++ b/client/src/test/java/gradereach/client/GoAwayServer.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** An HTTP/2 server that closes its listener at the first call and answers that with a GOAWAY that excludes it, and no more. */
-final class GoingAway implements AutoCloseable {
+final class GoAwayServer implements AutoCloseable {
     private static final int PREFACE_BYTES = 24;
     private static final int HEADERS = 1;
     private static final int SETTINGS = 4;
@@ -17,10 +17,10 @@
     private static final int GOAWAY_BYTES = 8;
 
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final AtomicInteger calls = new AtomicInteger();
+    private final AtomicInteger callsReceived = new AtomicInteger();
     private volatile Socket connection;
 
-    GoingAway() throws IOException {
+    GoAwayServer() throws IOException {
         Thread thread = new Thread(this::serve, "going-away");
         thread.setDaemon(true);
         thread.start();
@@ -31,8 +31,8 @@
     }
 
     /** Calls that have come. */
-    int calls() {
-        return calls.get();
+    int callsReceived() {
+        return callsReceived.get();
     }
 
     private void serve() {
@@ -41,14 +41,14 @@
             DataInputStream in = new DataInputStream(connection.getInputStream());
             DataOutputStream out = new DataOutputStream(connection.getOutputStream());
             in.skipNBytes(PREFACE_BYTES);
-            head(out, 0, SETTINGS);
+            writeFrameHeader(out, 0, SETTINGS);
             out.flush();
-            while (frame(in) != HEADERS) {
+            while (readFrameType(in) != HEADERS) {
                 continue;
             }
             listener.close();
-            calls.incrementAndGet();
-            head(out, GOAWAY_BYTES, GOAWAY);
+            callsReceived.incrementAndGet();
+            writeFrameHeader(out, GOAWAY_BYTES, GOAWAY);
             out.writeInt(0); // the last stream that was or may be processed
             out.writeInt(0); // no error
             out.flush();
@@ -57,7 +57,7 @@
         }
     }
 
-    private static void head(DataOutputStream out, int length, int type) throws IOException {
+    private static void writeFrameHeader(DataOutputStream out, int length, int type) throws IOException {
         out.writeByte(0);
         out.writeShort(length);
         out.writeByte(type);
@@ -66,7 +66,7 @@
     }
 
     /** Returns the type of the next frame. */
-    private static int frame(DataInputStream in) throws IOException {
+    private static int readFrameType(DataInputStream in) throws IOException {
         int length = in.readUnsignedByte() << 16 | in.readUnsignedShort();
         int type = in.readUnsignedByte();
         in.skipNBytes(1 + Integer.BYTES + length);
--- a/client/src/test/java/gradereach/client/GradereachClientTest.java
+++ b/client/src/test/java/gradereach/client/GradereachClientTest.java
@@ -10,7 +10,7 @@
 import gradereach.plan.Deployment;
 import gradereach.protocol.inference.InferParameter;
 import gradereach.protocol.inference.ModelInferRequest;
-import gradereach.serve.Between;
+import gradereach.serve.FaultInjection;
 import gradereach.serve.Gateway;
 import gradereach.standins.SmallFleet;
 import gradereach.webhook.WebhookKey;
@@ -50,16 +50,16 @@
         addresses.put("webhooks", new ArrayList<>());
         addresses.put("grpc", new ArrayList<>());
         for (int i = 0; i < 2; i++) {
-            ObjectNode plan = fleet.plan("fe-" + i, secret);
+            ObjectNode plan = fleet.createDeployment("fe-" + i, secret);
             plan.putObject("grpc").put("listen", "127.0.0.1:0");
             plan.putObject("executors").putArray("grpc_kinds").add(0);
-            Gateway gateway = new Gateway(Deployment.of(plan, folder), Between.NOTHING);
+            Gateway gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
             addresses.get("webhooks").add("127.0.0.1:" + gateway.listen().getPort());
             addresses.get("grpc").add("127.0.0.1:" + gateway.grpcAddress().getPort());
             gateways.add(gateway);
         }
         for (Gateway gateway : gateways) {
-            while (!gateway.ready()) {
+            while (!gateway.isReady()) {
                 Thread.sleep(2);
             }
         }
@@ -88,7 +88,7 @@
     /** Guards against calls that wait out their time, one after the other, at a front end whose machine is gone. */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void aFrontEndThatSaidNothingIsNotAskedNext(String way) throws Exception {
+    void silentFrontEndIsNotTriedNext(String way) throws Exception {
         try (ServerSocket silent = new ServerSocket(0, 50, java.net.InetAddress.getLoopbackAddress());
                 GradereachClient client = client(way, List.of("127.0.0.1:" + silent.getLocalPort(), addresses.get(way).get(0)))) {
             int lost = 0;
@@ -109,7 +109,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void inferencesOutliveAFrontEndThatGoes(String way) throws Exception {
+    void inferencesSurviveTheLossOfAFrontEnd(String way) throws Exception {
         List<String> fronts = new ArrayList<>(addresses.get(way));
         try (ServerSocket nobody = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             fronts.add(0, "127.0.0.1:" + nobody.getLocalPort());
@@ -129,11 +129,11 @@
                     one.get();
                     returned++;
                 } catch (ExecutionException e) {
-                    assertEquals(End.Kind.LOST, ((GradereachClient.NotReturned) e.getCause()).end().kind());
+                    assertEquals(AttemptOutcome.Kind.LOST, ((GradereachClient.NotReturned) e.getCause()).lastOutcome().kind());
                 }
             }
         }
-        Map<String, Integer> runs = fleet.runs();
+        Map<String, Integer> runs = fleet.closeAndCountRuns();
         assertTrue(returned > 150 && runs.size() >= returned, returned + " returned, " + runs.size() + " ran");
         assertTrue(runs.values().stream().allMatch(n -> n == 1), "twice");
     }
@@ -145,12 +145,12 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void whatAStoppingFrontEndShedsGoesToAnother(String way) throws Exception {
+    void inferencesShedByADrainingFrontEndGoToAnother(String way) throws Exception {
         List<String> serving = addresses.get(way).subList(0, 1);
         try (GradereachClient warmUp = client(way, serving)) {
             ask(warmUp, way, "book-1", 1, Effect.ONCE, 8000).get();
         }
-        try (StoppingFrontEnd stopping = new StoppingFrontEnd(Deployment.of(fleet.plan("fe-stopping", secret), folder));
+        try (DrainingFrontEnd stopping = new DrainingFrontEnd(Deployment.of(fleet.createDeployment("fe-stopping", secret), folder));
                 GradereachClient client = client(way, List.of(stopping.address(way), serving.get(0)))) {
             List<CompletableFuture<?>> all = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
@@ -159,9 +159,9 @@
             for (CompletableFuture<?> one : all) {
                 one.get();
             }
-            assertTrue(stopping.shed() > 10, stopping.shed() + " shed");
+            assertTrue(stopping.shedCount() > 10, stopping.shedCount() + " shed");
         }
-        assertEquals(61, fleet.runs().size());
+        assertEquals(61, fleet.closeAndCountRuns().size());
     }
 
     /**
@@ -169,41 +169,41 @@
      * what may not run twice goes to another front end.
      */
     @Test
-    void whatAGoAwayRefusesGoesToAnother() throws Exception {
+    void callsExcludedByGoAwayGoToAnother() throws Exception {
         List<String> serving = addresses.get("grpc").subList(0, 1);
         try (GradereachClient warmUp = client("grpc", serving)) {
             ask(warmUp, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
         }
         for (int i = 0; i < 4; i++) { // the client begins with either
-            try (GoingAway goingAway = new GoingAway();
+            try (GoAwayServer goingAway = new GoAwayServer();
                     GradereachClient client = client("grpc", List.of(goingAway.address(), serving.get(0)))) {
                 ask(client, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
                 ask(client, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
-                assertEquals(1, goingAway.calls());
+                assertEquals(1, goingAway.callsReceived());
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void whatCannotBeAnInferenceIsNotRepeatedAndADeadlineEndsAll(String way) throws Exception {
+    void invalidRequestIsNotRetriedAndDeadlineEndsAttempts(String way) throws Exception {
         try (GradereachClient client = client(way, addresses.get(way))) {
             ExecutionException refused = assertThrows(ExecutionException.class,
                     () -> ask(client, way, "none", 1, Effect.NONE, 5000).get());
             GradereachClient.NotReturned why = (GradereachClient.NotReturned) refused.getCause();
-            assertEquals(End.Kind.REFUSED, why.end().kind());
-            assertEquals(1, why.tries());
+            assertEquals(AttemptOutcome.Kind.REFUSED, why.lastOutcome().kind());
+            assertEquals(1, why.attempts());
             ask(client, way, "book-1", 1, Effect.ONCE, 8000).get();
             ExecutionException late = assertThrows(ExecutionException.class,
                     () -> ask(client, way, "book-1", 5000, Effect.ONCE, 300).get());
-            End end = ((GradereachClient.NotReturned) late.getCause()).end();
-            assertTrue(end.kind() == End.Kind.LOST || end.kind() == End.Kind.FAILED && !end.harmless(), end.toString());
+            AttemptOutcome end = ((GradereachClient.NotReturned) late.getCause()).lastOutcome();
+            assertTrue(end.kind() == AttemptOutcome.Kind.LOST || end.kind() == AttemptOutcome.Kind.FAILED && !end.retrySafe(), end.toString());
         }
     }
 
     /** Parts come in order while the caller takes them; one that broke after its start is not asked for again. */
     @Test
-    void anAnswerComesInPartsAndABrokenOneIsNotRepeated() throws Exception {
+    void streamedAnswerArrivesInPartsAndIsNotRetriedAfterTheFirst() throws Exception {
         ModelInferRequest asked = ModelInferRequest.newBuilder().setModelName("tell-1").putParameters("parts", number(5))
                 .putParameters("part_ms", number(1)).build();
         try (GradereachClient client = client("grpc", addresses.get("grpc"))) {
@@ -211,12 +211,12 @@
             assertEquals(5, client.stream(asked, Effect.NONE, Duration.ofSeconds(8), part -> parts.add(
                     part.getParametersOrThrow("gradereach-part").getInt64Param())).get());
             assertEquals(List.of(1L, 2L, 3L, 4L, 5L), parts);
-            fleet.apply(JSON.readTree("{\"kind\":\"reset_part\",\"for_ms\":20000}"));
+            fleet.injectFault(JSON.readTree("{\"kind\":\"reset_part\",\"for_ms\":20000}"));
             parts.clear();
             ExecutionException broken = assertThrows(ExecutionException.class, () -> client.stream(asked, Effect.NONE,
                     Duration.ofSeconds(8), part -> parts.add(1L)).get());
             GradereachClient.NotReturned why = (GradereachClient.NotReturned) broken.getCause();
-            assertEquals(List.of(End.Kind.FAILED, 1, 1), List.of(why.end().kind(), why.tries(), parts.size()));
+            assertEquals(List.of(AttemptOutcome.Kind.FAILED, 1, 1), List.of(why.lastOutcome().kind(), why.attempts(), parts.size()));
         }
     }
 
--- a/core/src/main/java/gradereach/ReadinessLeases.java
+++ b/core/src/main/java/gradereach/ReadinessLeases.java
@@ -1,6 +1,6 @@
 package gradereach;
 
-import gradereach.api.Standing;
+import gradereach.api.ExecutorState;
 import gradereach.state.Executor;
 
 /**
@@ -14,19 +14,19 @@
  */
 final class ReadinessLeases {
     /** Milliseconds for the way to the executor and a turn of the thread: a send counts from when it arrives. */
-    private static final double MARGIN = 25;
+    private static final double DELIVERY_MARGIN_MILLIS = 25;
     /** Milliseconds after which an executor that said no is asked again: it will end soon, or start anew. */
-    private static final double REFUSED_ASKED_AGAIN = 1000;
+    private static final double NOT_READY_PROBE_INTERVAL_MILLIS = 1000;
     /** Milliseconds between two questions to an executor that did not answer: a few network trips. */
-    private static final double UNANSWERED_ASKED_AGAIN = 50;
+    private static final double UNANSWERED_PROBE_INTERVAL_MILLIS = 50;
 
-    private final double grace;
+    private final double drainGrace;
     private double rosterConfirmedAt = Double.POSITIVE_INFINITY;
     private double rosterValidUntil = Double.POSITIVE_INFINITY;
 
     /** @param grace of the rule, milliseconds */
     ReadinessLeases(double grace) {
-        this.grace = grace;
+        this.drainGrace = grace;
     }
 
     /**
@@ -46,49 +46,49 @@
 
     /** Whether nothing may be sent by the roster alone, and that for so long. */
     boolean rosterExpiredFor(double span, double now) {
-        return now - rosterValidUntil - grace >= span;
+        return now - rosterValidUntil - drainGrace >= span;
     }
 
     /** Whether forwards and load orders may be sent to it. */
-    boolean maySend(Executor ex, double now) { return now < endOf(ex); }
+    boolean maySend(Executor ex, double now) { return now < leaseEnd(ex); }
 
     /** When its lease ends by what is known now; minus infinity where it has none. */
-    double endOf(Executor ex) {
-        return ex.standing != Standing.READY ? Double.NEGATIVE_INFINITY
-                : Math.max(rosterValidUntil, ex.provenReadyAt) + grace - MARGIN;
+    double leaseEnd(Executor ex) {
+        return ex.state != ExecutorState.READY ? Double.NEGATIVE_INFINITY
+                : Math.max(rosterValidUntil, ex.readyProbeSentAt) + drainGrace - DELIVERY_MARGIN_MILLIS;
     }
 
     /** Whether it is ready by a roster that is no longer valid, and a question would tell more. */
-    boolean mayAsk(Executor ex, double now) {
-        double pause = ex.refusedAt > ex.provenReadyAt ? REFUSED_ASKED_AGAIN : UNANSWERED_ASKED_AGAIN;
-        return ex.standing == Standing.READY && !maySend(ex, now) && now - ex.probedAt >= pause;
+    boolean shouldProbe(Executor ex, double now) {
+        double pause = ex.notReadyProbeSentAt > ex.readyProbeSentAt ? NOT_READY_PROBE_INTERVAL_MILLIS : UNANSWERED_PROBE_INTERVAL_MILLIS;
+        return ex.state == ExecutorState.READY && !maySend(ex, now) && now - ex.probeSentAt >= pause;
     }
 
     /** Whether it has said that it takes nothing new, and the roster does not know better. */
-    boolean refuses(Executor ex, double now) {
-        return !rosterValid(now) && ex.refusedAt > ex.provenReadyAt;
+    boolean isRefusing(Executor ex, double now) {
+        return !rosterValid(now) && ex.notReadyProbeSentAt > ex.readyProbeSentAt;
     }
 
     /** It has answered as ready. */
-    void ready(Executor ex, double askedAt) {
-        ex.provenReadyAt = Math.max(ex.provenReadyAt, askedAt);
+    void recordReady(Executor ex, double askedAt) {
+        ex.readyProbeSentAt = Math.max(ex.readyProbeSentAt, askedAt);
     }
 
     /** It has answered that it takes nothing new. */
-    void refused(Executor ex, double askedAt) {
-        ex.refusedAt = Math.max(ex.refusedAt, askedAt);
-        doubted(ex, askedAt);
+    void recordNotReady(Executor ex, double askedAt) {
+        ex.notReadyProbeSentAt = Math.max(ex.notReadyProbeSentAt, askedAt);
+        invalidateProof(ex, askedAt);
     }
 
     /** Something that was sent then came back: it may drain, and has to be asked before anything else goes there. */
-    void doubted(Executor ex, double sentAt) {
-        if (sentAt >= ex.provenReadyAt) {
-            ex.provenReadyAt = Double.NEGATIVE_INFINITY;
+    void invalidateProof(Executor ex, double sentAt) {
+        if (sentAt >= ex.readyProbeSentAt) {
+            ex.readyProbeSentAt = Double.NEGATIVE_INFINITY;
         }
     }
 
     /** A connection to it was reset or could not be made: its process may have ended. */
-    void disconnected(Executor ex, double now) {
+    void recordDisconnect(Executor ex, double now) {
         ex.disconnectedAt = now;
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** Whether it was last heard to drain, and the roster could not tell: draining ends with the process. */
-    boolean drained(Executor ex, double now) {
-        return refuses(ex, now) && ex.refusedAt > rosterConfirmedAt;
+    boolean wasDraining(Executor ex, double now) {
+        return isRefusing(ex, now) && ex.notReadyProbeSentAt > rosterConfirmedAt;
     }
 }
--- a/core/src/main/java/gradereach/api/Standing.java
+++ b/core/src/main/java/gradereach/api/ExecutorState.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
 /** The roster's word on an executor. */
-public enum Standing { GONE, READY, DRAINING }
+public enum ExecutorState { REMOVED, READY, DRAINING }
--- a/core/src/main/java/gradereach/api/ForwardRules.java
+++ b/core/src/main/java/gradereach/api/ForwardRules.java
@@ -5,5 +5,5 @@
  *
  * @param drainGrace milliseconds after an executor's drain was told within which sends to it have to stop
  */
-public record ForwardRules(int mostForwards, boolean secondCopies, boolean cancels, double connectTimeout,
-        double answerSlack, double longestPause, boolean clientsHearPause, double drainGrace) { }
+public record ForwardRules(int maxForwards, boolean hedgingAllowed, boolean cancellationAllowed, double connectTimeout,
+        double answerSlack, double maxRetryAfter, boolean sendsRetryAfter, double drainGrace) { }
--- a/core/src/main/java/gradereach/api/Repeat.java
+++ b/core/src/main/java/gradereach/api/RetrySafety.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
 /** What may be done with an inference that may already have run. */
-public enum Repeat { RETRIABLE, DEDUPED, NON_RETRIABLE }
+public enum RetrySafety { RETRIABLE, DEDUPED, NON_RETRIABLE }
--- /dev/null
+++ b/core/src/main/java/gradereach/api/RosterUpdateKind.java
@@ -0,0 +1,4 @@
+package gradereach.api;
+
+/** What a roster message holds. */
+public enum RosterUpdateKind { CHANGES, FULL, CACHED, FAILED }
--- a/core/src/main/java/gradereach/api/Outlet.java
+++ b/core/src/main/java/gradereach/api/RouterActions.java
@@ -6,11 +6,11 @@
 import gradereach.state.Model;
 
 /** Actions out, taking effect at the moment that is being settled. */
-public interface Outlet {
+public interface RouterActions {
     /** {@code stopAt} is the time at which the forward is given up. */
-    Forward forward(Inference inf, Executor ex, double stopAt);
+    Forward sendForward(Inference inf, Executor ex, double stopAt);
 
-    void cancel(Forward fwd);
+    void cancelForward(Forward fwd);
 
     /** {@code pause} 0 gives no advice. */
     void shed(Inference inf, double pause);
@@ -18,22 +18,22 @@
     void fail(Inference inf);
 
     /** Hold at least {@code copies}; 0 only asks. */
-    void order(Executor ex, Model mdl, int copies);
+    void sendOrder(Executor ex, Model mdl, int copies);
 
     void unloadIdle(Executor ex, Model mdl);
 
-    void probe(Executor ex);
+    void sendProbe(Executor ex);
 
-    void wake(double in, long tag);
+    void scheduleTimer(double in, long tag);
 
-    void askRoster();
+    void requestRoster();
 
-    void followRoster(boolean on);
+    void setRosterSubscription(boolean on);
 
-    void hangUp(Executor ex);
+    void closeConnections(Executor ex);
 
     /** {@code to} -1 tells every front end. */
-    void tell(int to, byte[] words);
+    void sendPeerMessage(int to, byte[] words);
 
     void log(String line);
 }
--- a/core/src/main/java/gradereach/state/Forward.java
+++ b/core/src/main/java/gradereach/state/Forward.java
@@ -12,16 +12,16 @@
     private int generation;
     /** Null while it is out. */
     public Outcome outcome;
-    public Copies copies;
+    public ModelCopies copies;
     /** Our own inferences of that model there when it was sent. */
-    public int company;
+    public int ownInFlight;
     /** The answer time that it was sent in hope of. */
-    public double hope;
+    public double expectedAnswerTime;
     /** The answer time with which its SLO is still safe. */
-    public double allowed;
+    public double targetAnswerTime;
     public boolean cancelled;
     /** Its answer flows: it holds a lane, and waits for nothing. */
-    public boolean started;
+    public boolean answerStarted;
 
     public Forward(Inference inference, Executor executor, int number, double sentAt) {
         this.inference = inference;
@@ -32,7 +32,7 @@
     }
 
     /** It went to the present process after all. */
-    void adopt() { generation = executor.generation; }
+    void assignToCurrentGeneration() { generation = executor.generation; }
 
     /** Whether its end tells of the process that its executor stands for now. */
     public boolean isCurrent() { return generation == executor.generation; }
--- a/core/src/main/java/gradereach/state/Inference.java
+++ b/core/src/main/java/gradereach/state/Inference.java
@@ -7,36 +7,36 @@
 
 /** An inference that was taken and is owed one final answer. */
 public final class Inference {
-    static final Comparator<Inference> QUEUE = Comparator.<Inference>comparingInt(inf -> inf.behind)
-            .thenComparingDouble(inf -> inf.takenAt).thenComparingLong(inf -> inf.id);
+    static final Comparator<Inference> QUEUE_ORDER = Comparator.<Inference>comparingInt(inf -> inf.queueRank)
+            .thenComparingDouble(inf -> inf.acceptedAt).thenComparingLong(inf -> inf.id);
 
     public final long id;
     public final ModelGroup group;
     /** Index of its customer. */
     public final int customer;
     public final Model model;
-    public final double takenAt;
+    public final double acceptedAt;
     /** When its client gives up. */
-    public final double leavesAt;
+    public final double deadlineAt;
     /** Expected work, NaN where untold. */
-    public final double work;
-    public final boolean repeated;
+    public final double expectedWork;
+    public final boolean isRetry;
 
     public final List<Forward> forwards = new ArrayList<>(2);
     public boolean done;
     public boolean streaming;
-    public boolean held;
+    public boolean queued;
     /** Its place behind others in its queue; 0 is the front. */
-    public int behind;
+    public int queueRank;
     /** Beyond its customer's share when it came. */
-    public boolean surplus;
+    public boolean overQuota;
     /** The two instances whose executors are looked at before it goes to one of them. */
-    public Copies looksAt;
-    public Copies looksBeside;
+    public ModelCopies firstCandidate;
+    public ModelCopies secondCandidate;
     /** Where it should go next, null for nowhere. */
-    public Copies next;
+    public ModelCopies target;
     /** Its final answer as decided; null while there is none. */
-    public Verdict verdict;
+    public Rejection rejection;
 
     public Inference(long id, ModelGroup group, int customer, Model model, double takenAt, double leavesAt,
             double work, boolean repeated) {
@@ -44,10 +44,10 @@
         this.group = group;
         this.customer = customer;
         this.model = model;
-        this.takenAt = takenAt;
-        this.leavesAt = leavesAt;
-        this.work = work;
-        this.repeated = repeated;
+        this.acceptedAt = takenAt;
+        this.deadlineAt = leavesAt;
+        this.expectedWork = work;
+        this.isRetry = repeated;
     }
 
     /** Whether a forward is out or ended without proof that it never ran. */
--- a/core/src/main/java/gradereach/state/Model.java
+++ b/core/src/main/java/gradereach/state/Model.java
@@ -14,54 +14,54 @@
     public double loadTime;
     public ModelGroup group;
     /** Its group's answer times. */
-    public Pace groupPace;
-    public final Pace pace = new Pace();
+    public AnswerTimeStats groupAnswerTimes;
+    public final AnswerTimeStats answerTimes = new AnswerTimeStats();
 
-    public final TreeSet<Inference> held = new TreeSet<>(Inference.QUEUE);
+    public final TreeSet<Inference> queue = new TreeSet<>(Inference.QUEUE_ORDER);
     /** The executors that the roster named, nearest first. */
-    public final List<Executor> homes = new ArrayList<>();
+    public final List<Executor> rendezvousOrder = new ArrayList<>();
     /** Of which fleet, by the module's count of its changes. */
-    public int homesOf;
+    public int rendezvousFleetVersion;
     /** With the executors dealt with so far, in the order in which that began. */
-    public final List<Copies> copies = new ArrayList<>();
+    public final List<ModelCopies> copies = new ArrayList<>();
     /** Inferences taken: in all, and lately. */
-    public long count;
-    public final Fading lately = new Fading();
+    public long acceptedCount;
+    public final DecayingSum recentArrivals = new DecayingSum();
     /** Our own forwards of it. */
     public int inFlight;
     /** Those of them whose answers have started. */
-    public int flowing;
-    public int holdsOut;
-    public int asksOut;
-    public double askedAt = Double.NEGATIVE_INFINITY;
+    public int startedAnswers;
+    public int ordersInFlight;
+    public int queriesInFlight;
+    public double queriedAt = Double.NEGATIVE_INFINITY;
     /** Loads that failed in a row, since one of it was last known to stand; and when the last did. */
-    public int failedLoads;
-    public double failedAt = Double.NEGATIVE_INFINITY;
+    public int consecutiveFailedLoads;
+    public double lastFailedLoadAt = Double.NEGATIVE_INFINITY;
 
     public Model(long id) {
         this.id = id;
     }
 
-    public Copies on(Executor ex) {
-        for (Copies c : copies) {
+    public ModelCopies copiesOn(Executor ex) {
+        for (ModelCopies c : copies) {
             if (c.executor == ex) {
                 return c;
             }
         }
-        Copies c = new Copies(this, ex);
+        ModelCopies c = new ModelCopies(this, ex);
         copies.add(c);
         ex.copies.add(c);
         return c;
     }
 
     /** Nothing is out, ordered, asked or held, and nothing is believed to stand. */
-    public boolean quiet() {
-        return held.isEmpty() && inFlight == 0 && holdsOut == 0 && asksOut == 0 && !anyWarm();
+    public boolean isIdle() {
+        return queue.isEmpty() && inFlight == 0 && ordersInFlight == 0 && queriesInFlight == 0 && !hasLoadedCopy();
     }
 
-    public boolean anyWarm() {
-        for (Copies c : copies) {
-            if (c.warm > 0) {
+    public boolean hasLoadedCopy() {
+        for (ModelCopies c : copies) {
+            if (c.loadedCopies > 0) {
                 return true;
             }
         }
--- a/core/src/main/java/gradereach/state/Verdict.java
+++ b/core/src/main/java/gradereach/state/Rejection.java
@@ -1,4 +1,4 @@
 package gradereach.state;
 
 /** A final answer given by the front end itself. */
-public enum Verdict { SHED, FAIL }
+public enum Rejection { SHED, FAIL }
--- a/core/src/main/java/gradereach/state/Recent.java
+++ b/core/src/main/java/gradereach/state/SlidingWindowSum.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Amounts with their times, summed over what is not older than a stated time. */
-public final class Recent {
+public final class SlidingWindowSum {
     private final ArrayDeque<double[]> amounts = new ArrayDeque<>();
     private double sum;
 
@@ -16,7 +16,7 @@
     }
 
     /** Counts what another one counted as well. */
-    public void include(Recent other) {
+    public void addAll(SlidingWindowSum other) {
         List<double[]> all = new ArrayList<>(amounts);
         all.addAll(other.amounts);
         all.sort(Comparator.comparingDouble(amount -> amount[0]));
@@ -25,7 +25,7 @@
         sum += other.sum;
     }
 
-    public double since(double time) {
+    public double sumSince(double time) {
         while (!amounts.isEmpty() && amounts.peek()[0] < time) {
             sum -= amounts.poll()[1];
         }
--- a/core/src/test/java/gradereach/ColdFleetTest.java
+++ b/core/src/test/java/gradereach/ColdFleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gradereach.api.Outcome;
-import gradereach.api.Standing;
+import gradereach.api.ExecutorState;
 import gradereach.state.Executor;
 import gradereach.state.Forward;
 import gradereach.state.Model;
@@ -15,14 +15,14 @@
 
 /** Many instances at once on the same cold executors: what they send it together, within any time of the rule. */
 class ColdFleetTest {
-    private static final double WORK = 100;
-    private static final double SPAN = 3000; // of the rule, as FrontEnd has it
-    private static final int WARM = 4;
-    private static final long COLD = 99;
-    private static final double JOINS = 25_000;
-    private static final double ENDS = JOINS + 7000;
+    private static final double WORK_MILLIS = 100;
+    private static final double WINDOW_MILLIS = 3000; // of the rule, as FrontEnd has it
+    private static final int WARM_EXECUTORS = 4;
+    private static final long COLD_EXECUTOR_ID = 99;
+    private static final double JOINED_AT = 25_000;
+    private static final double ENDED_AT = JOINED_AT + 7000;
 
-    private record Member(FrontEnd fe, Model model, Executor cold) { }
+    private record Member(PolicyHarness frontEnd, Model model, Executor cold) { }
 
     private final Random random;
     private final List<Member> members = new ArrayList<>();
@@ -34,23 +34,23 @@
     }
 
     private Member member(int fleet, double startedAt, double now) {
-        FrontEnd fe = new FrontEnd();
+        PolicyHarness fe = new PolicyHarness();
         fe.frontEnds = fleet;
-        fe.start(++seeds * 0x9e3779b97f4a7c15L, WARM, startedAt);
+        fe.start(++seeds * 0x9e3779b97f4a7c15L, WARM_EXECUTORS, startedAt);
         Model model = new Model(7);
         model.lanes = 1000;
-        return new Member(fe, model, new Executor(COLD));
+        return new Member(fe, model, new Executor(COLD_EXECUTOR_ID));
     }
 
     /** What is out is answered; what is asked has its answer: copies stand everywhere. */
-    private void serve(Member m, double now) {
-        for (Executor ex : m.model.group == null ? List.<Executor>of() : m.fe.executors) { // not before its first
-            m.fe.standing(now, ex, m.model, 16);
+    private void answerAll(Member m, double now) {
+        for (Executor ex : m.model.group == null ? List.<Executor>of() : m.frontEnd.executors) { // not before its first
+            m.frontEnd.answerOrder(now, ex, m.model, 16);
         }
-        for (Forward fwd : List.copyOf(m.fe.forwards)) {
-            if (fwd.outcome == null && now - fwd.sentAt >= WORK) {
-                m.fe.end(now, fwd, Outcome.RETURNED);
-                m.fe.forwards.remove(fwd);
+        for (Forward fwd : List.copyOf(m.frontEnd.forwards)) {
+            if (fwd.outcome == null && now - fwd.sentAt >= WORK_MILLIS) {
+                m.frontEnd.endForward(now, fwd, Outcome.RETURNED);
+                m.frontEnd.forwards.remove(fwd);
             }
         }
     }
@@ -69,18 +69,18 @@
         for (int i = 0; i < fleet; i++) {
             members.add(member(fleet, 0, 1000));
         }
-        double perStep = (WARM + 1) * 5 / WORK;
-        for (double now = 2000; now < ENDS; now += 5) {
-            if (now == JOINS) {
+        double perStep = (WARM_EXECUTORS + 1) * 5 / WORK_MILLIS;
+        for (double now = 2000; now < ENDED_AT; now += 5) {
+            if (now == JOINED_AT) {
                 for (Member m : members) {
-                    join(m, now);
+                    addColdAndRemoveOthers(m, now);
                 }
             }
-            if (now == JOINS + 1000) {
+            if (now == JOINED_AT + 1000) {
                 for (int i = 0; i < restarted * fleet; i++) {
                     Member anew = member(fleet, 0, now);
                     members.set(i, anew);
-                    join(anew, now);
+                    addColdAndRemoveOthers(anew, now);
                 }
             }
             for (double due = perStep; due > 0; due--) {
@@ -88,32 +88,32 @@
                     int busy = Math.max(1, fleet / 5);
                     Member m = members.get(random.nextDouble() < uneven ? random.nextInt(busy)
                             : busy + random.nextInt(fleet - busy));
-                    m.fe.take(now, FrontEnd.RETRIABLE, m.model);
+                    m.frontEnd.accept(now, PolicyHarness.RETRIABLE, m.model);
                 }
             }
             for (Member m : members) {
                 double at = now;
-                m.fe.pass(now);
-                serve(m, now);
-                sentCold.addAll(m.fe.forwards.stream().filter(f -> f.executor.id == COLD && f.sentAt == at)
+                m.frontEnd.advanceTo(now);
+                answerAll(m, now);
+                sentCold.addAll(m.frontEnd.forwards.stream().filter(f -> f.executor.id == COLD_EXECUTOR_ID && f.sentAt == at)
                         .map(f -> f.sentAt).toList());
             }
         }
         assertTrue(sentCold.size() > 5, "so few were sent that nothing is shown: " + sentCold.size());
-        for (double from = JOINS; from < ENDS - SPAN; from += 50) {
+        for (double from = JOINED_AT; from < ENDED_AT - WINDOW_MILLIS; from += 50) {
             double start = from;
-            long sum = sentCold.stream().filter(t -> t >= start && t < start + SPAN).count();
-            double share = 0.2 + 0.8 * (start - JOINS) / 10_000;
-            double n = 3 * share * SPAN / WORK;
-            assertTrue(sum <= n + 2 * Math.sqrt(n) + 2, sum + " from " + (start - JOINS) + " ms on, where N is " + n);
+            long sum = sentCold.stream().filter(t -> t >= start && t < start + WINDOW_MILLIS).count();
+            double share = 0.2 + 0.8 * (start - JOINED_AT) / 10_000;
+            double n = 3 * share * WINDOW_MILLIS / WORK_MILLIS;
+            assertTrue(sum <= n + 2 * Math.sqrt(n) + 2, sum + " from " + (start - JOINED_AT) + " ms on, where N is " + n);
         }
     }
 
-    private void join(Member m, double now) {
-        m.fe.join(now, JOINS, m.cold);
-        for (Executor ex : List.copyOf(m.fe.executors)) {
+    private void addColdAndRemoveOthers(Member m, double now) {
+        m.frontEnd.addExecutors(now, JOINED_AT, m.cold);
+        for (Executor ex : List.copyOf(m.frontEnd.executors)) {
             if (ex != m.cold) {
-                m.fe.roster(now, ex, Standing.GONE);
+                m.frontEnd.updateRoster(now, ex, ExecutorState.REMOVED);
             }
         }
     }
--- a/gateway/src/main/java/gradereach/claims/KeeperBook.java
+++ b/gateway/src/main/java/gradereach/claims/ClaimTable.java
@@ -13,24 +13,24 @@
  * the latest signed timestamp among it behind: whoever claims a message that is not known and was signed no later is
  * granted nothing, since it may be one of those.
  */
-public final class KeeperBook {
+public final class ClaimTable {
     private record Key(String customer, String id) { }
 
     /** A granted claim. */
     public static final class Claim {
         public final String claimant;
         private final long signedAt;
-        final double until;
+        final double expiresAt;
         private final Key key;
         private long round;
-        private boolean over;
+        private boolean released;
 
         Claim(Key key, String claimant, long round, long signedAt, double until) {
             this.key = key;
             this.claimant = claimant;
             this.round = round;
             this.signedAt = signedAt;
-            this.until = until;
+            this.expiresAt = until;
         }
     }
 
@@ -38,24 +38,24 @@
      * The keeper's word: granted, or to whom it was granted before; null holder and not granted: no room, or it cannot be known
      * any more to whom.
      */
-    public record Word(boolean granted, String holder, boolean fresh) { }
+    public record ClaimReply(boolean granted, String holder, boolean newlyGranted) { }
 
-    private static final int MOST_CLAIMANTS = 10_000;
+    private static final int MAX_CLAIMANTS = 10_000;
     private static final long NOTHING_FORGOTTEN = Long.MIN_VALUE;
 
-    private final int most;
-    private final double kept;
+    private final int maxClaims;
+    private final double retention;
     private final Map<Key, Claim> claims = new HashMap<>();
-    private final ArrayDeque<Claim> order = new ArrayDeque<>();
+    private final ArrayDeque<Claim> byExpiry = new ArrayDeque<>();
     /** How far claimants' ledgers had got; a few for each front end, which has one and may lose it. */
-    private final Map<String, Long> reached = new HashMap<>();
+    private final Map<String, Long> recordPosition = new HashMap<>();
     /** The latest signed timestamp among claims that are no longer known, Unix seconds; NOTHING_FORGOTTEN for none. */
     private long forgottenUpTo = NOTHING_FORGOTTEN;
 
     /** {@code kept} in milliseconds. */
-    public KeeperBook(int most, double kept) {
-        this.most = most;
-        this.kept = kept;
+    public ClaimTable(int most, double kept) {
+        this.maxClaims = most;
+        this.retention = kept;
     }
 
     /**
@@ -63,7 +63,7 @@
      *
      * @param signedAt Unix seconds
      */
-    public void forgotten(long signedAt) {
+    public void markForgottenUpTo(long signedAt) {
         forgottenUpTo = Math.max(forgottenUpTo, signedAt);
     }
 
@@ -71,23 +71,23 @@
      * @param round grows with every claim that a claimant makes
      * @param signableUntil the latest timestamp that a message can carry now, Unix seconds
      */
-    public Word claim(MessageIdentity message, String claimant, long round, double now, long signableUntil) {
+    public ClaimReply claim(MessageIdentity message, String claimant, long round, double now, long signableUntil) {
         expire(now);
         Key key = new Key(message.customer(), message.id());
         Claim there = claims.get(key);
         if (there != null) {
             if (!there.claimant.equals(claimant)) {
-                return new Word(false, there.claimant, false);
+                return new ClaimReply(false, there.claimant, false);
             }
             there.round = Math.max(there.round, round);
-            return new Word(true, null, false);
+            return new ClaimReply(true, null, false);
         }
         boolean mayBeForgotten = forgottenUpTo != NOTHING_FORGOTTEN && message.signedAt() <= forgottenUpTo;
-        if (mayBeForgotten || claims.size() >= most) {
-            return new Word(false, null, false);
+        if (mayBeForgotten || claims.size() >= maxClaims) {
+            return new ClaimReply(false, null, false);
         }
-        put(new Claim(key, claimant, round, message.signedAtLatest(signableUntil).signedAt(), now + kept));
-        return new Word(true, null, true);
+        put(new Claim(key, claimant, round, message.withDefaultSignedAt(signableUntil).signedAt(), now + retention));
+        return new ClaimReply(true, null, true);
     }
 
     /** As the ledger tells it after a restart. Its round is not known: no release reaches it, which is safe. */
@@ -97,24 +97,24 @@
 
     private void put(Claim claim) {
         claims.put(claim.key, claim);
-        order.add(claim);
+        byExpiry.add(claim);
     }
 
     /** A claimant that did not get enough keepers gives its claim back; a later claim of its own is not touched. */
     public void release(String customer, String id, String claimant, long round) {
         Claim there = claims.get(new Key(customer, id));
         if (there != null && there.claimant.equals(claimant) && there.round <= round) {
-            there.over = true;
+            there.released = true;
             claims.remove(there.key);
         }
     }
 
     private void expire(double now) {
-        while (!order.isEmpty() && (order.peek().over || order.peek().until <= now)) {
-            Claim old = order.poll();
-            if (!old.over) {
+        while (!byExpiry.isEmpty() && (byExpiry.peek().released || byExpiry.peek().expiresAt <= now)) {
+            Claim old = byExpiry.poll();
+            if (!old.released) {
                 claims.remove(old.key, old);
-                forgotten(old.signedAt);
+                markForgottenUpTo(old.signedAt);
             }
         }
     }
@@ -124,15 +124,15 @@
      *
      * @param position see {@link LedgerPosition}
      */
-    public void reached(String claimant, long position) {
-        if (reached.size() < MOST_CLAIMANTS || reached.containsKey(claimant)) {
-            reached.merge(claimant, position, Math::max);
+    public void recordPosition(String claimant, long position) {
+        if (recordPosition.size() < MAX_CLAIMANTS || recordPosition.containsKey(claimant)) {
+            recordPosition.merge(claimant, position, Math::max);
         }
     }
 
     /** How far a claimant's ledger is known to have got. */
-    public long reachedBy(String claimant) {
-        return reached.getOrDefault(claimant, LedgerPosition.UNKNOWN);
+    public long lastKnownPosition(String claimant) {
+        return recordPosition.getOrDefault(claimant, LedgerPosition.UNKNOWN);
     }
 
     public int size() {
--- a/gateway/src/main/java/gradereach/claims/Members.java
+++ b/gateway/src/main/java/gradereach/claims/FrontEndSet.java
@@ -1,6 +1,6 @@
 package gradereach.claims;
 
-import gradereach.desk.Catalogue;
+import gradereach.desk.ModelCatalog;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -10,27 +10,27 @@
  * (highest random weight), so that the keepers of an id are the same for all who have the same list, and a change of the
  * list moves few of them.
  */
-public record Members(List<String> names, int copies) {
-    public Members {
+public record FrontEndSet(List<String> names, int replicationFactor) {
+    public FrontEndSet {
         names = names.stream().sorted().toList();
     }
 
     /** Tells lists apart. */
     public long digest() {
-        return Catalogue.hash(String.join("\n", names) + "\n" + copies);
+        return ModelCatalog.hash(String.join("\n", names) + "\n" + replicationFactor);
     }
 
-    public List<String> keepers(String customer, String id) {
-        long message = Catalogue.hash(customer + "\n" + id);
+    public List<String> replicas(String customer, String id) {
+        long message = ModelCatalog.hash(customer + "\n" + id);
         List<String> order = new ArrayList<>(names);
-        order.sort(Comparator.comparingLong((String name) -> mix(message ^ Catalogue.hash(name))).reversed()
+        order.sort(Comparator.comparingLong((String name) -> mix(message ^ ModelCatalog.hash(name))).reversed()
                 .thenComparing(name -> name));
-        return order.subList(0, Math.min(copies, order.size()));
+        return order.subList(0, Math.min(replicationFactor, order.size()));
     }
 
     /** So many of the keepers of an id that any two sets of them share one. */
     public int majority() {
-        return Math.min(copies, names.size()) / 2 + 1;
+        return Math.min(replicationFactor, names.size()) / 2 + 1;
     }
 
     private static long mix(long h) {
--- a/gateway/src/main/java/gradereach/claims/PeerFront.java
+++ b/gateway/src/main/java/gradereach/claims/PeerServer.java
@@ -31,22 +31,22 @@
 import java.nio.charset.StandardCharsets;
 
 /** Listens for other front ends' claims; HTTP/2 without TLS, prior knowledge. */
-public final class PeerFront implements AutoCloseable {
-    static final String PATH = "/v1/claims";
+public final class PeerServer implements AutoCloseable {
+    static final String CLAIMS_PATH = "/v1/claims";
     static final String POSITIONS_PATH = "/v1/positions";
-    private static final int LARGEST = 8192; // names and numbers only
+    private static final int MAX_BODY_BYTES = 8192; // names and numbers only
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final PeerClaims claims;
     private final Counts.Limit connections;
-    private final Counts.Limit forged;
-    private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+    private final Counts.Limit invalidSignatures;
+    private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private Channel listener;
 
-    public PeerFront(PeerClaims claims, int mostConnections, Counts counts) {
+    public PeerServer(PeerClaims claims, int mostConnections, Counts counts) {
         this.claims = claims;
         connections = counts.limit("peer_connections", mostConnections);
-        forged = counts.limit("peer_messages_not_signed", Long.MAX_VALUE);
+        invalidSignatures = counts.limit("peer_messages_not_signed", Long.MAX_VALUE);
     }
 
     public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
@@ -55,12 +55,12 @@
                 .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        if (!connections.take(1)) {
+                        if (!connections.tryAcquire(1)) {
                             ch.close();
                             return;
                         }
-                        open.add(ch);
-                        ch.closeFuture().addListener(closed -> connections.give(1));
+                        channels.add(ch);
+                        ch.closeFuture().addListener(closed -> connections.release(1));
                         ch.pipeline().addLast(Http2FrameCodecBuilder.forServer().initialSettings(
                                 Http2Settings.defaultSettings().maxConcurrentStreams(1000).maxHeaderListSize(8192))
                                 .build());
@@ -68,7 +68,7 @@
                             @Override
                             protected void initChannel(Channel stream) {
                                 stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true),
-                                        new HttpObjectAggregator(LARGEST, true), new Asked());
+                                        new HttpObjectAggregator(MAX_BODY_BYTES, true), new RequestHandler());
                             }
                         }));
                     }
@@ -76,32 +76,32 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             byte[] body = ByteBufUtil.getBytes(request.content());
             boolean asksForPosition = request.uri().equals(POSITIONS_PATH);
-            if (!(request.uri().equals(PATH) || asksForPosition) || !claims.signed(request.headers().get("webhook-id"),
+            if (!(request.uri().equals(CLAIMS_PATH) || asksForPosition) || !claims.hasValidSignature(request.headers().get("webhook-id"),
                     request.headers().get("webhook-timestamp"), request.headers().get("webhook-signature"), body)) {
-                forged.refuse();
-                answer(ctx, 401, "{}");
+                invalidSignatures.recordRejection();
+                respond(ctx, 401, "{}");
                 return;
             }
             JsonNode message;
             try {
                 message = JSON.readTree(body);
             } catch (IOException e) {
-                answer(ctx, 400, "{}");
+                respond(ctx, 400, "{}");
                 return;
             }
             if (asksForPosition) {
-                claims.askedForPosition(message, text -> ctx.executor().execute(() -> answer(ctx, 200, text)));
+                claims.handlePositionQuery(message, text -> ctx.executor().execute(() -> respond(ctx, 200, text)));
                 return;
             }
-            claims.asked(message, (status, text) -> ctx.executor().execute(() -> answer(ctx, status, text)));
+            claims.handleRequest(message, (status, text) -> ctx.executor().execute(() -> respond(ctx, status, text)));
         }
 
-        private void answer(ChannelHandlerContext ctx, int status, String text) {
+        private void respond(ChannelHandlerContext ctx, int status, String text) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
@@ -120,6 +120,6 @@
         if (listener != null) {
             listener.close().awaitUninterruptibly(1000);
         }
-        open.close();
+        channels.close();
     }
 }
--- a/gateway/src/main/java/gradereach/counts/Counts.java
+++ b/gateway/src/main/java/gradereach/counts/Counts.java
@@ -11,45 +11,45 @@
     /** Something bounded: its bound, how much of it is in use, how often it said no. */
     public static final class Limit {
         public final String name;
-        public final long bound;
-        private final AtomicLong present = new AtomicLong();
-        private final LongAdder refused = new LongAdder();
+        public final long capacity;
+        private final AtomicLong inUse = new AtomicLong();
+        private final LongAdder rejections = new LongAdder();
 
         private Limit(String name, long bound) {
             this.name = name;
-            this.bound = bound;
+            this.capacity = bound;
         }
 
         /** Takes {@code amount} if there is room for all of it; counts a refusal otherwise. */
-        public boolean take(long amount) {
-            if (present.addAndGet(amount) > bound) {
-                present.addAndGet(-amount);
-                refused.increment();
+        public boolean tryAcquire(long amount) {
+            if (inUse.addAndGet(amount) > capacity) {
+                inUse.addAndGet(-amount);
+                rejections.increment();
                 return false;
             }
             return true;
         }
 
-        public void give(long amount) {
-            present.addAndGet(-amount);
+        public void release(long amount) {
+            inUse.addAndGet(-amount);
         }
 
         /** For what is bounded elsewhere: counts a no. */
-        public void refuse() {
-            refused.increment();
+        public void recordRejection() {
+            rejections.increment();
         }
 
         /** For what one thread keeps count of by itself. */
-        public void present(long amount) {
-            present.lazySet(amount);
+        public void inUse(long amount) {
+            inUse.lazySet(amount);
         }
 
-        public long present() {
-            return present.get();
+        public long inUse() {
+            return inUse.get();
         }
 
-        public long refused() {
-            return refused.sum();
+        public long rejections() {
+            return rejections.sum();
         }
     }
 
--- a/gateway/src/main/java/gradereach/counts/CountsSource.java
+++ b/gateway/src/main/java/gradereach/counts/CountsSource.java
@@ -1,39 +1,39 @@
 package gradereach.counts;
 
-import gradereach.measures.Family;
-import gradereach.measures.Family.Point;
-import gradereach.measures.Family.Type;
+import gradereach.measures.MetricFamily;
+import gradereach.measures.MetricFamily.Point;
+import gradereach.measures.MetricFamily.Type;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 
 /** All named counters and limits as families; whoever counts notices nothing. */
-public final class CountsSource implements Family.Source {
+public final class CountsSource implements MetricFamily.Source {
     private final Counts counts;
-    private final long sinceMillis;
+    private final long startedAtMillis;
 
     public CountsSource(Counts counts, long sinceMillis) {
         this.counts = counts;
-        this.sinceMillis = sinceMillis;
+        this.startedAtMillis = sinceMillis;
     }
 
     @Override
-    public void collect(List<Family> into) {
-        new TreeMap<>(counts.counters()).forEach((name, value) -> into.add(new Family("gradereach_" + name, Type.COUNTER, "",
-                "Counted since the start", List.of(new Point(List.of(), value.sum(), null, sinceMillis)))));
+    public void collect(List<MetricFamily> into) {
+        new TreeMap<>(counts.counters()).forEach((name, value) -> into.add(new MetricFamily("gradereach_" + name, Type.COUNTER, "",
+                "Counted since the start", List.of(new Point(List.of(), value.sum(), null, startedAtMillis)))));
         List<Point> present = new ArrayList<>();
         List<Point> bound = new ArrayList<>();
         List<Point> refused = new ArrayList<>();
         for (Counts.Limit limit : counts.limits()) {
             List<String> which = List.of("limit", limit.name);
-            present.add(new Point(which, limit.present(), null, 0));
-            if (limit.bound < Long.MAX_VALUE) {
-                bound.add(new Point(which, limit.bound, null, 0));
+            present.add(new Point(which, limit.inUse(), null, 0));
+            if (limit.capacity < Long.MAX_VALUE) {
+                bound.add(new Point(which, limit.capacity, null, 0));
             }
-            refused.add(new Point(which, limit.refused(), null, sinceMillis));
+            refused.add(new Point(which, limit.rejections(), null, startedAtMillis));
         }
-        into.add(new Family("gradereach_limit_present", Type.GAUGE, "", "What is in use of something bounded", present));
-        into.add(new Family("gradereach_limit_bound", Type.GAUGE, "", "Its bound", bound));
-        into.add(new Family("gradereach_limit_refused", Type.COUNTER, "", "How often there was no room", refused));
+        into.add(new MetricFamily("gradereach_limit_present", Type.GAUGE, "", "What is in use of something bounded", present));
+        into.add(new MetricFamily("gradereach_limit_bound", Type.GAUGE, "", "Its bound", bound));
+        into.add(new MetricFamily("gradereach_limit_refused", Type.COUNTER, "", "How often there was no room", refused));
     }
 }
--- a/gateway/src/main/java/gradereach/counts/FailureText.java
+++ b/gateway/src/main/java/gradereach/counts/FailureText.java
@@ -5,7 +5,7 @@
     private FailureText() { }
 
     /** Its kind, and the first message that it or a cause of it has. */
-    public static String of(Throwable failure) {
+    public static String describe(Throwable failure) {
         String kind = failure.getClass().getSimpleName();
         for (Throwable at = failure; at != null; at = at.getCause()) {
             if (at.getMessage() != null) {
--- a/gateway/src/main/java/gradereach/delivery/Outbox.java
+++ b/gateway/src/main/java/gradereach/delivery/Outbox.java
@@ -1,12 +1,12 @@
 package gradereach.delivery;
 
 import gradereach.counts.Counts;
-import gradereach.delivery.DeliveryBook.Delivery;
-import gradereach.delivery.DeliveryBook.Endpoint;
-import gradereach.delivery.DeliveryBook.Fate;
-import gradereach.desk.Asker;
+import gradereach.delivery.DeliveryScheduler.Delivery;
+import gradereach.delivery.DeliveryScheduler.Endpoint;
+import gradereach.delivery.DeliveryScheduler.AttemptResult;
+import gradereach.desk.AnswerObserver;
 import gradereach.desk.Ledger;
-import gradereach.desk.Life;
+import gradereach.desk.InferenceState;
 import gradereach.ledger.LedgerRecord;
 import gradereach.message.FinalAnswer;
 import gradereach.webhook.KeyRing;
@@ -33,27 +33,27 @@
  */
 public final class Outbox implements AutoCloseable {
     /** Within the specification's advice of 15 to 30 s. */
-    private static final Duration PATIENCE = Duration.ofSeconds(15);
-    private static final int UNDER_WAY = 8; // an endpoint serves a few at once; more only deepens its queue
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(15);
+    private static final int MAX_IN_FLIGHT_PER_ENDPOINT = 8; // an endpoint serves a few at once; more only deepens its queue
 
-    private final DeliveryBook book = new DeliveryBook(UNDER_WAY, new Random());
+    private final DeliveryScheduler scheduler = new DeliveryScheduler(MAX_IN_FLIGHT_PER_ENDPOINT, new Random());
     private final List<Endpoint> endpoints;
-    private final List<String> customers;
+    private final List<String> customerNames;
     private final Ledger ledger;
     private final List<List<WebhookKey>> answerKeys;
     private final DoubleSupplier clock;
     private final LongSupplier unixMillis;
-    private final Counts.Limit room;
+    private final Counts.Limit capacity;
     private final LongAdder delivered;
-    private final LongAdder again;
+    private final LongAdder retried;
     private final LongAdder givenUp;
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
+    private final HttpClient httpClient = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(5)).followRedirects(HttpClient.Redirect.NEVER).build();
-    private final ScheduledExecutorService thread;
-    private ScheduledFuture<?> wake;
+    private final ScheduledExecutorService newSchedulerThread;
+    private ScheduledFuture<?> nextRun;
 
     /** One thread of its own, for the book. */
-    public static ScheduledExecutorService thread() {
+    public static ScheduledExecutorService newSchedulerThread() {
         return Executors.newSingleThreadScheduledExecutor(work -> {
             Thread made = new Thread(work, "outbox");
             made.setDaemon(true);
@@ -67,103 +67,103 @@
      */
     public Outbox(List<String> customers, List<String> urls, List<List<WebhookKey>> answerKeys, Ledger ledger,
             int mostOpen, ScheduledExecutorService thread, DoubleSupplier clock, LongSupplier unixMillis, Counts counts) {
-        this.thread = thread;
+        this.newSchedulerThread = thread;
         endpoints = new java.util.ArrayList<>();
         for (int i = 0; i < urls.size(); i++) {
             endpoints.add(urls.get(i) == null ? null : new Endpoint(i, urls.get(i)));
         }
-        this.customers = customers;
+        this.customerNames = customers;
         this.ledger = ledger;
         this.answerKeys = answerKeys;
         this.clock = clock;
         this.unixMillis = unixMillis;
-        room = counts.limit("answers_in_outbox", mostOpen);
+        capacity = counts.limit("answers_in_outbox", mostOpen);
         delivered = counts.counter("answers_delivered");
-        again = counts.counter("answers_delivered_again");
+        retried = counts.counter("answers_delivered_again");
         givenUp = counts.counter("answers_given_up");
     }
 
     /** Whether the customer can be answered by webhook at all. */
     public boolean hasEndpoint(int customer) {
         Endpoint endpoint = endpoints.get(customer);
-        return endpoint != null && !endpoint.gone();
+        return endpoint != null && !endpoint.disabled();
     }
 
     /**
      * One whose answer goes out by webhook once its message is taken. Before that, and where the outbox is full, the
      * connection is answered as if nothing had been preferred.
      */
-    public Asker asker(int customer, String id, Asker connection) {
-        return new Promise(customer, id, connection);
+    public AnswerObserver webhookObserver(int customer, String id, AnswerObserver connection) {
+        return new PromisedAnswer(customer, id, connection);
     }
 
     /** One that was promised before a restart and has had so many tries. */
-    public Asker owed(int customer, String id, double of, int tries) {
-        Promise promise = new Promise(customer, id, null);
-        promise.kept = endpoints.get(customer) != null;
-        promise.of = of;
-        promise.tries = tries;
-        if (promise.kept) {
-            room.take(1);
+    public AnswerObserver recoveredObserver(int customer, String id, double of, int tries) {
+        PromisedAnswer promise = new PromisedAnswer(customer, id, null);
+        promise.accepted = endpoints.get(customer) != null;
+        promise.promisedAt = of;
+        promise.attempts = tries;
+        if (promise.accepted) {
+            capacity.tryAcquire(1);
         }
         return promise;
     }
 
     /** Of the deciding thread. */
-    private final class Promise implements Asker {
+    private final class PromisedAnswer implements AnswerObserver {
         private final int customer;
         private final String id;
-        private final Asker connection;
-        private boolean kept;
-        private boolean waits;
+        private final AnswerObserver connection;
+        private boolean accepted;
+        private boolean awaitingLedger;
         /** Another asker of the same life has the promise; this one only hears that it was given. */
         private boolean joined;
-        private double of;
-        private int tries;
-        private FinalAnswer early;
+        private double promisedAt;
+        private int attempts;
+        private FinalAnswer deferredAnswer;
 
-        Promise(int customer, String id, Asker connection) {
+        PromisedAnswer(int customer, String id, AnswerObserver connection) {
             this.customer = customer;
             this.id = id;
             this.connection = connection;
         }
 
         @Override
-        public void taken(Life life) {
-            joined = life.promised;
-            if (!joined && !room.take(1)) {
+        public void onAccepted(InferenceState life) {
+            joined = life.answerPromised;
+            if (!joined && !capacity.tryAcquire(1)) {
                 return;
             }
-            life.promised = true;
-            of = life.takenInLedger();
+            life.answerPromised = true;
+            promisedAt = life.acceptedAtLedgerTime();
             if (ledger == Ledger.NONE) {
-                kept = true;
-                connection.taken(life);
+                accepted = true;
+                connection.onAccepted(life);
                 return;
             }
-            waits = true;
-            ledger.append(new LedgerRecord.Promised(customers.get(customer), id, of,
-                    life.digestHigh(), life.digestLow(), life.group()), durable -> {
-                        waits = false;
-                        kept = durable;
+            awaitingLedger = true;
+            ledger.append(new LedgerRecord.DeliveryPromised(customerNames.get(customer), id, promisedAt,
+                    life.digestHigh(), life.digestLow(), life.groupName()), durable -> {
+                        awaitingLedger = false;
+                        accepted = durable;
                         if (durable) {
-                            connection.taken(life);
+                            connection.onAccepted(life);
                         } else if (!joined) {
-                            room.give(1);
+                            capacity.release(1);
                         }
-                        if (early != null) {
-                            answer(early);
+                        if (deferredAnswer != null) {
+                            onFinalAnswer(deferredAnswer);
                         }
                     });
         }
 
         @Override
-        public void answer(FinalAnswer answer) {
-            if (waits) {
-                early = answer;
-            } else if (!kept) {
+        public void onFinalAnswer(FinalAnswer answer) {
+            if (awaitingLedger) {
+                deferredAnswer = answer;
+            } else if (!accepted) {
                 if (connection != null) {
-                    connection.answer(answer);
+                    connection.onFinalAnswer(answer);
                 }
             } else if (joined) {
                 return; // the one that has the promise keeps it
@@ -171,75 +171,75 @@
                 deliver(answer);
             } else {
                 // A second time for what had to be durable anyway; it is the same answer.
-                ledger.append(new LedgerRecord.Answered(customers.get(customer), id, ledgerNow(), answer),
+                ledger.append(new LedgerRecord.Answered(customerNames.get(customer), id, ledgerNow(), answer),
                         durable -> deliver(answer));
             }
         }
 
         private void deliver(FinalAnswer answer) {
-            thread.execute(() -> {
-                book.add(endpoints.get(customer), answer.messageId(id), answer.body(), of, tries, clock.getAsDouble());
-                work();
+            newSchedulerThread.execute(() -> {
+                scheduler.add(endpoints.get(customer), answer.webhookId(id), answer.body(), promisedAt, attempts, clock.getAsDouble());
+                sendDue();
             });
         }
 
         @Override
-        public void refuse(int status, String word, String why) {
-            connection.refuse(status, word, why);
+        public void onRejected(int status, String word, String why) {
+            connection.onRejected(status, word, why);
         }
     }
 
     private double ledgerNow() {
-        return ledger.time().at(clock.getAsDouble());
+        return ledger.time().fromMonotonic(clock.getAsDouble());
     }
 
-    private void work() {
-        for (Delivery delivery : book.due(clock.getAsDouble())) {
+    private void sendDue() {
+        for (Delivery delivery : scheduler.takeDue(clock.getAsDouble())) {
             send(delivery);
         }
-        if (wake != null) {
-            wake.cancel(false);
-            wake = null;
+        if (nextRun != null) {
+            nextRun.cancel(false);
+            nextRun = null;
         }
-        double next = book.next();
+        double next = scheduler.nextDueAt();
         if (next < Double.POSITIVE_INFINITY) {
-            wake = thread.schedule(this::work, (long) Math.max(1, next - clock.getAsDouble()), TimeUnit.MILLISECONDS);
+            nextRun = newSchedulerThread.schedule(this::sendDue, (long) Math.max(1, next - clock.getAsDouble()), TimeUnit.MILLISECONDS);
         }
     }
 
     private void send(Delivery delivery) {
         long at = unixMillis.getAsLong() / 1000;
-        HttpRequest request = HttpRequest.newBuilder(URI.create(delivery.endpoint.url)).timeout(PATIENCE)
-                .header("content-type", "application/json").header("webhook-id", delivery.id)
+        HttpRequest request = HttpRequest.newBuilder(URI.create(delivery.endpoint.url)).timeout(REQUEST_TIMEOUT)
+                .header("content-type", "application/json").header("webhook-id", delivery.webhookId)
                 .header("webhook-timestamp", Long.toString(at))
-                .header("webhook-signature", KeyRing.header(answerKeys.get(delivery.endpoint.customer), delivery.id, at,
+                .header("webhook-signature", KeyRing.signatureHeader(answerKeys.get(delivery.endpoint.customer), delivery.webhookId, at,
                         delivery.body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(delivery.body)).build();
-        client.sendAsync(request, HttpResponse.BodyHandlers.discarding()).whenComplete((answer, failure) ->
-                thread.execute(() -> tried(delivery, answer)));
+        httpClient.sendAsync(request, HttpResponse.BodyHandlers.discarding()).whenComplete((answer, failure) ->
+                newSchedulerThread.execute(() -> recordAttempt(delivery, answer)));
     }
 
-    private void tried(Delivery delivery, HttpResponse<Void> answer) {
+    private void recordAttempt(Delivery delivery, HttpResponse<Void> answer) {
         long pause = 0;
         if (answer != null) {
             String told = answer.headers().firstValue("retry-after").orElse("");
             pause = told.matches("\\d{1,6}") ? Long.parseLong(told) * 1000 : 0;
         }
-        Fate fate = book.tried(delivery, answer == null ? 0 : answer.statusCode(), pause, clock.getAsDouble());
-        (fate == Fate.DELIVERED ? delivered : fate == Fate.AGAIN ? again : givenUp).increment();
-        if (fate != Fate.AGAIN) {
-            room.give(1);
+        AttemptResult fate = scheduler.recordAttempt(delivery, answer == null ? 0 : answer.statusCode(), pause, clock.getAsDouble());
+        (fate == AttemptResult.DELIVERED ? delivered : fate == AttemptResult.RETRY ? retried : givenUp).increment();
+        if (fate != AttemptResult.RETRY) {
+            capacity.release(1);
         }
         if (ledger != Ledger.NONE) {
-            String id = FinalAnswer.inferenceId(delivery.id);
-            ledger.append(new LedgerRecord.Delivered(customers.get(delivery.endpoint.customer), id,
-                    ledgerNow(), delivery.of, delivery.tries(), fate != Fate.AGAIN), durable -> { });
+            String id = FinalAnswer.inferenceId(delivery.webhookId);
+            ledger.append(new LedgerRecord.DeliveryAttempted(customerNames.get(delivery.endpoint.customer), id,
+                    ledgerNow(), delivery.promisedAt, delivery.attempts(), fate != AttemptResult.RETRY), durable -> { });
         }
-        work();
+        sendDue();
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        newSchedulerThread.shutdownNow();
     }
 }
--- a/gateway/src/main/java/gradereach/desk/Claims.java
+++ b/gateway/src/main/java/gradereach/desk/ClaimService.java
@@ -1,40 +1,40 @@
 package gradereach.desk;
 
 /** Whose a message is, among front ends. Called by the deciding thread; must not block. */
-public interface Claims {
+public interface ClaimService {
     /** What a claim came to. */
-    enum Kind {
+    enum ClaimStatus {
         /** Nobody else may run it, now or later. */
-        MINE,
+        GRANTED,
         /** Another front end has it. */
-        OTHERS,
+        HELD_BY_OTHER,
         /** It cannot be known now; nothing was decided. */
         UNKNOWN
     }
 
     /** {@code holder} is null but for OTHERS. */
-    record Verdict(Kind kind, String holder) { }
+    record ClaimResult(ClaimStatus status, String holder) { }
 
     /** Told at a later moment, on the deciding thread. */
-    interface Then {
-        void done(Verdict verdict);
+    interface ClaimCallback {
+        void onResult(ClaimResult verdict);
     }
 
     /** {@code patience} is how long to wait at most, milliseconds. */
-    void claim(MessageIdentity message, double patience, Then then);
+    void claim(MessageIdentity message, double patience, ClaimCallback then);
 
     /** Hands the message on to the front end that has it; its answer goes to whoever asked. */
-    void handOn(Arrival arrival, String holder);
+    void relayToHolder(IncomingMessage arrival, String holder);
 
     /** One front end alone: all is its own. */
-    Claims ALONE = new Claims() {
+    ClaimService ALONE = new ClaimService() {
         @Override
-        public void claim(MessageIdentity message, double patience, Then then) {
+        public void claim(MessageIdentity message, double patience, ClaimCallback then) {
             throw new IllegalStateException("nobody to ask");
         }
 
         @Override
-        public void handOn(Arrival arrival, String holder) {
+        public void relayToHolder(IncomingMessage arrival, String holder) {
             throw new IllegalStateException("nobody to hand on to");
         }
     };
--- a/gateway/src/main/java/gradereach/desk/Arrival.java
+++ b/gateway/src/main/java/gradereach/desk/IncomingMessage.java
@@ -10,14 +10,14 @@
  * @param repeated whether its client says that it tries again
  * @param arrivedAt module time at which its first byte came: its client's clock runs from before that
  */
-public record Arrival(int customer, String id, long digestHigh, long digestLow, Catalogue.Entry model, Input input,
-        double budget, double arrivedAt, long signedAt, boolean repeated, Signed signed, Asker asker) {
+public record IncomingMessage(int customer, String id, long digestHigh, long digestLow, ModelCatalog.Entry model, InferenceInput input,
+        double clientTimeout, double receivedAt, long signedAt, boolean markedAsRetry, SignedBody signedBody, AnswerObserver observer) {
     /** Of a client that does not tell its repeats: the message's id does. */
-    public Arrival(int customer, String id, long digestHigh, long digestLow, Catalogue.Entry model, Input input,
-            double budget, double arrivedAt, long signedAt, Signed signed, Asker asker) {
+    public IncomingMessage(int customer, String id, long digestHigh, long digestLow, ModelCatalog.Entry model, InferenceInput input,
+            double budget, double arrivedAt, long signedAt, SignedBody signed, AnswerObserver asker) {
         this(customer, id, digestHigh, digestLow, model, input, budget, arrivedAt, signedAt, false, signed, asker);
     }
 
     /** The message as it came, for handing it on; null for one that is no webhook. */
-    public record Signed(String signature, byte[] body) { }
+    public record SignedBody(String signature, byte[] body) { }
 }
--- a/gateway/src/main/java/gradereach/desk/Input.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceInput.java
@@ -6,4 +6,4 @@
  * @param json an inference request object of the Open Inference Protocol's HTTP/REST form
  * @param message the same as a serialized {@code ModelInferRequest}
  */
-public record Input(byte[] json, byte[] message) { }
+public record InferenceInput(byte[] json, byte[] protobuf) { }
--- a/gateway/src/main/java/gradereach/desk/Ledger.java
+++ b/gateway/src/main/java/gradereach/desk/Ledger.java
@@ -7,18 +7,18 @@
 /** What must survive the process. Called by the deciding thread; must not block. */
 public interface Ledger {
     /** Told at a later moment, on the deciding thread. */
-    interface Then {
+    interface AppendCallback {
         /** {@code durable} false where the ledger cannot be written. */
-        void done(boolean durable);
+        void onComplete(boolean durable);
     }
 
     /** Whether messages that need it may be taken. */
-    boolean usable();
+    boolean isWritable();
 
     /** Milliseconds that a commit takes at present, on the safe side. */
-    double margin();
+    double commitMargin();
 
-    void append(LedgerRecord record, Then then);
+    void append(LedgerRecord record, AppendCallback then);
 
     /** How far it has got, durably ({@link LedgerPosition}). */
     default long position() {
@@ -27,23 +27,23 @@
 
     /** The time that its records carry. */
     default LedgerTime time() {
-        return LedgerTime.MODULE;
+        return LedgerTime.MONOTONIC;
     }
 
     /** Keeps nothing: what a restart may forget. */
     Ledger NONE = new Ledger() {
         @Override
-        public boolean usable() {
+        public boolean isWritable() {
             return true;
         }
 
         @Override
-        public double margin() {
+        public double commitMargin() {
             return 0;
         }
 
         @Override
-        public void append(LedgerRecord record, Then then) {
+        public void append(LedgerRecord record, AppendCallback then) {
             throw new IllegalStateException("there is no ledger");
         }
     };
--- a/gateway/src/main/java/gradereach/desk/MessageIdentity.java
+++ b/gateway/src/main/java/gradereach/desk/MessageIdentity.java
@@ -13,12 +13,12 @@
     /** Before any timestamp. */
     public static final long SIGNED_AT_UNKNOWN = Long.MIN_VALUE;
 
-    public boolean tellsSignedAt() {
+    public boolean hasSignedAt() {
         return signedAt != SIGNED_AT_UNKNOWN;
     }
 
     /** The same message, signed at the latest when it can have been. */
-    public MessageIdentity signedAtLatest(long latest) {
-        return tellsSignedAt() ? this : new MessageIdentity(customer, id, digestHigh, digestLow, latest);
+    public MessageIdentity withDefaultSignedAt(long latest) {
+        return hasSignedAt() ? this : new MessageIdentity(customer, id, digestHigh, digestLow, latest);
     }
 }
--- a/gateway/src/main/java/gradereach/desk/MessageMemory.java
+++ b/gateway/src/main/java/gradereach/desk/MessageStore.java
@@ -2,10 +2,10 @@
 
 import gradereach.api.DedupScope;
 import gradereach.api.ModelGroup;
-import gradereach.api.Repeat;
+import gradereach.api.RetrySafety;
 import gradereach.message.FinalAnswer;
-import gradereach.message.Wording;
-import gradereach.replay.IdWheel;
+import gradereach.message.AnswerFormat;
+import gradereach.replay.ExpiringIdTable;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,9 +20,9 @@
  * oldest first, since it may run again; a message whose effect must not happen twice is never forgotten early:
  * rather is a new one turned away.
  */
-public final class MessageMemory {
+public final class MessageStore {
     /** What a message that came is to this memory. */
-    public enum Seen { NEW, CLAIMING, OPEN, ANSWERED, AGAIN, OTHER_BODY }
+    public enum MessageStatus { NEW, CLAIM_PENDING, IN_PROGRESS, ANSWERED, MAY_RUN_AGAIN, BODY_MISMATCH }
 
     private record Key(int customer, String id) { }
 
@@ -33,20 +33,20 @@
         final long digestHigh;
         final long digestLow;
         final ModelGroup group;
-        final double until;
+        final double expiresAt;
         final long signedAt;
-        final List<Asker> askers = new ArrayList<>(1);
-        Life life;
+        final List<AnswerObserver> observers = new ArrayList<>(1);
+        InferenceState openInference;
         /** Lives that have begun. */
-        int lives;
+        int inferenceCount;
         /** While other front ends are asked whose it is: those that wait for that; null otherwise. */
-        List<Arrival> claiming;
+        List<IncomingMessage> awaitingClaim;
         FinalAnswer answer;
         /** When the first forward left that may have run, over all its lives; NaN for none. */
-        double uncertainSince = Double.NaN;
-        boolean forgotten;
+        double mayHaveRunSince = Double.NaN;
+        boolean removed;
         /** Executors are being asked what became of it: whoever asks again may wait for that. */
-        boolean inQuestion;
+        boolean inquiryOpen;
 
         Entry(int customer, String id, long digestHigh, long digestLow, ModelGroup group, double until,
                 long signedAt) {
@@ -55,42 +55,42 @@
             this.digestHigh = digestHigh;
             this.digestLow = digestLow;
             this.group = group;
-            this.until = until;
+            this.expiresAt = until;
             this.signedAt = signedAt;
         }
     }
 
     /** Milliseconds until a client that hears an answer has sent its message again. */
-    static final double REPEATED_WITHIN = 100;
-    private static final String WINDOW_CLOSED = "no answer within its time; whether it took effect is unknown";
+    static final double CLIENT_REPEAT_DELAY = 100;
+    private static final String OUTCOME_UNKNOWN = "no answer within its time; whether it took effect is unknown";
 
-    private final int mostEntries;
-    private final long mostBytes;
-    private final double kept;
+    private final int maxEntries;
+    private final long maxBytes;
+    private final double retention;
     private final Map<Key, Entry> entries = new HashMap<>();
     /** In order of coming, which is the order of expiry: every entry is kept equally long. */
     private final ArrayDeque<Entry> retriable = new ArrayDeque<>();
-    private final ArrayDeque<Entry> careful = new ArrayDeque<>();
+    private final ArrayDeque<Entry> repeatRestricted = new ArrayDeque<>();
     /** Ids of what was forgotten early: another body under one of them is still told. */
-    private final IdWheel faded;
-    private final long seed;
+    private final ExpiringIdTable evictedIds;
+    private final long fingerprintSeed;
     private long bytes;
-    private long forgottenEarly;
-    private double lookedAt;
+    private long evictedCount;
+    private double lastExpiryAt;
     /** The latest signed timestamp among those forgotten for their age; a clock set back must not let them in again. */
-    private long forgottenUpTo = Long.MIN_VALUE;
+    private long expiredUpTo = Long.MIN_VALUE;
 
     /**
      * @param kept milliseconds: twice the signature's tolerance, since a timestamp may lie that far ahead
      * @param mostIds ids remembered of what had to be forgotten early, some 50 bytes each
      * @param seed of the fingerprints, drawn at start: or a sender could make its ids meet another's
      */
-    public MessageMemory(int mostEntries, long mostBytes, double kept, int mostIds, long seed) {
-        faded = new IdWheel(kept, mostIds);
-        this.seed = seed;
-        this.mostEntries = mostEntries;
-        this.mostBytes = mostBytes;
-        this.kept = kept;
+    public MessageStore(int mostEntries, long mostBytes, double kept, int mostIds, long seed) {
+        evictedIds = new ExpiringIdTable(kept, mostIds);
+        this.fingerprintSeed = seed;
+        this.maxEntries = mostEntries;
+        this.maxBytes = mostBytes;
+        this.retention = kept;
     }
 
     Entry find(int customer, String id) {
@@ -98,17 +98,17 @@
     }
 
     /** What a message is that found {@code entry}, which may be null. */
-    Seen recall(Entry entry, Arrival arrival, double now) {
+    MessageStatus statusOf(Entry entry, IncomingMessage arrival, double now) {
         if (entry != null) {
-            return seen(entry, arrival, now);
+            return statusOfEntry(entry, arrival, now);
         }
-        boolean other = faded.size() > 0 && faded.find(print(arrival.customer(), arrival.id(), seed),
-                print(arrival.customer(), arrival.id(), ~seed), arrival.digestHigh() ^ arrival.digestLow(),
-                now) == IdWheel.Seen.OTHER;
-        return other ? Seen.OTHER_BODY : Seen.NEW;
+        boolean other = evictedIds.size() > 0 && evictedIds.find(fingerprint(arrival.customer(), arrival.id(), fingerprintSeed),
+                fingerprint(arrival.customer(), arrival.id(), ~fingerprintSeed), arrival.digestHigh() ^ arrival.digestLow(),
+                now) == ExpiringIdTable.Lookup.OTHER_DIGEST;
+        return other ? MessageStatus.BODY_MISMATCH : MessageStatus.NEW;
     }
 
-    private static long print(int customer, String id, long seed) {
+    private static long fingerprint(int customer, String id, long seed) {
         long h = seed ^ customer * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < id.length(); i++) {
             h = (h ^ id.charAt(i)) * 0xff51afd7ed558ccdL;
@@ -118,63 +118,63 @@
     }
 
 
-    static Seen seen(Entry entry, Arrival arrival, double now) {
+    static MessageStatus statusOfEntry(Entry entry, IncomingMessage arrival, double now) {
         if (entry == null) {
-            return Seen.NEW;
+            return MessageStatus.NEW;
         }
         if (entry.digestHigh != arrival.digestHigh() || entry.digestLow != arrival.digestLow()) {
-            return Seen.OTHER_BODY;
+            return MessageStatus.BODY_MISMATCH;
         }
-        if (entry.claiming != null) {
-            return Seen.CLAIMING;
+        if (entry.awaitingClaim != null) {
+            return MessageStatus.CLAIM_PENDING;
         }
-        if (entry.life != null) {
-            return Seen.OPEN;
+        if (entry.openInference != null) {
+            return MessageStatus.IN_PROGRESS;
         }
         boolean returned = entry.answer != null && entry.answer.kind() == FinalAnswer.Kind.RETURNED;
-        return returned || !mayRunAgain(entry, now) ? Seen.ANSWERED : Seen.AGAIN;
+        return returned || !mayRunAgain(entry, now) ? MessageStatus.ANSWERED : MessageStatus.MAY_RUN_AGAIN;
     }
 
     /** Rule 2 over the lives of one message: the module sees the forwards of one life only. */
     static boolean mayRunAgain(Entry entry, double now) {
-        if (Double.isNaN(entry.uncertainSince) || entry.group.repeat() == Repeat.RETRIABLE) {
+        if (Double.isNaN(entry.mayHaveRunSince) || entry.group.retrySafety() == RetrySafety.RETRIABLE) {
             return true;
         }
-        return entry.group.repeat() == Repeat.DEDUPED && entry.group.dedupScope() == DedupScope.ALL
-                && now < entry.uncertainSince + entry.group.dedupWindow();
+        return entry.group.retrySafety() == RetrySafety.DEDUPED && entry.group.dedupScope() == DedupScope.ALL
+                && now < entry.mayHaveRunSince + entry.group.dedupWindow();
     }
 
     /** Whether a client may be told that a repeat is harmless: it comes while it may run again. */
     static boolean isRepeatHarmless(Entry entry, double now) {
-        return mayRunAgain(entry, now + REPEATED_WITHIN);
+        return mayRunAgain(entry, now + CLIENT_REPEAT_DELAY);
     }
 
     /**
      * What whoever asks for the recorded answer hears now. One that was returned stays; else, where a repeat was harmless, it is
      * so no longer once executors may have forgotten what ran.
      */
-    static FinalAnswer answerNow(Entry entry, Wording words, double now) {
+    static FinalAnswer currentAnswer(Entry entry, AnswerFormat words, double now) {
         FinalAnswer recorded = entry.answer;
         boolean outdated = recorded.repeatHarmless() && !isRepeatHarmless(entry, now);
-        return outdated && recorded.kind() != FinalAnswer.Kind.RETURNED ? words.failed(entry.id, 504, WINDOW_CLOSED, false) : recorded;
+        return outdated && recorded.kind() != FinalAnswer.Kind.RETURNED ? words.failed(entry.id, 504, OUTCOME_UNKNOWN, false) : recorded;
     }
 
     /** Null where there is no room for it. */
-    Entry open(Arrival arrival, double now) {
+    Entry createEntry(IncomingMessage arrival, double now) {
         ModelGroup group = arrival.model().group();
-        while (entries.size() >= mostEntries && forgetOldest()) { }
-        if (entries.size() >= mostEntries) {
+        while (entries.size() >= maxEntries && evictOldestRetriable()) { }
+        if (entries.size() >= maxEntries) {
             return null;
         }
         Entry entry = new Entry(arrival.customer(), arrival.id(), arrival.digestHigh(), arrival.digestLow(), group,
-                now + kept, arrival.signedAt());
+                now + retention, arrival.signedAt());
         put(entry);
         return entry;
     }
 
     private void put(Entry entry) {
         entries.put(new Key(entry.customer, entry.id), entry);
-        (entry.group.repeat() == Repeat.RETRIABLE ? retriable : careful).add(entry);
+        (entry.group.retrySafety() == RetrySafety.RETRIABLE ? retriable : repeatRestricted).add(entry);
     }
 
     /**
@@ -184,7 +184,7 @@
     Entry restore(int customer, String id, long digestHigh, long digestLow, ModelGroup group, double until,
             long signedAt, double uncertainSince, FinalAnswer answer) {
         Entry entry = new Entry(customer, id, digestHigh, digestLow, group, until, signedAt);
-        entry.uncertainSince = uncertainSince;
+        entry.mayHaveRunSince = uncertainSince;
         entry.answer = answer;
         bytes += size(answer);
         put(entry);
@@ -192,81 +192,81 @@
     }
 
     /** A message that was signed then at the latest has been forgotten for its age, here or before a restart. */
-    void forgotten(long signedAt) {
-        forgottenUpTo = Math.max(forgottenUpTo, signedAt);
+    void markExpiredUpTo(long signedAt) {
+        expiredUpTo = Math.max(expiredUpTo, signedAt);
     }
 
     /** Whether a message that is not known may be one that was forgotten: it is then too old, whatever our clock says. */
-    boolean mayBeForgotten(long signedAt) {
-        return signedAt <= forgottenUpTo;
+    boolean mayHaveExpired(long signedAt) {
+        return signedAt <= expiredUpTo;
     }
 
     /** Knowledge came: what was answered as unknown has this answer, or, with null, is proven not to have run. */
-    void learnt(Entry entry, FinalAnswer answer) {
+    void replaceUnknownAnswer(Entry entry, FinalAnswer answer) {
         bytes += size(answer) - size(entry.answer);
         entry.answer = answer;
         if (answer == null) {
-            entry.uncertainSince = Double.NaN;
+            entry.mayHaveRunSince = Double.NaN;
         }
     }
 
     /** Its present life has ended with {@code answer}. */
-    void answered(Entry entry, FinalAnswer answer) {
+    void recordAnswer(Entry entry, FinalAnswer answer) {
         bytes -= size(entry.answer);
         entry.answer = answer;
-        entry.life = null;
+        entry.openInference = null;
         bytes += size(answer);
-        while (bytes > mostBytes && forgetOldest()) { }
+        while (bytes > maxBytes && evictOldestRetriable()) { }
     }
 
     /** Its client has left before anything may have run: as if it had never come. */
-    void forget(Entry entry) {
-        entry.life = null;
+    void discard(Entry entry) {
+        entry.openInference = null;
         remove(entry);
     }
 
     /** Lets go of what can no longer be played again. */
-    void expire(double now) {
-        lookedAt = now;
-        for (ArrayDeque<Entry> queue : List.of(retriable, careful)) {
-            while (!queue.isEmpty() && (queue.peek().forgotten || queue.peek().until <= now)) {
+    void removeExpired(double now) {
+        lastExpiryAt = now;
+        for (ArrayDeque<Entry> queue : List.of(retriable, repeatRestricted)) {
+            while (!queue.isEmpty() && (queue.peek().removed || queue.peek().expiresAt <= now)) {
                 Entry oldest = queue.peek();
-                if (!oldest.forgotten && (oldest.life != null || oldest.claiming != null)) {
+                if (!oldest.removed && (oldest.openInference != null || oldest.awaitingClaim != null)) {
                     break; // its life ends long before that, so this waits a moment at most
                 }
                 queue.poll();
-                if (!oldest.forgotten) {
-                    forgotten(oldest.signedAt);
+                if (!oldest.removed) {
+                    markExpiredUpTo(oldest.signedAt);
                 }
                 remove(oldest);
             }
         }
     }
 
-    private boolean forgetOldest() {
+    private boolean evictOldestRetriable() {
         // One that is open cannot go: it is put last, and so expires late, never early.
         int looked = 0;
         for (int size = retriable.size(); looked < size; looked++) {
             Entry oldest = retriable.poll();
-            if (oldest.forgotten) {
+            if (oldest.removed) {
                 continue;
             }
-            if (oldest.life != null) {
+            if (oldest.openInference != null) {
                 retriable.add(oldest);
                 continue;
             }
-            faded.add(print(oldest.customer, oldest.id, seed), print(oldest.customer, oldest.id, ~seed),
-                    oldest.digestHigh ^ oldest.digestLow, lookedAt);
+            evictedIds.add(fingerprint(oldest.customer, oldest.id, fingerprintSeed), fingerprint(oldest.customer, oldest.id, ~fingerprintSeed),
+                    oldest.digestHigh ^ oldest.digestLow, lastExpiryAt);
             remove(oldest);
-            forgottenEarly++;
+            evictedCount++;
             return true;
         }
         return false;
     }
 
     private void remove(Entry entry) {
-        if (!entry.forgotten) {
-            entry.forgotten = true;
+        if (!entry.removed) {
+            entry.removed = true;
             entries.remove(new Key(entry.customer, entry.id));
             bytes -= size(entry.answer);
         }
@@ -284,7 +284,7 @@
         return bytes;
     }
 
-    public long forgottenEarly() {
-        return forgottenEarly;
+    public long evictedCount() {
+        return evictedCount;
     }
 }
--- a/gateway/src/main/java/gradereach/desk/Catalogue.java
+++ b/gateway/src/main/java/gradereach/desk/ModelCatalog.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /** The models that may be asked for: by name, or by a prefix for families with many releases. Immutable. */
-public final class Catalogue {
+public final class ModelCatalog {
     /** What is told of a model; {@code memory} in MB, {@code loadTime} in milliseconds. */
-    public record Entry(String name, long id, ModelGroup group, double memory, int lanes, double loadTime) { }
+    public record Entry(String name, long id, ModelGroup group, double memoryMegabytes, int lanes, double loadMillis) { }
 
     private final Map<String, Entry> byName = new HashMap<>();
-    private final List<Entry> prefixes;
+    private final List<Entry> prefixEntries;
 
     /** Names that end in {@code *} stand for all names that begin so; the longest prefix wins. */
-    public Catalogue(List<Entry> entries) {
+    public ModelCatalog(List<Entry> entries) {
         for (Entry entry : entries) {
             if (!entry.name().endsWith("*")) {
                 byName.put(entry.name(), entry);
             }
         }
-        prefixes = entries.stream().filter(e -> e.name().endsWith("*"))
+        prefixEntries = entries.stream().filter(e -> e.name().endsWith("*"))
                 .sorted((a, b) -> Integer.compare(b.name().length(), a.name().length())).toList();
     }
 
@@ -31,9 +31,9 @@
         if (known != null) {
             return known;
         }
-        for (Entry family : prefixes) {
+        for (Entry family : prefixEntries) {
             if (name.startsWith(family.name().substring(0, family.name().length() - 1))) {
-                return new Entry(name, hash(name), family.group(), family.memory(), family.lanes(), family.loadTime());
+                return new Entry(name, hash(name), family.group(), family.memoryMegabytes(), family.lanes(), family.loadMillis());
             }
         }
         return null;
--- a/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
+++ b/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
@@ -1,11 +1,11 @@
 package gradereach.desk;
 
 import gradereach.counts.Counts;
-import gradereach.inquiry.InquiryBook;
+import gradereach.inquiry.InquiryScheduler;
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.Recipient;
 import gradereach.message.FinalAnswer;
-import gradereach.message.Wording;
+import gradereach.message.AnswerFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.LongAdder;
@@ -20,58 +20,58 @@
  */
 final class OutcomeInquiries {
     /** What it works on, all of the deciding thread. */
-    record Surroundings(Links links, Timers timers, Places places, MessageMemory memory, Ledger ledger, Wording words,
-            Desk.WallClock wall, List<String> customers, DoubleSupplier clock) { }
+    record Dependencies(ExecutorTransport transport, Timers timers, EndpointRegistry endpoints, MessageStore messageStore, Ledger ledger, AnswerFormat answerFormat,
+            InferenceCoordinator.WallClock wallClock, List<String> customerNames, DoubleSupplier clock) { }
 
     private static final Logger LOG = LoggerFactory.getLogger(OutcomeInquiries.class);
     /** Milliseconds for an answer: a few trips to an executor at work; one that is silent must not keep others from being asked. */
-    private static final double ANSWERED_WITHIN = 2000;
+    private static final double REPLY_TIMEOUT = 2000;
 
     /** A message of unknown end and the forwards that may have run, still in question. */
-    private static final class Unknown {
-        final MessageMemory.Entry entry;
+    private static final class UnresolvedMessage {
+        final MessageStore.Entry entry;
         final String modelName;
-        int open;
+        int openInquiries;
         /** None of those that have ended has run; only where they are all of the message. */
         boolean neverRan;
         /** The message's lives as it was asked about: what a later one sent is not among them. */
-        final int lives;
-        final List<InquiryBook.Question> questions = new ArrayList<>(1);
+        final int inferenceCount;
+        final List<InquiryScheduler.Inquiry> inquiries = new ArrayList<>(1);
 
-        Unknown(MessageMemory.Entry entry, String modelName, boolean all) {
+        UnresolvedMessage(MessageStore.Entry entry, String modelName, boolean all) {
             neverRan = all;
-            lives = entry.lives;
+            inferenceCount = entry.inferenceCount;
             this.entry = entry;
             this.modelName = modelName;
         }
     }
 
-    private final InquiryBook book;
-    private final Surroundings with;
-    private final LongAdder learntRan;
-    private final LongAdder learntNotRun;
-    private final LongAdder neverKnown;
-    private final LongAdder replaced;
-    private final Counts.Limit open;
-    private double nextAt = Double.POSITIVE_INFINITY;
+    private final InquiryScheduler book;
+    private final Dependencies dependencies;
+    private final LongAdder resolvedAsRun;
+    private final LongAdder resolvedAsNotRun;
+    private final LongAdder unresolvable;
+    private final LongAdder executorReplaced;
+    private final Counts.Limit openInquiries;
+    private double timerAt = Double.POSITIVE_INFINITY;
 
-    OutcomeInquiries(InquiryBook book, Surroundings with, Counts counts) {
+    OutcomeInquiries(InquiryScheduler book, Dependencies with, Counts counts) {
         this.book = book;
-        this.with = with;
-        learntRan = counts.counter("unknown_learnt_to_have_run");
-        learntNotRun = counts.counter("unknown_learnt_not_to_have_run");
-        neverKnown = counts.counter("unknown_for_good");
-        replaced = counts.counter("questions_whose_executor_was_replaced");
-        open = counts.limit("forwards_in_question", Long.MAX_VALUE);
+        this.dependencies = with;
+        resolvedAsRun = counts.counter("unknown_learnt_to_have_run");
+        resolvedAsNotRun = counts.counter("unknown_learnt_not_to_have_run");
+        unresolvable = counts.counter("unknown_for_good");
+        executorReplaced = counts.counter("questions_whose_executor_was_replaced");
+        openInquiries = counts.limit("forwards_in_question", Long.MAX_VALUE);
     }
 
     /** Asks an executor which process it is, where that may be needed later and is not known. */
-    void identify(Place place) {
-        double now = with.clock.getAsDouble();
-        if (!book.asks() || with.ledger == Ledger.NONE || !place.process.mayAsk(now)) {
+    void requestProcessId(ExecutorEndpoint place) {
+        double now = dependencies.clock.getAsDouble();
+        if (!book.isEnabled() || dependencies.ledger == Ledger.NONE || !place.processIdentity.isQueryDue(now)) {
             return;
         }
-        with.links.identify(place, place.process.ask(now));
+        dependencies.transport.requestProcessId(place, place.processIdentity.beginQuery(now));
     }
 
     /**
@@ -79,148 +79,148 @@
      *
      * @param all whether they are all that may have run, over all its lives so far
      */
-    void inquire(MessageMemory.Entry entry, String modelName, List<InquiryBook.Forwarded> forwards, boolean all) {
-        Unknown unknown = new Unknown(entry, modelName, all);
-        for (InquiryBook.Forwarded forwarded : forwards) {
-            InquiryBook.Question question = book.add(unknown, forwarded, with.clock.getAsDouble());
+    void startInquiries(MessageStore.Entry entry, String modelName, List<InquiryScheduler.InquiredForward> forwards, boolean all) {
+        UnresolvedMessage unknown = new UnresolvedMessage(entry, modelName, all);
+        for (InquiryScheduler.InquiredForward forwarded : forwards) {
+            InquiryScheduler.Inquiry question = book.add(unknown, forwarded, dependencies.clock.getAsDouble());
             if (question == null) {
                 unknown.neverRan = false;
             } else {
-                unknown.open++;
-                unknown.questions.add(question);
+                unknown.openInquiries++;
+                unknown.inquiries.add(question);
             }
         }
-        entry.inQuestion = unknown.open > 0;
-        if (!entry.inQuestion) {
-            settled(unknown, null, false);
+        entry.inquiryOpen = unknown.openInquiries > 0;
+        if (!entry.inquiryOpen) {
+            concludeMessage(unknown, null, false);
         }
-        setTimer();
+        scheduleTimer();
     }
 
-    private void setTimer() {
-        open.present(book.open());
-        double next = book.next();
-        if (next < nextAt) {
-            nextAt = next;
-            with.timers.set(next, (Runnable) this::askThoseDue);
+    private void scheduleTimer() {
+        openInquiries.inUse(book.openCount());
+        double next = book.nextDueAt();
+        if (next < timerAt) {
+            timerAt = next;
+            dependencies.timers.schedule(next, (Runnable) this::sendDueInquiries);
         }
     }
 
-    private void askThoseDue() {
-        nextAt = Double.POSITIVE_INFINITY;
-        for (InquiryBook.Question question : book.due(with.clock.getAsDouble())) {
-            ask(question);
+    private void sendDueInquiries() {
+        timerAt = Double.POSITIVE_INFINITY;
+        for (InquiryScheduler.Inquiry question : book.takeDue(dependencies.clock.getAsDouble())) {
+            sendInquiry(question);
         }
-        setTimer();
+        scheduleTimer();
     }
 
-    private void ask(InquiryBook.Question question) {
-        Recipient recipient = question.forwarded.recipient();
-        Place place = with.places.whereToAsk(recipient.instance(), recipient.address());
+    private void sendInquiry(InquiryScheduler.Inquiry question) {
+        Recipient recipient = question.forward.recipient();
+        ExecutorEndpoint place = dependencies.endpoints.inquiryTarget(recipient.instance(), recipient.address());
         if (place == null) {
-            replaced.increment();
-            told(question, InquiryBook.Told.GONE, Double.NaN, null);
+            executorReplaced.increment();
+            onInquiryReply(question, InquiryScheduler.OutcomeReply.GONE, Double.NaN, null);
             return;
         }
-        Asking asking = new Asking(question, place);
-        asking.timer = with.timers.set(with.clock.getAsDouble() + ANSWERED_WITHIN, asking);
-        with.links.inquire(place, question.forwarded.forward(), asking);
+        PendingInquiry asking = new PendingInquiry(question, place);
+        asking.timer = dependencies.timers.schedule(dependencies.clock.getAsDouble() + REPLY_TIMEOUT, asking);
+        dependencies.transport.inquire(place, question.forward.forwardId(), asking);
     }
 
     /** One asking of a question: it ends with the first word, or by itself where none comes. */
-    private final class Asking implements Links.Told, Runnable {
-        final InquiryBook.Question question;
-        final Place place;
-        final DoubleConsumer identity;
+    private final class PendingInquiry implements ExecutorTransport.InquiryCallback, Runnable {
+        final InquiryScheduler.Inquiry inquiry;
+        final ExecutorEndpoint endpoint;
+        final DoubleConsumer processCallback;
         long timer;
-        boolean over;
+        boolean ended;
 
-        Asking(InquiryBook.Question question, Place place) {
-            this.question = question;
-            this.place = place;
-            identity = place.process.answerOfPresent();
+        PendingInquiry(InquiryScheduler.Inquiry question, ExecutorEndpoint place) {
+            this.inquiry = question;
+            this.endpoint = place;
+            processCallback = place.processIdentity.currentProcessCallback();
         }
 
         @Override
         public void run() {
-            told(InquiryBook.Told.NOTHING, Double.NaN, null);
+            onReply(InquiryScheduler.OutcomeReply.NOTHING, Double.NaN, null);
         }
 
         @Override
-        public void told(InquiryBook.Told what, double process, byte[] output) {
-            if (over) {
+        public void onReply(InquiryScheduler.OutcomeReply what, double process, byte[] output) {
+            if (ended) {
                 return; // it may be asked again already
             }
-            over = true;
-            with.timers.cancel(timer, this);
-            identity.accept(process);
-            if (place.line == null) {
-                with.links.hangUp(place); // met for this question only
+            ended = true;
+            dependencies.timers.cancel(timer, this);
+            processCallback.accept(process);
+            if (endpoint.rosterEntry == null) {
+                dependencies.transport.closeWhenIdle(endpoint); // met for this question only
             }
-            OutcomeInquiries.this.told(question, what, process, output);
-            setTimer();
+            OutcomeInquiries.this.onInquiryReply(inquiry, what, process, output);
+            scheduleTimer();
         }
     }
 
-    private void told(InquiryBook.Question question, InquiryBook.Told what, double process, byte[] output) {
-        Unknown unknown = (Unknown) question.about;
-        InquiryBook.Known known = book.told(question, what, process, with.clock.getAsDouble());
-        log(unknown.entry, question.forwarded, what, process, known);
-        if (known == InquiryBook.Known.RAN) {
-            unknown.questions.forEach(book::drop);
-            settled(unknown, output, false);
-        } else if (known != InquiryBook.Known.NOT_YET) {
-            unknown.neverRan &= known == InquiryBook.Known.NEVER_RAN;
-            unknown.open--;
-            if (unknown.open == 0) {
-                settled(unknown, null, unknown.neverRan && unknown.lives == unknown.entry.lives);
+    private void onInquiryReply(InquiryScheduler.Inquiry question, InquiryScheduler.OutcomeReply what, double process, byte[] output) {
+        UnresolvedMessage unknown = (UnresolvedMessage) question.subject;
+        InquiryScheduler.Conclusion known = book.recordReply(question, what, process, dependencies.clock.getAsDouble());
+        logConclusion(unknown.entry, question.forward, what, process, known);
+        if (known == InquiryScheduler.Conclusion.RAN) {
+            unknown.inquiries.forEach(book::cancel);
+            concludeMessage(unknown, output, false);
+        } else if (known != InquiryScheduler.Conclusion.NOT_YET) {
+            unknown.neverRan &= known == InquiryScheduler.Conclusion.NEVER_RAN;
+            unknown.openInquiries--;
+            if (unknown.openInquiries == 0) {
+                concludeMessage(unknown, null, unknown.neverRan && unknown.inferenceCount == unknown.entry.inferenceCount);
             }
         }
     }
 
-    private static void log(MessageMemory.Entry entry, InquiryBook.Forwarded of, InquiryBook.Told what, double process,
-            InquiryBook.Known known) {
-        if (known == InquiryBook.Known.NOT_YET) {
+    private static void logConclusion(MessageStore.Entry entry, InquiryScheduler.InquiredForward of, InquiryScheduler.OutcomeReply what, double process,
+            InquiryScheduler.Conclusion known) {
+        if (known == InquiryScheduler.Conclusion.NOT_YET) {
             return;
         }
-        LOG.atInfo().addKeyValue("id", entry.id).addKeyValue("forward", of.forward())
+        LOG.atInfo().addKeyValue("id", entry.id).addKeyValue("forward", of.forwardId())
                 .addKeyValue("instance", of.recipient().instance()).addKeyValue("address", of.recipient().address())
-                .addKeyValue("meant_for", of.recipient().process()).addKeyValue("told_by", process)
+                .addKeyValue("meant_for", of.recipient().processNumber()).addKeyValue("told_by", process)
                 .log("a forward in question was told {}, so it is {}", what, known);
     }
 
     /** As much as will ever be known of it. Whoever waits for that is told; so is whoever asks from now on. */
-    private void settled(Unknown unknown, byte[] output, boolean neverRan) {
-        MessageMemory.Entry entry = unknown.entry;
-        entry.inQuestion = false;
-        if (entry.life != null || entry.forgotten) {
+    private void concludeMessage(UnresolvedMessage unknown, byte[] output, boolean neverRan) {
+        MessageStore.Entry entry = unknown.entry;
+        entry.inquiryOpen = false;
+        if (entry.openInference != null || entry.removed) {
             return; // a second life within its window has begun, and ends with what it learns itself
         }
         FinalAnswer learnt = output == null ? null
-                : with.words.returned(entry.id, unknown.modelName, output, with.wall.instant(with.clock.getAsDouble()));
+                : dependencies.answerFormat.returned(entry.id, unknown.modelName, output, dependencies.wallClock.toInstant(dependencies.clock.getAsDouble()));
         if (learnt != null || neverRan) {
-            record(entry, learnt);
+            recordOutcome(entry, learnt);
         } else {
-            neverKnown.increment();
+            unresolvable.increment();
         }
-        if (entry.askers.isEmpty()) {
+        if (entry.observers.isEmpty()) {
             return;
         }
         FinalAnswer told = learnt != null ? learnt : neverRan
-                ? with.words.shed(entry.id, "this front end was restarted before it ran", 0)
-                : MessageMemory.answerNow(entry, with.words, with.clock.getAsDouble());
-        List<Asker> askers = List.copyOf(entry.askers);
-        entry.askers.clear();
-        askers.forEach(asker -> asker.answer(told));
+                ? dependencies.answerFormat.shed(entry.id, "this front end was restarted before it ran", 0)
+                : MessageStore.currentAnswer(entry, dependencies.answerFormat, dependencies.clock.getAsDouble());
+        List<AnswerObserver> askers = List.copyOf(entry.observers);
+        entry.observers.clear();
+        askers.forEach(asker -> asker.onFinalAnswer(told));
     }
 
     /** @param learnt null where it is proven that it never ran */
-    private void record(MessageMemory.Entry entry, FinalAnswer learnt) {
-        (learnt != null ? learntRan : learntNotRun).increment();
-        with.memory.learnt(entry, learnt);
-        String customer = with.customers.get(entry.customer);
-        double at = with.ledger.time().at(with.clock.getAsDouble());
-        with.ledger.append(learnt != null ? new LedgerRecord.Answered(customer, entry.id, at, learnt)
-                : new LedgerRecord.NotRun(customer, entry.id, at), durable -> { });
+    private void recordOutcome(MessageStore.Entry entry, FinalAnswer learnt) {
+        (learnt != null ? resolvedAsRun : resolvedAsNotRun).increment();
+        dependencies.messageStore.replaceUnknownAnswer(entry, learnt);
+        String customer = dependencies.customerNames.get(entry.customer);
+        double at = dependencies.ledger.time().fromMonotonic(dependencies.clock.getAsDouble());
+        dependencies.ledger.append(learnt != null ? new LedgerRecord.Answered(customer, entry.id, at, learnt)
+                : new LedgerRecord.ProvenNotRun(customer, entry.id, at), durable -> { });
     }
 }
--- a/gateway/src/main/java/gradereach/desk/ProcessIdentity.java
+++ b/gateway/src/main/java/gradereach/desk/ProcessIdentity.java
@@ -9,42 +9,42 @@
  */
 final class ProcessIdentity {
     /** Milliseconds after which an executor that has not told it is asked again. */
-    private static final double ASKED_AGAIN = 5000;
+    private static final double QUERY_INTERVAL = 5000;
 
     private double number = Double.NaN;
-    private double askedAt = Double.NEGATIVE_INFINITY;
+    private double queriedAt = Double.NEGATIVE_INFINITY;
     /** Processes that may have ended: what was asked of one of them tells nothing of the present one. */
-    private int ended;
+    private int processesEnded;
 
     /** NaN where it is not known. */
     double number() {
         return number;
     }
 
-    boolean mayAsk(double now) {
-        return Double.isNaN(number) && now - askedAt >= ASKED_AGAIN;
+    boolean isQueryDue(double now) {
+        return Double.isNaN(number) && now - queriedAt >= QUERY_INTERVAL;
     }
 
     /** It is asked now; its answer goes to what is returned. */
-    DoubleConsumer ask(double now) {
-        askedAt = now;
-        return answerOfPresent();
+    DoubleConsumer beginQuery(double now) {
+        queriedAt = now;
+        return currentProcessCallback();
     }
 
     /** Takes the number that the present process tells, NaN where it tells none, for as long as it is the present one. */
-    DoubleConsumer answerOfPresent() {
-        int endedBefore = ended;
+    DoubleConsumer currentProcessCallback() {
+        int endedBefore = processesEnded;
         return told -> {
-            if (ended == endedBefore && !Double.isNaN(told)) {
+            if (processesEnded == endedBefore && !Double.isNaN(told)) {
                 number = told;
             }
         };
     }
 
     /** Its process may have ended. */
-    void forget() {
-        ended++;
+    void reset() {
+        processesEnded++;
         number = Double.NaN;
-        askedAt = Double.NEGATIVE_INFINITY;
+        queriedAt = Double.NEGATIVE_INFINITY;
     }
 }
--- a/gateway/src/main/java/gradereach/desk/RosterLine.java
+++ b/gateway/src/main/java/gradereach/desk/RosterEntry.java
@@ -1,6 +1,6 @@
 package gradereach.desk;
 
-import gradereach.api.Standing;
+import gradereach.api.ExecutorState;
 
 /**
  * One executor as the roster tells of it.
@@ -11,15 +11,15 @@
  * @param location index among the deployment's locations, -1 for unknown
  * @param cell executors of one cell share what repeats they have seen, -1 for unknown
  */
-public record RosterLine(String instance, String address, double size, double startedAt, Standing standing,
+public record RosterEntry(String instance, String address, double size, double startedAt, ExecutorState state,
         int location, int kind, int cell) {
-    public RosterLine(String address, double size, double startedAt, Standing standing, int location, int kind,
+    public RosterEntry(String address, double size, double startedAt, ExecutorState standing, int location, int kind,
             int cell) {
         this(address, address, size, startedAt, standing, location, kind, cell);
     }
 
     /** The same, gone. */
-    public RosterLine gone() {
-        return new RosterLine(instance, address, size, startedAt, Standing.GONE, location, kind, cell);
+    public RosterEntry asRemoved() {
+        return new RosterEntry(instance, address, size, startedAt, ExecutorState.REMOVED, location, kind, cell);
     }
 }
--- a/gateway/src/main/java/gradereach/flow/PartFlow.java
+++ b/gateway/src/main/java/gradereach/flow/AnswerStream.java
@@ -15,48 +15,48 @@
  *
  * @param <T> a part
  */
-public final class PartFlow<T> {
+public final class AnswerStream<T> {
     /** Where the parts come from. Any thread. */
     public interface Source {
         /** Read on. */
-        void more();
+        void requestMore();
     }
 
     /** What all flows of a front end share. */
-    public static final class Bounds {
-        final int mostKept;
-        final Counts.Limit held;
-        final Counts.Limit kept;
+    public static final class Limits {
+        final int maxRecordBytes;
+        final Counts.Limit bufferedBytes;
+        final Counts.Limit recordedBytes;
 
         /**
          * @param held bytes of parts that wait for their readers, over all flows
          * @param mostKept bytes of one answer that are kept for its record
          * @param kept the same over all answers that are under way
          */
-        public Bounds(long held, int mostKept, long kept, Counts counts) {
-            this.mostKept = mostKept;
-            this.held = counts.limit("stream_parts_held_bytes", held);
-            this.kept = counts.limit("stream_records_bytes", kept);
+        public Limits(long held, int mostKept, long kept, Counts counts) {
+            this.maxRecordBytes = mostKept;
+            this.bufferedBytes = counts.limit("stream_parts_held_bytes", held);
+            this.recordedBytes = counts.limit("stream_records_bytes", kept);
         }
     }
 
-    private record Part<T>(T part, int size) { }
+    private record SizedPart<T>(T part, int size) { }
 
-    private static final Runnable NOBODY = () -> { };
+    private static final Runnable NO_READER = () -> { };
 
     private final Source source;
-    private final Bounds bounds;
-    private final Queue<Part<T>> waiting = new ConcurrentLinkedQueue<>();
-    private volatile boolean ended;
-    private volatile boolean discards;
-    private volatile Runnable reader = NOBODY;
+    private final Limits bounds;
+    private final Queue<SizedPart<T>> buffered = new ConcurrentLinkedQueue<>();
+    private volatile boolean completed;
+    private volatile boolean discarding;
+    private volatile Runnable onAvailable = NO_READER;
 
     // Of the producing thread.
-    private List<T> record = new ArrayList<>(4);
+    private List<T> recordedParts = new ArrayList<>(4);
     private int recordBytes;
-    private long parts;
+    private long partCount;
 
-    public PartFlow(Source source, Bounds bounds) {
+    public AnswerStream(Source source, Limits bounds) {
         this.source = source;
         this.bounds = bounds;
     }
@@ -65,97 +65,97 @@
 
     /** False where all flows together hold as much as they may: this one must end. */
     public boolean put(T part, int size) {
-        parts++;
-        keep(part, size);
-        if (discards) {
+        partCount++;
+        addToRecord(part, size);
+        if (discarding) {
             return true;
         }
-        if (!bounds.held.take(size)) {
+        if (!bounds.bufferedBytes.tryAcquire(size)) {
             return false;
         }
-        waiting.add(new Part<>(part, size));
-        if (discards) {
-            drop(); // the reader left in between
+        buffered.add(new SizedPart<>(part, size));
+        if (discarding) {
+            dropBuffered(); // the reader left in between
         }
-        reader.run();
+        onAvailable.run();
         return true;
     }
 
-    private void keep(T part, int size) {
-        if (record == null) {
+    private void addToRecord(T part, int size) {
+        if (recordedParts == null) {
             return;
         }
-        if (recordBytes + size > bounds.mostKept || !bounds.kept.take(size)) {
-            record = null;
-            bounds.kept.give(recordBytes);
+        if (recordBytes + size > bounds.maxRecordBytes || !bounds.recordedBytes.tryAcquire(size)) {
+            recordedParts = null;
+            bounds.recordedBytes.release(recordBytes);
             recordBytes = 0;
             return;
         }
-        record.add(part);
+        recordedParts.add(part);
         recordBytes += size;
     }
 
     /** Whether to read on at once. */
     public boolean wantsMore() {
-        return discards || waiting.isEmpty();
+        return discarding || buffered.isEmpty();
     }
 
     /** No part comes any more. Returns all that came, or null where that was more than is kept. */
-    public List<T> end() {
-        ended = true;
-        reader.run();
-        List<T> all = record;
-        record = null;
-        bounds.kept.give(recordBytes);
+    public List<T> complete() {
+        completed = true;
+        onAvailable.run();
+        List<T> all = recordedParts;
+        recordedParts = null;
+        bounds.recordedBytes.release(recordBytes);
         recordBytes = 0;
         return all;
     }
 
-    public long parts() {
-        return parts;
+    public long partCount() {
+        return partCount;
     }
 
     // ---- the reading side: one thread at a time ----------------------------------------------------------------
 
     /** From now on {@code onMore} is told of each part and of the end, by any thread; it should come and look. */
-    public void read(Runnable onMore) {
-        reader = onMore;
+    public void subscribe(Runnable onMore) {
+        onAvailable = onMore;
         onMore.run();
     }
 
     /** The next part, null where none waits now. */
     public T poll() {
-        Part<T> next = waiting.poll();
+        SizedPart<T> next = buffered.poll();
         if (next == null) {
             return null;
         }
-        bounds.held.give(next.size);
-        if (waiting.isEmpty() && !ended) {
-            source.more();
+        bounds.bufferedBytes.release(next.size);
+        if (buffered.isEmpty() && !completed) {
+            source.requestMore();
         }
         return next.part;
     }
 
-    public boolean waits() {
-        return !waiting.isEmpty();
+    public boolean hasBufferedParts() {
+        return !buffered.isEmpty();
     }
 
     /** Whether all parts have been taken and none will come. */
-    public boolean over() {
-        return ended && waiting.isEmpty();
+    public boolean isFinished() {
+        return completed && buffered.isEmpty();
     }
 
     /** Nobody reads any more: what comes is kept for the record alone. */
     public void discard() {
-        discards = true;
-        reader = NOBODY;
-        drop();
-        source.more();
+        discarding = true;
+        onAvailable = NO_READER;
+        dropBuffered();
+        source.requestMore();
     }
 
-    private void drop() {
-        for (Part<T> left; (left = waiting.poll()) != null;) {
-            bounds.held.give(left.size);
+    private void dropBuffered() {
+        for (SizedPart<T> left; (left = buffered.poll()) != null;) {
+            bounds.bufferedBytes.release(left.size);
         }
     }
 }
