--- a/gateway/src/main/java/gradereach/front/IdleStreams.java
+++ b/gateway/src/main/java/gradereach/front/Http2IdleHandler.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Closes an HTTP/2 connection on which no stream has been open for long. */
-final class IdleStreams extends ChannelInboundHandlerAdapter {
-    private final long idle;
-    private boolean streamsBefore = true;
+final class Http2IdleHandler extends ChannelInboundHandlerAdapter {
+    private final long checkIntervalMillis;
+    private boolean hadStreamsAtLastCheck = true;
 
     /** @param idle milliseconds between two looks; a connection without a stream at both is closed */
-    IdleStreams(long idle) {
-        this.idle = idle;
+    Http2IdleHandler(long idle) {
+        this.checkIntervalMillis = idle;
     }
 
     @Override
@@ -22,15 +22,15 @@
             if (ctx.channel().isActive() && !closeIfIdle(ctx)) {
                 handlerAdded(ctx);
             }
-        }, idle, TimeUnit.MILLISECONDS);
+        }, checkIntervalMillis, TimeUnit.MILLISECONDS);
     }
 
     /** Whether it was closed: a stream that lies unread is open. */
     boolean closeIfIdle(ChannelHandlerContext ctx) {
         UnreadBytes.read(ctx.channel());
         boolean streams = ctx.pipeline().get(Http2FrameCodec.class).connection().numActiveStreams() > 0;
-        boolean idleSinceLastLook = !streams && !streamsBefore;
-        streamsBefore = streams;
+        boolean idleSinceLastLook = !streams && !hadStreamsAtLastCheck;
+        hadStreamsAtLastCheck = streams;
         if (idleSinceLastLook) {
             ctx.close();
         }
--- a/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
+++ b/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
@@ -21,27 +21,27 @@
  */
 final class HttpPipeliningHandler extends ChannelDuplexHandler {
     /** Whole messages held; as many as HTTP/2 advises to allow at once (RFC 9113, 6.5.2). */
-    private static final int MOST_HELD = 100;
+    private static final int MAX_QUEUED_MESSAGES = 100;
 
-    private final MessageClock messageClock;
-    private final int mostHeldBytes;
+    private final MessageTimeoutHandler timeoutHandler;
+    private final int maxQueuedBytes;
     /** Parts of messages in the order in which they came, and {@link MessageClock#TOO_SLOW} in its place. */
-    private final Queue<Object> held = new ArrayDeque<>();
+    private final Queue<Object> queue = new ArrayDeque<>();
     /** When the first byte of each whole message came that was not let through to its end. */
-    private final Queue<Double> arrivals = new ArrayDeque<>();
-    private int heldBytes;
+    private final Queue<Double> queuedArrivals = new ArrayDeque<>();
+    private int queuedBytes;
     private double arrivedAt = Double.NaN;
     /** A whole message was let through and is not answered. */
-    private boolean busy;
+    private boolean awaitingAnswer;
     /** What comes now can have no answer: the refusal of a slow sender is held, or the last answer is on its way. */
-    private boolean discards;
-    private boolean ended;
-    private boolean paused;
+    private boolean discarding;
+    private boolean lastAnswerWritten;
+    private boolean readingPaused;
 
     /** @param mostHeldBytes content of messages that wait for their turn, beyond which we stop reading */
-    HttpPipeliningHandler(MessageClock messageClock, int mostHeldBytes) {
-        this.messageClock = messageClock;
-        this.mostHeldBytes = mostHeldBytes;
+    HttpPipeliningHandler(MessageTimeoutHandler messageClock, int mostHeldBytes) {
+        this.timeoutHandler = messageClock;
+        this.maxQueuedBytes = mostHeldBytes;
     }
 
     /** When the first byte of the message came that was let through last, in module time. */
@@ -50,80 +50,80 @@
     }
 
     /** Whether a message that came whole waits for its turn. */
-    boolean holdsMessage() {
-        return !arrivals.isEmpty();
+    boolean hasQueuedMessage() {
+        return !queuedArrivals.isEmpty();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object part) {
-        if (discards) {
+        if (discarding) {
             ReferenceCountUtil.release(part);
             return;
         }
         if (part instanceof HttpRequest request) {
-            messageClock.begin(ctx);
+            timeoutHandler.beginMessage(ctx);
             if (HttpUtil.is100ContinueExpected(request)) {
-                messageClock.suspend(); // its sender waits for the leave to go on, which comes in its turn
+                timeoutHandler.suspendTimer(); // its sender waits for the leave to go on, which comes in its turn
             }
         }
         if (part instanceof LastHttpContent) {
-            arrivals.add(messageClock.whole());
+            queuedArrivals.add(timeoutHandler.endMessage());
         }
-        hold(part);
-        letThrough(ctx);
-        pauseOrResume(ctx);
+        enqueue(part);
+        dispatch(ctx);
+        updateAutoRead(ctx);
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event != MessageClock.TOO_SLOW) {
+        if (event != MessageTimeoutHandler.TIMEOUT_EVENT) {
             ctx.fireUserEventTriggered(event);
-        } else if (!discards) {
-            discards = true;
-            hold(event);
-            letThrough(ctx);
+        } else if (!discarding) {
+            discarding = true;
+            enqueue(event);
+            dispatch(ctx);
         }
     }
 
-    private void hold(Object part) {
-        held.add(part);
-        heldBytes += size(part);
+    private void enqueue(Object part) {
+        queue.add(part);
+        queuedBytes += contentBytes(part);
     }
 
-    private static int size(Object part) {
+    private static int contentBytes(Object part) {
         return part instanceof ByteBufHolder content ? content.content().readableBytes() : 0;
     }
 
     /** Lets through what is held, up to the end of the next message. */
-    private void letThrough(ChannelHandlerContext ctx) {
-        while (!busy && !held.isEmpty()) {
-            Object part = held.remove();
-            heldBytes -= size(part);
-            if (part == MessageClock.TOO_SLOW) {
+    private void dispatch(ChannelHandlerContext ctx) {
+        while (!awaitingAnswer && !queue.isEmpty()) {
+            Object part = queue.remove();
+            queuedBytes -= contentBytes(part);
+            if (part == MessageTimeoutHandler.TIMEOUT_EVENT) {
                 ctx.fireUserEventTriggered(part);
                 continue;
             }
             if (part instanceof LastHttpContent) {
-                busy = true;
-                arrivedAt = arrivals.remove();
+                awaitingAnswer = true;
+                arrivedAt = queuedArrivals.remove();
             }
-            if (part instanceof HttpRequest && arrivals.isEmpty()) {
-                messageClock.restart(ctx); // it is the one under way
+            if (part instanceof HttpRequest && queuedArrivals.isEmpty()) {
+                timeoutHandler.restartTimer(ctx); // it is the one under way
             }
             ctx.fireChannelRead(part);
         }
     }
 
-    private void pauseOrResume(ChannelHandlerContext ctx) {
-        boolean full = !discards && (arrivals.size() >= MOST_HELD || heldBytes >= mostHeldBytes);
-        if (full == paused) {
+    private void updateAutoRead(ChannelHandlerContext ctx) {
+        boolean full = !discarding && (queuedArrivals.size() >= MAX_QUEUED_MESSAGES || queuedBytes >= maxQueuedBytes);
+        if (full == readingPaused) {
             return;
         }
-        paused = full;
+        readingPaused = full;
         if (full) {
-            messageClock.pause();
+            timeoutHandler.pauseReading();
         } else {
-            messageClock.resume(ctx);
+            timeoutHandler.resumeReading(ctx);
         }
         ctx.channel().config().setAutoRead(!full);
     }
@@ -133,42 +133,42 @@
         boolean isFinal = msg instanceof HttpResponse response
                 && response.status().codeClass() != HttpStatusClass.INFORMATIONAL;
         if (isFinal && !HttpUtil.isKeepAlive((HttpResponse) msg)) {
-            end();
+            endConnection();
         }
         ctx.write(msg, promise);
-        if (isFinal && !ended) {
+        if (isFinal && !lastAnswerWritten) {
             // Not from within a write: the answer to the one before must be on its way first.
-            ctx.executor().execute(() -> next(ctx));
+            ctx.executor().execute(() -> dispatchNextMessage(ctx));
         }
     }
 
     /** The answer that is written now ends the connection (RFC 9112, 9.6). */
-    private void end() {
-        ended = true;
-        discards = true;
-        busy = true;
-        release();
+    private void endConnection() {
+        lastAnswerWritten = true;
+        discarding = true;
+        awaitingAnswer = true;
+        releaseQueue();
     }
 
-    private void next(ChannelHandlerContext ctx) {
-        if (ended || !ctx.channel().isActive()) {
+    private void dispatchNextMessage(ChannelHandlerContext ctx) {
+        if (lastAnswerWritten || !ctx.channel().isActive()) {
             return;
         }
-        busy = false;
-        letThrough(ctx);
-        pauseOrResume(ctx);
+        awaitingAnswer = false;
+        dispatch(ctx);
+        updateAutoRead(ctx);
     }
 
-    private void release() {
-        held.forEach(ReferenceCountUtil::release);
-        held.clear();
-        arrivals.clear();
-        heldBytes = 0;
+    private void releaseQueue() {
+        queue.forEach(ReferenceCountUtil::release);
+        queue.clear();
+        queuedArrivals.clear();
+        queuedBytes = 0;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end();
+        endConnection();
         ctx.fireChannelInactive();
     }
 }
--- a/gateway/src/main/java/gradereach/front/LingeringClose.java
+++ b/gateway/src/main/java/gradereach/front/LingeringClose.java
@@ -14,7 +14,7 @@
  */
 final class LingeringClose extends ChannelInboundHandlerAdapter {
     /** Enough to read an answer and stop; a client that goes on for longer is reset. */
-    private static final long LONGEST_MILLIS = 2000;
+    private static final long MAX_LINGER_MILLIS = 2000;
 
     private LingeringClose() { }
 
@@ -27,7 +27,7 @@
         connection.pipeline().addFirst(new LingeringClose());
         duplex.shutdownOutput();
         connection.config().setAutoRead(true);
-        connection.eventLoop().schedule(() -> connection.close(), LONGEST_MILLIS, TimeUnit.MILLISECONDS);
+        connection.eventLoop().schedule(() -> connection.close(), MAX_LINGER_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/gateway/src/main/java/gradereach/front/MessageClock.java
+++ b/gateway/src/main/java/gradereach/front/MessageTimeoutHandler.java
@@ -13,178 +13,178 @@
  * is a connection that brings none. First in the pipeline: it sees bytes or frames before any codec. Who sees the end of
  * a message first tells it by {@link #whole}, whether that message is worked on at once or not.
  */
-final class MessageClock extends ChannelInboundHandlerAdapter {
+final class MessageTimeoutHandler extends ChannelInboundHandlerAdapter {
     /** Fired down the pipeline when a message took too long. */
-    static final Object TOO_SLOW = new Object();
+    static final Object TIMEOUT_EVENT = new Object();
 
     /** So many reads in a row may leave something in the socket (Netty's own number of reads in one turn). */
-    private static final int FULL_TURN = 16;
+    private static final int MAX_READS_PER_LOOP = 16;
 
-    private final long wholeWithin;
-    private final long idle;
+    private final long messageTimeoutMillis;
+    private final long idleTimeoutMillis;
     private final DoubleSupplier clock;
-    private final DoubleSupplier arrivals;
-    private final Counts.Limit slow;
-    private ScheduledFuture<?> deadline;
-    private boolean inMessage;
+    private final DoubleSupplier earliestArrival;
+    private final Counts.Limit timeouts;
+    private ScheduledFuture<?> timer;
+    private boolean messageInProgress;
     /** Whole messages without an answer. */
-    private int owed;
+    private int unansweredMessages;
     private boolean stopped;
     private double firstByteAt;
     private double lastReadAt;
-    private boolean paused;
+    private boolean readingPaused;
     /** Since when something may lie unread by our own doing; NaN where nothing does. */
     private double unreadSince = Double.NaN;
-    private int readsInARow;
-    private double quietSince;
+    private int consecutiveReads;
+    private double idleSince;
 
     /**
      * Times in milliseconds; {@code idle} 0 for none, as on an HTTP/2 stream, which has its connection's.
      *
      * @param arrivals the earliest time at which what is read now may have come
      */
-    MessageClock(long wholeWithin, long idle, DoubleSupplier clock, DoubleSupplier arrivals, Counts.Limit slow) {
-        this.wholeWithin = wholeWithin;
-        this.idle = idle;
+    MessageTimeoutHandler(long wholeWithin, long idle, DoubleSupplier clock, DoubleSupplier arrivals, Counts.Limit slow) {
+        this.messageTimeoutMillis = wholeWithin;
+        this.idleTimeoutMillis = idle;
         this.clock = clock;
-        this.arrivals = arrivals;
-        this.slow = slow;
+        this.earliestArrival = arrivals;
+        this.timeouts = slow;
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
-        quietSince = clock.getAsDouble();
-        if (idle > 0) {
-            checkIdle(ctx);
+        idleSince = clock.getAsDouble();
+        if (idleTimeoutMillis > 0) {
+            scheduleIdleCheck(ctx);
         }
     }
 
-    private void checkIdle(ChannelHandlerContext ctx) {
+    private void scheduleIdleCheck(ChannelHandlerContext ctx) {
         ctx.executor().schedule(() -> {
             if (ctx.channel().isActive() && !ctx.isRemoved() && !closeIfIdle(ctx)) {
-                checkIdle(ctx);
+                scheduleIdleCheck(ctx);
             }
-        }, Math.max(1, idle / 4), TimeUnit.MILLISECONDS);
+        }, Math.max(1, idleTimeoutMillis / 4), TimeUnit.MILLISECONDS);
     }
 
     /** Whether it was closed: a message that lies unread makes a connection no idle one. */
     boolean closeIfIdle(ChannelHandlerContext ctx) {
-        if (!idleNow()) {
+        if (!isIdle()) {
             return false;
         }
         UnreadBytes.read(ctx.channel());
-        boolean closes = idleNow();
+        boolean closes = isIdle();
         if (closes) {
             ctx.close();
         }
         return closes;
     }
 
-    private boolean idleNow() {
-        return !inMessage && owed == 0 && clock.getAsDouble() - quietSince >= idle;
+    private boolean isIdle() {
+        return !messageInProgress && unansweredMessages == 0 && clock.getAsDouble() - idleSince >= idleTimeoutMillis;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        readsInARow++;
+        consecutiveReads++;
         // What came while nothing was read may have come as soon as reading stopped.
-        lastReadAt = Double.isNaN(unreadSince) ? arrivals.getAsDouble() : Math.min(unreadSince, arrivals.getAsDouble());
-        begin(ctx);
+        lastReadAt = Double.isNaN(unreadSince) ? earliestArrival.getAsDouble() : Math.min(unreadSince, earliestArrival.getAsDouble());
+        beginMessage(ctx);
         ctx.fireChannelRead(msg);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!paused && readsInARow < FULL_TURN) {
+        if (!readingPaused && consecutiveReads < MAX_READS_PER_LOOP) {
             unreadSince = Double.NaN;
         }
-        readsInARow = 0;
+        consecutiveReads = 0;
         ctx.fireChannelReadComplete();
     }
 
     /** Something of the next message is there; also told by who finds more than one message in what was read at once. */
-    void begin(ChannelHandlerContext ctx) {
-        if (inMessage || stopped) {
+    void beginMessage(ChannelHandlerContext ctx) {
+        if (messageInProgress || stopped) {
             return;
         }
-        inMessage = true;
+        messageInProgress = true;
         firstByteAt = lastReadAt;
-        if (!paused) {
+        if (!readingPaused) {
             startTimer(ctx);
         }
     }
 
     private void startTimer(ChannelHandlerContext ctx) {
-        deadline = ctx.executor().schedule(() -> {
-            slow.refuse();
-            ctx.pipeline().fireUserEventTriggered(TOO_SLOW);
-        }, wholeWithin, TimeUnit.MILLISECONDS);
+        timer = ctx.executor().schedule(() -> {
+            timeouts.recordRejection();
+            ctx.pipeline().fireUserEventTriggered(TIMEOUT_EVENT);
+        }, messageTimeoutMillis, TimeUnit.MILLISECONDS);
     }
 
     /** The message is whole; its first byte came at the result, in module time. */
-    double whole() {
-        cancel();
-        inMessage = false;
-        owed++;
+    double endMessage() {
+        cancelTimer();
+        messageInProgress = false;
+        unansweredMessages++;
         return firstByteAt;
     }
 
     /** An answer has gone out: of the oldest whole message, or of one that was refused before it was whole. */
-    void answered() {
-        owed = Math.max(0, owed - 1);
-        quietSince = clock.getAsDouble();
+    void recordAnswer() {
+        unansweredMessages = Math.max(0, unansweredMessages - 1);
+        idleSince = clock.getAsDouble();
     }
 
     /** The last answer of the connection or stream has gone out: what still comes is no message. */
     void stop() {
-        cancel();
+        cancelTimer();
         stopped = true;
-        inMessage = false;
-        owed = 0;
+        messageInProgress = false;
+        unansweredMessages = 0;
     }
 
     /** The message under way waits for us: it is not timed until {@link #restart}. */
-    void suspend() {
-        cancel();
+    void suspendTimer() {
+        cancelTimer();
     }
 
     /** The message under way, if there is one, has its whole time again; {@code ctx} is of any handler of this pipeline. */
-    void restart(ChannelHandlerContext ctx) {
-        if (inMessage && !stopped && !paused && deadline == null) {
+    void restartTimer(ChannelHandlerContext ctx) {
+        if (messageInProgress && !stopped && !readingPaused && timer == null) {
             startTimer(ctx);
         }
     }
 
     /** Nothing more is read for now, by our own doing. */
-    void pause() {
-        suspend();
-        paused = true;
+    void pauseReading() {
+        suspendTimer();
+        readingPaused = true;
         if (Double.isNaN(unreadSince)) {
             unreadSince = clock.getAsDouble();
         }
     }
 
     /** Reading goes on. */
-    void resume(ChannelHandlerContext ctx) {
-        paused = false;
-        restart(ctx);
+    void resumeReading(ChannelHandlerContext ctx) {
+        readingPaused = false;
+        restartTimer(ctx);
     }
 
-    private void cancel() {
-        if (deadline != null) {
-            deadline.cancel(false);
-            deadline = null;
+    private void cancelTimer() {
+        if (timer != null) {
+            timer.cancel(false);
+            timer = null;
         }
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-        cancel();
+        cancelTimer();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        cancel();
+        cancelTimer();
         ctx.fireChannelInactive();
     }
 }
--- a/gateway/src/main/java/gradereach/front/MessageHandler.java
+++ b/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
@@ -1,14 +1,14 @@
 package gradereach.front;
 
 import gradereach.delivery.Outbox;
-import gradereach.desk.Arrival;
-import gradereach.desk.Catalogue;
-import gradereach.desk.Input;
-import gradereach.desk.Life;
+import gradereach.desk.IncomingMessage;
+import gradereach.desk.ModelCatalog;
+import gradereach.desk.InferenceInput;
+import gradereach.desk.InferenceState;
 import gradereach.intake.Intake;
-import gradereach.intake.Waiter;
+import gradereach.intake.WaitingClient;
 import gradereach.loop.UnreadBytes;
-import gradereach.message.BadMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.message.FinalAnswer;
 import gradereach.message.InferenceMessage;
 import gradereach.webhook.KeyRing;
@@ -32,101 +32,101 @@
  * {@link Arrival}, its final answer a signed HTTP response. What cannot be an inference is refused here with a 4xx
  * status, before anything reaches the decisions.
  */
-final class MessageHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+final class WebhookRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     static final String PATH = "/v1/inferences";
     /** The customer whose key fitted last on this connection; tried first for its next message. */
-    static final AttributeKey<Integer> LIKELY = AttributeKey.valueOf("likely-customer");
+    static final AttributeKey<Integer> LIKELY_CUSTOMER = AttributeKey.valueOf("likely-customer");
     /** Bad signatures on this connection: each costs a check with every key, so few are borne. */
-    private static final AttributeKey<Integer> FORGED = AttributeKey.valueOf("forged");
-    private static final int MOST_FORGED = 16;
+    private static final AttributeKey<Integer> BAD_SIGNATURES = AttributeKey.valueOf("forged");
+    private static final int MAX_BAD_SIGNATURES = 16;
 
     private final Intake intake;
     private final Outbox outbox;
-    private final MessageClock messageClock;
+    private final MessageTimeoutHandler timeoutHandler;
     /** Null on an HTTP/2 stream, which has one message. */
     private final HttpPipeliningHandler pipelining;
-    private Waiting waiting;
+    private WaitingConnection waitingClient;
 
-    MessageHandler(Intake intake, Outbox outbox, MessageClock messageClock, HttpPipeliningHandler pipelining) {
+    WebhookRequestHandler(Intake intake, Outbox outbox, MessageTimeoutHandler messageClock, HttpPipeliningHandler pipelining) {
         this.intake = intake;
         this.outbox = outbox;
-        this.messageClock = messageClock;
+        this.timeoutHandler = messageClock;
         this.pipelining = pipelining;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        double arrivedAt = pipelining == null ? messageClock.whole() : pipelining.arrivedAt();
+        double arrivedAt = pipelining == null ? timeoutHandler.endMessage() : pipelining.arrivedAt();
         boolean keepAlive = HttpUtil.isKeepAlive(request);
         if (!request.decoderResult().isSuccess()) {
             boolean long_ = String.valueOf(request.decoderResult().cause()).contains("TooLong");
-            refuseUnread(ctx, long_ ? 431 : 400, long_ ? "head-too-large" : "bad-http",
+            rejectAndClose(ctx, long_ ? 431 : 400, long_ ? "head-too-large" : "bad-http",
                     long_ ? "the head is larger than allowed" : "no proper HTTP");
             return;
         }
         String path = request.uri();
         int query = path.indexOf('?');
         if (!(query < 0 ? path : path.substring(0, query)).equals(PATH)) {
-            refuse(ctx, 404, "no-such-path", "inferences go to " + PATH, keepAlive);
+            reject(ctx, 404, "no-such-path", "inferences go to " + PATH, keepAlive);
             return;
         }
         if (!request.method().equals(HttpMethod.POST)) {
-            refuse(ctx, 405, "not-post", "inferences are posted", keepAlive);
+            reject(ctx, 405, "not-post", "inferences are posted", keepAlive);
             return;
         }
         String type = request.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
         if (!type.regionMatches(true, 0, "application/json", 0, 16)) {
-            refuse(ctx, 415, "wrong-type", "content-type is not application/json", keepAlive);
+            reject(ctx, 415, "wrong-type", "content-type is not application/json", keepAlive);
             return;
         }
-        message(ctx, request, arrivedAt, keepAlive);
+        handleMessage(ctx, request, arrivedAt, keepAlive);
     }
 
-    private void message(ChannelHandlerContext ctx, FullHttpRequest request, double arrivedAt, boolean keepAlive) {
+    private void handleMessage(ChannelHandlerContext ctx, FullHttpRequest request, double arrivedAt, boolean keepAlive) {
         byte[] body = ByteBufUtil.getBytes(request.content());
         String id = request.headers().get("webhook-id");
         Channel connection = connection(ctx);
-        Integer likely = connection.attr(LIKELY).get();
-        KeyRing.Verdict verdict = intake.whose(id, request.headers().get("webhook-timestamp"),
+        Integer likely = connection.attr(LIKELY_CUSTOMER).get();
+        KeyRing.VerificationResult verdict = intake.authenticate(id, request.headers().get("webhook-timestamp"),
                 request.headers().get("webhook-signature"), body, likely == null ? -1 : likely);
-        if (verdict.refusal() != null) {
-            boolean forged = verdict.refusal() == gradereach.webhook.Refusal.NOT_SIGNED;
-            refuse(ctx, forged ? 401 : 400, verdict.refusal().name().toLowerCase().replace('_', '-'),
-                    verdict.refusal().word, keepAlive && !(forged && forgedTooOften(connection)));
+        if (verdict.rejection() != null) {
+            boolean forged = verdict.rejection() == gradereach.webhook.SignatureRejection.NOT_SIGNED;
+            reject(ctx, forged ? 401 : 400, verdict.rejection().name().toLowerCase().replace('_', '-'),
+                    verdict.rejection().detail, keepAlive && !(forged && recordBadSignature(connection)));
             return;
         }
-        connection.attr(LIKELY).set(verdict.customer());
+        connection.attr(LIKELY_CUSTOMER).set(verdict.customer());
         InferenceMessage message;
         try {
             message = InferenceMessage.parse(body);
-        } catch (BadMessage e) {
-            refuse(ctx, 400, "bad-message", e.getMessage(), keepAlive);
+        } catch (InvalidMessageException e) {
+            reject(ctx, 400, "bad-message", e.getMessage(), keepAlive);
             return;
         }
-        Catalogue.Entry model = intake.model(message.model());
+        ModelCatalog.Entry model = intake.findModel(message.model());
         if (model == null) {
-            refuse(ctx, 404, "unknown-model", "data.model: not in this deployment", keepAlive);
+            reject(ctx, 404, "unknown-model", "data.model: not in this deployment", keepAlive);
             return;
         }
         boolean async = request.headers().getAll("prefer").stream().anyMatch(p -> p.contains("respond-async"))
                 && outbox.hasEndpoint(verdict.customer());
-        Input input;
+        InferenceInput input;
         try {
-            input = intake.input(message.input(), model.name());
-        } catch (BadMessage e) {
-            refuse(ctx, 400, "bad-message", e.getMessage(), keepAlive);
+            input = intake.toInput(message.input(), model.name());
+        } catch (InvalidMessageException e) {
+            reject(ctx, 400, "bad-message", e.getMessage(), keepAlive);
             return;
         }
         byte[] digest = Intake.digest(body);
-        Waiting asker = new Waiting(ctx, id, verdict.customer(), keepAlive, async);
-        Arrival arrival = new Arrival(verdict.customer(), id, Intake.half(digest, 0), Intake.half(digest, 8), model,
-                input, message.budget(), arrivedAt,
+        WaitingConnection asker = new WaitingConnection(ctx, id, verdict.customer(), keepAlive, async);
+        IncomingMessage arrival = new IncomingMessage(verdict.customer(), id, Intake.longAt(digest, 0), Intake.longAt(digest, 8), model,
+                input, message.budgetMillis(), arrivedAt,
                 Long.parseLong(request.headers().get("webhook-timestamp")),
-                new Arrival.Signed(request.headers().get("webhook-signature"), body),
-                async ? outbox.asker(verdict.customer(), id, asker) : asker);
-        waiting = async ? null : asker;
+                new IncomingMessage.SignedBody(request.headers().get("webhook-signature"), body),
+                async ? outbox.webhookObserver(verdict.customer(), id, asker) : asker);
+        waitingClient = async ? null : asker;
         if (!intake.admit(arrival, asker)) {
-            waiting = null;
+            waitingClient = null;
         }
     }
 
@@ -135,17 +135,17 @@
                 ? ctx.channel().parent() : ctx.channel();
     }
 
-    private static boolean forgedTooOften(Channel connection) {
-        Integer before = connection.attr(FORGED).get();
+    private static boolean recordBadSignature(Channel connection) {
+        Integer before = connection.attr(BAD_SIGNATURES).get();
         int count = before == null ? 1 : before + 1;
-        connection.attr(FORGED).set(count);
-        return count >= MOST_FORGED;
+        connection.attr(BAD_SIGNATURES).set(count);
+        return count >= MAX_BAD_SIGNATURES;
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == MessageClock.TOO_SLOW) {
-            refuseUnread(ctx, 408, "too-slow", "the message did not come whole in time");
+        if (event == MessageTimeoutHandler.TIMEOUT_EVENT) {
+            rejectAndClose(ctx, 408, "too-slow", "the message did not come whole in time");
         } else {
             ctx.fireUserEventTriggered(event);
         }
@@ -154,10 +154,10 @@
     /** The client closed, or reset its stream: it has left. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        Waiting gone = waiting;
-        waiting = null;
+        WaitingConnection gone = waitingClient;
+        waitingClient = null;
         if (gone != null) {
-            gone.leave();
+            gone.cancel();
         }
         ctx.fireChannelInactive();
     }
@@ -165,26 +165,26 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof io.netty.handler.codec.TooLongFrameException) {
-            refuseUnread(ctx, 413, "body-too-large", "the body is larger than allowed");
+            rejectAndClose(ctx, 413, "body-too-large", "the body is larger than allowed");
         } else {
             ctx.close();
         }
     }
 
-    private void refuse(ChannelHandlerContext ctx, int status, String word, String why, boolean keepAlive) {
-        intake.refused(word);
+    private void reject(ChannelHandlerContext ctx, int status, String word, String why, boolean keepAlive) {
+        intake.countRefusal(word);
         FullHttpResponse response = response(status, FinalAnswer.refusal(status, word, why),
                 "application/problem+json");
         send(ctx, response, keepAlive);
     }
 
     /** Of a message that was not read to its end: its client may go on writing, and no other message follows. */
-    private void refuseUnread(ChannelHandlerContext ctx, int status, String word, String why) {
-        intake.refused(word);
+    private void rejectAndClose(ChannelHandlerContext ctx, int status, String word, String why) {
+        intake.countRefusal(word);
         FullHttpResponse response = response(status, FinalAnswer.refusal(status, word, why), "application/problem+json");
-        messageClock.answered();
+        timeoutHandler.recordAnswer();
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
-        messageClock.stop();
+        timeoutHandler.stop();
         ctx.writeAndFlush(response).addListener(write -> {
             if (write.isSuccess()) {
                 LingeringClose.close(ctx.channel());
@@ -203,11 +203,11 @@
     }
 
     private void send(ChannelHandlerContext ctx, FullHttpResponse response, boolean keepAlive) {
-        boolean open = keepAlive && (!intake.stopping() || anotherWaits(ctx));
-        messageClock.answered();
+        boolean open = keepAlive && (!intake.stopping() || hasQueuedMessage(ctx));
+        timeoutHandler.recordAnswer();
         if (!open) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
-            messageClock.stop();
+            timeoutHandler.stop();
         }
         ctx.writeAndFlush(response).addListener(write -> {
             if (!open || !write.isSuccess()) {
@@ -217,23 +217,23 @@
     }
 
     /** Whether the client's next message has come whole: it gets an answer of its own before the connection ends. */
-    private boolean anotherWaits(ChannelHandlerContext ctx) {
+    private boolean hasQueuedMessage(ChannelHandlerContext ctx) {
         if (pipelining == null) {
             return false;
         }
         UnreadBytes.read(ctx.channel());
-        return pipelining.holdsMessage();
+        return pipelining.hasQueuedMessage();
     }
 
     /** A connection that waits for one answer. */
-    private final class Waiting extends Waiter {
+    private final class WaitingConnection extends WaitingClient {
         private final ChannelHandlerContext ctx;
         private final String id;
         private final int customer;
         private final boolean keepAlive;
         private final boolean async;
 
-        Waiting(ChannelHandlerContext ctx, String id, int customer, boolean keepAlive, boolean async) {
+        WaitingConnection(ChannelHandlerContext ctx, String id, int customer, boolean keepAlive, boolean async) {
             super(intake);
             this.ctx = ctx;
             this.id = id;
@@ -243,8 +243,8 @@
         }
 
         @Override
-        public void taken(Life taken) {
-            super.taken(taken);
+        public void onAccepted(InferenceState taken) {
+            super.onAccepted(taken);
             if (async) {
                 // RFC 7240, 4.1: the preference was honoured; the answer goes to the registered endpoint.
                 ctx.executor().execute(() -> {
@@ -256,32 +256,32 @@
         }
 
         @Override
-        public void answer(FinalAnswer answer) {
+        public void onFinalAnswer(FinalAnswer answer) {
             double decidedAt = intake.now();
             ctx.executor().execute(() -> {
-                waiting = null;
+                waitingClient = null;
                 FullHttpResponse response = response(answer.status(), answer.body(),
                         answer.kind() == FinalAnswer.Kind.RETURNED ? "application/json" : "application/problem+json");
-                if (answer.pause() > 0) {
+                if (answer.retryAfterMillis() > 0) {
                     // Whole seconds (RFC 9110, 10.2.3), rounded up; the body has it to the millisecond.
-                    response.headers().set(HttpHeaderNames.RETRY_AFTER, (long) Math.ceil(answer.pause() / 1000));
+                    response.headers().set(HttpHeaderNames.RETRY_AFTER, (long) Math.ceil(answer.retryAfterMillis() / 1000));
                 }
-                String answerId = answer.messageId(id);
+                String answerId = answer.webhookId(id);
                 long at = intake.unixSeconds();
                 response.headers().set("webhook-id", answerId);
                 response.headers().set("webhook-timestamp", at);
                 response.headers().set("webhook-signature",
                         intake.signature(customer, answerId, at, answer.body()));
                 send(ctx, response, keepAlive);
-                intake.answerWritten(decidedAt);
+                intake.recordAnswerWritten(decidedAt);
             });
         }
 
         @Override
-        public void refuse(int status, String word, String why) {
+        public void onRejected(int status, String word, String why) {
             ctx.executor().execute(() -> {
-                waiting = null;
-                MessageHandler.this.refuse(ctx, status, word, why, keepAlive);
+                waitingClient = null;
+                WebhookRequestHandler.this.reject(ctx, status, word, why, keepAlive);
             });
         }
     }
--- a/gateway/src/main/java/gradereach/front/WebhookFront.java
+++ b/gateway/src/main/java/gradereach/front/WebhookServer.java
@@ -37,28 +37,28 @@
  * Listens for signed inferences over HTTP/1.1 and HTTP/2 without TLS; the first bytes tell which (prior knowledge,
  * RFC 9113, 3.3).
  */
-public final class WebhookFront implements AutoCloseable {
+public final class WebhookServer implements AutoCloseable {
     /** Bounds of the listener; times in milliseconds, sizes in bytes. */
-    public record Bounds(int connections, int headBytes, int bodyBytes, long messageWithin, long idle, int streams) { }
+    public record Limits(int maxConnections, int maxHeaderBytes, int maxBodyBytes, long messageTimeoutMillis, long idleTimeoutMillis, int maxConcurrentStreams) { }
 
-    private static final byte[] PREFACE = "PRI * HTTP/2.0".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] HTTP2_PREFACE = "PRI * HTTP/2.0".getBytes(StandardCharsets.US_ASCII);
     /** Resets of its own streams that a client may send in ten seconds (CVE-2023-44487). */
-    private static final int RESETS = 400;
+    private static final int MAX_RESETS_PER_WINDOW = 400;
 
     private final Intake intake;
     private final Outbox outbox;
-    private final Bounds bounds;
-    private final Counts.Limit connections;
-    private final Counts.Limit slow;
-    private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+    private final Limits limits;
+    private final Counts.Limit connectionLimit;
+    private final Counts.Limit messageTimeouts;
+    private final ChannelGroup openConnections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private Channel listener;
 
-    public WebhookFront(Intake intake, Outbox outbox, Bounds bounds, Counts counts) {
+    public WebhookServer(Intake intake, Outbox outbox, Limits bounds, Counts counts) {
         this.intake = intake;
         this.outbox = outbox;
-        this.bounds = bounds;
-        connections = counts.limit("client_connections", bounds.connections);
-        slow = counts.limit("slow_messages", Long.MAX_VALUE);
+        this.limits = bounds;
+        connectionLimit = counts.limit("client_connections", bounds.maxConnections);
+        messageTimeouts = counts.limit("slow_messages", Long.MAX_VALUE);
     }
 
     /** Returns the address bound, with the port that was chosen for 0. */
@@ -70,91 +70,91 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        if (!connections.take(1)) {
+                        if (!connectionLimit.tryAcquire(1)) {
                             ch.close();
                             return;
                         }
-                        open.add(ch);
-                        ch.closeFuture().addListener(closed -> connections.give(1));
-                        ch.pipeline().addLast(new Sniffer());
+                        openConnections.add(ch);
+                        ch.closeFuture().addListener(closed -> connectionLimit.release(1));
+                        ch.pipeline().addLast(new ProtocolDetector());
                     }
                 }).bind(at).sync().channel();
         return (InetSocketAddress) listener.localAddress();
     }
 
     /** Tells HTTP/2 from HTTP/1.1 by the connection preface, then steps aside. */
-    private final class Sniffer extends ByteToMessageDecoder {
-        private MessageClock clock;
+    private final class ProtocolDetector extends ByteToMessageDecoder {
+        private MessageTimeoutHandler timeoutHandler;
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
             // The clock runs from the first byte, also over bytes that are neither protocol.
-            clock = new MessageClock(bounds.messageWithin, bounds.idle, intake.clock(), intake.arrivals(), slow);
-            ctx.pipeline().addFirst(clock);
+            timeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, limits.idleTimeoutMillis, intake.clock(), intake.earliestArrival(), messageTimeouts);
+            ctx.pipeline().addFirst(timeoutHandler);
         }
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-            int n = Math.min(in.readableBytes(), PREFACE.length);
+            int n = Math.min(in.readableBytes(), HTTP2_PREFACE.length);
             for (int i = 0; i < n; i++) {
-                if (in.getByte(in.readerIndex() + i) != PREFACE[i]) {
-                    http1(ctx.pipeline());
+                if (in.getByte(in.readerIndex() + i) != HTTP2_PREFACE[i]) {
+                    configureHttp1(ctx.pipeline());
                     ctx.pipeline().remove(this);
                     return;
                 }
             }
-            if (n == PREFACE.length) {
-                http2(ctx.pipeline());
+            if (n == HTTP2_PREFACE.length) {
+                configureHttp2(ctx.pipeline());
                 ctx.pipeline().remove(this);
             }
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-            if (event == MessageClock.TOO_SLOW) {
+            if (event == MessageTimeoutHandler.TIMEOUT_EVENT) {
                 ctx.close(); // not even a protocol yet
             } else {
                 super.userEventTriggered(ctx, event);
             }
         }
 
-        private void http1(ChannelPipeline pipeline) {
+        private void configureHttp1(ChannelPipeline pipeline) {
             pipeline.addLast(new HttpServerCodec(new HttpDecoderConfig().setMaxInitialLineLength(4096)
-                    .setMaxHeaderSize(bounds.headBytes)));
-            HttpPipeliningHandler pipelining = new HttpPipeliningHandler(clock, bounds.bodyBytes);
+                    .setMaxHeaderSize(limits.maxHeaderBytes)));
+            HttpPipeliningHandler pipelining = new HttpPipeliningHandler(timeoutHandler, limits.maxBodyBytes);
             pipeline.addLast(pipelining);
-            pipeline.addLast(new Whole(bounds.bodyBytes));
-            pipeline.addLast(new MessageHandler(intake, outbox, clock, pipelining));
+            pipeline.addLast(new MessageAggregator(limits.maxBodyBytes));
+            pipeline.addLast(new WebhookRequestHandler(intake, outbox, timeoutHandler, pipelining));
         }
 
-        private void http2(ChannelPipeline pipeline) {
+        private void configureHttp2(ChannelPipeline pipeline) {
             // Streams are timed one by one; the connection only for idleness.
-            pipeline.remove(clock);
+            pipeline.remove(timeoutHandler);
             pipeline.addLast(Http2FrameCodecBuilder.forServer()
-                    .initialSettings(Http2Settings.defaultSettings().maxConcurrentStreams(bounds.streams)
-                            .maxHeaderListSize(bounds.headBytes).initialWindowSize(1 << 18))
-                    .decoderEnforceMaxRstFramesPerWindow(RESETS, 10)
+                    .initialSettings(Http2Settings.defaultSettings().maxConcurrentStreams(limits.maxConcurrentStreams)
+                            .maxHeaderListSize(limits.maxHeaderBytes).initialWindowSize(1 << 18))
+                    .decoderEnforceMaxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, 10)
                     .decoderEnforceMaxConsecutiveEmptyDataFrames(2)
-                    .gracefulShutdownTimeoutMillis(bounds.messageWithin)
+                    .gracefulShutdownTimeoutMillis(limits.messageTimeoutMillis)
                     .build());
             pipeline.addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel stream) {
-                    MessageClock streamClock = new MessageClock(bounds.messageWithin, 0, intake.clock(),
-                            intake.arrivals(), slow);
+                    MessageTimeoutHandler streamClock = new MessageTimeoutHandler(limits.messageTimeoutMillis, 0, intake.clock(),
+                            intake.earliestArrival(), messageTimeouts);
                     stream.pipeline().addLast(streamClock);
                     stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true));
-                    stream.pipeline().addLast(new Whole(bounds.bodyBytes));
-                    stream.pipeline().addLast(new MessageHandler(intake, outbox, streamClock, null));
+                    stream.pipeline().addLast(new MessageAggregator(limits.maxBodyBytes));
+                    stream.pipeline().addLast(new WebhookRequestHandler(intake, outbox, streamClock, null));
                 }
             }));
-            pipeline.addLast(new IdleStreams(bounds.idle));
+            pipeline.addLast(new Http2IdleHandler(limits.idleTimeoutMillis));
         }
     }
 
     /** A message in one piece, or the exception that says it is too large. */
-    private static final class Whole extends HttpObjectAggregator {
-        Whole(int most) {
+    private static final class MessageAggregator extends HttpObjectAggregator {
+        MessageAggregator(int most) {
             super(most, true);
         }
 
@@ -176,12 +176,12 @@
      * No new connection, no new message: HTTP/2 clients hear GOAWAY, HTTP/1.1 clients {@code Connection: close} with
      * their next answer. What was taken is still answered.
      */
-    public void stopTaking() {
+    public void stopAccepting() {
         intake.stop();
         if (listener != null) {
             listener.close();
         }
-        for (Channel ch : open) {
+        for (Channel ch : openConnections) {
             if (ch.pipeline().get(Http2MultiplexHandler.class) != null) {
                 ch.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(0));
             }
@@ -193,7 +193,7 @@
         if (listener != null) {
             listener.close().awaitUninterruptibly(1000);
         }
-        open.close().awaitUninterruptibly(1000);
+        openConnections.close().awaitUninterruptibly(1000);
     }
 
 }
--- a/gateway/src/main/java/gradereach/grpcfront/Caller.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
@@ -15,27 +15,27 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** One client connection: whose message came last on it, and how many bad signatures it has brought. */
-final class Caller {
-    private static final Attributes.Key<Caller> OF_CONNECTION = Attributes.Key.create("caller");
-    static final Context.Key<Caller> CALLER = Context.key("caller");
+final class GrpcConnection {
+    private static final Attributes.Key<GrpcConnection> CONNECTION_ATTRIBUTE = Attributes.Key.create("caller");
+    static final Context.Key<GrpcConnection> CURRENT_CONNECTION = Context.key("caller");
     /**
      * Resets the stream. A status alone would wait behind what its reader does not take; the library resets only where a
      * call's time is up, so that is what it is told.
      */
-    static final Context.Key<Runnable> RESET = Context.key("reset");
+    static final Context.Key<Runnable> RESET_STREAM = Context.key("reset");
     static final Context.Key<Metadata> HEADERS = Context.key("headers");
     /** As on the webhook front: each costs a check with every key, so few are borne. */
-    private static final int MOST_FORGED = 16;
+    private static final int MAX_BAD_SIGNATURES = 16;
 
-    private final AtomicInteger likely = new AtomicInteger(-1);
+    private final AtomicInteger likelyCustomer = new AtomicInteger(-1);
     private final AtomicInteger forged = new AtomicInteger();
 
-    int likely() {
-        return likely.get();
+    int likelyCustomer() {
+        return likelyCustomer.get();
     }
 
-    void was(int customer) {
-        likely.lazySet(customer);
+    void setLikelyCustomer(int customer) {
+        likelyCustomer.lazySet(customer);
     }
 
     void forged() {
@@ -43,17 +43,17 @@
     }
 
     /** Nothing more of this connection is checked. */
-    boolean shunned() {
-        return forged.get() >= MOST_FORGED;
+    boolean hasTooManyBadSignatures() {
+        return forged.get() >= MAX_BAD_SIGNATURES;
     }
 
     /** Gives each connection its {@link Caller} and counts it. */
-    static ServerTransportFilter connections(LongAdder open) {
+    static ServerTransportFilter transportFilter(LongAdder open) {
         return new ServerTransportFilter() {
             @Override
             public Attributes transportReady(Attributes attributes) {
                 open.increment();
-                return attributes.toBuilder().set(OF_CONNECTION, new Caller()).build();
+                return attributes.toBuilder().set(CONNECTION_ATTRIBUTE, new GrpcConnection()).build();
             }
 
             @Override
@@ -64,7 +64,7 @@
     }
 
     /** Gives each call its {@link #RESET}. */
-    static final ServerStreamTracer.Factory RESETS = new ServerStreamTracer.Factory() {
+    static final ServerStreamTracer.Factory RESET_TRACER_FACTORY = new ServerStreamTracer.Factory() {
         @Override
         public ServerStreamTracer newServerStreamTracer(String method, Metadata headers) {
             return new ServerStreamTracer() {
@@ -74,7 +74,7 @@
                 public Context filterContext(Context context) {
                     ofCall = context.withCancellation();
                     Runnable reset = () -> ofCall.cancel(new TimeoutException());
-                    return ofCall.withValue(RESET, reset);
+                    return ofCall.withValue(RESET_STREAM, reset);
                 }
 
                 @Override
@@ -88,12 +88,12 @@
     };
 
     /** Puts headers and caller where a call finds them. */
-    static final ServerInterceptor INTO_CONTEXT = new ServerInterceptor() {
+    static final ServerInterceptor CONTEXT_INTERCEPTOR = new ServerInterceptor() {
         @Override
         public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata headers,
                 ServerCallHandler<Q, A> next) {
             Context context = Context.current().withValue(HEADERS, headers)
-                    .withValue(CALLER, call.getAttributes().get(OF_CONNECTION));
+                    .withValue(CURRENT_CONNECTION, call.getAttributes().get(CONNECTION_ATTRIBUTE));
             return Contexts.interceptCall(context, call, headers, next);
         }
     };
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcFront.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
@@ -19,7 +19,7 @@
  * Listens for the Open Inference Protocol's gRPC service, on grpc-java over the front end's own threads, with the library's
  * health and reflection services. What it reads goes the same way as the webhook front's: one {@link Intake}.
  */
-public final class GrpcFront implements AutoCloseable {
+public final class GrpcServer implements AutoCloseable {
     /**
      * Bounds of the listener; times in milliseconds, sizes in bytes.
      *
@@ -29,26 +29,26 @@
      * @param stalledMillis after which a reader that takes nothing is cut
      * @param ageMillis after which a connection is ended in good order, so that clients spread anew
      */
-    public record Bounds(int calls, int callsOfOne, int headBytes, int messageBytes, long streamBytes, long stalledMillis,
-            long idleMillis, long ageMillis, long graceMillis) { }
+    public record Limits(int maxCalls, int maxCallsPerConnection, int maxMetadataBytes, int maxMessageBytes, long maxQueuedBytes, long stalledReaderTimeoutMillis,
+            long idleTimeoutMillis, long maxConnectionAgeMillis, long connectionAgeGraceMillis) { }
 
     /** Clients may ping this often; more is an attack or an error (gRFC A8 advises five minutes without calls). */
-    private static final long PING_SECONDS = 10;
+    private static final long MIN_PING_INTERVAL_SECONDS = 10;
     /** Resets of its own streams that a client may send in ten seconds (CVE-2023-44487); as the webhook front. */
-    private static final int RESETS = 400;
-    private static final int WINDOW = 1 << 18; // of a stream, as the webhook front: a message of usual size in one go
+    private static final int MAX_RESETS_PER_WINDOW = 400;
+    private static final int FLOW_CONTROL_WINDOW_BYTES = 1 << 18; // of a stream, as the webhook front: a message of usual size in one go
 
     private final Intake intake;
-    private final Bounds bounds;
+    private final Limits limits;
     private final Counts counts;
     private final BooleanSupplier ready;
     private final HealthStatusManager health = new HealthStatusManager();
-    private InferCalls calls;
+    private GrpcInferenceService service;
     private Server server;
 
-    public GrpcFront(Intake intake, Bounds bounds, BooleanSupplier ready, Counts counts) {
+    public GrpcServer(Intake intake, Limits bounds, BooleanSupplier ready, Counts counts) {
         this.intake = intake;
-        this.bounds = bounds;
+        this.limits = bounds;
         this.ready = ready;
         this.counts = counts;
     }
@@ -56,29 +56,29 @@
     /** Returns the address bound, with the port that was chosen for 0. */
     public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
             Class<? extends ServerChannel> type) throws IOException {
-        calls = new InferCalls(intake, workers, ready, bounds, counts);
+        service = new GrpcInferenceService(intake, workers, ready, limits, counts);
         server = NettyServerBuilder.forAddress(at).bossEventLoopGroup(boss).workerEventLoopGroup(workers).channelType(type)
                 .directExecutor() // nothing in a call waits
-                .maxConcurrentCallsPerConnection(bounds.callsOfOne).maxInboundMetadataSize(bounds.headBytes)
-                .maxInboundMessageSize(bounds.messageBytes).flowControlWindow(WINDOW)
-                .maxRstFramesPerWindow(RESETS, 10)
-                .permitKeepAliveTime(PING_SECONDS, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
-                .maxConnectionIdle(bounds.idleMillis, TimeUnit.MILLISECONDS)
-                .maxConnectionAge(bounds.ageMillis, TimeUnit.MILLISECONDS)
-                .maxConnectionAgeGrace(bounds.graceMillis, TimeUnit.MILLISECONDS)
-                .addTransportFilter(Caller.connections(counts.counter("grpc_connections")))
-                .addStreamTracerFactory(Caller.RESETS).intercept(Caller.INTO_CONTEXT)
-                .addService(Lenient.requests(calls.bindService())).addService(health.getHealthService()).addService(ProtoReflectionServiceV1.newInstance())
+                .maxConcurrentCallsPerConnection(limits.maxCallsPerConnection).maxInboundMetadataSize(limits.maxMetadataBytes)
+                .maxInboundMessageSize(limits.maxMessageBytes).flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
+                .maxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, 10)
+                .permitKeepAliveTime(MIN_PING_INTERVAL_SECONDS, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
+                .maxConnectionIdle(limits.idleTimeoutMillis, TimeUnit.MILLISECONDS)
+                .maxConnectionAge(limits.maxConnectionAgeMillis, TimeUnit.MILLISECONDS)
+                .maxConnectionAgeGrace(limits.connectionAgeGraceMillis, TimeUnit.MILLISECONDS)
+                .addTransportFilter(GrpcConnection.transportFilter(counts.counter("grpc_connections")))
+                .addStreamTracerFactory(GrpcConnection.RESET_TRACER_FACTORY).intercept(GrpcConnection.CONTEXT_INTERCEPTOR)
+                .addService(LenientRequestParsing.wrap(service.bindService())).addService(health.getHealthService()).addService(ProtoReflectionServiceV1.newInstance())
                 .build().start();
         health.setStatus(GRPCInferenceServiceGrpc.SERVICE_NAME, ServingStatus.SERVING);
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
 
     /** Clients hear GOAWAY and "not serving"; what was taken is answered. {@link Intake} has been stopped before. */
-    public void stopTaking() {
+    public void stopAccepting() {
         health.enterTerminalState();
         server.shutdown();
-        calls.endStreams();
+        service.drainStreams();
     }
 
     @Override
--- a/gateway/src/main/java/gradereach/grpcfront/Statuses.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcStatuses.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.Any;
 import com.google.rpc.RetryInfo;
 import gradereach.message.FinalAnswer;
-import gradereach.oip.AnswerBody;
+import gradereach.oip.AnswerBodyReader;
 import io.grpc.Metadata;
 import io.grpc.Status;
 import io.grpc.StatusRuntimeException;
@@ -13,17 +13,17 @@
  * The one table of how an inference ends in gRPC's words (docs/grpc.md). Clients repeat on {@code UNAVAILABLE} by
  * themselves, so it is said only where nothing of the inference ran.
  */
-final class Statuses {
+final class GrpcStatuses {
     /** gRFC A6, "Pushback". */
     static final Metadata.Key<String> PUSHBACK = Metadata.Key.of("grpc-retry-pushback-ms", Metadata.ASCII_STRING_MARSHALLER);
     static final Metadata.Key<String> OUTCOME = Metadata.Key.of("gradereach-outcome", Metadata.ASCII_STRING_MARSHALLER);
-    static final Metadata.Key<String> HARMLESS = Metadata.Key.of("gradereach-repeat-harmless",
+    static final Metadata.Key<String> REPEAT_HARMLESS = Metadata.Key.of("gradereach-repeat-harmless",
             Metadata.ASCII_STRING_MARSHALLER);
 
     /** The front end takes nothing more: another one may. As {@code connection: close} of the webhook front. */
     static final Metadata.Key<String> STOPPING = Metadata.Key.of("gradereach-stopping", Metadata.ASCII_STRING_MARSHALLER);
 
-    private Statuses() { }
+    private GrpcStatuses() { }
 
     /** Of an answer that is not a returned one. */
     static Status.Code code(FinalAnswer answer) {
@@ -36,14 +36,14 @@
         };
     }
 
-    static StatusRuntimeException of(FinalAnswer answer) {
+    static StatusRuntimeException toException(FinalAnswer answer) {
         com.google.rpc.Status.Builder status = com.google.rpc.Status.newBuilder().setCode(code(answer).value())
-                .setMessage(AnswerBody.detail(answer.body()));
+                .setMessage(AnswerBodyReader.detail(answer.body()));
         Metadata trailers = new Metadata();
         trailers.put(OUTCOME, answer.kind().name().toLowerCase());
-        trailers.put(HARMLESS, Boolean.toString(answer.repeatHarmless()));
-        if (answer.kind() == FinalAnswer.Kind.SHED && answer.pause() > 0) {
-            long millis = Math.round(answer.pause());
+        trailers.put(REPEAT_HARMLESS, Boolean.toString(answer.repeatHarmless()));
+        if (answer.kind() == FinalAnswer.Kind.SHED && answer.retryAfterMillis() > 0) {
+            long millis = Math.round(answer.retryAfterMillis());
             trailers.put(PUSHBACK, Long.toString(millis));
             status.addDetails(Any.pack(RetryInfo.newBuilder().setRetryDelay(com.google.protobuf.Duration.newBuilder()
                     .setSeconds(millis / 1000).setNanos((int) (millis % 1000) * 1_000_000)).build()));
@@ -52,8 +52,8 @@
     }
 
     /** The same from a front end that may be {@code stopping}. */
-    static StatusRuntimeException of(FinalAnswer answer, boolean stopping) {
-        StatusRuntimeException status = of(answer);
+    static StatusRuntimeException toException(FinalAnswer answer, boolean stopping) {
+        StatusRuntimeException status = toException(answer);
         if (stopping) {
             status.getTrailers().put(STOPPING, "true");
         }
@@ -61,7 +61,7 @@
     }
 
     /** Of what is no inference, by the HTTP status that the webhook front has for it. */
-    static Status refusal(int status, String word, String why) {
+    static Status rejection(int status, String word, String why) {
         Status base = switch (status) {
             case 401 -> Status.UNAUTHENTICATED;
             case 404 -> Status.NOT_FOUND;
--- a/gateway/src/main/java/gradereach/grpcfront/Lenient.java
+++ b/gateway/src/main/java/gradereach/grpcfront/LenientRequestParsing.java
@@ -11,19 +11,19 @@
  * Lets bytes that are no message come as far as the call, which then has a clear status for them; the library would end
  * the call as an error of ours.
  */
-final class Lenient {
+final class LenientRequestParsing {
     /** Stands for whatever could not be read; told from others by identity. */
-    static final ModelInferRequest UNREADABLE = ModelInferRequest.newBuilder().setId("unreadable").build();
+    static final ModelInferRequest MALFORMED_REQUEST = ModelInferRequest.newBuilder().setId("unreadable").build();
 
-    private Lenient() { }
+    private LenientRequestParsing() { }
 
-    static ServerServiceDefinition requests(ServerServiceDefinition service) {
+    static ServerServiceDefinition wrap(ServerServiceDefinition service) {
         ServerServiceDefinition.Builder built = ServerServiceDefinition.builder(service.getServiceDescriptor().getName());
-        service.getMethods().forEach(method -> built.addMethod(lenient(method)));
+        service.getMethods().forEach(method -> built.addMethod(wrapMethod(method)));
         return built.build();
     }
 
-    private static <Q, A> ServerMethodDefinition<Q, A> lenient(ServerMethodDefinition<Q, A> method) {
+    private static <Q, A> ServerMethodDefinition<Q, A> wrapMethod(ServerMethodDefinition<Q, A> method) {
         MethodDescriptor<Q, A> descriptor = method.getMethodDescriptor();
         MethodDescriptor.Marshaller<Q> strict = descriptor.getRequestMarshaller();
         MethodDescriptor.Marshaller<Q> marshaller = new MethodDescriptor.Marshaller<>() {
@@ -38,9 +38,9 @@
                 try {
                     return strict.parse(in);
                 } catch (StatusRuntimeException e) {
-                    if (descriptor.getFullMethodName().equals(InferCalls.UNARY)
-                            || descriptor.getFullMethodName().equals(InferCalls.STREAMED)) {
-                        return (Q) UNREADABLE;
+                    if (descriptor.getFullMethodName().equals(GrpcInferenceService.UNARY_METHOD)
+                            || descriptor.getFullMethodName().equals(GrpcInferenceService.STREAMING_METHOD)) {
+                        return (Q) MALFORMED_REQUEST;
                     }
                     throw e;
                 }
--- a/gateway/src/main/java/gradereach/http2/Exchange.java
+++ b/gateway/src/main/java/gradereach/http2/ExchangeListener.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 
 /** One request to a peer and how it ended; {@link #ended} comes exactly once, on the pool's event loop. */
-public interface Exchange {
+public interface ExchangeListener {
     /** All ways in which it can end, as the socket saw it. */
-    enum End {
+    enum ExchangeResult {
         /** A whole answer. */
         ANSWERED,
         /** No connection could be made, within the connect time-out or at all. */
@@ -31,15 +31,15 @@
     }
 
     /** One whose answer is read as it comes, no faster than {@link Http2Pool.Request#more} asks. On the pool's event loop. */
-    interface Flowing extends Exchange {
+    interface StreamingListener extends ExchangeListener {
         /**
          * Bytes of the answer's body; the stream ends as TOO_LONG where they are no good. {@link #ended} gets no body.
          *
          * @return whether to read on at once
          */
-        boolean bytes(ByteBuf some) throws IOException;
+        boolean onData(ByteBuf some) throws IOException;
     }
 
     /** {@code headers}, trailers among them, and {@code body} are null but for ANSWERED. */
-    void ended(End end, int status, Http2Headers headers, byte[] body);
+    void onEnd(ExchangeResult end, int status, Http2Headers headers, byte[] body);
 }
--- a/gateway/src/main/java/gradereach/http2/Http2Pool.java
+++ b/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
@@ -1,8 +1,8 @@
 package gradereach.http2;
 
 import gradereach.counts.Counts;
-import gradereach.http2.Exchange.End;
-import gradereach.http2.PoolBook.Slot;
+import gradereach.http2.ExchangeListener.ExchangeResult;
+import gradereach.http2.StreamAllocator.PooledConnection;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -48,113 +48,113 @@
  * Connections to one peer over HTTP/2 without TLS, prior knowledge (RFC 9113, 3.3). Everything happens on one event
  * loop; {@link PoolBook} decides. No request is ever sent again by itself.
  */
-public final class Http2Pool {
+public final class Http2ConnectionPool {
     /**
      * Bounds of one pool; times in milliseconds, sizes in bytes.
      *
      * @param window of each stream (RFC 9113, 6.9): so much may come before it is read
      */
-    public record Bounds(int connections, int streams, int connectTimeout, double idle, int longestAnswer, int window) { }
+    public record Limits(int maxConnections, int maxStreamsPerConnection, int connectTimeoutMillis, double idleTimeoutMillis, int maxResponseBytes, int streamWindowBytes) { }
 
     /** Counters shared by all pools of a kind. */
-    public static final class Tally {
+    public static final class Metrics {
         final LongAdder opened;
-        final LongAdder failed;
+        final LongAdder connectFailures;
         final LongAdder closedIdle;
-        final LongAdder goAways;
-        final LongAdder silent;
-        final Counts.Limit streams;
+        final LongAdder goAwaysReceived;
+        final LongAdder goneSilent;
+        final Counts.Limit waitingStreams;
 
-        public Tally(Counts counts, String kind) {
+        public Metrics(Counts counts, String kind) {
             opened = counts.counter(kind + "_connections_opened");
-            failed = counts.counter(kind + "_connections_failed");
+            connectFailures = counts.counter(kind + "_connections_failed");
             closedIdle = counts.counter(kind + "_connections_closed_idle");
-            goAways = counts.counter(kind + "_goaways");
-            silent = counts.counter(kind + "_connections_gone_silent");
-            streams = counts.limit(kind + "_streams_waiting", Long.MAX_VALUE);
+            goAwaysReceived = counts.counter(kind + "_goaways");
+            goneSilent = counts.counter(kind + "_connections_gone_silent");
+            waitingStreams = counts.limit(kind + "_streams_waiting", Long.MAX_VALUE);
         }
     }
 
     /** How often a request whose last byte waits for flow control or for the socket is looked at. */
-    private static final long UNWRITTEN_LOOK_MILLIS = 5;
+    private static final long WRITE_CHECK_INTERVAL_MILLIS = 5;
     /** A link silent for this long while a stream on it was given up is no longer used: above any usual pause. */
-    private static final double SILENCE = 1000;
+    private static final double SILENCE_TIMEOUT_MILLIS = 1000;
 
     private final InetSocketAddress peer;
     private final String authority;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Class<? extends Channel> channelType;
-    private final Bounds bounds;
-    private final Tally tally;
+    private final Limits limits;
+    private final Metrics metrics;
     private final DoubleSupplier clock;
-    private final PoolBook<Channel> book;
-    private final ArrayDeque<Request> waiting = new ArrayDeque<>();
+    private final StreamAllocator<Channel> allocator;
+    private final ArrayDeque<Request> waitingRequests = new ArrayDeque<>();
     private boolean closed;
 
-    public Http2Pool(InetSocketAddress peer, EventLoop loop, Class<? extends Channel> channelType, Bounds bounds,
-            Tally tally, DoubleSupplier clock) {
+    public Http2ConnectionPool(InetSocketAddress peer, EventLoop loop, Class<? extends Channel> channelType, Limits bounds,
+            Metrics tally, DoubleSupplier clock) {
         this.peer = peer;
         this.authority = peer.getHostString() + ":" + peer.getPort();
-        this.loop = loop;
+        this.eventLoop = loop;
         this.channelType = channelType;
-        this.bounds = bounds;
-        this.tally = tally;
+        this.limits = bounds;
+        this.metrics = tally;
         this.clock = clock;
-        book = new PoolBook<>(bounds.connections, bounds.streams, bounds.idle, SILENCE);
+        allocator = new StreamAllocator<>(bounds.maxConnections, bounds.maxStreamsPerConnection, bounds.idleTimeoutMillis, SILENCE_TIMEOUT_MILLIS);
     }
 
     /** One request, from asking until its end. Of the event loop, but for creation. */
     public final class Request {
         private final Http2Headers headers;
         private final byte[] body;
-        private final Exchange exchange;
-        private final BooleanSupplier wanted;
-        private Slot<Channel> slot;
-        private Http2StreamChannel stream;
-        private double begunAt;
-        private boolean written;
+        private final ExchangeListener listener;
+        private final BooleanSupplier writeCondition;
+        private PooledConnection<Channel> connection;
+        private Http2StreamChannel streamChannel;
+        private double startedAt;
+        private boolean writeStarted;
         /** Of its last frame; null before that was handed to the connection. */
         private ChannelFuture lastWrite;
-        private boolean over;
+        private boolean finished;
 
-        private Request(Http2Headers headers, byte[] body, Exchange exchange, BooleanSupplier wanted) {
-            this.wanted = wanted;
+        private Request(Http2Headers headers, byte[] body, ExchangeListener exchange, BooleanSupplier wanted) {
+            this.writeCondition = wanted;
             this.headers = headers;
             this.body = body;
-            this.exchange = exchange;
+            this.listener = exchange;
         }
 
         /** Reads on, for one whose answer flows. From any thread. */
-        public void more() {
-            if (loop.inEventLoop()) {
-                readOn();
+        public void readMore() {
+            if (eventLoop.inEventLoop()) {
+                readNext();
             } else {
-                loop.execute(this::readOn);
+                eventLoop.execute(this::readNext);
             }
         }
 
-        private void readOn() {
-            if (!over && stream != null) {
-                stream.read();
+        private void readNext() {
+            if (!finished && streamChannel != null) {
+                streamChannel.read();
                 // Where a read is already under way the window's update is written and not flushed: the peer would wait for ever.
-                stream.flush();
+                streamChannel.flush();
             }
         }
 
         /** Stops waiting for it; the peer hears CANCEL where it heard of the request. From any thread. */
-        public void giveUp() {
-            loop.execute(() -> {
-                if (over) {
+        public void cancel() {
+            eventLoop.execute(() -> {
+                if (finished) {
                     return;
                 }
-                if (slot != null) {
-                    book.givenUp(slot, begunAt, clock.getAsDouble());
-                    if (slot.leaving()) {
-                        tally.silent.increment();
+                if (connection != null) {
+                    allocator.onStreamCancelled(connection, startedAt, clock.getAsDouble());
+                    if (connection.draining()) {
+                        metrics.goneSilent.increment();
                     }
                 }
-                end(written ? End.GIVEN_UP : End.NOT_WRITTEN, 0, null, null);
-                if (stream != null && stream.isActive()) {
+                finish(writeStarted ? ExchangeResult.GIVEN_UP : ExchangeResult.NOT_WRITTEN, 0, null, null);
+                if (streamChannel != null && streamChannel.isActive()) {
                     resetStream();
                 }
             });
@@ -165,85 +165,85 @@
          * it, and both late: the connection, which its peer does not read, is closed instead.
          */
         private void resetStream() {
-            Channel connection = stream.parent();
+            Channel connection = streamChannel.parent();
             boolean waitsForSocket = lastWrite != null && !lastWrite.isDone()
                     && connection.unsafe().outboundBuffer() != null
                     && connection.unsafe().outboundBuffer().totalPendingWriteBytes() > 0;
             if (waitsForSocket) {
                 connection.close();
             } else {
-                stream.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL));
+                streamChannel.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL));
             }
         }
 
         /** Looks at what is not written whole yet: once it may not be sent any more it is withdrawn. */
         private void watchLastWrite() {
-            if (over || lastWrite.isDone()) {
+            if (finished || lastWrite.isDone()) {
                 return;
             }
-            if (wanted.getAsBoolean()) {
-                loop.schedule(this::watchLastWrite, UNWRITTEN_LOOK_MILLIS, TimeUnit.MILLISECONDS);
+            if (writeCondition.getAsBoolean()) {
+                eventLoop.schedule(this::watchLastWrite, WRITE_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
                 return;
             }
             // Without its last frame the peer has no whole request.
-            end(End.NOT_WRITTEN, 0, null, null);
+            finish(ExchangeResult.NOT_WRITTEN, 0, null, null);
             resetStream();
         }
 
-        private void end(End end, int status, Http2Headers answer, byte[] content) {
-            if (over) {
+        private void finish(ExchangeResult end, int status, Http2Headers answer, byte[] content) {
+            if (finished) {
                 return;
             }
-            over = true;
-            if (slot == null) {
-                if (waiting.remove(this)) {
-                    book.waited();
+            finished = true;
+            if (connection == null) {
+                if (waitingRequests.remove(this)) {
+                    allocator.onWaitEnded();
                 }
             } else {
-                book.ended(slot, clock.getAsDouble());
-                Slot<Channel> was = slot;
-                closeIfDone(was);
-                placeWaiting();
+                allocator.onStreamEnded(connection, clock.getAsDouble());
+                PooledConnection<Channel> was = connection;
+                closeIfDrained(was);
+                startWaitingRequests();
             }
-            exchange.ended(end, status, answer, content);
+            listener.onEnd(end, status, answer, content);
         }
 
-        private void beginOn(Slot<Channel> on) {
-            slot = on;
-            book.began(on);
-            begunAt = clock.getAsDouble();
-            boolean flows = exchange instanceof Exchange.Flowing;
-            new Http2StreamChannelBootstrap(on.connection).handler(flows ? new Flow(this) : new Answer(this))
+        private void startOn(PooledConnection<Channel> on) {
+            connection = on;
+            allocator.onStreamStarted(on);
+            startedAt = clock.getAsDouble();
+            boolean flows = listener instanceof ExchangeListener.StreamingListener;
+            new Http2StreamChannelBootstrap(on.handle).handler(flows ? new StreamingResponseHandler(this) : new ResponseHandler(this))
                     .option(ChannelOption.AUTO_READ, !flows).open().addListener(opened -> {
-                if (over) {
+                if (finished) {
                     if (opened.isSuccess()) {
                         ((Channel) opened.getNow()).close();
                     }
                     return;
                 }
-                if (!opened.isSuccess() || !wanted.getAsBoolean()) {
+                if (!opened.isSuccess() || !writeCondition.getAsBoolean()) {
                     if (opened.isSuccess()) {
                         ((Channel) opened.getNow()).close();
                     }
-                    end(End.NOT_WRITTEN, 0, null, null);
+                    finish(ExchangeResult.NOT_WRITTEN, 0, null, null);
                     return;
                 }
-                stream = (Http2StreamChannel) opened.getNow();
+                streamChannel = (Http2StreamChannel) opened.getNow();
                 // From here on bytes may be under way, whatever becomes of the write.
-                written = true;
+                writeStarted = true;
                 if (flows) {
-                    stream.read();
+                    streamChannel.read();
                 }
                 ChannelFutureListener failed = write -> {
                     if (!write.isSuccess()) {
-                        end(End.LOST, 0, null, null);
+                        finish(ExchangeResult.LOST, 0, null, null);
                     }
                 };
                 if (body.length == 0) {
-                    lastWrite = stream.writeAndFlush(new DefaultHttp2HeadersFrame(headers, true));
+                    lastWrite = streamChannel.writeAndFlush(new DefaultHttp2HeadersFrame(headers, true));
                 } else {
-                    stream.write(new DefaultHttp2HeadersFrame(headers, false)).addListener(failed);
-                    lastWrite = stream.writeAndFlush(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(body), true));
+                    streamChannel.write(new DefaultHttp2HeadersFrame(headers, false)).addListener(failed);
+                    lastWrite = streamChannel.writeAndFlush(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(body), true));
                 }
                 lastWrite.addListener(failed);
                 watchLastWrite();
@@ -252,12 +252,12 @@
     }
 
     /** From any thread. {@code more} are name, value pairs with lower-case names. */
-    public Request send(String method, String path, byte[] body, Exchange exchange, String... more) {
+    public Request send(String method, String path, byte[] body, ExchangeListener exchange, String... more) {
         return send(() -> true, method, path, body, exchange, more);
     }
 
     /** From any thread. Nothing of it is written where {@code wanted} says no by then; that is asked on the event loop. */
-    public Request send(BooleanSupplier wanted, String method, String path, byte[] body, Exchange exchange,
+    public Request send(BooleanSupplier wanted, String method, String path, byte[] body, ExchangeListener exchange,
             String... more) {
         Http2Headers headers = new DefaultHttp2Headers(false).method(method).path(path).scheme("http")
                 .authority(authority);
@@ -268,153 +268,153 @@
             headers.add(more[i], more[i + 1]);
         }
         Request request = new Request(headers, body, exchange, wanted);
-        if (loop.inEventLoop()) {
-            begin(request);
+        if (eventLoop.inEventLoop()) {
+            start(request);
         } else {
-            loop.execute(() -> begin(request));
+            eventLoop.execute(() -> start(request));
         }
         return request;
     }
 
-    private void begin(Request request) {
-        if (request.over) {
+    private void start(Request request) {
+        if (request.finished) {
             return;
         }
         if (closed) {
-            request.end(End.NOT_WRITTEN, 0, null, null);
+            request.finish(ExchangeResult.NOT_WRITTEN, 0, null, null);
             return;
         }
-        switch (book.place()) {
-            case ON_CONNECTION -> request.beginOn(book.fullest());
-            case OPEN_AND_WAIT -> {
-                waiting.add(request);
+        switch (allocator.placeStream()) {
+            case USE_CONNECTION -> request.startOn(allocator.busiestAvailable());
+            case CONNECT_AND_WAIT -> {
+                waitingRequests.add(request);
                 connect();
             }
-            case WAIT -> waiting.add(request);
+            case WAIT -> waitingRequests.add(request);
             case FULL -> {
-                tally.streams.refuse();
-                request.end(End.NO_STREAM, 0, null, null);
+                metrics.waitingStreams.recordRejection();
+                request.finish(ExchangeResult.NO_STREAM, 0, null, null);
             }
         }
     }
 
-    private void placeWaiting() {
-        for (Slot<Channel> slot; !waiting.isEmpty() && (slot = book.fullest()) != null;) {
-            Request next = waiting.poll();
-            book.waited();
-            next.beginOn(slot);
+    private void startWaitingRequests() {
+        for (PooledConnection<Channel> slot; !waitingRequests.isEmpty() && (slot = allocator.busiestAvailable()) != null;) {
+            Request next = waitingRequests.poll();
+            allocator.onWaitEnded();
+            next.startOn(slot);
         }
     }
 
     private void connect() {
-        new Bootstrap().group(loop).channel(channelType)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, bounds.connectTimeout)
+        new Bootstrap().group(eventLoop).channel(channelType)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limits.connectTimeoutMillis)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
                         ch.pipeline().addLast(Http2FrameCodecBuilder.forClient()
                                 .initialSettings(Http2Settings.defaultSettings().pushEnabled(false)
-                                        .initialWindowSize(bounds.window)).build());
+                                        .initialWindowSize(limits.streamWindowBytes)).build());
                         ch.pipeline().addLast(new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()));
-                        ch.pipeline().addLast(new Connection());
+                        ch.pipeline().addLast(new ConnectionHandler());
                     }
                 }).connect(peer).addListener((ChannelFuture done) -> {
-                    if (loop.inEventLoop()) {
-                        connectEnded(done);
+                    if (eventLoop.inEventLoop()) {
+                        onConnectEnded(done);
                     } else {
                         // Where no descriptor is left there is no channel, and its failure is told by a thread not ours.
-                        loop.execute(() -> connectEnded(done));
+                        eventLoop.execute(() -> onConnectEnded(done));
                     }
                 });
     }
 
-    private void connectEnded(ChannelFuture done) {
+    private void onConnectEnded(ChannelFuture done) {
         if (!done.isSuccess()) {
-            tally.failed.increment();
-            if (book.connectFailed()) {
-                List<Request> lost = new ArrayList<>(waiting);
-                lost.forEach(request -> request.end(End.NOT_CONNECTED, 0, null, null));
+            metrics.connectFailures.increment();
+            if (allocator.onConnectFailed()) {
+                List<Request> lost = new ArrayList<>(waitingRequests);
+                lost.forEach(request -> request.finish(ExchangeResult.NOT_CONNECTED, 0, null, null));
             }
             return;
         }
-        tally.opened.increment();
+        metrics.opened.increment();
         // Streams that are not read must not hold up the others: the connection bears all of them full.
-        long all = Math.min(1 << 30, (long) bounds.streams * bounds.window);
+        long all = Math.min(1 << 30, (long) limits.maxStreamsPerConnection * limits.streamWindowBytes);
         done.channel().writeAndFlush(new DefaultHttp2WindowUpdateFrame((int) all));
-        Slot<Channel> slot = book.connected(done.channel(), clock.getAsDouble());
-        done.channel().pipeline().get(Connection.class).slot = slot;
+        PooledConnection<Channel> slot = allocator.onConnected(done.channel(), clock.getAsDouble());
+        done.channel().pipeline().get(ConnectionHandler.class).connection = slot;
         done.channel().closeFuture().addListener(end -> {
-            book.closed(slot);
-            if (!waiting.isEmpty() && book.connecting() == 0 && book.fullest() == null) {
-                new ArrayList<>(waiting).forEach(r -> r.end(End.NOT_CONNECTED, 0, null, null));
+            allocator.onConnectionClosed(slot);
+            if (!waitingRequests.isEmpty() && allocator.connectingCount() == 0 && allocator.busiestAvailable() == null) {
+                new ArrayList<>(waitingRequests).forEach(r -> r.finish(ExchangeResult.NOT_CONNECTED, 0, null, null));
             }
         });
         if (closed) {
             done.channel().close();
             return;
         }
-        placeWaiting();
-        checkIdle(slot);
+        startWaitingRequests();
+        scheduleIdleCheck(slot);
     }
 
-    private void checkIdle(Slot<Channel> slot) {
-        loop.schedule(() -> {
-            if (!slot.connection.isActive()) {
+    private void scheduleIdleCheck(PooledConnection<Channel> slot) {
+        eventLoop.schedule(() -> {
+            if (!slot.handle.isActive()) {
                 return;
             }
-            if (book.closes(slot, clock.getAsDouble())) {
-                tally.closedIdle.increment();
-                book.leaves(slot);
-                slot.connection.close();
+            if (allocator.shouldClose(slot, clock.getAsDouble())) {
+                metrics.closedIdle.increment();
+                allocator.startDraining(slot);
+                slot.handle.close();
             } else {
-                checkIdle(slot);
+                scheduleIdleCheck(slot);
             }
-        }, (long) Math.max(1, bounds.idle / 4), TimeUnit.MILLISECONDS);
+        }, (long) Math.max(1, limits.idleTimeoutMillis / 4), TimeUnit.MILLISECONDS);
     }
 
-    private void closeIfDone(Slot<Channel> slot) {
-        if (slot.leaving() && slot.active() == 0) {
-            slot.connection.close();
+    private void closeIfDrained(PooledConnection<Channel> slot) {
+        if (slot.draining() && slot.activeStreams() == 0) {
+            slot.handle.close();
         }
     }
 
     /** Closes connections that nothing runs on; from any thread. */
-    public void hangUp() {
-        loop.execute(() -> {
-            for (Slot<Channel> slot : new ArrayList<>(book.slots())) {
-                book.leaves(slot);
-                closeIfDone(slot);
+    public void drainConnections() {
+        eventLoop.execute(() -> {
+            for (PooledConnection<Channel> slot : new ArrayList<>(allocator.connections())) {
+                allocator.startDraining(slot);
+                closeIfDrained(slot);
             }
         });
     }
 
     /** No further request; open connections close when their streams have ended. */
     public void close() {
-        loop.execute(() -> {
+        eventLoop.execute(() -> {
             closed = true;
-            for (Slot<Channel> slot : new ArrayList<>(book.slots())) {
-                book.leaves(slot);
-                closeIfDone(slot);
+            for (PooledConnection<Channel> slot : new ArrayList<>(allocator.connections())) {
+                allocator.startDraining(slot);
+                closeIfDrained(slot);
             }
         });
     }
 
     /** What concerns a whole connection. */
-    private final class Connection extends ChannelInboundHandlerAdapter {
-        private Slot<Channel> slot;
+    private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
+        private PooledConnection<Channel> connection;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            if (msg instanceof Http2SettingsFrame settings && slot != null) {
+            if (msg instanceof Http2SettingsFrame settings && connection != null) {
                 Long most = settings.settings().maxConcurrentStreams();
                 if (most != null) {
-                    book.peerAllows(slot, most);
+                    allocator.setPeerStreamLimit(connection, most);
                 }
-            } else if (msg instanceof Http2GoAwayFrame && slot != null) {
-                tally.goAways.increment();
-                book.leaves(slot);
-                closeIfDone(slot);
+            } else if (msg instanceof Http2GoAwayFrame && connection != null) {
+                metrics.goAwaysReceived.increment();
+                allocator.startDraining(connection);
+                closeIfDrained(connection);
             }
             ReferenceCountUtil.release(msg);
         }
@@ -426,18 +426,18 @@
     }
 
     /** One stream's answer. */
-    private class Answer extends ChannelInboundHandlerAdapter {
+    private class ResponseHandler extends ChannelInboundHandlerAdapter {
         final Request request;
         private Http2Headers headers;
         private ByteArrayOutputStream body;
 
-        Answer(Request request) {
+        ResponseHandler(Request request) {
             this.request = request;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            book.heard(request.slot, clock.getAsDouble());
+            allocator.onReceived(request.connection, clock.getAsDouble());
             try {
                 if (msg instanceof Http2HeadersFrame head) {
                     CharSequence status = head.headers().status();
@@ -448,21 +448,21 @@
                         head.headers().forEach(field -> headers.set(field.getKey(), field.getValue()));
                     }
                     if (head.isEndStream()) {
-                        whole();
+                        onComplete();
                     }
                 } else if (msg instanceof Http2DataFrame data) {
                     try {
-                        bytes(ctx, data.content());
+                        onData(ctx, data.content());
                     } catch (IOException e) {
                         ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL));
-                        request.end(End.TOO_LONG, 0, null, null);
+                        request.finish(ExchangeResult.TOO_LONG, 0, null, null);
                         return;
                     }
                     if (data.isEndStream()) {
-                        whole();
+                        onComplete();
                     }
                 } else if (msg instanceof Http2ResetFrame reset) {
-                    request.end(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? End.REFUSED : End.RESET, 0,
+                    request.finish(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? ExchangeResult.REFUSED : ExchangeResult.RESET, 0,
                             null, null);
                 }
             } finally {
@@ -470,27 +470,27 @@
             }
         }
 
-        void bytes(ChannelHandlerContext ctx, ByteBuf content) throws IOException {
+        void onData(ChannelHandlerContext ctx, ByteBuf content) throws IOException {
             int more = content.readableBytes();
             if (body == null) {
                 body = new ByteArrayOutputStream(Math.max(32, more));
             }
-            if (body.size() + more > bounds.longestAnswer) {
-                throw new IOException("longer than " + bounds.longestAnswer);
+            if (body.size() + more > limits.maxResponseBytes) {
+                throw new IOException("longer than " + limits.maxResponseBytes);
             }
             byte[] bytes = new byte[more];
             content.readBytes(bytes);
             body.writeBytes(bytes);
         }
 
-        private void whole() {
+        private void onComplete() {
             int status = -1;
             try {
                 status = headers == null ? -1 : Integer.parseInt(String.valueOf(headers.status()));
             } catch (NumberFormatException e) {
                 // an answer without a proper status is an error answer
             }
-            request.end(End.ANSWERED, status, headers, body == null ? new byte[0] : body.toByteArray());
+            request.finish(ExchangeResult.ANSWERED, status, headers, body == null ? new byte[0] : body.toByteArray());
         }
 
         @Override
@@ -498,28 +498,28 @@
             if (event instanceof Http2GoAwayFrame goAway) {
                 // Fired by the multiplexer on streams above the last id only.
                 goAway.release();
-                request.end(End.ABOVE_GOAWAY, 0, null, null);
+                request.finish(ExchangeResult.ABOVE_GOAWAY, 0, null, null);
             } else if (event instanceof Http2ResetFrame reset) {
-                request.end(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? End.REFUSED : End.RESET, 0, null,
+                request.finish(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? ExchangeResult.REFUSED : ExchangeResult.RESET, 0, null,
                         null);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            request.end(request.written ? End.LOST : End.NOT_WRITTEN, 0, null, null);
+            request.finish(request.writeStarted ? ExchangeResult.LOST : ExchangeResult.NOT_WRITTEN, 0, null, null);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            request.end(request.written ? End.LOST : End.NOT_WRITTEN, 0, null, null);
+            request.finish(request.writeStarted ? ExchangeResult.LOST : ExchangeResult.NOT_WRITTEN, 0, null, null);
             ctx.close();
         }
     }
 
     /** The answer of a stream that is read only as asked. */
-    private final class Flow extends Answer {
-        Flow(Request request) {
+    private final class StreamingResponseHandler extends ResponseHandler {
+        StreamingResponseHandler(Request request) {
             super(request);
         }
 
@@ -533,8 +533,8 @@
         }
 
         @Override
-        void bytes(ChannelHandlerContext ctx, ByteBuf content) throws IOException {
-            if (!request.over && ((Exchange.Flowing) request.exchange).bytes(content)) {
+        void onData(ChannelHandlerContext ctx, ByteBuf content) throws IOException {
+            if (!request.finished && ((ExchangeListener.StreamingListener) request.listener).onData(content)) {
                 ctx.read();
             }
         }
--- a/gateway/src/main/java/gradereach/intake/Intake.java
+++ b/gateway/src/main/java/gradereach/intake/Intake.java
@@ -1,14 +1,14 @@
 package gradereach.intake;
 
 import gradereach.counts.Counts;
-import gradereach.desk.Arrival;
-import gradereach.desk.Catalogue;
-import gradereach.desk.Desk;
-import gradereach.desk.Input;
+import gradereach.desk.IncomingMessage;
+import gradereach.desk.ModelCatalog;
+import gradereach.desk.InferenceCoordinator;
+import gradereach.desk.InferenceInput;
 import gradereach.loop.DecisionLoop;
-import gradereach.message.BadMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.message.FinalAnswer;
-import gradereach.oip.InferJson;
+import gradereach.oip.InferenceJsonConverter;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.webhook.KeyRing;
 import gradereach.webhook.WebhookKey;
@@ -35,14 +35,14 @@
 
     private final KeyRing keys;
     private final List<List<WebhookKey>> answerKeys;
-    private final Catalogue catalogue;
-    private final DecisionLoop loop;
+    private final ModelCatalog catalogue;
+    private final DecisionLoop decisionLoop;
     private final DoubleSupplier clock;
-    private final DoubleSupplier arrivals;
+    private final DoubleSupplier earliestArrival;
     private final LongSupplier unixMillis;
-    private final double doorPause;
-    private final Forms forms;
-    private final LongAdder messages;
+    private final double shedRetryAfterMillis;
+    private final InputFormats inputFormats;
+    private final LongAdder messageCount;
     private final Counts counts;
     private volatile boolean stopping;
 
@@ -51,43 +51,43 @@
      * @param arrivals the earliest time at which what is read now may have come; module time
      * @param doorPause milliseconds that clients are asked to wait when shed at the door
      */
-    public Intake(KeyRing keys, List<List<WebhookKey>> answerKeys, Catalogue catalogue, DecisionLoop loop,
-            DoubleSupplier clock, DoubleSupplier arrivals, LongSupplier unixMillis, double doorPause, Forms forms, Counts counts) {
+    public Intake(KeyRing keys, List<List<WebhookKey>> answerKeys, ModelCatalog catalogue, DecisionLoop loop,
+            DoubleSupplier clock, DoubleSupplier arrivals, LongSupplier unixMillis, double doorPause, InputFormats forms, Counts counts) {
         this.keys = keys;
         this.answerKeys = answerKeys;
         this.catalogue = catalogue;
-        this.loop = loop;
+        this.decisionLoop = loop;
         this.clock = clock;
-        this.arrivals = arrivals;
+        this.earliestArrival = arrivals;
         this.unixMillis = unixMillis;
-        this.doorPause = doorPause;
-        this.forms = forms;
+        this.shedRetryAfterMillis = doorPause;
+        this.inputFormats = forms;
         this.counts = counts;
-        messages = counts.counter("messages");
+        messageCount = counts.counter("messages");
     }
 
     /** A message has come whole; {@code likely} is the customer to try first, -1 for none. */
-    public KeyRing.Verdict whose(String id, String timestamp, String signature, byte[] signed, int likely) {
-        messages.increment();
-        return keys.judge(id, timestamp, signature, signed, unixMillis.getAsLong() / 1000, likely);
+    public KeyRing.VerificationResult authenticate(String id, String timestamp, String signature, byte[] signed, int likely) {
+        messageCount.increment();
+        return keys.verify(id, timestamp, signature, signed, unixMillis.getAsLong() / 1000, likely);
     }
 
     /** Null for a model that is not in this deployment. */
-    public Catalogue.Entry model(String name) {
+    public ModelCatalog.Entry findModel(String name) {
         return catalogue.find(name);
     }
 
     /** Which forms of an inference the executors of this deployment take. */
-    public record Forms(boolean json, boolean message) { }
+    public record InputFormats(boolean json, boolean message) { }
 
     /** From a webhook. */
-    public Input input(byte[] json, String model) throws BadMessage {
-        return new Input(forms.json ? json : null, forms.message ? InferJson.message(json, model) : null);
+    public InferenceInput toInput(byte[] json, String model) throws InvalidMessageException {
+        return new InferenceInput(inputFormats.json ? json : null, inputFormats.message ? InferenceJsonConverter.requestBytesFromJson(json, model) : null);
     }
 
     /** From a gRPC call; checked on the way where it goes to executors as JSON. */
-    public Input input(ModelInferRequest bare) throws BadMessage {
-        return new Input(forms.json ? InferJson.input(bare) : null, forms.message ? bare.toByteArray() : null);
+    public InferenceInput toInput(ModelInferRequest bare) throws InvalidMessageException {
+        return new InferenceInput(inputFormats.json ? InferenceJsonConverter.requestToJson(bare) : null, inputFormats.message ? bare.toByteArray() : null);
     }
 
     /** SHA-256 in the thread's own instance. */
@@ -96,7 +96,7 @@
     }
 
     /** Eight bytes of a digest from {@code from} on. */
-    public static long half(byte[] digest, int from) {
+    public static long longAt(byte[] digest, int from) {
         long half = 0;
         for (int i = from; i < from + 8; i++) {
             half = half << 8 | digest[i] & 0xff;
@@ -105,39 +105,39 @@
     }
 
     /** To the deciding thread, or shed at the door, where it was told at once; false then. */
-    public boolean admit(Arrival arrival, Waiter waiter) {
+    public boolean admit(IncomingMessage arrival, WaitingClient waiter) {
         if (stopping) {
-            waiter.answer(FinalAnswer.shed(arrival.id(), "this front end is stopping", doorPause));
+            waiter.onFinalAnswer(FinalAnswer.shed(arrival.id(), "this front end is stopping", shedRetryAfterMillis));
             return false;
         }
-        boolean admitted = loop.offer(desk -> {
-            desk.arrived(arrival);
-            waiter.checkGone(desk);
+        boolean admitted = decisionLoop.offer(desk -> {
+            desk.onMessage(arrival);
+            waiter.notifyIfCancelled(desk);
         });
         if (!admitted) {
-            waiter.answer(FinalAnswer.shed(arrival.id(), "too many messages wait at the door", doorPause));
+            waiter.onFinalAnswer(FinalAnswer.shed(arrival.id(), "too many messages wait at the door", shedRetryAfterMillis));
         }
         return admitted;
     }
 
     /** A final answer that was decided at that module time has been handed to its socket. */
-    public void answerWritten(double decidedAt) {
+    public void recordAnswerWritten(double decidedAt) {
         double now = clock.getAsDouble();
-        loop.answerDelay().written(now - decidedAt, now);
+        decisionLoop.answerDelay().recordWriteDelay(now - decidedAt, now);
     }
 
     /** Counts a message turned away at the door, by the word that the client gets. */
-    public void refused(String word) {
+    public void countRefusal(String word) {
         counts.counter("refused_" + word.replace('-', '_')).increment();
     }
 
-    void toDesk(Consumer<Desk> event) {
-        loop.pass(event);
+    void submit(Consumer<InferenceCoordinator> event) {
+        decisionLoop.post(event);
     }
 
     /** The value of {@code webhook-signature} for an answer to that customer. */
     public String signature(int customer, String answerId, long at, byte[] body) {
-        return KeyRing.header(answerKeys.get(customer), answerId, at, body);
+        return KeyRing.signatureHeader(answerKeys.get(customer), answerId, at, body);
     }
 
     public long unixSeconds() {
@@ -154,8 +154,8 @@
     }
 
     /** The earliest time at which what is read now may have come. */
-    public DoubleSupplier arrivals() {
-        return arrivals;
+    public DoubleSupplier earliestArrival() {
+        return earliestArrival;
     }
 
     /** From now on no message is taken; what was taken is answered. */
--- a/gateway/src/main/java/gradereach/intake/Waiter.java
+++ b/gateway/src/main/java/gradereach/intake/WaitingClient.java
@@ -1,42 +1,42 @@
 package gradereach.intake;
 
-import gradereach.desk.Asker;
-import gradereach.desk.Desk;
-import gradereach.desk.Life;
+import gradereach.desk.AnswerObserver;
+import gradereach.desk.InferenceCoordinator;
+import gradereach.desk.InferenceState;
 
 /** A client that waits at one of the fronts and may leave, also while its message still waits at the door. */
-public abstract class Waiter implements Asker {
+public abstract class WaitingClient implements AnswerObserver {
     private final Intake intake;
     /** Of the deciding thread, as is {@code gone}. */
-    private Life life;
+    private InferenceState life;
     private boolean gone;
 
-    protected Waiter(Intake intake) {
+    protected WaitingClient(Intake intake) {
         this.intake = intake;
     }
 
     @Override
-    public void taken(Life taken) {
+    public void onAccepted(InferenceState taken) {
         life = taken;
     }
 
     @Override
-    public final boolean gone() {
+    public final boolean isDisconnected() {
         return gone;
     }
 
     /** Its client has gone. Any thread. */
-    public final void leave() {
-        intake.toDesk(desk -> {
+    public final void cancel() {
+        intake.submit(desk -> {
             gone = true;
-            checkGone(desk);
+            notifyIfCancelled(desk);
         });
     }
 
     /** Leaving and being taken may come in either order: whichever comes second tells the desk. */
-    final void checkGone(Desk desk) {
+    final void notifyIfCancelled(InferenceCoordinator desk) {
         if (gone && life != null) {
-            desk.left(life, this);
+            desk.onClientDisconnected(life, this);
         }
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/LedgerPosition.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerPosition.java
@@ -7,15 +7,15 @@
 public final class LedgerPosition {
     /** Where nobody knows. */
     public static final long UNKNOWN = 0;
-    private static final int BITS_OF_BYTES = 40; // a terabyte a segment, and eight million segments
+    private static final int OFFSET_BITS = 40; // a terabyte a segment, and eight million segments
 
     private LedgerPosition() { }
 
     public static long of(long segment, long bytes) {
-        return segment << BITS_OF_BYTES | bytes;
+        return segment << OFFSET_BITS | bytes;
     }
 
     public static long segment(long position) {
-        return position >>> BITS_OF_BYTES;
+        return position >>> OFFSET_BITS;
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/LedgerRecord.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerRecord.java
@@ -9,47 +9,47 @@
  */
 public sealed interface LedgerRecord {
     /** Seconds by which a signed timestamp may lie ahead of its message's coming: the specification's tolerance. */
-    long TIMESTAMP_TOLERANCE = 300;
+    long SIGNED_TIMESTAMP_TOLERANCE_SECONDS = 300;
     double MILLIS_PER_SECOND = 1000;
 
     /** The latest timestamp that a message can have carried at such Unix milliseconds, Unix seconds. */
-    static long signableUntil(double at) {
-        return (long) (at / MILLIS_PER_SECOND) + TIMESTAMP_TOLERANCE;
+    static long latestPossibleSignedAt(double at) {
+        return (long) (at / MILLIS_PER_SECOND) + SIGNED_TIMESTAMP_TOLERANCE_SECONDS;
     }
 
     String customer();
 
     String id();
 
-    double at();
+    double timestamp();
 
     /**
      * A forward is about to leave: from here on it may have run.
      *
      * @param signedAt the message's signed timestamp, Unix seconds
      */
-    record Intended(String customer, String id, double at, long digestHigh, long digestLow, String group, String model,
-            Recipient recipient, String forward, long signedAt) implements LedgerRecord {
+    record ForwardIntended(String customer, String id, double timestamp, long digestHigh, long digestLow, String group, String model,
+            Recipient recipient, String forwardId, long signedAt) implements LedgerRecord {
         /** As it was written before processes and timestamps were recorded. */
-        public Intended(String customer, String id, double at, long digestHigh, long digestLow, String group, String model,
+        public ForwardIntended(String customer, String id, double at, long digestHigh, long digestLow, String group, String model,
                 String address, String forward) {
             this(customer, id, at, digestHigh, digestLow, group, model, new Recipient("", address, Double.NaN), forward,
-                    signableUntil(at));
+                    latestPossibleSignedAt(at));
         }
     }
 
     /** Every forward so far is proven not to have run. */
-    record NotRun(String customer, String id, double at) implements LedgerRecord { }
+    record ProvenNotRun(String customer, String id, double timestamp) implements LedgerRecord { }
 
     /** Its final answer, as it leaves. */
-    record Answered(String customer, String id, double at, FinalAnswer answer) implements LedgerRecord { }
+    record Answered(String customer, String id, double timestamp, FinalAnswer answer) implements LedgerRecord { }
 
     /** An answer by webhook was promised; {@code at} names the promise. */
-    record Promised(String customer, String id, double at, long digestHigh, long digestLow, String group)
+    record DeliveryPromised(String customer, String id, double timestamp, long digestHigh, long digestLow, String group)
             implements LedgerRecord { }
 
     /** The answer promised at {@code of} was tried to be delivered; {@code over} where no further try follows. */
-    record Delivered(String customer, String id, double at, double of, int tries, boolean over)
+    record DeliveryAttempted(String customer, String id, double timestamp, double promisedAt, int attempts, boolean finished)
             implements LedgerRecord { }
 
     /**
@@ -58,11 +58,11 @@
      * @param signedAt the message's signed timestamp, Unix seconds
      * @param claimantPosition how far the claimant's ledger had got as it claimed ({@link LedgerPosition})
      */
-    record Claimed(String customer, String id, double at, long digestHigh, long digestLow, String claimant, long signedAt,
+    record ClaimGranted(String customer, String id, double timestamp, long digestHigh, long digestLow, String claimant, long signedAt,
             long claimantPosition) implements LedgerRecord {
         /** As it was written before timestamps and positions were recorded. */
-        public Claimed(String customer, String id, double at, long digestHigh, long digestLow, String claimant) {
-            this(customer, id, at, digestHigh, digestLow, claimant, signableUntil(at), LedgerPosition.UNKNOWN);
+        public ClaimGranted(String customer, String id, double at, long digestHigh, long digestLow, String claimant) {
+            this(customer, id, at, digestHigh, digestLow, claimant, latestPossibleSignedAt(at), LedgerPosition.UNKNOWN);
         }
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/LedgerBook.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerState.java
@@ -11,9 +11,9 @@
  * What the records of a ledger add up to: the state machine of docs/ledger.md. Order within one message matters, order
  * between messages does not.
  */
-public final class LedgerBook {
+public final class LedgerState {
     /** Where a message stands after a crash. */
-    public enum State {
+    public enum MessageState {
         /** Promised only: nothing of it left. */
         TAKEN,
         /** A forward's intent is durable and nothing after it: it may have run. */
@@ -23,33 +23,33 @@
     }
 
     /** A forward whose end is not known. */
-    public record Open(Recipient recipient, String forward, double at) { }
+    public record UnresolvedForward(Recipient recipient, String forwardId, double intendedAt) { }
 
     /** One message. */
     public static final class Message {
         public final String customer;
         public final String id;
-        State state = State.TAKEN;
+        MessageState state = MessageState.TAKEN;
         long digestHigh;
         long digestLow;
         String group = "";
         String model = "";
-        double firstAt = Double.NaN;
-        double lastAt;
+        double firstRecordedAt = Double.NaN;
+        double lastRecordedAt;
         double uncertainSince = Double.NaN;
         long signedAt = Long.MIN_VALUE;
         FinalAnswer answer;
         double promisedAt = Double.NEGATIVE_INFINITY;
-        double deliveredOf = Double.NEGATIVE_INFINITY;
-        int tries;
-        final List<Open> forwards = new ArrayList<>(1);
+        double deliveredPromiseAt = Double.NEGATIVE_INFINITY;
+        int deliveryAttempts;
+        final List<UnresolvedForward> unresolvedForwards = new ArrayList<>(1);
 
         Message(String customer, String id) {
             this.customer = customer;
             this.id = id;
         }
 
-        public State state() {
+        public MessageState state() {
             return state;
         }
 
@@ -70,12 +70,12 @@
         }
 
         /** Unix milliseconds of its first record. */
-        public double firstAt() {
-            return firstAt;
+        public double firstRecordedAt() {
+            return firstRecordedAt;
         }
 
-        public double lastAt() {
-            return lastAt;
+        public double lastRecordedAt() {
+            return lastRecordedAt;
         }
 
         /** Unix milliseconds of the first intent that was not disproved; NaN for none. */
@@ -93,13 +93,13 @@
         }
 
         /** Forwards that may have run. */
-        public List<Open> forwards() {
-            return forwards;
+        public List<UnresolvedForward> unresolvedForwards() {
+            return unresolvedForwards;
         }
 
         /** An answer by webhook is owed. */
-        public boolean owed() {
-            return promisedAt > deliveredOf;
+        public boolean isDeliveryPending() {
+            return promisedAt > deliveredPromiseAt;
         }
 
         /** Names the promise that is owed. */
@@ -107,14 +107,14 @@
             return promisedAt;
         }
 
-        public int tries() {
-            return tries;
+        public int deliveryAttempts() {
+            return deliveryAttempts;
         }
 
         /** Whether nobody knows what became of it. */
-        public boolean unknown() {
-            return state == State.MAY_HAVE_RUN
-                    || state == State.ANSWERED && answer.kind() == FinalAnswer.Kind.FAILED && !forwards.isEmpty();
+        public boolean hasUnknownOutcome() {
+            return state == MessageState.MAY_HAVE_RUN
+                    || state == MessageState.ANSWERED && answer.kind() == FinalAnswer.Kind.FAILED && !unresolvedForwards.isEmpty();
         }
     }
 
@@ -124,19 +124,19 @@
     private long forgottenUpTo = Long.MIN_VALUE;
 
     /** Another front end's message of which this one is a keeper. */
-    public record Claim(String customer, String id, double at, long digestHigh, long digestLow, String claimant, long signedAt) { }
+    public record Claim(String customer, String id, double grantedAt, long digestHigh, long digestLow, String claimant, long signedAt) { }
 
     /** The latest signed timestamp among claims that are no longer on record, Unix seconds; Long.MIN_VALUE for none. */
     private long claimsForgottenUpTo = Long.MIN_VALUE;
 
     /** How far claimants' ledgers had got, as their claims told. */
-    private final Map<String, Long> reached = new HashMap<>();
+    private final Map<String, Long> claimantPositions = new HashMap<>();
     private final Map<Key, Message> messages = new LinkedHashMap<>();
     private final Map<Key, Claim> claims = new LinkedHashMap<>();
-    private final List<String> oddities = new ArrayList<>();
+    private final List<String> anomalies = new ArrayList<>();
 
     /** Messages that were signed then at the latest are no longer on record. */
-    public void forgotten(long signedAt) {
+    public void markForgottenUpTo(long signedAt) {
         forgottenUpTo = Math.max(forgottenUpTo, signedAt);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Claims of messages that were signed then at the latest are no longer on record. */
-    public void claimsForgotten(long signedAt) {
+    public void markClaimsForgottenUpTo(long signedAt) {
         claimsForgottenUpTo = Math.max(claimsForgottenUpTo, signedAt);
     }
 
@@ -155,63 +155,63 @@
 
     public void apply(LedgerRecord record) {
         Key key = new Key(record.customer(), record.id());
-        if (record instanceof LedgerRecord.Claimed r) {
-            reached.merge(r.claimant(), r.claimantPosition(), Math::max);
-            claims.put(key, new Claim(r.customer(), r.id(), r.at(), r.digestHigh(), r.digestLow(), r.claimant(), r.signedAt()));
+        if (record instanceof LedgerRecord.ClaimGranted r) {
+            claimantPositions.merge(r.claimant(), r.claimantPosition(), Math::max);
+            claims.put(key, new Claim(r.customer(), r.id(), r.timestamp(), r.digestHigh(), r.digestLow(), r.claimant(), r.signedAt()));
             return;
         }
         Message m = messages.computeIfAbsent(key, k -> new Message(k.customer, k.id));
-        m.firstAt = Double.isNaN(m.firstAt) ? record.at() : Math.min(m.firstAt, record.at());
-        double before = m.lastAt;
-        m.lastAt = Math.max(m.lastAt, record.at());
-        if (record instanceof LedgerRecord.Intended r) {
+        m.firstRecordedAt = Double.isNaN(m.firstRecordedAt) ? record.timestamp() : Math.min(m.firstRecordedAt, record.timestamp());
+        double before = m.lastRecordedAt;
+        m.lastRecordedAt = Math.max(m.lastRecordedAt, record.timestamp());
+        if (record instanceof LedgerRecord.ForwardIntended r) {
             // Not where it is read a second time: a compaction that was cut short leaves both copies.
-            if (m.state == State.ANSWERED && m.answer.kind() == FinalAnswer.Kind.RETURNED && r.at() >= before) {
-                oddities.add(r.customer() + "/" + r.id() + ": a forward was intended after its answer");
+            if (m.state == MessageState.ANSWERED && m.answer.kind() == FinalAnswer.Kind.RETURNED && r.timestamp() >= before) {
+                anomalies.add(r.customer() + "/" + r.id() + ": a forward was intended after its answer");
             }
-            m.state = State.MAY_HAVE_RUN;
+            m.state = MessageState.MAY_HAVE_RUN;
             m.digestHigh = r.digestHigh();
             m.digestLow = r.digestLow();
             m.group = r.group();
             m.model = r.model();
             m.signedAt = Math.max(m.signedAt, r.signedAt());
-            m.uncertainSince = Double.isNaN(m.uncertainSince) ? r.at() : m.uncertainSince;
-            Open open = new Open(r.recipient(), r.forward(), r.at());
-            if (!m.forwards.contains(open)) { // names are given anew in every life, so a name alone is not one forward
-                m.forwards.add(open);
+            m.uncertainSince = Double.isNaN(m.uncertainSince) ? r.timestamp() : m.uncertainSince;
+            UnresolvedForward open = new UnresolvedForward(r.recipient(), r.forwardId(), r.timestamp());
+            if (!m.unresolvedForwards.contains(open)) { // names are given anew in every life, so a name alone is not one forward
+                m.unresolvedForwards.add(open);
             }
-        } else if (record instanceof LedgerRecord.NotRun) {
-            m.state = State.PROVEN_NOT_RUN;
+        } else if (record instanceof LedgerRecord.ProvenNotRun) {
+            m.state = MessageState.PROVEN_NOT_RUN;
             m.uncertainSince = Double.NaN;
-            m.forwards.clear();
+            m.unresolvedForwards.clear();
             m.answer = null;
         } else if (record instanceof LedgerRecord.Answered r) {
             // What is known may become more, never less: a returned answer stays.
-            if (m.state != State.ANSWERED || m.answer.kind() != FinalAnswer.Kind.RETURNED) {
-                m.state = State.ANSWERED;
+            if (m.state != MessageState.ANSWERED || m.answer.kind() != FinalAnswer.Kind.RETURNED) {
+                m.state = MessageState.ANSWERED;
                 m.answer = r.answer();
             }
-        } else if (record instanceof LedgerRecord.Promised r) {
-            m.tries = r.at() > m.promisedAt ? 0 : m.tries;
-            m.promisedAt = Math.max(m.promisedAt, r.at());
+        } else if (record instanceof LedgerRecord.DeliveryPromised r) {
+            m.deliveryAttempts = r.timestamp() > m.promisedAt ? 0 : m.deliveryAttempts;
+            m.promisedAt = Math.max(m.promisedAt, r.timestamp());
             m.digestHigh = r.digestHigh();
             m.digestLow = r.digestLow();
             m.group = r.group();
-        } else if (record instanceof LedgerRecord.Delivered r) {
-            m.tries = r.of() == m.promisedAt ? Math.max(m.tries, r.tries()) : m.tries;
-            m.deliveredOf = r.over() ? Math.max(m.deliveredOf, r.of()) : m.deliveredOf;
+        } else if (record instanceof LedgerRecord.DeliveryAttempted r) {
+            m.deliveryAttempts = r.promisedAt() == m.promisedAt ? Math.max(m.deliveryAttempts, r.attempts()) : m.deliveryAttempts;
+            m.deliveredPromiseAt = r.finished() ? Math.max(m.deliveredPromiseAt, r.promisedAt()) : m.deliveredPromiseAt;
         }
     }
 
     /** Whether a record must stay: its message may come again, nobody knows its end, or its answer is owed. */
-    public boolean needed(LedgerRecord record, double youngerThan) {
+    public boolean isNeeded(LedgerRecord record, double youngerThan) {
         Key key = new Key(record.customer(), record.id());
-        if (record instanceof LedgerRecord.Claimed) {
+        if (record instanceof LedgerRecord.ClaimGranted) {
             Claim claim = claims.get(key);
-            return claim.at() >= youngerThan && record.at() == claim.at();
+            return claim.grantedAt() >= youngerThan && record.timestamp() == claim.grantedAt();
         }
         Message message = messages.get(key);
-        return message.lastAt >= youngerThan || message.unknown() || message.owed();
+        return message.lastRecordedAt >= youngerThan || message.hasUnknownOutcome() || message.isDeliveryPending();
     }
 
     public Iterable<Message> messages() {
@@ -223,8 +223,8 @@
     }
 
     /** How far the ledgers of those who claimed had got, by claimant. */
-    public Map<String, Long> reached() {
-        return reached;
+    public Map<String, Long> claimantPositions() {
+        return claimantPositions;
     }
 
     public Iterable<Claim> claims() {
@@ -236,7 +236,7 @@
     }
 
     /** Sequences that no proper run writes, each in a line. */
-    public List<String> oddities() {
-        return oddities;
+    public List<String> anomalies() {
+        return anomalies;
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/LedgerTime.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerTime.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface LedgerTime {
     /** Of a ledger that does not outlive the process: module time itself. */
-    LedgerTime MODULE = () -> Double.NaN;
+    LedgerTime MONOTONIC = () -> Double.NaN;
 
     /** The time now; may be asked by any thread. */
     double now();
@@ -15,12 +15,12 @@
     }
 
     /** The time of a record that is written at that module time. */
-    default double at(double moduleTime) {
+    default double fromMonotonic(double moduleTime) {
         return moduleTime;
     }
 
     /** Module time of a record's time; NaN where the span since then is not known. */
-    default double toModule(double time) {
+    default double toMonotonic(double time) {
         return time;
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/Recipient.java
+++ b/gateway/src/main/java/gradereach/ledger/Recipient.java
@@ -8,7 +8,7 @@
  * @param process the number that the executor's process drew at its start, as it told before the forward was intended;
  *     NaN where it had told none
  */
-public record Recipient(String instance, String address, double process) {
+public record Recipient(String instance, String address, double processNumber) {
     /** Nobody can be asked. */
     public static final Recipient UNKNOWN = new Recipient("", "", Double.NaN);
 
--- a/gateway/src/main/java/gradereach/ledger/RecordCodec.java
+++ b/gateway/src/main/java/gradereach/ledger/RecordCodec.java
@@ -11,96 +11,96 @@
  * length is under the sum, so that a flipped bit in it is not taken for another length. Big-endian.
  */
 public final class RecordCodec {
-    public static final int HEAD = 8;
+    public static final int HEADER_BYTES = 8;
     /** An answer and its names; a longer one is damage. */
-    static final int LONGEST = 32 << 20;
+    static final int MAX_PAYLOAD_BYTES = 32 << 20;
 
     /** A frame that is none; {@code torn} where the bytes end before it does. */
-    public static final class BadFrame extends Exception {
+    public static final class InvalidFrameException extends Exception {
         private static final long serialVersionUID = 1L;
-        public final boolean torn;
+        public final boolean truncated;
 
-        BadFrame(String what, boolean torn) {
+        InvalidFrameException(String what, boolean torn) {
             super(what, null, false, false);
-            this.torn = torn;
+            this.truncated = torn;
         }
     }
 
     private RecordCodec() { }
 
-    public static byte[] frame(LedgerRecord record) {
-        ByteBuffer out = ByteBuffer.allocate(HEAD + size(record));
-        out.position(HEAD);
-        out.put((byte) type(record)).putDouble(record.at());
-        put(out, record.customer());
-        put(out, record.id());
-        if (record instanceof LedgerRecord.Intended r) {
+    public static byte[] encode(LedgerRecord record) {
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + maxPayloadBytes(record));
+        out.position(HEADER_BYTES);
+        out.put((byte) type(record)).putDouble(record.timestamp());
+        writeText(out, record.customer());
+        writeText(out, record.id());
+        if (record instanceof LedgerRecord.ForwardIntended r) {
             out.putLong(r.digestHigh()).putLong(r.digestLow());
-            put(out, r.group());
-            put(out, r.model());
-            put(out, r.recipient().address());
-            put(out, r.forward());
-            put(out, r.recipient().instance());
-            out.putDouble(r.recipient().process());
+            writeText(out, r.group());
+            writeText(out, r.model());
+            writeText(out, r.recipient().address());
+            writeText(out, r.forwardId());
+            writeText(out, r.recipient().instance());
+            out.putDouble(r.recipient().processNumber());
             out.putLong(r.signedAt());
         } else if (record instanceof LedgerRecord.Answered r) {
             FinalAnswer a = r.answer();
-            out.put((byte) a.kind().ordinal()).putShort((short) a.status()).putDouble(a.pause())
+            out.put((byte) a.kind().ordinal()).putShort((short) a.status()).putDouble(a.retryAfterMillis())
                     .put((byte) (a.repeatHarmless() ? 1 : 0)).putInt(a.body().length).put(a.body());
-        } else if (record instanceof LedgerRecord.Promised r) {
+        } else if (record instanceof LedgerRecord.DeliveryPromised r) {
             out.putLong(r.digestHigh()).putLong(r.digestLow());
-            put(out, r.group());
-        } else if (record instanceof LedgerRecord.Delivered r) {
-            out.putDouble(r.of()).putInt(r.tries()).put((byte) (r.over() ? 1 : 0));
-        } else if (record instanceof LedgerRecord.Claimed r) {
+            writeText(out, r.group());
+        } else if (record instanceof LedgerRecord.DeliveryAttempted r) {
+            out.putDouble(r.promisedAt()).putInt(r.attempts()).put((byte) (r.finished() ? 1 : 0));
+        } else if (record instanceof LedgerRecord.ClaimGranted r) {
             out.putLong(r.digestHigh()).putLong(r.digestLow());
-            put(out, r.claimant());
+            writeText(out, r.claimant());
             out.putLong(r.signedAt()).putLong(r.claimantPosition());
         }
-        int length = out.position() - HEAD;
-        byte[] frame = java.util.Arrays.copyOf(out.array(), HEAD + length);
-        ByteBuffer.wrap(frame).putInt(0, length).putInt(4, sum(frame, 0, length));
+        int length = out.position() - HEADER_BYTES;
+        byte[] frame = java.util.Arrays.copyOf(out.array(), HEADER_BYTES + length);
+        ByteBuffer.wrap(frame).putInt(0, length).putInt(4, checksum(frame, 0, length));
         return frame;
     }
 
-    private static int sum(byte[] in, int at, int length) {
+    private static int checksum(byte[] in, int at, int length) {
         CRC32C crc = new CRC32C();
         crc.update(in, at, 4);
-        crc.update(in, at + HEAD, length);
+        crc.update(in, at + HEADER_BYTES, length);
         return (int) crc.getValue();
     }
 
     /** The length of the whole frame at a place, checked against its sum. */
-    public static int check(byte[] in, int at, int end) throws BadFrame {
-        if (end - at < HEAD) {
-            throw new BadFrame("head cut off", true);
+    public static int checkFrame(byte[] in, int at, int end) throws InvalidFrameException {
+        if (end - at < HEADER_BYTES) {
+            throw new InvalidFrameException("head cut off", true);
         }
         ByteBuffer head = ByteBuffer.wrap(in);
         int length = head.getInt(at);
-        if (length < 9 || length > LONGEST) {
-            throw new BadFrame("length " + length, false);
+        if (length < 9 || length > MAX_PAYLOAD_BYTES) {
+            throw new InvalidFrameException("length " + length, false);
         }
-        if (end - at - HEAD < length) {
-            throw new BadFrame("payload cut off", true);
+        if (end - at - HEADER_BYTES < length) {
+            throw new InvalidFrameException("payload cut off", true);
         }
-        if (head.getInt(at + 4) != sum(in, at, length)) {
-            throw new BadFrame("sum does not fit", false);
+        if (head.getInt(at + 4) != checksum(in, at, length)) {
+            throw new InvalidFrameException("sum does not fit", false);
         }
-        return HEAD + length;
+        return HEADER_BYTES + length;
     }
 
     /** The record of a frame that was checked. */
-    public static LedgerRecord read(byte[] in, int at) throws BadFrame {
-        ByteBuffer from = ByteBuffer.wrap(in, at + HEAD, ByteBuffer.wrap(in).getInt(at));
+    public static LedgerRecord decode(byte[] in, int at) throws InvalidFrameException {
+        ByteBuffer from = ByteBuffer.wrap(in, at + HEADER_BYTES, ByteBuffer.wrap(in).getInt(at));
         try {
             int type = from.get();
             double time = from.getDouble();
-            String customer = text(from);
-            String id = text(from);
+            String customer = readText(from);
+            String id = readText(from);
             return switch (type) {
-                case 1 -> new LedgerRecord.Intended(customer, id, time, from.getLong(), from.getLong(), text(from),
-                        text(from), text(from), text(from));
-                case 2 -> new LedgerRecord.NotRun(customer, id, time);
+                case 1 -> new LedgerRecord.ForwardIntended(customer, id, time, from.getLong(), from.getLong(), readText(from),
+                        readText(from), readText(from), readText(from));
+                case 2 -> new LedgerRecord.ProvenNotRun(customer, id, time);
                 case 3 -> {
                     FinalAnswer.Kind kind = FinalAnswer.Kind.values()[from.get()];
                     int status = from.getShort();
@@ -111,67 +111,67 @@
                     yield new LedgerRecord.Answered(customer, id, time,
                             new FinalAnswer(kind, status, body, pause, harmless));
                 }
-                case 4 -> new LedgerRecord.Promised(customer, id, time, from.getLong(), from.getLong(), text(from));
-                case 5 -> new LedgerRecord.Delivered(customer, id, time, from.getDouble(), from.getInt(),
+                case 4 -> new LedgerRecord.DeliveryPromised(customer, id, time, from.getLong(), from.getLong(), readText(from));
+                case 5 -> new LedgerRecord.DeliveryAttempted(customer, id, time, from.getDouble(), from.getInt(),
                         from.get() != 0);
-                case 6 -> new LedgerRecord.Claimed(customer, id, time, from.getLong(), from.getLong(), text(from));
-                case 7 -> intended(from, customer, id, time);
-                case 8 -> new LedgerRecord.Claimed(customer, id, time, from.getLong(), from.getLong(), text(from), from.getLong(), from.getLong());
-                default -> throw new BadFrame("type " + type, false);
+                case 6 -> new LedgerRecord.ClaimGranted(customer, id, time, from.getLong(), from.getLong(), readText(from));
+                case 7 -> readForwardIntended(from, customer, id, time);
+                case 8 -> new LedgerRecord.ClaimGranted(customer, id, time, from.getLong(), from.getLong(), readText(from), from.getLong(), from.getLong());
+                default -> throw new InvalidFrameException("type " + type, false);
             };
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
-            throw new BadFrame("payload too short for its type", false);
+            throw new InvalidFrameException("payload too short for its type", false);
         }
     }
 
-    private static LedgerRecord intended(ByteBuffer from, String customer, String id, double time) {
+    private static LedgerRecord readForwardIntended(ByteBuffer from, String customer, String id, double time) {
         long digestHigh = from.getLong();
         long digestLow = from.getLong();
-        String group = text(from);
-        String model = text(from);
-        String address = text(from);
-        String forward = text(from);
-        Recipient recipient = new Recipient(text(from), address, from.getDouble());
-        return new LedgerRecord.Intended(customer, id, time, digestHigh, digestLow, group, model, recipient, forward,
+        String group = readText(from);
+        String model = readText(from);
+        String address = readText(from);
+        String forward = readText(from);
+        Recipient recipient = new Recipient(readText(from), address, from.getDouble());
+        return new LedgerRecord.ForwardIntended(customer, id, time, digestHigh, digestLow, group, model, recipient, forward,
                 from.getLong());
     }
 
     /** Types 1 and 6 are an intention and a claim as earlier versions wrote them. */
     private static int type(LedgerRecord record) {
-        if (record instanceof LedgerRecord.Intended) {
+        if (record instanceof LedgerRecord.ForwardIntended) {
             return 7;
-        } else if (record instanceof LedgerRecord.NotRun) {
+        } else if (record instanceof LedgerRecord.ProvenNotRun) {
             return 2;
         } else if (record instanceof LedgerRecord.Answered) {
             return 3;
-        } else if (record instanceof LedgerRecord.Promised) {
+        } else if (record instanceof LedgerRecord.DeliveryPromised) {
             return 4;
         }
-        return record instanceof LedgerRecord.Delivered ? 5 : 8;
+        return record instanceof LedgerRecord.DeliveryAttempted ? 5 : 8;
     }
 
     /** At least what it takes: three bytes a character of all names, and the fixed parts. */
-    private static int size(LedgerRecord record) {
+    private static int maxPayloadBytes(LedgerRecord record) {
         int size = 64 + 3 * (record.customer().length() + record.id().length());
-        if (record instanceof LedgerRecord.Intended r) {
-            size += 3 * (r.group().length() + r.model().length() + r.forward().length() + r.recipient().address().length()
+        if (record instanceof LedgerRecord.ForwardIntended r) {
+            size += 3 * (r.group().length() + r.model().length() + r.forwardId().length() + r.recipient().address().length()
                     + r.recipient().instance().length());
         } else if (record instanceof LedgerRecord.Answered r) {
             size += r.answer().body().length;
-        } else if (record instanceof LedgerRecord.Promised r) {
+        } else if (record instanceof LedgerRecord.DeliveryPromised r) {
             size += 3 * r.group().length();
-        } else if (record instanceof LedgerRecord.Claimed r) {
+        } else if (record instanceof LedgerRecord.ClaimGranted r) {
             size += 3 * r.claimant().length();
         }
         return size;
     }
 
-    private static void put(ByteBuffer to, String text) {
+    private static void writeText(ByteBuffer to, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         to.putShort((short) bytes.length).put(bytes);
     }
 
-    private static String text(ByteBuffer from) {
+    private static String readText(ByteBuffer from) {
         byte[] bytes = new byte[from.getShort() & 0xffff];
         from.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
--- a/gateway/src/main/java/gradereach/ledger/SegmentScan.java
+++ b/gateway/src/main/java/gradereach/ledger/SegmentScanner.java
@@ -1,6 +1,6 @@
 package gradereach.ledger;
 
-import gradereach.ledger.RecordCodec.BadFrame;
+import gradereach.ledger.RecordCodec.InvalidFrameException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -10,19 +10,19 @@
  * up to the next whole one, and named. What follows the last whole frame is a torn tail if it lies beyond what was
  * known to be durable, and damage otherwise.
  */
-public final class SegmentScan {
+public final class SegmentScanner {
     /** A stretch of bytes that held no record. */
-    public record Damage(String segment, long from, long to, String why) {
+    public record Damage(String segment, long from, long to, String reason) {
         @Override
         public String toString() {
-            return segment + ": bytes " + from + " to " + to + ": " + why;
+            return segment + ": bytes " + from + " to " + to + ": " + reason;
         }
     }
 
     /** What a scan found: damage, the end of the last whole frame, and how many bytes of a torn tail follow it. */
-    public record Result(List<Damage> damage, int end, int torn, int records) { }
+    public record Result(List<Damage> damage, int validLength, int tornBytes, int recordCount) { }
 
-    private SegmentScan() { }
+    private SegmentScanner() { }
 
     /**
      * @param start where the first frame begins
@@ -36,18 +36,18 @@
         int good = start;
         int records = 0;
         while (at < end) {
-            BadFrame bad;
+            InvalidFrameException bad;
             try {
-                int length = RecordCodec.check(bytes, at, end);
-                each.accept(RecordCodec.read(bytes, at));
+                int length = RecordCodec.checkFrame(bytes, at, end);
+                each.accept(RecordCodec.decode(bytes, at));
                 records++;
                 at += length;
                 good = at;
                 continue;
-            } catch (BadFrame e) {
+            } catch (InvalidFrameException e) {
                 bad = e;
             }
-            int next = nextWhole(bytes, at + 1, end);
+            int next = findNextFrame(bytes, at + 1, end);
             if (next < 0) {
                 if (durable < 0 || good < durable) {
                     damage.add(new Damage(segment, at, durable < 0 ? end : durable, bad.getMessage()));
@@ -63,14 +63,14 @@
         return new Result(damage, good, end - good, records);
     }
 
-    private static int nextWhole(byte[] bytes, int from, int end) {
-        for (int at = from; at <= end - RecordCodec.HEAD; at++) {
+    private static int findNextFrame(byte[] bytes, int from, int end) {
+        for (int at = from; at <= end - RecordCodec.HEADER_BYTES; at++) {
             // The first byte of a length is 0 or 1: a cheap look before a sum over what may be megabytes.
             if (bytes[at] == 0 || bytes[at] == 1) {
                 try {
-                    RecordCodec.check(bytes, at, end);
+                    RecordCodec.checkFrame(bytes, at, end);
                     return at;
-                } catch (BadFrame e) {
+                } catch (InvalidFrameException e) {
                     // not here
                 }
             }
--- a/gateway/src/main/java/gradereach/ledger/disk/KeptText.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/AtomicTextFile.java
@@ -8,8 +8,8 @@
 import java.nio.file.StandardOpenOption;
 
 /** A small file of a ledger's folder that is replaced as a whole: cut at any step, it holds the old text or the new one. */
-final class KeptText {
-    private KeptText() { }
+final class AtomicTextFile {
+    private AtomicTextFile() { }
 
     /** Null where there is none. */
     static String read(Path folder, String name) throws IOException {
@@ -18,7 +18,7 @@
     }
 
     /** Makes the file that the next {@link #write} gives its text and its name. */
-    static Path create(Path folder, String name) throws IOException {
+    static Path createTemporary(Path folder, String name) throws IOException {
         Path fresh = folder.resolve(name + ".new");
         Files.deleteIfExists(fresh);
         return Files.createFile(fresh);
@@ -32,6 +32,6 @@
             file.force(true);
         }
         Files.move(fresh, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
-        LedgerFolder.force(folder);
+        LedgerFolder.syncFolder(folder);
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/Disk.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/Disk.java
@@ -22,9 +22,9 @@
     Appender create(Path file) throws IOException;
 
     /** Bytes that may still be written. */
-    long room(Path folder) throws IOException;
+    long usableSpace(Path folder) throws IOException;
 
-    Disk REAL = new Disk() {
+    Disk FILE_SYSTEM = new Disk() {
         @Override
         public Appender create(Path file) throws IOException {
             FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public long room(Path folder) throws IOException {
+        public long usableSpace(Path folder) throws IOException {
             return Files.getFileStore(folder).getUsableSpace();
         }
     };
--- a/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
@@ -2,8 +2,8 @@
 
 import gradereach.counts.Counts;
 import gradereach.desk.Ledger;
-import gradereach.ledger.CarryBook;
-import gradereach.ledger.CommitPace;
+import gradereach.ledger.CompactionPlanner;
+import gradereach.ledger.CommitDelay;
 import gradereach.ledger.LedgerPosition;
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.LedgerTime;
@@ -30,60 +30,60 @@
 public final class DiskLedger implements Ledger, Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(DiskLedger.class);
     /** Records of one commit at most: about a megabyte, written in less time than a force takes. */
-    private static final int BATCH = 2048;
-    private static final long TRY_AGAIN_NANOS = 500_000_000L;
-    private static final long LOOK_AT_ROOM_NANOS = 1_000_000_000L;
+    private static final int MAX_BATCH_RECORDS = 2048;
+    private static final long RETRY_NANOS = 500_000_000L;
+    private static final long MAINTENANCE_NANOS = 1_000_000_000L;
 
     /**
      * @param segmentBytes size at which the next segment begins
      * @param reserve bytes of free disk below which nothing more is taken
      * @param mostWaiting records that may wait to be written
      */
-    public record Bounds(long segmentBytes, long reserve, int mostWaiting) { }
+    public record Limits(long segmentBytes, long minFreeBytes, int maxQueuedRecords) { }
 
-    private record Pending(LedgerRecord record, Then then) { }
+    private record Pending(LedgerRecord record, AppendCallback then) { }
 
     private LedgerFolder folder;
     private final Disk disk;
-    private final Bounds bounds;
-    private final CarryBook carry;
+    private final Limits limits;
+    private final CompactionPlanner compactionPlanner;
     private final LedgerTime time;
     /** Takes the answers of one commit to the deciding thread. */
-    private final Consumer<Runnable> tell;
+    private final Consumer<Runnable> decisionThread;
     private final MpscArrayQueue<Pending> queue;
-    private final CommitPace pace = new CommitPace();
+    private final CommitDelay commitDelay = new CommitDelay();
     private final Counts.Limit waitingLimit;
     private final LongAdder records;
     private final LongAdder commits;
     private final LongAdder failures;
     private final LongAdder marksFailed;
     private final LongAdder bytesWritten;
-    private final LongAdder compacted;
+    private final LongAdder compactedSegments;
     private final Counts.Limit openLimit;
     private final Thread thread;
     private final List<Pending> batch = new ArrayList<>();
     private ByteBuffer buffer = ByteBuffer.allocateDirect(1 << 20);
-    private Disk.Appender out;
-    private long segment;
-    private long written;
-    private long durable;
+    private Disk.Appender appender;
+    private long currentSegment;
+    private long writtenBytes;
+    private long durableBytes;
     private volatile long position = LedgerPosition.UNKNOWN;
     private volatile boolean usable;
     private volatile boolean closing;
     private volatile boolean asleep;
-    private volatile double marginNow;
-    private long lookedAtRoom;
+    private volatile double currentMargin;
+    private long lastMaintenanceAt;
     private long failedAt;
 
     /** @param tell takes the ends of a commit to the deciding thread */
-    public DiskLedger(Disk disk, Bounds bounds, CarryBook carry, LedgerTime time, Consumer<Runnable> tell,
+    public DiskLedger(Disk disk, Limits bounds, CompactionPlanner carry, LedgerTime time, Consumer<Runnable> tell,
             Counts counts) {
         this.disk = disk;
-        this.bounds = bounds;
-        this.carry = carry;
+        this.limits = bounds;
+        this.compactionPlanner = carry;
         this.time = time;
-        this.tell = tell;
-        queue = new MpscArrayQueue<>(bounds.mostWaiting);
+        this.decisionThread = tell;
+        queue = new MpscArrayQueue<>(bounds.maxQueuedRecords);
         waitingLimit = counts.limit("ledger_records_waiting", queue.capacity());
         openLimit = counts.limit("ledger_messages_open", Long.MAX_VALUE);
         records = counts.counter("ledger_records");
@@ -91,7 +91,7 @@
         failures = counts.counter("ledger_failures");
         marksFailed = counts.counter("ledger_marks_failed");
         bytesWritten = counts.counter("ledger_bytes_written");
-        compacted = counts.counter("ledger_segments_compacted");
+        compactedSegments = counts.counter("ledger_segments_compacted");
         thread = new Thread(this::run, "ledger");
         thread.setDaemon(true);
     }
@@ -103,19 +103,19 @@
      */
     public void start(LedgerFolder opened, long nextSegment) {
         folder = opened;
-        segment = nextSegment - 1;
-        roll();
+        currentSegment = nextSegment - 1;
+        startNextSegment();
         thread.start();
     }
 
     @Override
-    public boolean usable() {
+    public boolean isWritable() {
         return usable && queue.size() < queue.capacity() / 2;
     }
 
     @Override
-    public double margin() {
-        return marginNow;
+    public double commitMargin() {
+        return currentMargin;
     }
 
     @Override
@@ -129,10 +129,10 @@
     }
 
     @Override
-    public void append(LedgerRecord record, Then then) {
+    public void append(LedgerRecord record, AppendCallback then) {
         if (!usable || !queue.offer(new Pending(record, then))) {
-            waitingLimit.refuse();
-            tell.accept(() -> then.done(false));
+            waitingLimit.recordRejection();
+            decisionThread.accept(() -> then.onComplete(false));
             return;
         }
         java.lang.invoke.VarHandle.fullFence();
@@ -144,60 +144,60 @@
     private void run() {
         while (!closing || !queue.isEmpty()) {
             batch.clear();
-            for (Pending next; batch.size() < BATCH && (next = queue.relaxedPoll()) != null;) {
+            for (Pending next; batch.size() < MAX_BATCH_RECORDS && (next = queue.relaxedPoll()) != null;) {
                 batch.add(next);
             }
             if (!batch.isEmpty()) {
                 commit();
             } else {
-                rest();
+                waitForRecords();
             }
             long now = System.nanoTime();
-            if (now - lookedAtRoom > LOOK_AT_ROOM_NANOS) {
-                lookedAtRoom = now;
-                lookAround(now);
+            if (now - lastMaintenanceAt > MAINTENANCE_NANOS) {
+                lastMaintenanceAt = now;
+                maintain(now);
             }
         }
     }
 
-    private void rest() {
+    private void waitForRecords() {
         asleep = true;
         java.lang.invoke.VarHandle.fullFence();
         if (queue.isEmpty() && !closing) {
-            LockSupport.parkNanos(this, LOOK_AT_ROOM_NANOS / 2);
+            LockSupport.parkNanos(this, MAINTENANCE_NANOS / 2);
         }
         asleep = false;
     }
 
     private void commit() {
-        boolean durable = out != null;
+        boolean durable = appender != null;
         long began = System.nanoTime();
         if (durable) {
             try {
                 write(batch.stream().map(Pending::record).toList());
             } catch (IOException e) {
                 durable = false;
-                failed("write", e);
+                handleFailure("write", e);
             }
         }
-        waitingLimit.present(queue.size());
+        waitingLimit.inUse(queue.size());
         List<Pending> told = List.copyOf(batch);
         boolean all = durable;
         double took = (System.nanoTime() - began) / 1e6;
-        pace.took(took, began / 1e6);
-        marginNow = pace.margin(System.nanoTime() / 1e6);
-        tell.accept(() -> told.forEach(p -> p.then.done(all)));
-        if (durable && written >= bounds.segmentBytes) {
-            roll();
+        commitDelay.recordDelay(took, began / 1e6);
+        currentMargin = commitDelay.margin(System.nanoTime() / 1e6);
+        decisionThread.accept(() -> told.forEach(p -> p.then.onComplete(all)));
+        if (durable && writtenBytes >= limits.segmentBytes) {
+            startNextSegment();
         }
     }
 
     /** Appends and forces: everything or nothing counts as durable. */
     private void write(List<LedgerRecord> some) throws IOException {
-        long before = written;
+        long before = writtenBytes;
         buffer.clear();
         for (LedgerRecord record : some) {
-            byte[] frame = RecordCodec.frame(record);
+            byte[] frame = RecordCodec.encode(record);
             if (frame.length > buffer.remaining()) {
                 flush();
             }
@@ -207,124 +207,124 @@
             buffer.put(frame);
         }
         flush();
-        out.force();
-        settled();
-        bytesWritten.add(written - before);
+        appender.force();
+        advanceDurable();
+        bytesWritten.add(writtenBytes - before);
         records.add(some.size());
         commits.increment();
         for (LedgerRecord record : some) {
-            carry.wrote(record, segment);
+            compactionPlanner.recordWritten(record, currentSegment);
         }
-        openLimit.present(carry.open());
+        openLimit.inUse(compactionPlanner.openMessages());
     }
 
     private void flush() throws IOException {
         buffer.flip();
         int length = buffer.remaining();
-        out.write(buffer);
-        written += length;
+        appender.write(buffer);
+        writtenBytes += length;
         buffer.clear();
     }
 
-    private void failed(String what, IOException e) {
+    private void handleFailure(String what, IOException e) {
         usable = false;
         failures.increment();
         failedAt = System.nanoTime();
-        LOG.atError().addKeyValue("segment", segment).log("ledger {} failed, what needs it is shed: {}", what,
+        LOG.atError().addKeyValue("segment", currentSegment).log("ledger {} failed, what needs it is shed: {}", what,
                 String.valueOf(e.getMessage()));
-        if (out != null) {
-            giveUp(out);
-            out = null;
+        if (appender != null) {
+            abandonSegment(appender);
+            appender = null;
         }
     }
 
     /** What was never told durable must not come back as if it had been, and a segment that holds nothing must not stay. */
-    private void giveUp(Disk.Appender given) {
+    private void abandonSegment(Disk.Appender given) {
         try (given) {
-            given.truncate(durable);
-            if (durable == 0) {
-                Files.deleteIfExists(folder.segment(segment));
+            given.truncate(durableBytes);
+            if (durableBytes == 0) {
+                Files.deleteIfExists(folder.segmentPath(currentSegment));
             }
             given.force();
         } catch (IOException e) {
             // It is found as damage at the next start, and what it may concern is answered as unknown.
-            LOG.atError().addKeyValue("segment", segment).log("ledger: what was not written whole stays: {}",
+            LOG.atError().addKeyValue("segment", currentSegment).log("ledger: what was not written whole stays: {}",
                     String.valueOf(e.getMessage()));
         }
     }
 
     /** All that was written is durable. */
-    private void settled() {
-        durable = written;
-        position = LedgerPosition.of(segment, durable);
-        mark();
+    private void advanceDurable() {
+        durableBytes = writtenBytes;
+        position = LedgerPosition.of(currentSegment, durableBytes);
+        updateTailMark();
     }
 
     /** The mark is a help for the next start: what was forced is durable without it. */
-    private void mark() {
+    private void updateTailMark() {
         try {
-            folder.mark(segment, written);
+            folder.tailMark(currentSegment, writtenBytes);
         } catch (IOException e) {
             marksFailed.increment();
         }
     }
 
     /** The next segment; the present one is whole and forced by now. */
-    private void roll() {
+    private void startNextSegment() {
         try {
-            if (out != null) {
-                out.close();
-                out = null;
+            if (appender != null) {
+                appender.close();
+                appender = null;
             }
-            written = 0;
-            durable = 0;
-            out = disk.create(folder.segment(++segment));
+            writtenBytes = 0;
+            durableBytes = 0;
+            appender = disk.create(folder.segmentPath(++currentSegment));
             buffer.clear().put(LedgerFolder.MAGIC);
             flush();
-            out.force();
-            folder.keepFileNumbers(segment);
-            settled();
-            usable = disk.room(folder.folder) >= bounds.reserve;
+            appender.force();
+            folder.saveInodeNumbers(currentSegment);
+            advanceDurable();
+            usable = disk.usableSpace(folder.folder) >= limits.minFreeBytes;
         } catch (IOException e) {
-            failed("segment", e);
+            handleFailure("segment", e);
         }
     }
 
-    private void lookAround(long now) {
-        marginNow = pace.margin(now / 1e6);
+    private void maintain(long now) {
+        currentMargin = commitDelay.margin(now / 1e6);
         try {
-            if (out == null) {
-                if (now - failedAt > TRY_AGAIN_NANOS && disk.room(folder.folder) >= bounds.reserve) {
-                    roll();
+            if (appender == null) {
+                if (now - failedAt > RETRY_NANOS && disk.usableSpace(folder.folder) >= limits.minFreeBytes) {
+                    startNextSegment();
                 }
                 return;
             }
-            boolean room = disk.room(folder.folder) >= bounds.reserve;
+            boolean room = disk.usableSpace(folder.folder) >= limits.minFreeBytes;
             if (usable != room) {
                 LOG.warn(room ? "ledger: there is room again" : "ledger: the disk is nearly full, what needs it is shed");
                 usable = room;
             }
             compact();
         } catch (IOException e) {
-            failed("compaction", e);
+            handleFailure("compaction", e);
         }
     }
 
     private void compact() throws IOException {
         double now = time.now();
-        if (now - carry.kept() < time.knownSince()) {
+        if (now - compactionPlanner.retention() < time.knownSince()) {
             return; // nobody knows how old the segments are that were found at the start
         }
-        for (long old; (old = carry.mayGo(now, segment)) >= 0;) {
-            List<LedgerRecord> carried = carry.carried(old, segment);
+        for (long old; (old = compactionPlanner.oldestRemovableSegment(now, currentSegment)) >= 0;) {
+            List<LedgerRecord> carried = compactionPlanner.recordsToRewrite(old, currentSegment);
             if (!carried.isEmpty()) {
                 write(carried);
             }
-            folder.forget(carry.signedUpTo(old));
-            folder.forgetClaims(carry.claimsSignedUpTo(old));
-            Files.deleteIfExists(folder.segment(old));
-            carry.gone(old);
-            compacted.increment();
+            folder.raiseForgottenUpTo(compactionPlanner.latestSignedAt(old));
+            folder.raiseClaimsForgottenUpTo(compactionPlanner.latestClaimSignedAt(old));
+            Files.deleteIfExists(folder.segmentPath(old));
+            compactionPlanner.segmentRemoved(old);
+            compactedSegments.increment();
         }
     }
 
@@ -340,8 +340,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (out != null) {
-            out.close();
+        if (appender != null) {
+            appender.close();
         }
         folder.close();
     }
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
@@ -26,17 +26,17 @@
         }
 
         String text() {
-            return uptime.boot() + " " + uptime.millis() + " " + time + " " + knownSince + " " + uptime.monotonic() + "\n";
+            return uptime.bootId() + " " + uptime.uptimeMillis() + " " + time + " " + knownSince + " " + uptime.monotonicMillis() + "\n";
         }
     }
 
     /** The ledger's time at one moment of module time. */
-    private record Present(double moduleTime, double time, double knownSince) { }
+    private record Reference(double monotonicTime, double time, double knownSince) { }
 
-    private final DoubleSupplier moduleClock;
+    private final DoubleSupplier monotonicClock;
     private final DoubleSupplier wallClock;
     private final Supplier<MachineUptime> uptimes;
-    private volatile Present present;
+    private volatile Reference reference;
 
     /**
      * Until it is set it goes by the wall clock, and knows no span.
@@ -49,11 +49,11 @@
     }
 
     LedgerClock(DoubleSupplier moduleClock, DoubleSupplier wallClock, Supplier<MachineUptime> uptimes) {
-        this.moduleClock = moduleClock;
+        this.monotonicClock = moduleClock;
         this.wallClock = wallClock;
         this.uptimes = uptimes;
         double time = wallClock.getAsDouble();
-        present = new Present(moduleClock.getAsDouble(), time, time);
+        reference = new Reference(moduleClock.getAsDouble(), time, time);
     }
 
     /**
@@ -61,25 +61,25 @@
      *
      * @param youngest the latest time among its records, minus infinity where it holds none
      */
-    public void set(Path folder, double youngest) {
+    public void resume(Path folder, double youngest) {
         MachineUptime uptime = uptimes.get();
         Anchor anchor = read(folder);
         double elapsed = anchor == null ? Double.NaN : uptime.since(anchor.uptime);
         // Behind its own records it counts another start's uptime, whatever shows it.
-        if (Double.isNaN(elapsed) || anchor.time + elapsed < youngest - MachineUptime.READING) {
+        if (Double.isNaN(elapsed) || anchor.time + elapsed < youngest - MachineUptime.READING_TOLERANCE_MILLIS) {
             double time = Math.max(wallClock.getAsDouble(), youngest + 1);
             anchor = new Anchor(uptime, time, time);
             elapsed = 0;
             write(folder, anchor);
         }
-        present = new Present(moduleClock.getAsDouble(), anchor.time + elapsed, anchor.knownSince);
+        reference = new Reference(monotonicClock.getAsDouble(), anchor.time + elapsed, anchor.knownSince);
     }
 
     /**
      * Of a ledger that no front end has open: what is dated earlier has certainly been kept for so many milliseconds; minus
      * infinity where nobody can tell.
      */
-    public static double keptSince(Path folder, double kept) {
+    public static double retentionCutoff(Path folder, double kept) {
         Anchor anchor = read(folder);
         double elapsed = anchor == null ? Double.NaN : MachineUptimeReader.readMachine().since(anchor.uptime);
         boolean known = !Double.isNaN(elapsed) && anchor.time + elapsed - kept >= anchor.knownSince;
@@ -94,7 +94,7 @@
 
     private static Anchor read(Path folder) {
         try {
-            String text = KeptText.read(folder, FILE);
+            String text = AtomicTextFile.read(folder, FILE);
             return text == null ? null : Anchor.parse(text);
         } catch (IOException | RuntimeException e) {
             return null; // not whole: the next one knows no span before it
@@ -103,7 +103,7 @@
 
     private static void write(Path folder, Anchor anchor) {
         try {
-            KeptText.write(folder, FILE, anchor.text());
+            AtomicTextFile.write(folder, FILE, anchor.text());
         } catch (IOException e) {
             LOG.atWarn().log("ledger clock not kept, the next start knows no span before it: {}", String.valueOf(e.getMessage()));
         }
@@ -111,23 +111,23 @@
 
     @Override
     public double now() {
-        return at(moduleClock.getAsDouble());
+        return fromMonotonic(monotonicClock.getAsDouble());
     }
 
     @Override
     public double knownSince() {
-        return present.knownSince;
+        return reference.knownSince;
     }
 
     @Override
-    public double at(double moduleTime) {
-        Present from = present;
-        return from.time + (moduleTime - from.moduleTime);
+    public double fromMonotonic(double moduleTime) {
+        Reference from = reference;
+        return from.time + (moduleTime - from.monotonicTime);
     }
 
     @Override
-    public double toModule(double time) {
-        Present from = present;
-        return time < from.knownSince ? Double.NaN : from.moduleTime + (time - from.time);
+    public double toMonotonic(double time) {
+        Reference from = reference;
+        return time < from.knownSince ? Double.NaN : from.monotonicTime + (time - from.time);
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
@@ -1,10 +1,10 @@
 package gradereach.ledger.disk;
 
-import gradereach.ledger.LedgerBook;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerPosition;
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.RecordCodec;
-import gradereach.ledger.SegmentScan.Damage;
+import gradereach.ledger.SegmentScanner.Damage;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -37,30 +37,30 @@
  */
 public final class LedgerFolder implements Closeable {
     static final byte[] MAGIC = "gradereach ledger 1\n".getBytes(StandardCharsets.US_ASCII);
-    private static final String ENDING = ".ledger";
-    static final String IDENTITY = "identity";
-    static final String LOCK = "lock";
-    private static final String FORGOTTEN = "forgotten";
-    private static final String FORGOTTEN_CLAIMS = "forgotten_claims";
-    private static final String SUSPECT = "suspect";
-    private static final int MARK = 20;
+    private static final String SEGMENT_SUFFIX = ".ledger";
+    static final String IDENTITY_FILE = "identity";
+    static final String LOCK_FILE = "lock";
+    private static final String FORGOTTEN_FILE = "forgotten";
+    private static final String FORGOTTEN_CLAIMS_FILE = "forgotten_claims";
+    private static final String SUSPECT_FILE = "suspect";
+    private static final int TAIL_MARK_BYTES = 20;
 
     /** What reading it found; {@code damagedAt} is when the youngest damaged segment was last written, Unix milliseconds. */
-    public record Found(List<Damage> damage, long damagedAt, long tornBytes, int records, long bytes,
+    public record ReadResult(List<Damage> damage, long damagedAt, long tornBytes, int recordCount, long bytes,
             long nextSegment) { }
 
     final Path folder;
     private final FileChannel lockFile;
     private final FileLock lock;
     private final String identity;
-    private final FileNumbers fileNumbers;
-    private FileChannel mark;
+    private final InodeNumbers inodeNumbers;
+    private FileChannel tailMark;
 
     /** Opens for a front end; one at a time. */
     public LedgerFolder(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
-        fileNumbers = new FileNumbers(folder);
-        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        inodeNumbers = new InodeNumbers(folder);
+        lockFile = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock got;
         try {
             got = lockFile.tryLock();
@@ -73,9 +73,9 @@
         }
         lock = got;
         try {
-            identity = identityOf(folder);
-            if (fileNumbers.differ()) {
-                RestoredCopy.takeOver(this, LedgerPosition.UNKNOWN);
+            identity = readOrCreateIdentity(folder);
+            if (inodeNumbers.haveChanged()) {
+                RestoredCopy.recover(this, LedgerPosition.UNKNOWN);
             }
         } catch (IOException | RuntimeException e) {
             close(); // the next attempt must find it free
@@ -83,13 +83,13 @@
         }
     }
 
-    private static String identityOf(Path folder) throws IOException {
-        String known = KeptText.read(folder, IDENTITY);
+    private static String readOrCreateIdentity(Path folder) throws IOException {
+        String known = AtomicTextFile.read(folder, IDENTITY_FILE);
         if (known != null) {
             return known;
         }
         String fresh = UUID.randomUUID().toString();
-        KeptText.write(folder, IDENTITY, fresh);
+        AtomicTextFile.write(folder, IDENTITY_FILE, fresh);
         return fresh;
     }
 
@@ -98,12 +98,12 @@
      * and is not known may be one of them. Long.MIN_VALUE for none.
      */
     public long forgottenUpTo() throws IOException {
-        return timestamp(FORGOTTEN);
+        return readTimestamp(FORGOTTEN_FILE);
     }
 
     /** The same of claims that this front end kept for others. */
     public long claimsForgottenUpTo() throws IOException {
-        return timestamp(FORGOTTEN_CLAIMS);
+        return readTimestamp(FORGOTTEN_CLAIMS_FILE);
     }
 
     /**
@@ -111,12 +111,12 @@
      * it was not restored.
      */
     public long suspectUpTo() throws IOException {
-        return timestamp(SUSPECT);
+        return readTimestamp(SUSPECT_FILE);
     }
 
     /** Whether that folder was restored from a copy, and no front end has had it open since. */
     public static boolean isRestoredCopy(Path folder) throws IOException {
-        return new FileNumbers(folder).differ();
+        return new InodeNumbers(folder).haveChanged();
     }
 
     /**
@@ -125,44 +125,44 @@
      *
      * @param known how far it had got, as somebody else knows ({@link LedgerPosition})
      */
-    public void mustHaveReached(long known) throws IOException {
+    public void checkAgainstKnownPosition(long known) throws IOException {
         if (known > position()) {
-            RestoredCopy.takeOver(this, known);
+            RestoredCopy.recover(this, known);
         }
     }
 
     /** How far it has got, by what is whole. */
     private long position() throws IOException {
-        List<Long> numbers = segments(folder);
+        List<Long> numbers = segmentNumbers(folder);
         if (numbers.isEmpty()) {
             return LedgerPosition.UNKNOWN;
         }
         long last = numbers.get(numbers.size() - 1);
-        return LedgerPosition.of(last, SegmentFile.read(folder, last, true, mark(folder)).result().end());
+        return LedgerPosition.of(last, SegmentFile.read(folder, last, true, tailMark(folder)).result().validLength());
     }
 
-    private long timestamp(String name) throws IOException {
-        String text = KeptText.read(folder, name);
+    private long readTimestamp(String name) throws IOException {
+        String text = AtomicTextFile.read(folder, name);
         return text == null ? Long.MIN_VALUE : Long.parseLong(text);
     }
 
     /** Notes it before the segment goes that still tells of such a message. */
-    void forget(long signedAt) throws IOException {
-        raise(FORGOTTEN, signedAt);
+    void raiseForgottenUpTo(long signedAt) throws IOException {
+        raiseTimestamp(FORGOTTEN_FILE, signedAt);
     }
 
     /** Notes it before the segment goes that still tells of such a claim. */
-    void forgetClaims(long signedAt) throws IOException {
-        raise(FORGOTTEN_CLAIMS, signedAt);
+    void raiseClaimsForgottenUpTo(long signedAt) throws IOException {
+        raiseTimestamp(FORGOTTEN_CLAIMS_FILE, signedAt);
     }
 
-    void suspect(long signedUpTo) throws IOException {
-        raise(SUSPECT, signedUpTo);
+    void raiseSuspectUpTo(long signedUpTo) throws IOException {
+        raiseTimestamp(SUSPECT_FILE, signedUpTo);
     }
 
-    private void raise(String name, long signedAt) throws IOException {
-        if (signedAt > timestamp(name)) {
-            KeptText.write(folder, name, Long.toString(signedAt));
+    private void raiseTimestamp(String name, long signedAt) throws IOException {
+        if (signedAt > readTimestamp(name)) {
+            AtomicTextFile.write(folder, name, Long.toString(signedAt));
         }
     }
 
@@ -171,75 +171,75 @@
         return identity;
     }
 
-    Path segment(long number) {
-        return segment(folder, number);
+    Path segmentPath(long number) {
+        return segmentPath(folder, number);
     }
 
-    static Path segment(Path folder, long number) {
-        return folder.resolve(String.format("%016x", number) + ENDING);
+    static Path segmentPath(Path folder, long number) {
+        return folder.resolve(String.format("%016x", number) + SEGMENT_SUFFIX);
     }
 
     /** Keeps which files the folder consists of, before records are said to be durable in the segment. */
-    void keepFileNumbers(long next) throws IOException {
-        fileNumbers.keep(segment(next), segment(next));
+    void saveInodeNumbers(long next) throws IOException {
+        inodeNumbers.save(segmentPath(next), segmentPath(next));
     }
 
-    static List<Long> segments(Path folder) throws IOException {
+    static List<Long> segmentNumbers(Path folder) throws IOException {
         List<Long> numbers = new ArrayList<>();
         try (var files = Files.list(folder)) {
-            files.map(f -> f.getFileName().toString()).filter(n -> n.matches("[0-9a-f]{16}\\" + ENDING)).sorted()
+            files.map(f -> f.getFileName().toString()).filter(n -> n.matches("[0-9a-f]{16}\\" + SEGMENT_SUFFIX)).sorted()
                     .forEach(n -> numbers.add(Long.parseUnsignedLong(n.substring(0, 16), 16)));
         }
         return numbers;
     }
 
     /** Segments read ahead of the one that is taken over: reading and checking costs more than taking over. */
-    private static final int AHEAD = 3;
+    private static final int READ_AHEAD_SEGMENTS = 3;
 
     /**
      * Reads all segments, oldest first. With {@code mend} a torn tail of the last one is cut off, so that it is told once.
      *
      * @param each a record and the number of its segment
      */
-    public static Found read(Path folder, boolean mend, BiConsumer<LedgerRecord, Long> each) throws IOException {
+    public static ReadResult read(Path folder, boolean mend, BiConsumer<LedgerRecord, Long> each) throws IOException {
         List<Damage> damage = new ArrayList<>();
         long torn = 0;
         int records = 0;
         long total = 0;
         long damagedAt = Long.MIN_VALUE;
-        List<Long> numbers = segments(folder);
-        long[] durable = mark(folder);
-        ExecutorService readers = Executors.newFixedThreadPool(AHEAD);
+        List<Long> numbers = segmentNumbers(folder);
+        long[] durable = tailMark(folder);
+        ExecutorService readers = Executors.newFixedThreadPool(READ_AHEAD_SEGMENTS);
         try {
             ArrayDeque<Future<SegmentFile>> ahead = new ArrayDeque<>();
             int submitted = 0;
             for (int i = 0; i < numbers.size(); i++) {
-                while (submitted < numbers.size() && submitted <= i + AHEAD) {
+                while (submitted < numbers.size() && submitted <= i + READ_AHEAD_SEGMENTS) {
                     long number = numbers.get(submitted);
                     boolean last = ++submitted == numbers.size();
                     ahead.add(readers.submit(() -> SegmentFile.read(folder, number, last, durable)));
                 }
-                SegmentFile segment = get(ahead.poll());
+                SegmentFile segment = await(ahead.poll());
                 segment.records().forEach(record -> each.accept(record, segment.number()));
                 total += segment.length();
                 damage.addAll(segment.result().damage());
-                records += segment.result().records();
-                torn += segment.result().torn();
+                records += segment.result().recordCount();
+                torn += segment.result().tornBytes();
                 if (!segment.result().damage().isEmpty()) {
-                    damagedAt = Math.max(damagedAt, segment.writtenAt());
-                } else if (mend && segment.result().end() == 0) {
-                    Files.delete(folder.resolve(segment.name())); // or it would be taken for damage once others follow
-                } else if (mend && segment.result().torn() > 0) {
-                    SegmentFile.cutOff(folder.resolve(segment.name()), segment.result().end());
+                    damagedAt = Math.max(damagedAt, segment.lastModifiedAt());
+                } else if (mend && segment.result().validLength() == 0) {
+                    Files.delete(folder.resolve(segment.fileName())); // or it would be taken for damage once others follow
+                } else if (mend && segment.result().tornBytes() > 0) {
+                    SegmentFile.truncate(folder.resolve(segment.fileName()), segment.result().validLength());
                 }
             }
         } finally {
             readers.shutdownNow();
         }
-        return new Found(damage, damagedAt, torn, records, total, numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1);
+        return new ReadResult(damage, damagedAt, torn, records, total, numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1);
     }
 
-    private static SegmentFile get(Future<SegmentFile> read) throws IOException {
+    private static SegmentFile await(Future<SegmentFile> read) throws IOException {
         try {
             return read.get();
         } catch (ExecutionException e) {
@@ -251,7 +251,7 @@
     }
 
     /** What a compaction came to. */
-    public record Compacted(Found found, int kept, long bytes) { }
+    public record CompactionResult(ReadResult readResult, int keptRecords, long bytes) { }
 
     /**
      * Writes anew what is still needed, as one segment, and removes the others; of a ledger that no front end has open.
@@ -260,59 +260,59 @@
      *
      * @param youngerThan Unix milliseconds: messages older than this and of known end are let go
      */
-    public static Compacted compact(Path folder, double youngerThan) throws IOException {
+    public static CompactionResult compact(Path folder, double youngerThan) throws IOException {
         try (LedgerFolder opened = new LedgerFolder(folder)) {
             List<LedgerRecord> records = new ArrayList<>();
-            LedgerBook book = new LedgerBook();
-            List<Long> old = segments(folder);
-            Found found = read(folder, true, (record, segment) -> {
+            LedgerState book = new LedgerState();
+            List<Long> old = segmentNumbers(folder);
+            ReadResult found = read(folder, true, (record, segment) -> {
                 records.add(record);
                 book.apply(record);
             });
             if (!found.damage().isEmpty()) {
-                return new Compacted(found, found.records(), found.bytes());
+                return new CompactionResult(found, found.recordCount(), found.bytes());
             }
             Path fresh = folder.resolve("compacted.new");
             Files.deleteIfExists(fresh);
-            List<LedgerRecord> kept = records.stream().filter(record -> book.needed(record, youngerThan)).toList();
-            long bytes = write(fresh, kept);
-            Path segment = opened.segment(found.nextSegment());
-            opened.fileNumbers.keep(segment, fresh);
+            List<LedgerRecord> kept = records.stream().filter(record -> book.isNeeded(record, youngerThan)).toList();
+            long bytes = writeSegment(fresh, kept);
+            Path segment = opened.segmentPath(found.nextSegment());
+            opened.inodeNumbers.save(segment, fresh);
             Files.move(fresh, segment, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-            force(folder);
-            opened.mark(found.nextSegment(), bytes);
-            opened.forgetAllBut(kept, records, youngerThan);
+            syncFolder(folder);
+            opened.tailMark(found.nextSegment(), bytes);
+            opened.recordForgotten(kept, records, youngerThan);
             for (long number : old) {
-                Files.delete(opened.segment(number));
+                Files.delete(opened.segmentPath(number));
             }
-            return new Compacted(found, kept.size(), bytes);
+            return new CompactionResult(found, kept.size(), bytes);
         }
     }
 
     /** What is left out of a compaction leaves its signed timestamps behind. */
-    private void forgetAllBut(List<LedgerRecord> kept, List<LedgerRecord> records, double youngerThan) throws IOException {
+    private void recordForgotten(List<LedgerRecord> kept, List<LedgerRecord> records, double youngerThan) throws IOException {
         Set<LedgerRecord> stays = Collections.newSetFromMap(new IdentityHashMap<>());
         stays.addAll(kept);
         long forgotten = Long.MIN_VALUE;
         long claimsForgotten = Long.MIN_VALUE;
         for (LedgerRecord record : records) {
-            if (!stays.contains(record) && record instanceof LedgerRecord.Intended intended) {
+            if (!stays.contains(record) && record instanceof LedgerRecord.ForwardIntended intended) {
                 forgotten = Math.max(forgotten, intended.signedAt());
-            } else if (record instanceof LedgerRecord.Claimed claimed && claimed.at() < youngerThan) {
+            } else if (record instanceof LedgerRecord.ClaimGranted claimed && claimed.timestamp() < youngerThan) {
                 claimsForgotten = Math.max(claimsForgotten, claimed.signedAt());
             }
         }
-        forget(forgotten);
-        forgetClaims(claimsForgotten);
+        raiseForgottenUpTo(forgotten);
+        raiseClaimsForgottenUpTo(claimsForgotten);
     }
 
     /** A new file of whole frames, durable when it returns; its length. */
-    static long write(Path file, List<LedgerRecord> records) throws IOException {
+    static long writeSegment(Path file, List<LedgerRecord> records) throws IOException {
         long bytes = MAGIC.length;
-        try (Disk.Appender out = Disk.REAL.create(file)) {
+        try (Disk.Appender out = Disk.FILE_SYSTEM.create(file)) {
             out.write(ByteBuffer.wrap(MAGIC));
             for (LedgerRecord record : records) {
-                byte[] frame = RecordCodec.frame(record);
+                byte[] frame = RecordCodec.encode(record);
                 out.write(ByteBuffer.wrap(frame));
                 bytes += frame.length;
             }
@@ -322,16 +322,16 @@
     }
 
     /** The names in the folder are durable when it returns. */
-    static void force(Path folder) throws IOException {
+    static void syncFolder(Path folder) throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
     }
 
     /** Segment and length that were durable last; null where the mark is missing or cut. */
-    private static long[] mark(Path folder) throws IOException {
+    private static long[] tailMark(Path folder) throws IOException {
         Path file = folder.resolve("tail");
-        if (!Files.exists(file) || Files.size(file) < MARK) {
+        if (!Files.exists(file) || Files.size(file) < TAIL_MARK_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file));
@@ -344,23 +344,23 @@
      * Notes what is durable. The note itself is not forced: it outlives the process, not the machine, and without it the
      * tail is merely taken for torn.
      */
-    void mark(long segment, long length) throws IOException {
-        if (mark == null) {
-            mark = FileChannel.open(folder.resolve("tail"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    void tailMark(long segment, long length) throws IOException {
+        if (tailMark == null) {
+            tailMark = FileChannel.open(folder.resolve("tail"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
-        ByteBuffer out = ByteBuffer.allocate(MARK).putLong(segment).putLong(length);
+        ByteBuffer out = ByteBuffer.allocate(TAIL_MARK_BYTES).putLong(segment).putLong(length);
         CRC32C sum = new CRC32C();
         sum.update(out.array(), 0, 16);
         out.putInt((int) sum.getValue()).flip();
         while (out.hasRemaining()) {
-            mark.write(out, out.position());
+            tailMark.write(out, out.position());
         }
     }
 
     @Override
     public void close() throws IOException {
-        if (mark != null) {
-            mark.close();
+        if (tailMark != null) {
+            tailMark.close();
         }
         lock.close();
         lockFile.close();
--- a/gateway/src/main/java/gradereach/ledger/disk/MachineUptime.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/MachineUptime.java
@@ -8,27 +8,27 @@
  * @param millis since the machine's start
  * @param monotonic milliseconds
  */
-record MachineUptime(String boot, double millis, double monotonic) {
+record MachineUptime(String bootId, double uptimeMillis, double monotonicMillis) {
     /** Where no uptime can be had that is certainly the machine's: no span to it is known. */
     static final MachineUptime UNKNOWN = new MachineUptime("", Double.NaN, Double.NaN);
     /** Milliseconds by which two readings may differ: an uptime is told in hundredths of a second. */
-    static final double READING = 100;
+    static final double READING_TOLERANCE_MILLIS = 100;
 
     /** Milliseconds for which the machine was suspended since its start, by the two clocks. */
-    private double suspended() {
-        return millis - monotonic;
+    private double suspendedMillis() {
+        return uptimeMillis - monotonicMillis;
     }
 
     /** An uptime that is less than the time not suspended counts from a later moment than the machine's start. */
-    private boolean countsFromTheMachinesStart() {
-        return !boot.isEmpty() && suspended() >= -READING;
+    private boolean countsFromBoot() {
+        return !bootId.isEmpty() && suspendedMillis() >= -READING_TOLERANCE_MILLIS;
     }
 
     /** Milliseconds from the other moment to this one; NaN where the two cannot be compared. */
     double since(MachineUptime other) {
-        boolean sameStart = countsFromTheMachinesStart() && other.countsFromTheMachinesStart() && boot.equals(other.boot);
+        boolean sameStart = countsFromBoot() && other.countsFromBoot() && bootId.equals(other.bootId);
         // Time suspended only grows; where it shrank, one of the two counts another start's uptime.
-        boolean sameCount = suspended() >= other.suspended() - READING;
-        return sameStart && sameCount && millis >= other.millis ? millis - other.millis : Double.NaN;
+        boolean sameCount = suspendedMillis() >= other.suspendedMillis() - READING_TOLERANCE_MILLIS;
+        return sameStart && sameCount && uptimeMillis >= other.uptimeMillis ? uptimeMillis - other.uptimeMillis : Double.NaN;
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/MachineUptimeReader.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/MachineUptimeReader.java
@@ -18,14 +18,14 @@
     /** Of {@code starttime}: Linux tells it in hundredths of a second on every machine that Java 17 runs on. */
     private static final double MILLIS_PER_TICK = 10;
     /** Milliseconds by which two readings that are cut to hundredths of a second may cross. */
-    private static final double CUT = 2 * MILLIS_PER_TICK;
+    private static final double ROUNDING_TOLERANCE_MILLIS = 2 * MILLIS_PER_TICK;
     /** Milliseconds between two monotonic readings that one uptime is read between. */
-    private static final double CLOSE_TOGETHER = 20;
-    private static final int TRIES = 100;
+    private static final double MAX_READING_GAP_MILLIS = 20;
+    private static final int MAX_ATTEMPTS = 100;
     /** Linux gives the namespace that the machine itself is in this number (PROC_TIME_INIT_INO), and none other ever. */
     private static final String INITIAL_TIME_NAMESPACE = "time:[4026531834]";
     /** In {@code stat}, counted from the state, which follows the name in brackets. */
-    private static final int START_TIME = 19;
+    private static final int START_TIME_FIELD = 19;
 
     private final Path proc;
     private final DoubleSupplier monotonicClock;
@@ -42,7 +42,7 @@
 
     MachineUptime read() {
         try {
-            return isInInitialTimeNamespace() && isUptimeOfThreads() ? reading() : MachineUptime.UNKNOWN;
+            return isInInitialTimeNamespace() && agreesWithThreadStart() ? readBothClocks() : MachineUptime.UNKNOWN;
         } catch (IOException | RuntimeException | ExecutionException e) {
             return MachineUptime.UNKNOWN;
         } catch (InterruptedException e) {
@@ -59,41 +59,41 @@
     }
 
     /** Whether {@code uptime} counts from where the kernel counts the start of a thread that starts now. */
-    private boolean isUptimeOfThreads() throws IOException, InterruptedException, ExecutionException {
-        double before = uptime();
+    private boolean agreesWithThreadStart() throws IOException, InterruptedException, ExecutionException {
+        double before = readUptimeMillis();
         CompletableFuture<Double> started = new CompletableFuture<>();
-        Thread thread = new Thread(() -> started.complete(startOfThisThread()), "uptime");
+        Thread thread = new Thread(() -> started.complete(currentThreadStartMillis()), "uptime");
         thread.setDaemon(true);
         thread.start();
         double start = started.get();
-        double after = uptime();
-        return start >= before - CUT && start <= after + CUT;
+        double after = readUptimeMillis();
+        return start >= before - ROUNDING_TOLERANCE_MILLIS && start <= after + ROUNDING_TOLERANCE_MILLIS;
     }
 
     /** Milliseconds from the machine's start; NaN where it cannot be read. */
-    private double startOfThisThread() {
+    private double currentThreadStartMillis() {
         try {
             String stat = Files.readString(proc.resolve("thread-self/stat"));
             String[] afterName = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return Double.parseDouble(afterName[START_TIME]) * MILLIS_PER_TICK;
+            return Double.parseDouble(afterName[START_TIME_FIELD]) * MILLIS_PER_TICK;
         } catch (IOException | RuntimeException e) {
             return Double.NaN;
         }
     }
 
-    private double uptime() throws IOException {
+    private double readUptimeMillis() throws IOException {
         String seconds = Files.readString(proc.resolve("uptime")).strip().split(" ")[0];
         return Double.parseDouble(seconds) * MILLIS_PER_SECOND;
     }
 
     /** Both clocks at one moment, or as near as a busy machine lets them be read. */
-    private MachineUptime reading() throws IOException {
+    private MachineUptime readBothClocks() throws IOException {
         String boot = Files.readString(proc.resolve("sys/kernel/random/boot_id")).strip();
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             double before = monotonicClock.getAsDouble();
-            double uptime = uptime();
+            double uptime = readUptimeMillis();
             double after = monotonicClock.getAsDouble();
-            if (after - before <= CLOSE_TOGETHER) {
+            if (after - before <= MAX_READING_GAP_MILLIS) {
                 return new MachineUptime(boot, uptime, after);
             }
         }
--- a/gateway/src/main/java/gradereach/ledger/disk/RestoredCopy.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/RestoredCopy.java
@@ -1,6 +1,6 @@
 package gradereach.ledger.disk;
 
-import gradereach.ledger.LedgerBook;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerPosition;
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.Recipient;
@@ -23,14 +23,14 @@
  */
 final class RestoredCopy {
     private static final Logger LOG = LoggerFactory.getLogger(RestoredCopy.class);
-    private static final String FRESH = "restored.new";
+    private static final String TEMPORARY_FILE = "restored.new";
 
-    private final LedgerFolder opened;
-    private final LedgerBook book = new LedgerBook();
-    private double youngest = Double.NEGATIVE_INFINITY;
+    private final LedgerFolder ledgerFolder;
+    private final LedgerState state = new LedgerState();
+    private double latestTimestamp = Double.NEGATIVE_INFINITY;
 
     private RestoredCopy(LedgerFolder opened) {
-        this.opened = opened;
+        this.ledgerFolder = opened;
     }
 
     /**
@@ -38,52 +38,52 @@
      *
      * @param reached how far the ledger is known to have got before: it goes on beyond that ({@link LedgerPosition})
      */
-    static void takeOver(LedgerFolder opened, long reached) throws IOException {
-        new RestoredCopy(opened).takeOver(reached);
+    static void recover(LedgerFolder opened, long reached) throws IOException {
+        new RestoredCopy(opened).recover(reached);
     }
 
-    private void takeOver(long reached) throws IOException {
-        LedgerFolder.Found found = LedgerFolder.read(opened.folder, true, (record, segment) -> {
-            book.apply(record);
-            youngest = Math.max(youngest, record.at());
+    private void recover(long reached) throws IOException {
+        LedgerFolder.ReadResult found = LedgerFolder.read(ledgerFolder.folder, true, (record, segment) -> {
+            state.apply(record);
+            latestTimestamp = Math.max(latestTimestamp, record.timestamp());
         });
-        long signedUpTo = LedgerRecord.signableUntil(latestTime() + KeyRing.REPLAYABLE_MILLIS);
-        opened.suspect(signedUpTo);
-        List<LedgerRecord> doubts = doubts();
+        long signedUpTo = LedgerRecord.latestPossibleSignedAt(latestTime() + KeyRing.REPLAY_WINDOW_MILLIS);
+        ledgerFolder.raiseSuspectUpTo(signedUpTo);
+        List<LedgerRecord> doubts = unknownOutcomeIntents();
         long next = Math.max(found.nextSegment(), LedgerPosition.segment(reached) + 1);
-        append(doubts, next);
-        opened.keepFileNumbers(next);
-        LOG.atError().addKeyValue("folder", opened.folder).addKeyValue("messages", doubts.size()).addKeyValue("signed_up_to", signedUpTo)
+        writeSegment(doubts, next);
+        ledgerFolder.saveInodeNumbers(next);
+        LOG.atError().addKeyValue("folder", ledgerFolder.folder).addKeyValue("messages", doubts.size()).addKeyValue("signed_up_to", signedUpTo)
                 .log("ledger restored from a copy: what its front end did since is not in it, so what was not returned, and what is "
                         + "not known and signed by then, is answered as unknown");
     }
 
     /** Unix milliseconds, by whichever clock is furthest: one that was set back must not open what may have run. */
     private double latestTime() {
-        double byUptime = LedgerClock.now(opened.folder);
-        double byWallClock = Math.max(System.currentTimeMillis(), youngest);
+        double byUptime = LedgerClock.now(ledgerFolder.folder);
+        double byWallClock = Math.max(System.currentTimeMillis(), latestTimestamp);
         return Double.isNaN(byUptime) ? byWallClock : Math.max(byUptime, byWallClock);
     }
 
     /** A forward of unknown way for each message that may have run since, dated as early as that can have been. */
-    private List<LedgerRecord> doubts() {
+    private List<LedgerRecord> unknownOutcomeIntents() {
         List<LedgerRecord> doubts = new ArrayList<>();
-        for (LedgerBook.Message message : book.messages()) {
+        for (LedgerState.Message message : state.messages()) {
             boolean returned = message.answer() != null && message.answer().kind() == FinalAnswer.Kind.RETURNED;
             if (!returned) {
-                doubts.add(new LedgerRecord.Intended(message.customer, message.id, message.lastAt(), message.digestHigh(),
+                doubts.add(new LedgerRecord.ForwardIntended(message.customer, message.id, message.lastRecordedAt(), message.digestHigh(),
                         message.digestLow(), message.group(), message.model(), Recipient.UNKNOWN, "", message.signedAt()));
             }
         }
         return doubts;
     }
 
-    private void append(List<LedgerRecord> records, long segment) throws IOException {
-        Path fresh = opened.folder.resolve(FRESH);
+    private void writeSegment(List<LedgerRecord> records, long segment) throws IOException {
+        Path fresh = ledgerFolder.folder.resolve(TEMPORARY_FILE);
         Files.deleteIfExists(fresh);
-        long bytes = LedgerFolder.write(fresh, records);
-        Files.move(fresh, LedgerFolder.segment(opened.folder, segment), StandardCopyOption.ATOMIC_MOVE);
-        LedgerFolder.force(opened.folder);
-        opened.mark(segment, bytes);
+        long bytes = LedgerFolder.writeSegment(fresh, records);
+        Files.move(fresh, LedgerFolder.segmentPath(ledgerFolder.folder, segment), StandardCopyOption.ATOMIC_MOVE);
+        LedgerFolder.syncFolder(ledgerFolder.folder);
+        ledgerFolder.tailMark(segment, bytes);
     }
 }
--- a/gateway/src/main/java/gradereach/link/Proofs.java
+++ b/gateway/src/main/java/gradereach/link/ExchangeOutcomes.java
@@ -1,19 +1,19 @@
 package gradereach.link;
 
 import gradereach.api.Outcome;
-import gradereach.http2.Exchange.End;
+import gradereach.http2.ExchangeListener.ExchangeResult;
 
 /**
  * What an end on the socket proves, for rule 2: the table of docs/proofs.md. Where in doubt, it may have run.
  */
-public final class Proofs {
+public final class ExchangeOutcomes {
     /** An executor's mark that it has not begun, in an answer's head; without it no status proves anything. */
-    public static final String BEGUN = "inference-begun";
+    public static final String INFERENCE_BEGUN_HEADER = "inference-begun";
 
-    private Proofs() { }
+    private ExchangeOutcomes() { }
 
     /** How a forward ended. {@code begun} is the {@link #BEGUN} header, null without one. */
-    public static Outcome ofForward(End end, int status, CharSequence begun) {
+    public static Outcome ofForward(ExchangeResult end, int status, CharSequence begun) {
         return switch (end) {
             case ANSWERED -> answered(status, begun != null && "no".contentEquals(begun));
             case NOT_CONNECTED -> Outcome.CONNECT_FAILED;
@@ -43,8 +43,8 @@
      * ended without its end being told, as a connection that broke. gRPC's statuses are words of whoever was in between
      * as well, so that none proves anything without {@link #BEGUN}.
      */
-    public static Outcome ofGrpc(End end, CharSequence grpcStatus, CharSequence begun) {
-        if (end != End.ANSWERED) {
+    public static Outcome ofGrpcForward(ExchangeResult end, CharSequence grpcStatus, CharSequence begun) {
+        if (end != ExchangeResult.ANSWERED) {
             return ofForward(end, 0, null);
         }
         if (grpcStatus == null) {
@@ -60,7 +60,7 @@
     }
 
     /** How a load order or a probe ended: a status is the executor's word on it, no proof is asked for. */
-    public static Outcome ofOrder(End end, int status) {
+    public static Outcome ofLoadOrderOrProbe(ExchangeResult end, int status) {
         return switch (end) {
             case ANSWERED -> status >= 200 && status < 300 ? Outcome.RETURNED
                     : status == 429 || status == 503 ? Outcome.FULL : Outcome.ERROR;
--- a/gateway/src/main/java/gradereach/link/LoadReport.java
+++ b/gateway/src/main/java/gradereach/link/OrcaReportParser.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gradereach.api.Report;
+import gradereach.api.ExecutorReport;
 import java.io.IOException;
 import java.util.Arrays;
 
@@ -11,14 +11,14 @@
  * OrcaLoadReport), in its TEXT and JSON forms. Utilisations are shares, {@code rps_fractional} and {@code eps} are a
  * second; in flight, queued, answer time (milliseconds) and loads come as named metrics.
  */
-public final class LoadReport {
+public final class OrcaReportParser {
     public static final String HEADER = "endpoint-load-metrics";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private LoadReport() { }
+    private OrcaReportParser() { }
 
     /** Null where there is none or it cannot be read: a report is a hint, never worth an inference. */
-    public static Report parse(CharSequence header) {
+    public static ExecutorReport parse(CharSequence header) {
         if (header == null) {
             return null;
         }
@@ -44,7 +44,7 @@
         } catch (NumberFormatException | IOException e) {
             return null;
         }
-        return new Report(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]);
+        return new ExecutorReport(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]);
     }
 
     private static void put(double[] v, String name, double value) {
