--- a/gateway/src/main/java/gradereach/loop/AcceptRetry.java
+++ b/gateway/src/main/java/gradereach/loop/AcceptRetryHandler.java
@@ -13,17 +13,17 @@
  * <p>One for each listener; it may be handed to Netty again where that could not be bound.
  */
 @Sharable
-public class AcceptRetry extends ChannelInboundHandlerAdapter {
+public class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
     /** Milliseconds. A failure that has passed must not hold up what waits behind it. */
-    private static final long FIRST_PAUSE = 1;
+    private static final long INITIAL_BACKOFF_MILLIS = 1;
     /** Milliseconds for connections to end before accepting is tried again; in vain it costs one call. */
-    private static final long LONGEST_PAUSE = 20;
+    private static final long MAX_BACKOFF_MILLIS = 20;
 
-    private long pause = FIRST_PAUSE;
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
-        pause = FIRST_PAUSE;
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
         ctx.fireChannelRead(connection);
     }
 
@@ -31,7 +31,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Channel listener = ctx.channel();
         listener.config().setAutoRead(false);
-        listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), pause, TimeUnit.MILLISECONDS);
-        pause = Math.min(LONGEST_PAUSE, 2 * pause);
+        listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), backoffMillis, TimeUnit.MILLISECONDS);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
     }
 }
--- a/gateway/src/main/java/gradereach/loop/DecisionLoop.java
+++ b/gateway/src/main/java/gradereach/loop/DecisionLoop.java
@@ -2,7 +2,7 @@
 
 import gradereach.counts.Counts;
 import gradereach.delay.AnswerDelay;
-import gradereach.desk.Desk;
+import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.Timers;
 import java.lang.invoke.VarHandle;
 import java.util.ArrayList;
@@ -24,63 +24,63 @@
  */
 public final class DecisionLoop implements Timers, AutoCloseable {
     /** Events of one moment at most: some 2 ms of work, so that timers stay on time under any load. */
-    private static final int BATCH = 512;
+    private static final int MAX_EVENTS_PER_BATCH = 512;
     /** A wheel's tick: a quarter of the shortest module tick in use, so alarms come within it. */
-    private static final long TICK_MICROS = 256;
-    private static final int TICKS = 8192; // two seconds a round: most timers end within one
+    private static final long WHEEL_TICK_MICROS = 256;
+    private static final int WHEEL_TICKS = 8192; // two seconds a round: most timers end within one
     /** Longest sleep while many timers are set: the wheel cannot say which is next. */
-    private static final long NAP_NANOS = 500_000;
-    private static final long SLEEP_NANOS = 50_000_000;
+    private static final long MIN_SLEEP_NANOS = 500_000;
+    private static final long MAX_SLEEP_NANOS = 50_000_000;
     /** So many are looked through for the next one before a sleep; an idle front end has a handful. */
-    private static final int FEW_TIMERS = 32;
+    private static final int MAX_TIMERS_TO_SCAN = 32;
     /** Looks at the queues before it sleeps; some ten microseconds, less than a wake-up of a thread costs. */
-    private static final int SPINS = 200;
-    private static final double SLOW_TURN = 10; // milliseconds; a few of the module's ticks
+    private static final int SPINS_BEFORE_SLEEP = 200;
+    private static final double SLOW_BATCH_MILLIS = 10; // milliseconds; a few of the module's ticks
 
-    private final Clock clock;
-    private final MpscArrayQueue<Consumer<Desk>> door;
-    private final MpscUnboundedArrayQueue<Consumer<Desk>> ends = new MpscUnboundedArrayQueue<>(4096);
-    private final Counts.Limit doorLimit;
-    private final LongAdder turns;
-    private final LongAdder slowTurns;
+    private final MonotonicClock clock;
+    private final MpscArrayQueue<Consumer<InferenceCoordinator>> messageQueue;
+    private final MpscUnboundedArrayQueue<Consumer<InferenceCoordinator>> postedEvents = new MpscUnboundedArrayQueue<>(4096);
+    private final Counts.Limit messageQueueLimit;
+    private final LongAdder batches;
+    private final LongAdder slowBatches;
     private final LongAdder wakeUps;
-    private final LongAdder events;
+    private final LongAdder eventsHandled;
     private final DeadlineTimerWheel wheel;
     private final Long2ObjectHashMap<Timer> timers = new Long2ObjectHashMap<>();
-    private final List<Timer> due = new ArrayList<>();
-    private final Desk desk;
+    private final List<Timer> dueTimers = new ArrayList<>();
+    private final InferenceCoordinator coordinator;
     private final Thread thread;
     private volatile boolean asleep;
     private volatile boolean stopping;
-    private volatile Throwable death;
-    private volatile Consumer<Throwable> failures = failure -> { };
-    private final LongAdder failed;
+    private volatile Throwable fatalError;
+    private volatile Consumer<Throwable> failureListener = failure -> { };
+    private final LongAdder eventFailures;
 
     /** Who is to be told at {@code at}, module time. */
-    private record Timer(double at, Object whom) { }
+    private record Timer(double dueAt, Object target) { }
 
     /** @param doorRoom messages that may wait to be looked at */
-    public DecisionLoop(String name, Clock clock, int doorRoom, Counts counts, Function<Timers, Desk> desk) {
+    public DecisionLoop(String name, MonotonicClock clock, int doorRoom, Counts counts, Function<Timers, InferenceCoordinator> desk) {
         this.clock = clock;
-        door = new MpscArrayQueue<>(Math.max(4, doorRoom));
-        doorLimit = counts.limit("messages_at_the_door", door.capacity());
-        turns = counts.counter("decision_turns");
-        slowTurns = counts.counter("decision_turns_slow");
+        messageQueue = new MpscArrayQueue<>(Math.max(4, doorRoom));
+        messageQueueLimit = counts.limit("messages_at_the_door", messageQueue.capacity());
+        batches = counts.counter("decision_turns");
+        slowBatches = counts.counter("decision_turns_slow");
         wakeUps = counts.counter("decision_wake_ups");
-        events = counts.counter("decision_events");
-        failed = counts.counter("event_failures");
-        wheel = new DeadlineTimerWheel(TimeUnit.MICROSECONDS, micros(clock.now()), TICK_MICROS, TICKS);
-        this.desk = desk.apply(this);
+        eventsHandled = counts.counter("decision_events");
+        eventFailures = counts.counter("event_failures");
+        wheel = new DeadlineTimerWheel(TimeUnit.MICROSECONDS, toMicros(clock.now()), WHEEL_TICK_MICROS, WHEEL_TICKS);
+        this.coordinator = desk.apply(this);
         thread = new Thread(this::run, "decisions-" + name);
         thread.setDaemon(true);
     }
 
     /** Work on the desk before the loop begins; messages may already wait at the door. */
-    public void before(Consumer<Desk> work) {
+    public void runBeforeStart(Consumer<InferenceCoordinator> work) {
         if (thread.isAlive()) {
             throw new IllegalStateException("the loop has begun");
         }
-        work.accept(desk);
+        work.accept(coordinator);
     }
 
     public void start() {
@@ -88,22 +88,22 @@
     }
 
     /** For a new message: false where too many wait already; it must then be shed, nothing of it was taken. */
-    public boolean offer(Consumer<Desk> event) {
-        if (!door.offer(event)) {
-            doorLimit.refuse();
+    public boolean offer(Consumer<InferenceCoordinator> event) {
+        if (!messageQueue.offer(event)) {
+            messageQueueLimit.recordRejection();
             return false;
         }
-        rouse();
+        wakeUp();
         return true;
     }
 
     /** For the end of something that the desk sent out, a leaving client, the roster: never refused. */
-    public void pass(Consumer<Desk> event) {
-        ends.offer(event);
-        rouse();
+    public void post(Consumer<InferenceCoordinator> event) {
+        postedEvents.offer(event);
+        wakeUp();
     }
 
-    private void rouse() {
+    private void wakeUp() {
         // The offer must be seen before we look whether the loop sleeps, or it might sleep over it.
         VarHandle.fullFence();
         if (asleep) {
@@ -113,98 +113,98 @@
 
     /** How late answers are, told by those who see it. Any thread. */
     public AnswerDelay answerDelay() {
-        return desk.answerDelay();
+        return coordinator.answerDelay();
     }
 
     /** Whom exceptions are told that events let out; each costs that event alone. */
-    public void onFailure(Consumer<Throwable> listener) {
-        failures = listener;
+    public void setFailureListener(Consumer<Throwable> listener) {
+        failureListener = listener;
     }
 
-    private void guarded(Runnable work) {
+    private void runGuarded(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException | Error e) {
-            failed.increment();
-            failures.accept(e);
+            eventFailures.increment();
+            failureListener.accept(e);
         }
     }
 
     /** What ended the loop, null while it runs or after an orderly end. */
-    public Throwable death() {
-        return death;
+    public Throwable fatalError() {
+        return fatalError;
     }
 
     private void run() {
         try {
             while (!stopping) {
-                if (!turn()) {
-                    idle();
+                if (!runBatch()) {
+                    awaitEvents();
                 }
             }
         } catch (Throwable t) {
-            death = t;
+            fatalError = t;
         }
     }
 
     /** One moment; false where nothing was there. */
-    private boolean turn() {
+    private boolean runBatch() {
         double now = clock.now();
-        long micros = micros(now);
+        long micros = toMicros(now);
         // A poll moves the wheel by one tick at most.
         do {
             wheel.poll(micros, (unit, at, id) -> {
-                due.add(timers.remove(id));
+                dueTimers.add(timers.remove(id));
                 return true;
-            }, BATCH);
-        } while (wheel.currentTickTime() <= micros && due.size() < BATCH);
-        if (due.isEmpty() && ends.isEmpty() && door.isEmpty() && !desk.hasMore()) {
+            }, MAX_EVENTS_PER_BATCH);
+        } while (wheel.currentTickTime() <= micros && dueTimers.size() < MAX_EVENTS_PER_BATCH);
+        if (dueTimers.isEmpty() && postedEvents.isEmpty() && messageQueue.isEmpty() && !coordinator.hasDeferredEvents()) {
             return false;
         }
-        guarded(() -> desk.begin(now));
-        int count = due.size();
+        runGuarded(() -> coordinator.beginBatch(now));
+        int count = dueTimers.size();
         double firstDue = now;
-        for (Timer timer : due) {
-            firstDue = Math.min(firstDue, timer.at);
-            guarded(() -> desk.due(timer.whom));
+        for (Timer timer : dueTimers) {
+            firstDue = Math.min(firstDue, timer.dueAt);
+            runGuarded(() -> coordinator.onTimer(timer.target));
         }
-        boolean timed = !due.isEmpty();
-        due.clear();
+        boolean timed = !dueTimers.isEmpty();
+        dueTimers.clear();
         // Ends first: they free lanes and owe nobody anything more.
-        for (Consumer<Desk> event; count < BATCH && (event = ends.relaxedPoll()) != null; count++) {
-            accept(event);
+        for (Consumer<InferenceCoordinator> event; count < MAX_EVENTS_PER_BATCH && (event = postedEvents.relaxedPoll()) != null; count++) {
+            handle(event);
         }
-        for (Consumer<Desk> event; count < BATCH && (event = door.relaxedPoll()) != null; count++) {
-            accept(event);
+        for (Consumer<InferenceCoordinator> event; count < MAX_EVENTS_PER_BATCH && (event = messageQueue.relaxedPoll()) != null; count++) {
+            handle(event);
         }
-        guarded(desk::settle);
-        turns.increment();
-        events.add(count);
-        doorLimit.present(door.size());
+        runGuarded(coordinator::endBatch);
+        batches.increment();
+        eventsHandled.add(count);
+        messageQueueLimit.inUse(messageQueue.size());
         double end = clock.now();
-        if (end - now > SLOW_TURN) {
-            slowTurns.increment();
+        if (end - now > SLOW_BATCH_MILLIS) {
+            slowBatches.increment();
         }
         if (timed) {
-            desk.answerDelay().decided(end - firstDue, end);
+            coordinator.answerDelay().recordDecisionDelay(end - firstDue, end);
         }
         return true;
     }
 
-    private void accept(Consumer<Desk> event) {
-        guarded(() -> event.accept(desk));
+    private void handle(Consumer<InferenceCoordinator> event) {
+        runGuarded(() -> event.accept(coordinator));
     }
 
-    private void idle() {
-        for (int i = 0; i < SPINS; i++) {
-            if (!ends.isEmpty() || !door.isEmpty()) {
+    private void awaitEvents() {
+        for (int i = 0; i < SPINS_BEFORE_SLEEP; i++) {
+            if (!postedEvents.isEmpty() || !messageQueue.isEmpty()) {
                 return;
             }
             Thread.onSpinWait();
         }
         asleep = true;
         VarHandle.fullFence();
-        if (ends.isEmpty() && door.isEmpty() && !stopping) {
+        if (postedEvents.isEmpty() && messageQueue.isEmpty() && !stopping) {
             LockSupport.parkNanos(this, sleepNanos());
             wakeUps.increment();
         }
@@ -212,24 +212,24 @@
     }
 
     private long sleepNanos() {
-        if (timers.size() > FEW_TIMERS) {
-            return NAP_NANOS;
+        if (timers.size() > MAX_TIMERS_TO_SCAN) {
+            return MIN_SLEEP_NANOS;
         }
         double next = Double.POSITIVE_INFINITY;
         for (Timer timer : timers.values()) {
-            next = Math.min(next, timer.at);
+            next = Math.min(next, timer.dueAt);
         }
         double millis = Math.max(0, next - clock.now());
-        return Math.min(SLEEP_NANOS, Math.max(NAP_NANOS, (long) (millis * 1_000_000)));
+        return Math.min(MAX_SLEEP_NANOS, Math.max(MIN_SLEEP_NANOS, (long) (millis * 1_000_000)));
     }
 
-    private static long micros(double millis) {
+    private static long toMicros(double millis) {
         return (long) (millis * 1000);
     }
 
     @Override
-    public long set(double at, Object whom) {
-        long from = Math.max(wheel.currentTickTime(), micros(at));
+    public long schedule(double at, Object whom) {
+        long from = Math.max(wheel.currentTickTime(), toMicros(at));
         long id = wheel.scheduleTimer(from);
         timers.put(id, new Timer(from / 1000.0, whom));
         return id;
@@ -239,7 +239,7 @@
     public void cancel(long timer, Object whom) {
         // The wheel gives the number of a timer that fired to a later one.
         Timer set = timers.get(timer);
-        if (set != null && set.whom == whom) {
+        if (set != null && set.target == whom) {
             wheel.cancelTimer(timer);
             timers.remove(timer);
         }
--- a/gateway/src/main/java/gradereach/loop/Clock.java
+++ b/gateway/src/main/java/gradereach/loop/MonotonicClock.java
@@ -1,10 +1,10 @@
 package gradereach.loop;
 
-import gradereach.desk.Desk;
+import gradereach.desk.InferenceCoordinator;
 import java.time.Instant;
 
 /** Module time: milliseconds that only go forward, and their relation to the wall's clock. */
-public interface Clock extends Desk.WallClock {
+public interface MonotonicClock extends InferenceCoordinator.WallClock {
     double now();
 
     /**
@@ -12,8 +12,8 @@
      * must not come out below zero, which means "long ago" to the module. The wall's clock is read once more at every
      * conversion, so a step of it moves what is converted after it and nothing else.
      */
-    static Clock system() {
-        return new Clock() {
+    static MonotonicClock system() {
+        return new MonotonicClock() {
             private static final double MONTH = 30d * 24 * 3600 * 1000;
             private final long zero = System.nanoTime();
 
@@ -23,17 +23,17 @@
             }
 
             @Override
-            public double toModule(double unixMillis) {
+            public double toMonotonic(double unixMillis) {
                 return Math.max(1, now() - (System.currentTimeMillis() - unixMillis));
             }
 
             @Override
-            public double toUnix(double moduleTime) {
+            public double toUnixMillis(double moduleTime) {
                 return System.currentTimeMillis() - (now() - moduleTime);
             }
 
             @Override
-            public Instant instant(double moduleTime) {
+            public Instant toInstant(double moduleTime) {
                 return Instant.ofEpochMilli(System.currentTimeMillis() - (long) (now() - moduleTime));
             }
         };
--- a/gateway/src/main/java/gradereach/loop/HaltWatch.java
+++ b/gateway/src/main/java/gradereach/loop/StallDetector.java
@@ -8,25 +8,25 @@
  * client's clock is taken to run from the halt's start. Guards against spending time on inferences whose clients have
  * given up; harms only what truly came right after a halt, by at most its length.
  */
-public final class HaltWatch implements DoubleSupplier, AutoCloseable {
-    private static final long EVERY_NANOS = 5_000_000;
-    private static final double HALT = 50; // as the module has it: longer than a busy machine's scheduling
-    private static final double SETTLING = 100; // a backlog of sockets is read within this
+public final class StallDetector implements DoubleSupplier, AutoCloseable {
+    private static final long CHECK_INTERVAL_NANOS = 5_000_000;
+    private static final double STALL_THRESHOLD_MILLIS = 50; // as the module has it: longer than a busy machine's scheduling
+    private static final double BACKLOG_READ_MILLIS = 100; // a backlog of sockets is read within this
 
     private final DoubleSupplier clock;
     private final Thread thread;
     private volatile double lastTick;
-    private volatile double haltStart = Double.NEGATIVE_INFINITY;
-    private volatile double haltEnd = Double.NEGATIVE_INFINITY;
+    private volatile double stallStart = Double.NEGATIVE_INFINITY;
+    private volatile double stallEnd = Double.NEGATIVE_INFINITY;
     private volatile boolean closing;
 
-    public HaltWatch(DoubleSupplier clock) {
+    public StallDetector(DoubleSupplier clock) {
         this.clock = clock;
         lastTick = clock.getAsDouble();
         thread = new Thread(() -> {
             while (!closing) {
-                tick(clock.getAsDouble());
-                LockSupport.parkNanos(EVERY_NANOS);
+                recordTick(clock.getAsDouble());
+                LockSupport.parkNanos(CHECK_INTERVAL_NANOS);
             }
         }, "halt-watch");
         thread.setDaemon(true);
@@ -38,11 +38,11 @@
         thread.start();
     }
 
-    void tick(double now) {
+    void recordTick(double now) {
         double before = lastTick;
-        if (now - before > HALT) {
-            haltStart = before;
-            haltEnd = now;
+        if (now - before > STALL_THRESHOLD_MILLIS) {
+            stallStart = before;
+            stallEnd = now;
         }
         lastTick = now;
     }
@@ -52,7 +52,7 @@
     public double getAsDouble() {
         double now = clock.getAsDouble();
         double tick = lastTick;
-        return now - tick > HALT ? tick : now - haltEnd < SETTLING ? haltStart : now;
+        return now - tick > STALL_THRESHOLD_MILLIS ? tick : now - stallEnd < BACKLOG_READ_MILLIS ? stallStart : now;
     }
 
     @Override
--- a/gateway/src/main/java/gradereach/loop/StartRetry.java
+++ b/gateway/src/main/java/gradereach/loop/StartRetry.java
@@ -13,9 +13,9 @@
  */
 public final class StartRetry {
     /** Of the 30 seconds within which a restarted process has to be ready, warm-up and reading of a ledger come first. */
-    private static final long LONGEST_NANOS = Duration.ofSeconds(10).toNanos();
-    private static final long PAUSE_MILLIS = 50;
-    private static final String IN_USE = "Address already in use";
+    private static final long RETRY_TIMEOUT_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final long RETRY_INTERVAL_MILLIS = 50;
+    private static final String ADDRESS_IN_USE = "Address already in use";
 
     private StartRetry() { }
 
@@ -34,23 +34,23 @@
             } catch (InterruptedException e) {
                 throw e;
             } catch (Exception e) {
-                if (!mayPass(e) || !wanted.getAsBoolean() || System.nanoTime() - begun > LONGEST_NANOS) {
+                if (!isTransient(e) || !wanted.getAsBoolean() || System.nanoTime() - begun > RETRY_TIMEOUT_NANOS) {
                     throw e;
                 }
                 if (!told) {
                     firstFailure.accept(e);
                     told = true;
                 }
-                Thread.sleep(PAUSE_MILLIS);
+                Thread.sleep(RETRY_INTERVAL_MILLIS);
             }
         }
     }
 
     /** An address that is not this machine's, or that the process may not take, stays so. */
-    private static boolean mayPass(Throwable failure) {
+    private static boolean isTransient(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof BindException) {
-                return String.valueOf(cause.getMessage()).contains(IN_USE);
+                return String.valueOf(cause.getMessage()).contains(ADDRESS_IN_USE);
             }
         }
         return true;
--- a/gateway/src/main/java/gradereach/loop/UnreadBytes.java
+++ b/gateway/src/main/java/gradereach/loop/UnreadBytes.java
@@ -9,7 +9,7 @@
  */
 public final class UnreadBytes {
     /** Turns of reading at most; a sender at full speed is not followed for ever. */
-    private static final int MOST_TURNS = 32;
+    private static final int MAX_READ_CALLS = 32;
 
     private UnreadBytes() { }
 
@@ -18,7 +18,7 @@
      * with a read that brings less than it might, which is no sign that there is nothing more.
      */
     public static void read(Channel channel) {
-        for (int turn = 0; turn < MOST_TURNS; turn++) {
+        for (int turn = 0; turn < MAX_READ_CALLS; turn++) {
             if (!channel.isActive() || !(channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket)) {
                 return;
             }
--- a/gateway/src/main/java/gradereach/members/Envelope.java
+++ b/gateway/src/main/java/gradereach/members/DatagramCipher.java
@@ -17,18 +17,18 @@
  * with the cluster's name authenticated beside it. The first key seals, any opens: to rotate, add the new one last everywhere, then
  * put it first, then take the old one away.
  */
-final class Envelope {
+final class DatagramCipher {
     private static final byte VERSION = 1;
-    private static final int NONCE = 12;
+    private static final int NONCE_BYTES = 12;
     private static final int TAG_BITS = 128;
 
     private final List<SecretKeySpec> keys = new ArrayList<>();
-    private final byte[] cluster;
-    private final SecureRandom chance = new SecureRandom();
+    private final byte[] associatedData;
+    private final SecureRandom random = new SecureRandom();
 
     /** @param secrets any bytes; a key is drawn from each by SHA-256 */
-    Envelope(String cluster, List<byte[]> secrets) {
-        this.cluster = ("gradereach members " + VERSION + " " + cluster).getBytes(StandardCharsets.UTF_8);
+    DatagramCipher(String cluster, List<byte[]> secrets) {
+        this.associatedData = ("gradereach members " + VERSION + " " + cluster).getBytes(StandardCharsets.UTF_8);
         try {
             for (byte[] secret : secrets) {
                 keys.add(new SecretKeySpec(MessageDigest.getInstance("SHA-256").digest(secret), "AES"));
@@ -39,14 +39,14 @@
     }
 
     byte[] seal(byte[] message) {
-        byte[] nonce = new byte[NONCE];
-        chance.nextBytes(nonce);
+        byte[] nonce = new byte[NONCE_BYTES];
+        random.nextBytes(nonce);
         try {
             Cipher cipher = Cipher.getInstance("AES/GCM/NoPadding");
             cipher.init(Cipher.ENCRYPT_MODE, keys.get(0), new GCMParameterSpec(TAG_BITS, nonce));
-            cipher.updateAAD(cluster);
+            cipher.updateAAD(associatedData);
             byte[] sealed = cipher.doFinal(message);
-            return ByteBuffer.allocate(1 + NONCE + sealed.length).put(VERSION).put(nonce).put(sealed).array();
+            return ByteBuffer.allocate(1 + NONCE_BYTES + sealed.length).put(VERSION).put(nonce).put(sealed).array();
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
@@ -54,16 +54,16 @@
 
     /** Null for what is of no member of this cluster, or no whole datagram. */
     byte[] open(byte[] datagram) {
-        if (datagram.length < 1 + NONCE + TAG_BITS / 8 || datagram[0] != VERSION) {
+        if (datagram.length < 1 + NONCE_BYTES + TAG_BITS / 8 || datagram[0] != VERSION) {
             return null;
         }
-        GCMParameterSpec nonce = new GCMParameterSpec(TAG_BITS, Arrays.copyOfRange(datagram, 1, 1 + NONCE));
+        GCMParameterSpec nonce = new GCMParameterSpec(TAG_BITS, Arrays.copyOfRange(datagram, 1, 1 + NONCE_BYTES));
         for (SecretKeySpec key : keys) {
             try {
                 Cipher cipher = Cipher.getInstance("AES/GCM/NoPadding");
                 cipher.init(Cipher.DECRYPT_MODE, key, nonce);
-                cipher.updateAAD(cluster);
-                return cipher.doFinal(datagram, 1 + NONCE, datagram.length - 1 - NONCE);
+                cipher.updateAAD(associatedData);
+                return cipher.doFinal(datagram, 1 + NONCE_BYTES, datagram.length - 1 - NONCE_BYTES);
             } catch (GeneralSecurityException e) {
                 // the next key, or a stranger
             }
--- a/gateway/src/main/java/gradereach/members/Membership.java
+++ b/gateway/src/main/java/gradereach/members/Membership.java
@@ -4,7 +4,7 @@
 import gradereach.membership.Member;
 import gradereach.membership.Message;
 import gradereach.membership.SeatHolder;
-import gradereach.membership.SeatKeeper;
+import gradereach.membership.SeatGrantor;
 import gradereach.membership.Swim;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -31,8 +31,8 @@
 public final class Membership implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
     /** Longer than any message of ours: exchanges of everything grow with the members, 60 bytes each. */
-    private static final int LARGEST = 65_000;
-    private static final double STRANGERS_EVERY = 60_000;
+    private static final int MAX_DATAGRAM_BYTES = 65_000;
+    private static final double UNAUTHENTICATED_LOG_INTERVAL_MILLIS = 60_000;
 
     /**
      * Who and where.
@@ -40,47 +40,47 @@
      * @param keepers addresses of all that keep seats, this one's among them, in one order everywhere
      * @param lease milliseconds
      */
-    public record Terms(String name, InetSocketAddress listen, String cluster, List<byte[]> secrets, List<String> keepers, int seats,
-            double lease) { }
+    public record Config(String name, InetSocketAddress listenAddress, String cluster, List<byte[]> secrets, List<String> grantors, int seats,
+            double leaseMillis) { }
 
     /** Whoever spends what is shared. */
-    public interface Spender {
+    public interface ShareListener {
         /** {@code part} of all is ours from now on, 0 to 1, and until {@code until} at the longest. */
-        void share(double part, double until);
+        void shareChanged(double part, double until);
     }
 
     /** What is known at one moment, for those who look. */
-    public record View(Member self, Collection<Member> members, int present, double share, int ailing) { }
+    public record View(Member self, Collection<Member> members, int presentCount, double share, int healthScore) { }
 
-    private record Traffic(double rate, double at) { }
+    private record Traffic(double rate, double reportedAt) { }
 
-    private final Terms terms;
-    private final Envelope envelope;
+    private final Config config;
+    private final DatagramCipher cipher;
     private final DatagramSocket socket;
     private final String address;
     private final DoubleSupplier clock;
-    private final DoubleSupplier taken;
-    private final Spender spender;
-    private final Random chance;
+    private final DoubleSupplier inferencesTaken;
+    private final ShareListener shareListener;
+    private final Random random;
     private final Swim swim;
-    private final SeatKeeper keeper;
+    private final SeatGrantor grantor;
     private final SeatHolder holder;
     private final Map<String, Traffic> traffic = new HashMap<>();
     private final ConcurrentLinkedQueue<Runnable> events = new ConcurrentLinkedQueue<>();
-    private final LongAdder strangers;
+    private final LongAdder unauthenticated;
     private final LongAdder sent;
     private final LongAdder unreadable;
     private final Counts.Limit presentCount;
-    private final Counts.Limit held;
+    private final Counts.Limit heldSeats;
     private final Thread thread = new Thread(this::run, "members");
-    private double strangersSaidAt = Double.NEGATIVE_INFINITY;
-    private double rates;
-    private int holders = 1;
-    private double takenBefore;
-    private double rate;
-    private double rateAt;
-    private double told = -1;
-    private double toldUntil;
+    private double unauthenticatedLoggedAt = Double.NEGATIVE_INFINITY;
+    private double totalRate;
+    private int holderCount = 1;
+    private double lastInferencesTaken;
+    private double ownRate;
+    private double rateMeasuredAt;
+    private double notifiedShare = -1;
+    private double notifiedUntil;
     private volatile View view;
     private volatile boolean stopping;
 
@@ -89,44 +89,44 @@
      * @param taken inferences taken so far
      * @param spender told when the part of all that is shared changes, or its time
      */
-    public Membership(Terms terms, Random chance, DoubleSupplier clock, DoubleSupplier taken, Spender spender, Counts counts)
+    public Membership(Config terms, Random chance, DoubleSupplier clock, DoubleSupplier taken, ShareListener spender, Counts counts)
             throws IOException {
-        this(terms, new DatagramSocket(terms.listen), chance, clock, taken, spender, counts);
+        this(terms, new DatagramSocket(terms.listenAddress), chance, clock, taken, spender, counts);
     }
 
-    Membership(Terms terms, DatagramSocket socket, Random chance, DoubleSupplier clock, DoubleSupplier taken, Spender spender,
+    Membership(Config terms, DatagramSocket socket, Random chance, DoubleSupplier clock, DoubleSupplier taken, ShareListener spender,
             Counts counts) {
-        this.terms = terms;
+        this.config = terms;
         this.socket = socket;
         this.clock = clock;
-        this.taken = taken;
-        this.spender = spender;
-        this.chance = chance;
-        envelope = new Envelope(terms.cluster, terms.secrets);
+        this.inferencesTaken = taken;
+        this.shareListener = spender;
+        this.random = chance;
+        cipher = new DatagramCipher(terms.cluster, terms.secrets);
         address = socket.getLocalAddress().getHostAddress() + ":" + socket.getLocalPort();
         double now = clock.getAsDouble();
         long life = System.currentTimeMillis();
-        swim = new Swim(terms.name, address, life, Swim.Timing.LOCAL, chance, now, new Swim.Out() {
+        swim = new Swim(terms.name, address, life, Swim.Timing.LOCAL_NETWORK, chance, now, new Swim.Environment() {
             @Override
             public void send(String to, Message message) {
                 Membership.this.send(to, message);
             }
 
             @Override
-            public void changed(Member member) {
+            public void memberChanged(Member member) {
                 LOG.atInfo().addKeyValue("member", member.name()).addKeyValue("state", member.state())
                         .addKeyValue("incarnation", member.incarnation()).log("member");
             }
         });
-        keeper = new SeatKeeper(terms.seats, terms.lease, now);
+        grantor = new SeatGrantor(terms.seats, terms.leaseMillis, now);
         // Another life is another holder: what the one before held is its own until it lapses.
-        String ours = SeatHolder.nameOfNewLife(terms.name, new SecureRandom());
-        holder = new SeatHolder(ours, terms.seats, terms.keepers.size(), terms.lease, chance);
-        strangers = counts.counter("members_strangers");
+        String ours = SeatHolder.uniqueName(terms.name, new SecureRandom());
+        holder = new SeatHolder(ours, terms.seats, terms.grantors.size(), terms.leaseMillis, chance);
+        unauthenticated = counts.counter("members_strangers");
         sent = counts.counter("members_datagrams_sent");
         unreadable = counts.counter("members_datagrams_unreadable");
         presentCount = counts.limit("members_present", Long.MAX_VALUE);
-        held = counts.limit("members_seats_held", terms.seats);
+        heldSeats = counts.limit("members_seats_held", terms.seats);
         thread.setDaemon(true);
     }
 
@@ -143,29 +143,29 @@
     }
 
     private void run() {
-        byte[] buffer = new byte[LARGEST];
+        byte[] buffer = new byte[MAX_DATAGRAM_BYTES];
         double joinAt = Double.NEGATIVE_INFINITY;
         while (!stopping) {
             double now = clock.getAsDouble();
             for (Runnable event; (event = events.poll()) != null;) {
                 event.run();
             }
-            if (now >= joinAt && swim.present() < terms.keepers.size()) {
+            if (now >= joinAt && swim.presentCount() < config.grantors.size()) {
                 // Whoever of the list is not there is asked again now and then: nobody else pings the dead.
-                swim.join(terms.keepers);
-                joinAt = now + 2000 + 1000 * chance.nextDouble();
+                swim.join(config.grantors);
+                joinAt = now + 2000 + 1000 * random.nextDouble();
             }
             swim.tick(now);
-            if (now >= holder.roundAt()) {
-                round(now);
+            if (now >= holder.nextRoundAt()) {
+                startRound(now);
             }
-            tell(now);
-            double next = Math.min(Math.min(swim.nextAt(), holder.roundAt()), now + 100);
+            publish(now);
+            double next = Math.min(Math.min(swim.nextTickAt(), holder.nextRoundAt()), now + 100);
             try {
                 socket.setSoTimeout((int) Math.max(1, Math.ceil(next - clock.getAsDouble())));
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
-                heard(Arrays.copyOf(packet.getData(), packet.getLength()), clock.getAsDouble());
+                handleDatagram(Arrays.copyOf(packet.getData(), packet.getLength()), clock.getAsDouble());
             } catch (SocketTimeoutException e) {
                 // time for what is due
             } catch (IOException e) {
@@ -176,80 +176,80 @@
         }
     }
 
-    private void round(double now) {
-        if (rateAt > 0) {
-            double fresh = (taken.getAsDouble() - takenBefore) / Math.max(1, now - rateAt) * 1000;
-            rate += 0.3 * (fresh - rate); // some three leases: shares follow traffic slowly
+    private void startRound(double now) {
+        if (rateMeasuredAt > 0) {
+            double fresh = (inferencesTaken.getAsDouble() - lastInferencesTaken) / Math.max(1, now - rateMeasuredAt) * 1000;
+            ownRate += 0.3 * (fresh - ownRate); // some three leases: shares follow traffic slowly
         }
-        takenBefore = taken.getAsDouble();
-        rateAt = now;
+        lastInferencesTaken = inferencesTaken.getAsDouble();
+        rateMeasuredAt = now;
         // One inference a second for each keeps an idle front end its part.
-        double part = (rate + 1) / Math.max(rate + 1, rates + holders);
-        SeatHolder.Claim claim = holder.round(part, now);
-        Words.Claim words = new Words.Claim(holder.name(), address, claim.round(), rate, claim.wanted(), claim.released());
-        for (String to : terms.keepers) {
+        double part = (ownRate + 1) / Math.max(ownRate + 1, totalRate + holderCount);
+        SeatHolder.Request claim = holder.startRound(part, now);
+        MembershipCodec.SeatRequest words = new MembershipCodec.SeatRequest(holder.name(), address, claim.round(), ownRate, claim.wanted(), claim.released());
+        for (String to : config.grantors) {
             if (to.equals(address)) {
-                answer(granted(words, now));
+                handleResponse(handleRequest(words, now));
             } else {
                 send(to, words);
             }
         }
-        rates = 0;
-        holders = 1;
+        totalRate = 0;
+        holderCount = 1;
     }
 
-    private Words.Granted granted(Words.Claim claim, double now) {
+    private MembershipCodec.SeatResponse handleRequest(MembershipCodec.SeatRequest claim, double now) {
         traffic.put(claim.from(), new Traffic(claim.rate(), now));
-        traffic.values().removeIf(last -> now - last.at > 2 * terms.lease);
-        SeatKeeper.Grant grant = keeper.claim(claim.from(), claim.round(), claim.wanted(), claim.released(), now);
-        return grant == null ? null : new Words.Granted(address, claim.round(),
-                traffic.values().stream().mapToDouble(Traffic::rate).sum(), traffic.size(), grant.given(), grant.free());
+        traffic.values().removeIf(last -> now - last.reportedAt > 2 * config.leaseMillis);
+        SeatGrantor.Grant grant = grantor.handleRequest(claim.from(), claim.round(), claim.wanted(), claim.released(), now);
+        return grant == null ? null : new MembershipCodec.SeatResponse(address, claim.round(),
+                traffic.values().stream().mapToDouble(Traffic::rate).sum(), traffic.size(), grant.granted(), grant.available());
     }
 
-    private void answer(Words.Granted granted) {
-        int which = granted == null ? -1 : terms.keepers.indexOf(granted.from());
+    private void handleResponse(MembershipCodec.SeatResponse granted) {
+        int which = granted == null ? -1 : config.grantors.indexOf(granted.from());
         if (which >= 0) {
-            rates = Math.max(rates, granted.rates());
-            holders = Math.max(holders, granted.holders());
-            holder.answer(which, granted.round(), new SeatKeeper.Grant(granted.given(), granted.free()));
+            totalRate = Math.max(totalRate, granted.totalRate());
+            holderCount = Math.max(holderCount, granted.holderCount());
+            holder.handleGrant(which, granted.round(), new SeatGrantor.Grant(granted.granted(), granted.available()));
         }
     }
 
     /** With the time at which the first of its leases ends: should this thread stand still, the spender knows by itself. */
-    private void tell(double now) {
+    private void publish(double now) {
         double part = holder.share(now);
-        double until = holder.surelyUntil(now);
-        if (part != told || until != toldUntil) {
-            told = part;
-            toldUntil = until;
-            spender.share(part, until);
+        double until = holder.earliestExpiry(now);
+        if (part != notifiedShare || until != notifiedUntil) {
+            notifiedShare = part;
+            notifiedUntil = until;
+            shareListener.shareChanged(part, until);
         }
-        presentCount.present(swim.present());
-        held.present(Math.round(part * terms.seats));
-        view = new View(swim.self(), swim.members(), swim.present(), part, swim.ailing());
+        presentCount.inUse(swim.presentCount());
+        heldSeats.inUse(Math.round(part * config.seats));
+        view = new View(swim.self(), swim.members(), swim.presentCount(), part, swim.healthScore());
     }
 
-    private void heard(byte[] datagram, double now) {
-        byte[] message = envelope.open(datagram);
+    private void handleDatagram(byte[] datagram, double now) {
+        byte[] message = cipher.open(datagram);
         if (message == null) {
-            strangers.increment();
-            if (now - strangersSaidAt > STRANGERS_EVERY) {
-                strangersSaidAt = now;
+            unauthenticated.increment();
+            if (now - unauthenticatedLoggedAt > UNAUTHENTICATED_LOG_INTERVAL_MILLIS) {
+                unauthenticatedLoggedAt = now;
                 LOG.warn("datagrams of strangers: no key of this cluster");
             }
             return;
         }
         try {
-            Object words = Words.read(message);
+            Object words = MembershipCodec.decode(message);
             if (words instanceof Message swims) {
-                swim.heard(swims, now);
-            } else if (words instanceof Words.Claim claim) {
-                Words.Granted granted = granted(claim, now);
+                swim.handleMessage(swims, now);
+            } else if (words instanceof MembershipCodec.SeatRequest claim) {
+                MembershipCodec.SeatResponse granted = handleRequest(claim, now);
                 if (granted != null) {
                     send(claim.fromAddress(), granted);
                 }
-            } else if (words instanceof Words.Granted granted) {
-                answer(granted);
+            } else if (words instanceof MembershipCodec.SeatResponse granted) {
+                handleResponse(granted);
             }
         } catch (IOException e) {
             unreadable.increment();
@@ -257,7 +257,7 @@
     }
 
     private void send(String to, Object words) {
-        byte[] sealed = envelope.seal(Words.bytes(words));
+        byte[] sealed = cipher.seal(MembershipCodec.encode(words));
         int colon = to.lastIndexOf(':');
         try {
             socket.send(new DatagramPacket(sealed, sealed.length,
--- a/gateway/src/main/java/gradereach/members/Words.java
+++ b/gateway/src/main/java/gradereach/members/MembershipCodec.java
@@ -12,41 +12,41 @@
 import java.util.List;
 
 /** Messages of members as bytes: a kind, then its fields; names and addresses as Java's modified UTF-8 with two bytes of length. */
-final class Words {
+final class MembershipCodec {
     /** A round of a holder of seats; {@code rate} is what it takes, inferences a second. */
-    record Claim(String from, String fromAddress, long round, double rate, BitSet wanted, BitSet released) { }
+    record SeatRequest(String from, String fromAddress, long round, double rate, BitSet wanted, BitSet released) { }
 
     /** A keeper's answer; {@code rates} is the sum over the holders that it has heard lately, {@code holders} their number. */
-    record Granted(String from, long round, double rates, int holders, BitSet given, BitSet free) { }
+    record SeatResponse(String from, long round, double totalRate, int holderCount, BitSet granted, BitSet available) { }
 
-    private Words() { }
+    private MembershipCodec() { }
 
-    static byte[] bytes(Object what) {
+    static byte[] encode(Object what) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         DataOutputStream out = new DataOutputStream(bytes);
         try {
             if (what instanceof Message.Ping m) {
                 out.writeByte(1);
-                head(out, m);
+                writeHeader(out, m);
                 out.writeUTF(m.fromAddress());
-                out.writeLong(m.number());
+                out.writeLong(m.sequenceNumber());
             } else if (what instanceof Message.Ack m) {
                 out.writeByte(2);
-                head(out, m);
-                out.writeLong(m.number());
-            } else if (what instanceof Message.PingFor m) {
+                writeHeader(out, m);
+                out.writeLong(m.sequenceNumber());
+            } else if (what instanceof Message.PingRequest m) {
                 out.writeByte(3);
-                head(out, m);
+                writeHeader(out, m);
                 out.writeUTF(m.fromAddress());
-                out.writeLong(m.number());
+                out.writeLong(m.sequenceNumber());
                 out.writeUTF(m.target());
                 out.writeUTF(m.targetAddress());
             } else if (what instanceof Message.Sync m) {
                 out.writeByte(4);
-                head(out, m);
+                writeHeader(out, m);
                 out.writeUTF(m.fromAddress());
-                out.writeBoolean(m.asks());
-            } else if (what instanceof Claim m) {
+                out.writeBoolean(m.replyRequested());
+            } else if (what instanceof SeatRequest m) {
                 out.writeByte(5);
                 out.writeUTF(m.from);
                 out.writeUTF(m.fromAddress);
@@ -54,14 +54,14 @@
                 out.writeDouble(m.rate);
                 bits(out, m.wanted);
                 bits(out, m.released);
-            } else if (what instanceof Granted m) {
+            } else if (what instanceof SeatResponse m) {
                 out.writeByte(6);
                 out.writeUTF(m.from);
                 out.writeLong(m.round);
-                out.writeDouble(m.rates);
-                out.writeInt(m.holders);
-                bits(out, m.given);
-                bits(out, m.free);
+                out.writeDouble(m.totalRate);
+                out.writeInt(m.holderCount);
+                bits(out, m.granted);
+                bits(out, m.available);
             } else {
                 throw new IllegalArgumentException(String.valueOf(what));
             }
@@ -71,7 +71,7 @@
         return bytes.toByteArray();
     }
 
-    private static void head(DataOutputStream out, Message message) throws IOException {
+    private static void writeHeader(DataOutputStream out, Message message) throws IOException {
         out.writeUTF(message.from());
         out.writeShort(message.gossip().size());
         for (Member word : message.gossip()) {
@@ -89,29 +89,29 @@
     }
 
     /** @throws IOException where the bytes are no message: of another version, or broken */
-    static Object read(byte[] bytes) throws IOException {
+    static Object decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int kind = in.readUnsignedByte();
         String from = in.readUTF();
         Object read = switch (kind) {
             case 1 -> {
-                List<Member> gossip = gossip(in);
+                List<Member> gossip = readGossip(in);
                 yield new Message.Ping(from, in.readUTF(), in.readLong(), gossip);
             }
             case 2 -> {
-                List<Member> gossip = gossip(in);
+                List<Member> gossip = readGossip(in);
                 yield new Message.Ack(from, in.readLong(), gossip);
             }
             case 3 -> {
-                List<Member> gossip = gossip(in);
-                yield new Message.PingFor(from, in.readUTF(), in.readLong(), in.readUTF(), in.readUTF(), gossip);
+                List<Member> gossip = readGossip(in);
+                yield new Message.PingRequest(from, in.readUTF(), in.readLong(), in.readUTF(), in.readUTF(), gossip);
             }
             case 4 -> {
-                List<Member> gossip = gossip(in);
+                List<Member> gossip = readGossip(in);
                 yield new Message.Sync(from, in.readUTF(), in.readBoolean(), gossip);
             }
-            case 5 -> new Claim(from, in.readUTF(), in.readLong(), in.readDouble(), bits(in), bits(in));
-            case 6 -> new Granted(from, in.readLong(), in.readDouble(), in.readInt(), bits(in), bits(in));
+            case 5 -> new SeatRequest(from, in.readUTF(), in.readLong(), in.readDouble(), bits(in), bits(in));
+            case 6 -> new SeatResponse(from, in.readLong(), in.readDouble(), in.readInt(), bits(in), bits(in));
             default -> throw new IOException("no such message: " + kind);
         };
         if (in.available() > 0) {
@@ -120,7 +120,7 @@
         return read;
     }
 
-    private static List<Member> gossip(DataInputStream in) throws IOException {
+    private static List<Member> readGossip(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         List<Member> words = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/gateway/src/main/java/gradereach/message/Wording.java
+++ b/gateway/src/main/java/gradereach/message/AnswerFormat.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 
 /** How final answers are worded for whoever asks: each front has its own form. */
-public interface Wording {
+public interface AnswerFormat {
     FinalAnswer returned(String id, String model, byte[] output, Instant at);
 
     FinalAnswer shed(String id, String why, double pause);
@@ -11,7 +11,7 @@
     FinalAnswer failed(String id, int status, String why, boolean repeatHarmless);
 
     /** Webhooks, which gRPC answers are made from as well. */
-    Wording WEBHOOK = new Wording() {
+    AnswerFormat WEBHOOK = new AnswerFormat() {
         @Override
         public FinalAnswer returned(String id, String model, byte[] output, Instant at) {
             return FinalAnswer.returned(id, model, output, at);
--- a/gateway/src/main/java/gradereach/message/FinalAnswer.java
+++ b/gateway/src/main/java/gradereach/message/FinalAnswer.java
@@ -12,7 +12,7 @@
  * @param pause milliseconds that the client should wait before a repeat, 0 for no advice
  * @param repeatHarmless whether the client may send the same message again
  */
-public record FinalAnswer(Kind kind, int status, byte[] body, double pause, boolean repeatHarmless) {
+public record FinalAnswer(Kind kind, int status, byte[] body, double retryAfterMillis, boolean repeatHarmless) {
     /** The three ways in which an inference ends. */
     public enum Kind { RETURNED, SHED, FAILED }
 
@@ -21,7 +21,7 @@
      * of its message, which may come again and be answered otherwise: it has an id of its own, so that receivers do not take
      * the later answer for a repeat.
      */
-    public String messageId(String id) {
+    public String webhookId(String id) {
         return kind == Kind.RETURNED || !repeatHarmless ? id + ".answer"
                 : id + "." + kind.name().toLowerCase() + "-" + Integer.toHexString(java.util.Arrays.hashCode(body));
     }
--- a/gateway/src/main/java/gradereach/oip/AnswerBody.java
+++ b/gateway/src/main/java/gradereach/oip/AnswerBodyReader.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /** Reads the JSON body of a final answer, as a webhook's sender gets it, for the gRPC calls. */
-public final class AnswerBody {
+public final class AnswerBodyReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private AnswerBody() { }
+    private AnswerBodyReader() { }
 
     /**
      * The executor's response in the body of a returned answer.
@@ -32,13 +32,13 @@
         JsonNode output = data.path("output");
         List<ModelInferResponse> parts = new ArrayList<>();
         for (JsonNode part : output.isArray() ? output : List.of(output)) {
-            parts.add(InferJson.output(part, data.path("model").asText(), id));
+            parts.add(InferenceJsonConverter.responseFromJson(part, data.path("model").asText(), id));
         }
         return parts;
     }
 
     /** Whether the executor's response in the body of a returned answer came in parts. */
-    public static boolean isInParts(byte[] body) throws IOException {
+    public static boolean isStreamed(byte[] body) throws IOException {
         return JSON.readTree(body).path("data").path("output").isArray();
     }
 
--- a/gateway/src/main/java/gradereach/oip/InferParameters.java
+++ b/gateway/src/main/java/gradereach/oip/InferParameters.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import gradereach.message.BadMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.protocol.inference.InferParameter;
 import java.io.IOException;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
      * @param path where the parameters stand in the message, for errors
      */
     static void write(JsonGenerator out, String path, Map<String, InferParameter> parameters)
-            throws IOException, BadMessage {
+            throws IOException, InvalidMessageException {
         if (parameters.isEmpty()) {
             return;
         }
@@ -32,14 +32,14 @@
         out.writeEndObject();
     }
 
-    private static void writeValue(JsonGenerator out, String path, InferParameter value) throws IOException, BadMessage {
+    private static void writeValue(JsonGenerator out, String path, InferParameter value) throws IOException, InvalidMessageException {
         switch (value.getParameterChoiceCase()) {
             case BOOL_PARAM -> out.writeBoolean(value.getBoolParam());
             case INT64_PARAM -> out.writeNumber(value.getInt64Param());
             case STRING_PARAM -> out.writeString(value.getStringParam());
-            case DOUBLE_PARAM -> out.writeNumber(Checks.finite(value.getDoubleParam(), path));
+            case DOUBLE_PARAM -> out.writeNumber(MessageChecks.requireFinite(value.getDoubleParam(), path));
             case UINT64_PARAM -> out.writeNumber(Long.toUnsignedString(value.getUint64Param()));
-            default -> throw new BadMessage(path + ": no value");
+            default -> throw new InvalidMessageException(path + ": no value");
         }
     }
 
--- a/gateway/src/main/java/gradereach/oip/InferJson.java
+++ b/gateway/src/main/java/gradereach/oip/InferenceJsonConverter.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gradereach.message.BadMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.protocol.inference.ModelInferRequest.InferInputTensor;
 import gradereach.protocol.inference.ModelInferRequest.InferRequestedOutputTensor;
@@ -22,19 +22,19 @@
  * its HTTP/REST protocol ("Inference Request JSON Object", "Tensor Data"). Tensors are checked on the way: a message whose
  * data do not fill its shapes is refused, naming the place.
  */
-public final class InferJson {
+public final class InferenceJsonConverter {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final String RAW_INPUTS = "raw_input_contents";
 
-    private InferJson() { }
+    private InferenceJsonConverter() { }
 
     /**
      * A gRPC request as the JSON request object for an executor.
      *
      * @throws BadMessage where it has no JSON form, or its tensors are not filled
      */
-    public static byte[] input(ModelInferRequest request) throws BadMessage {
+    public static byte[] requestToJson(ModelInferRequest request) throws InvalidMessageException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 + request.getSerializedSize() * 2);
         try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
             out.writeStartObject();
@@ -51,9 +51,9 @@
         return bytes.toByteArray();
     }
 
-    private static void writeInputs(JsonGenerator out, ModelInferRequest request) throws IOException, BadMessage {
+    private static void writeInputs(JsonGenerator out, ModelInferRequest request) throws IOException, InvalidMessageException {
         int rawContents = request.getRawInputContentsCount();
-        Checks.require(rawContents == 0 || rawContents == request.getInputsCount(), RAW_INPUTS, "not one for each input");
+        MessageChecks.require(rawContents == 0 || rawContents == request.getInputsCount(), RAW_INPUTS, "not one for each input");
         out.writeArrayFieldStart("inputs");
         for (int i = 0; i < request.getInputsCount(); i++) {
             writeInput(out, request, i);
@@ -61,12 +61,12 @@
         out.writeEndArray();
     }
 
-    private static void writeInput(JsonGenerator out, ModelInferRequest request, int index) throws IOException, BadMessage {
+    private static void writeInput(JsonGenerator out, ModelInferRequest request, int index) throws IOException, InvalidMessageException {
         InferInputTensor tensor = request.getInputs(index);
         String path = "inputs[" + index + "]";
         boolean raw = request.getRawInputContentsCount() > 0;
-        Checks.require(!tensor.getName().isEmpty(), path + ".name", "missing");
-        Checks.require(!raw || !tensor.hasContents(), path + ".contents", "beside raw_input_contents");
+        MessageChecks.require(!tensor.getName().isEmpty(), path + ".name", "missing");
+        MessageChecks.require(!raw || !tensor.hasContents(), path + ".contents", "beside raw_input_contents");
         out.writeStartObject();
         out.writeStringField("name", tensor.getName());
         out.writeArrayFieldStart("shape");
@@ -86,7 +86,7 @@
         out.writeEndObject();
     }
 
-    private static void writeOutputs(JsonGenerator out, ModelInferRequest request) throws IOException, BadMessage {
+    private static void writeOutputs(JsonGenerator out, ModelInferRequest request) throws IOException, InvalidMessageException {
         if (request.getOutputsCount() == 0) {
             return;
         }
@@ -106,7 +106,7 @@
      *
      * @throws IOException where it is no inference response object
      */
-    public static ModelInferResponse output(JsonNode output, String model, String id) throws IOException {
+    public static ModelInferResponse responseFromJson(JsonNode output, String model, String id) throws IOException {
         if (!output.isObject()) {
             throw new IOException("no object");
         }
@@ -125,11 +125,11 @@
     }
 
     /** A JSON request object as the bytes of a gRPC request. */
-    public static byte[] message(byte[] json, String model) throws BadMessage {
+    public static byte[] requestBytesFromJson(byte[] json, String model) throws InvalidMessageException {
         try {
-            return request(JSON.readTree(json), model).toByteArray();
+            return requestFromJson(JSON.readTree(json), model).toByteArray();
         } catch (IOException e) {
-            throw new BadMessage("data.input: cannot be put as a ModelInferRequest: " + e.getMessage());
+            throw new InvalidMessageException("data.input: cannot be put as a ModelInferRequest: " + e.getMessage());
         }
     }
 
@@ -138,10 +138,10 @@
      *
      * @throws IOException where it is no message, or its tensors are not filled
      */
-    public static byte[] response(byte[] message, int from, int length) throws IOException {
+    public static byte[] responseToJson(byte[] message, int from, int length) throws IOException {
         ModelInferResponse response = ModelInferResponse.parser().parseFrom(message, from, length);
         try {
-            JsonNode converted = JSON.readTree(input(requestOfSameTensors(response)));
+            JsonNode converted = JSON.readTree(requestToJson(requestWithTensorsOf(response)));
             ObjectNode out = JSON.createObjectNode().put("model_name", response.getModelName());
             if (!response.getModelVersion().isEmpty()) {
                 out.put("model_version", response.getModelVersion());
@@ -151,13 +151,13 @@
             }
             out.set("outputs", converted.path("inputs"));
             return JSON.writeValueAsBytes(out);
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             throw new IOException(e.getMessage());
         }
     }
 
     /** A response's tensors are those of a request by another name: one conversion, with its checks, serves both. */
-    private static ModelInferRequest requestOfSameTensors(ModelInferResponse response) {
+    private static ModelInferRequest requestWithTensorsOf(ModelInferResponse response) {
         ModelInferRequest.Builder request = ModelInferRequest.newBuilder();
         for (InferOutputTensor tensor : response.getOutputsList()) {
             InferInputTensor.Builder input = request.addInputsBuilder().setName(tensor.getName())
@@ -172,7 +172,7 @@
     }
 
     /** The JSON response objects of an answer in parts, as one array. */
-    public static byte[] parts(List<ModelStreamInferResponse> parts) throws IOException {
+    public static byte[] responsesToJsonArray(List<ModelStreamInferResponse> parts) throws IOException {
         ByteArrayOutputStream array = new ByteArrayOutputStream();
         array.write('[');
         for (ModelStreamInferResponse part : parts) {
@@ -180,14 +180,14 @@
                 array.write(',');
             }
             byte[] message = part.getInferResponse().toByteArray();
-            array.write(response(message, 0, message.length));
+            array.write(responseToJson(message, 0, message.length));
         }
         array.write(']');
         return array.toByteArray();
     }
 
     /** A JSON request object as a gRPC request. */
-    public static ModelInferRequest request(JsonNode input, String model) throws IOException {
+    public static ModelInferRequest requestFromJson(JsonNode input, String model) throws IOException {
         ModelInferRequest.Builder request = ModelInferRequest.newBuilder().setModelName(model)
                 .setId(input.path("id").asText("")).putAllParameters(InferParameters.read(input));
         for (JsonNode tensor : input.path("inputs")) {
--- a/gateway/src/main/java/gradereach/oip/TensorWriter.java
+++ b/gateway/src/main/java/gradereach/oip/TensorWriter.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.google.protobuf.ByteString;
-import gradereach.message.BadMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.protocol.inference.InferTensorContents;
 import gradereach.protocol.inference.ModelInferRequest.InferInputTensor;
 import java.io.IOException;
@@ -13,14 +13,14 @@
 
 /** Writes the data of a gRPC tensor as elements of a flat JSON array, and refuses data that do not fill its shape. */
 final class TensorWriter {
-    private static final long MOST_ELEMENTS = 1L << 28; // far above any message; keeps products of shapes within a long
-    private static final int LENGTH_BYTES = 4;
+    private static final long MAX_ELEMENTS = 1L << 28; // far above any message; keeps products of shapes within a long
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
     private TensorWriter() { }
 
     /** Writes data that the tensor holds itself. */
-    static void writeContents(JsonGenerator out, InferInputTensor tensor, String path) throws IOException, BadMessage {
-        long count = elements(tensor, path);
+    static void writeContents(JsonGenerator out, InferInputTensor tensor, String path) throws IOException, InvalidMessageException {
+        long count = elementCount(tensor, path);
         InferTensorContents contents = tensor.getContents();
         String place = path + ".contents";
         switch (tensor.getDatatype()) {
@@ -57,19 +57,19 @@
             case "FP32" -> {
                 requireFilled(contents.getFp32ContentsCount(), count, place);
                 for (int i = 0; i < count; i++) {
-                    out.writeNumber((float) Checks.finite(contents.getFp32Contents(i), place));
+                    out.writeNumber((float) MessageChecks.requireFinite(contents.getFp32Contents(i), place));
                 }
             }
             case "FP64" -> {
                 requireFilled(contents.getFp64ContentsCount(), count, place);
                 for (int i = 0; i < count; i++) {
-                    out.writeNumber(Checks.finite(contents.getFp64Contents(i), place));
+                    out.writeNumber(MessageChecks.requireFinite(contents.getFp64Contents(i), place));
                 }
             }
             case "BYTES" -> {
                 requireFilled(contents.getBytesContentsCount(), count, place);
                 for (ByteString value : contents.getBytesContentsList()) {
-                    out.writeString(text(value, place));
+                    out.writeString(decodeUtf8(value, place));
                 }
             }
             default -> throw unsupportedDatatype(tensor, path);
@@ -83,12 +83,12 @@
      * @param place where the data stand in the message, for errors; {@code path} where the tensor stands
      */
     static void writeRaw(JsonGenerator out, InferInputTensor tensor, ByteString data, String place, String path)
-            throws IOException, BadMessage {
-        long count = elements(tensor, path);
+            throws IOException, InvalidMessageException {
+        long count = elementCount(tensor, path);
         ByteBuffer in = data.asReadOnlyByteBuffer().order(ByteOrder.LITTLE_ENDIAN);
         String datatype = tensor.getDatatype();
-        int width = width(tensor, path);
-        Checks.require(width == 0 || in.remaining() == width * count, place,
+        int width = elementBytes(tensor, path);
+        MessageChecks.require(width == 0 || in.remaining() == width * count, place,
                 in.remaining() + " bytes where shape and datatype say " + width * count);
         for (long i = 0; i < count; i++) {
             switch (datatype) {
@@ -101,16 +101,16 @@
                 case "UINT32" -> out.writeNumber(Integer.toUnsignedLong(in.getInt()));
                 case "INT64" -> out.writeNumber(in.getLong());
                 case "UINT64" -> out.writeNumber(Long.toUnsignedString(in.getLong()));
-                case "FP32" -> out.writeNumber((float) Checks.finite(in.getFloat(), place));
-                case "FP64" -> out.writeNumber(Checks.finite(in.getDouble(), place));
-                default -> out.writeString(nextText(in, i, place));
+                case "FP32" -> out.writeNumber((float) MessageChecks.requireFinite(in.getFloat(), place));
+                case "FP64" -> out.writeNumber(MessageChecks.requireFinite(in.getDouble(), place));
+                default -> out.writeString(readText(in, i, place));
             }
         }
-        Checks.require(!in.hasRemaining(), place, "goes on after its last element");
+        MessageChecks.require(!in.hasRemaining(), place, "goes on after its last element");
     }
 
     /** Bytes of one element; 0 where elements have lengths of their own. */
-    private static int width(InferInputTensor tensor, String path) throws BadMessage {
+    private static int elementBytes(InferInputTensor tensor, String path) throws InvalidMessageException {
         return switch (tensor.getDatatype()) {
             case "BOOL", "INT8", "UINT8" -> Byte.BYTES;
             case "INT16", "UINT16" -> Short.BYTES;
@@ -121,46 +121,46 @@
         };
     }
 
-    private static String nextText(ByteBuffer in, long element, String place) throws BadMessage {
-        Checks.require(in.remaining() >= LENGTH_BYTES, place, "ends before element " + element);
+    private static String readText(ByteBuffer in, long element, String place) throws InvalidMessageException {
+        MessageChecks.require(in.remaining() >= LENGTH_PREFIX_BYTES, place, "ends before element " + element);
         int length = in.getInt();
-        Checks.require(length >= 0 && length <= in.remaining(), place, "ends within element " + element);
+        MessageChecks.require(length >= 0 && length <= in.remaining(), place, "ends within element " + element);
         ByteBuffer value = in.slice(in.position(), length);
         in.position(in.position() + length);
-        return text(value, place);
+        return decodeUtf8(value, place);
     }
 
     /** Elements that the tensor's shape asks for. */
-    private static long elements(InferInputTensor tensor, String path) throws BadMessage {
+    private static long elementCount(InferInputTensor tensor, String path) throws InvalidMessageException {
         long count = 1;
         for (long size : tensor.getShapeList()) {
-            Checks.require(size >= 0, path + ".shape", "below 0");
-            Checks.require(size == 0 || count <= MOST_ELEMENTS / size, path + ".shape",
-                    "more than " + MOST_ELEMENTS + " elements");
+            MessageChecks.require(size >= 0, path + ".shape", "below 0");
+            MessageChecks.require(size == 0 || count <= MAX_ELEMENTS / size, path + ".shape",
+                    "more than " + MAX_ELEMENTS + " elements");
             count *= size;
         }
         return count;
     }
 
-    private static void requireFilled(int present, long count, String place) throws BadMessage {
-        Checks.require(present == count, place, present + " elements where the shape says " + count);
+    private static void requireFilled(int present, long count, String place) throws InvalidMessageException {
+        MessageChecks.require(present == count, place, present + " elements where the shape says " + count);
     }
 
-    private static String text(ByteString value, String place) throws BadMessage {
-        return text(value.asReadOnlyByteBuffer(), place);
+    private static String decodeUtf8(ByteString value, String place) throws InvalidMessageException {
+        return decodeUtf8(value.asReadOnlyByteBuffer(), place);
     }
 
     /** JSON has text only. */
-    private static String text(ByteBuffer value, String place) throws BadMessage {
+    private static String decodeUtf8(ByteBuffer value, String place) throws InvalidMessageException {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(value).toString();
         } catch (CharacterCodingException e) {
-            throw new BadMessage(place + ": no UTF-8, which JSON cannot carry to executors");
+            throw new InvalidMessageException(place + ": no UTF-8, which JSON cannot carry to executors");
         }
     }
 
-    private static BadMessage unsupportedDatatype(InferInputTensor tensor, String path) {
+    private static InvalidMessageException unsupportedDatatype(InferInputTensor tensor, String path) {
         String why = tensor.getDatatype().isEmpty() ? "missing" : "not one that JSON can carry";
-        return new BadMessage(path + ".datatype: " + why);
+        return new InvalidMessageException(path + ".datatype: " + why);
     }
 }
--- a/gateway/src/main/java/gradereach/plan/CustomerSettings.java
+++ b/gateway/src/main/java/gradereach/plan/CustomerSettings.java
@@ -12,19 +12,19 @@
 
 /** The customers of a deployment file, their keys, and what answers to them are signed with. Lists are by customer index. */
 final class CustomerSettings {
-    private static final long LAST_SECOND = Long.MAX_VALUE - 1;
+    private static final long LAST_EPOCH_SECOND = Long.MAX_VALUE - 1;
 
-    private final JsonNode tree;
+    private final JsonNode root;
     private final KeySettings keySettings;
     private final List<String> errors;
     private final List<Customer> customers = new ArrayList<>();
-    private final List<List<WebhookKey>> keys = new ArrayList<>();
+    private final List<List<WebhookKey>> customerKeys = new ArrayList<>();
     /** Null for none. */
     private final WebhookKey answersKey;
 
     /** @param errors takes the errors found */
     CustomerSettings(JsonNode tree, KeySettings keySettings, List<String> errors) {
-        this.tree = tree;
+        this.root = tree;
         this.keySettings = keySettings;
         this.errors = errors;
         answersKey = readAnswersKey();
@@ -32,10 +32,10 @@
     }
 
     private WebhookKey readAnswersKey() {
-        if (!tree.has("answers_key")) {
+        if (!root.has("answers_key")) {
             return null;
         }
-        WebhookKey key = keySettings.read("/answers_key", tree.path("answers_key"));
+        WebhookKey key = keySettings.read("/answers_key", root.path("answers_key"));
         if (key != null && !(key.scheme().equals(KeySettings.KEY_PAIR) && key.canSign())) {
             errors.add("/answers_key: no whsk_ key");
         }
@@ -44,7 +44,7 @@
 
     private void readCustomers() {
         Set<String> names = new HashSet<>();
-        JsonNode list = tree.path("customers");
+        JsonNode list = root.path("customers");
         for (int i = 0; i < list.size(); i++) {
             JsonNode settings = list.path(i);
             String path = "/customers/" + i;
@@ -53,7 +53,7 @@
                 errors.add(path + "/name: twice");
             }
             customers.add(new Customer(name, number(settings, "share", 0), number(settings, "quota_per_second", 0)));
-            keys.add(readKeys(path + "/keys", settings.path("keys")));
+            customerKeys.add(readKeys(path + "/keys", settings.path("keys")));
         }
     }
 
@@ -65,7 +65,7 @@
                 read.add(key);
             }
         }
-        if (!read.isEmpty() && read.stream().noneMatch(key -> key.goodAt(LAST_SECOND))) {
+        if (!read.isEmpty() && read.stream().noneMatch(key -> key.isValidAt(LAST_EPOCH_SECOND))) {
             errors.add(path + ": every key has an end; its customer would be shut out after the last");
         }
         if (!read.isEmpty() && sharedSecrets(read).isEmpty() && answersKey == null) {
@@ -82,14 +82,14 @@
         return List.copyOf(customers);
     }
 
-    List<List<WebhookKey>> keys() {
-        return keys;
+    List<List<WebhookKey>> customerKeys() {
+        return customerKeys;
     }
 
     /** What answers to each customer are signed with: its own shared secrets, or the deployment's private key. */
     List<List<WebhookKey>> answerKeys() {
         List<List<WebhookKey>> signing = new ArrayList<>();
-        for (List<WebhookKey> own : keys) {
+        for (List<WebhookKey> own : customerKeys) {
             List<WebhookKey> shared = sharedSecrets(own);
             signing.add(shared.isEmpty() ? List.of(answersKey) : shared);
         }
@@ -99,7 +99,7 @@
     /** Where answers are delivered to, null for nowhere. */
     List<String> answerEndpoints() {
         List<String> urls = new ArrayList<>();
-        for (JsonNode customer : tree.path("customers")) {
+        for (JsonNode customer : root.path("customers")) {
             urls.add(customer.has("answers_to") ? customer.path("answers_to").asText() : null);
         }
         return urls;
--- a/gateway/src/main/java/gradereach/plan/Deployment.java
+++ b/gateway/src/main/java/gradereach/plan/Deployment.java
@@ -9,13 +9,13 @@
 import gradereach.api.ColdStartRule;
 import gradereach.api.Customer;
 import gradereach.api.ForwardRules;
-import gradereach.api.LoadRation;
-import gradereach.api.Loading;
+import gradereach.api.LoadOrderBudget;
+import gradereach.api.LoadingRules;
 import gradereach.api.ModelGroup;
-import gradereach.api.Tier;
-import gradereach.claims.Members;
+import gradereach.api.FrontEndSettings;
+import gradereach.claims.FrontEndSet;
 import gradereach.claims.PeerClaims;
-import gradereach.desk.Catalogue;
+import gradereach.desk.ModelCatalog;
 import gradereach.members.Membership;
 import gradereach.remotewrite.Pusher;
 import gradereach.webhook.WebhookKey;
@@ -33,9 +33,9 @@
  * schema cannot say. Gives each part its own few values and is then let go of.
  */
 public final class Deployment {
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
     private static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
-    private static final int DEFAULT_SERIES_EACH = 50;
+    private static final int DEFAULT_MAX_SERIES_PER_LABEL = 50;
     /** Milliseconds for which an answer as ready holds where the roster is out of reach: the shortest of the operators'. */
     private static final double DRAIN_GRACE_MILLIS = 500;
 
@@ -54,27 +54,27 @@
         customers = new CustomerSettings(tree, keySettings, errors);
         peers = new PeerSettings(tree, keySettings, errors);
         membership = new MembershipSettings(tree, keySettings, errors);
-        checkTier(errors);
+        checkFrontEnd(errors);
         checkPorts(errors);
     }
 
     /** @throws BadPlan with every error found, each naming its path in the file */
-    public static Deployment read(Path file) throws BadPlan {
+    public static Deployment read(Path file) throws InvalidDeploymentException {
         return of(DeploymentJson.parse(file), file.toAbsolutePath().getParent());
     }
 
     /** @param folder paths in the file start here */
-    public static Deployment of(JsonNode tree, Path folder) throws BadPlan {
+    public static Deployment of(JsonNode tree, Path folder) throws InvalidDeploymentException {
         DeploymentJson.validate(tree);
         List<String> errors = new ArrayList<>();
         Deployment deployment = new Deployment(tree, folder, errors);
         if (!errors.isEmpty()) {
-            throw new BadPlan(errors);
+            throw new InvalidDeploymentException(errors);
         }
         return deployment;
     }
 
-    private void checkTier(List<String> errors) {
+    private void checkFrontEnd(List<String> errors) {
         JsonNode tier = tree.path("tier");
         String location = tier.path("location").asText("");
         if (!location.isEmpty() && !locations().contains(location)) {
@@ -88,7 +88,7 @@
     private void checkPorts(List<String> errors) {
         for (String field : List.of("/listen", "/admin", "/grpc/listen")) {
             String address = tree.at(field).asText("");
-            if (!address.isEmpty() && port(address) > HIGHEST_PORT) {
+            if (!address.isEmpty() && port(address) > MAX_PORT) {
                 errors.add(field + ": port above 65535");
             }
         }
@@ -100,30 +100,30 @@
     }
 
     /** Where clients' webhooks are listened for. */
-    public InetSocketAddress listen() {
+    public InetSocketAddress listenAddress() {
         return address(tree.path("listen").asText());
     }
 
     /** Kinds of executors, by the roster's numbers, that take inferences by gRPC. */
-    public Set<Integer> grpcKinds() {
+    public Set<Integer> grpcMachineKinds() {
         Set<Integer> kinds = new HashSet<>();
         tree.path("executors").path("grpc_kinds").forEach(kind -> kinds.add(kind.asInt()));
         return kinds;
     }
 
     /** Where clients' gRPC calls are listened for; null for nowhere. */
-    public InetSocketAddress grpcListen() {
+    public InetSocketAddress grpcListenAddress() {
         return tree.has("grpc") ? address(tree.path("grpc").path("listen").asText()) : null;
     }
 
     /** One of {@code /grpc}'s numbers. */
-    public long grpc(String name, long defaultValue) {
+    public long grpcSetting(String name, long defaultValue) {
         return tree.path("grpc").path(name).asLong(defaultValue);
     }
 
     /** How shares follow who is there; null where they are fixed by the number of front ends. */
-    public Membership.Terms membership() {
-        return membership.terms();
+    public Membership.Config membership() {
+        return membership.config();
     }
 
     /** Share of the value asked for that is to be returned in time, by model group. */
@@ -132,23 +132,23 @@
     }
 
     /** The longest usual load time of any model, milliseconds. */
-    public double longestLoad() {
-        return models.longestLoad();
+    public double maxLoadMillis() {
+        return models.maxLoadMillis();
     }
 
     /** Customers, and models, that have series of their own; the rest share one. */
-    public int seriesEach() {
-        return tree.path("metrics").path("series_each").asInt(DEFAULT_SERIES_EACH);
+    public int maxSeriesPerLabel() {
+        return tree.path("metrics").path("series_each").asInt(DEFAULT_MAX_SERIES_PER_LABEL);
     }
 
     /** Where measures are pushed to, null for nowhere. */
-    public Pusher.Receiver remoteWrite() {
+    public Pusher.Receiver remoteWriteReceiver() {
         JsonNode settings = tree.path("metrics").path("remote_write");
         return settings.isMissingNode() ? null : RemoteWriteSettings.receiver(settings, name());
     }
 
     /** Where health and metrics are asked for; null for nowhere. */
-    public InetSocketAddress admin() {
+    public InetSocketAddress adminAddress() {
         return tree.has("admin") ? address(tree.path("admin").asText()) : null;
     }
 
@@ -168,9 +168,9 @@
     }
 
     /** The front ends of the deployment, and which of them this one is. */
-    public Tier tier() {
+    public FrontEndSettings frontEndSettings() {
         JsonNode tier = tree.path("tier");
-        return new Tier(tier.path("me").asInt(0), tier.path("front_ends").asInt(1),
+        return new FrontEndSettings(tier.path("me").asInt(0), tier.path("front_ends").asInt(1),
                 Math.max(0, locations().indexOf(tier.path("location").asText(""))), false,
                 tree.path("forwards").path("probes").asBoolean(true), false, 0, 0, number(tier, "tick_ms", 4));
     }
@@ -191,13 +191,13 @@
     }
 
     /** Value of what is beyond a customer's quota, from 0 to 1. */
-    public double surplusValue() {
+    public double overQuotaValue() {
         return number(tree, "surplus_value", 1);
     }
 
     /** The keys that each customer may sign with, by customer index. */
-    public List<List<WebhookKey>> keys() {
-        return customers.keys();
+    public List<List<WebhookKey>> customerKeys() {
+        return customers.customerKeys();
     }
 
     /** What answers to each customer are signed with: its own shared secrets, or the deployment's private key. */
@@ -211,32 +211,32 @@
     }
 
     /** The models that may be asked for. */
-    public Catalogue catalogue() {
-        return models.catalogue();
+    public ModelCatalog modelCatalog() {
+        return models.modelCatalog();
     }
 
     /** What may be sent to an executor that has just started. */
-    public ColdStartRule coldStart() {
+    public ColdStartRule coldStartRule() {
         JsonNode rule = tree.path("rules").path("cold_start");
         return new ColdStartRule(number(rule, "start_share", 1), number(rule, "warm_within_ms", 0),
                 number(rule, "fall_multiple", 0), number(rule, "fall_ms", 0));
     }
 
     /** How many loads may be ordered. */
-    public LoadRation loadRation() {
+    public LoadOrderBudget loadOrderBudget() {
         JsonNode ration = tree.path("rules").path("load_ration");
-        return new LoadRation(number(ration, "free", 0), number(ration, "share", 0), number(ration, "span_ms", 0));
+        return new LoadOrderBudget(number(ration, "free", 0), number(ration, "share", 0), number(ration, "span_ms", 0));
     }
 
     /** How executors load models and keep them. */
-    public Loading loading() {
+    public LoadingRules loadingRules() {
         JsonNode loading = tree.path("loading");
-        return new Loading(loading.path("orders").asBoolean(true), loading.path("loads_by_itself").asBoolean(false),
+        return new LoadingRules(loading.path("orders").asBoolean(true), loading.path("loads_by_itself").asBoolean(false),
                 number(loading, "keeps_idle_ms", 10_000), number(loading, "order_timeout_ms", 10_000), 0, List.of());
     }
 
     /** How often, and for how long, an inference is forwarded. */
-    public ForwardRules forwards() {
+    public ForwardRules forwardRules() {
         JsonNode forwards = tree.path("forwards");
         return new ForwardRules(forwards.path("most").asInt(5), false, forwards.path("cancels").asBoolean(true),
                 connectTimeoutMillis(), number(tree.path("rules"), "answer_slack_ms", 0),
@@ -244,7 +244,7 @@
     }
 
     /** One of {@code /executors}'s numbers. */
-    public double executors(String name, double defaultValue) {
+    public double executorSetting(String name, double defaultValue) {
         return number(tree.path("executors"), name, defaultValue);
     }
 
@@ -255,16 +255,16 @@
 
     /** Whether this front end has peers that keep claims. */
     public boolean hasPeers() {
-        return peers.present();
+        return peers.isConfigured();
     }
 
     /** Where peers are listened for. */
-    public InetSocketAddress peersListen() {
-        return peers.listen();
+    public InetSocketAddress peersListenAddress() {
+        return peers.listenAddress();
     }
 
     /** The secret that peers sign with. */
-    public WebhookKey peersKey() {
+    public WebhookKey peerKey() {
         return peers.key();
     }
 
@@ -274,17 +274,17 @@
     }
 
     /** The lists in force: the present one, and the one before it while it is being changed. */
-    public List<Members> peerLists() {
-        return peers.lists();
+    public List<FrontEndSet> peerSets() {
+        return peers.peerSets();
     }
 
     /** One of {@code /ledger}'s numbers. */
-    public long ledger(String name, long defaultValue) {
+    public long ledgerSetting(String name, long defaultValue) {
         return tree.path("ledger").path(name).asLong(defaultValue);
     }
 
     /** One of {@code /limits}' numbers. */
-    public long limit(String name, long defaultValue) {
+    public long limitSetting(String name, long defaultValue) {
         return tree.path("limits").path(name).asLong(defaultValue);
     }
 
--- a/gateway/src/main/java/gradereach/plan/DeploymentJson.java
+++ b/gateway/src/main/java/gradereach/plan/DeploymentJson.java
@@ -28,13 +28,13 @@
     private DeploymentJson() { }
 
     /** @throws BadPlan where the file cannot be read or is no JSON; it names the line and the column */
-    static JsonNode parse(Path file) throws BadPlan {
+    static JsonNode parse(Path file) throws InvalidDeploymentException {
         try {
             return JSON.readTree(file.toFile());
         } catch (JsonProcessingException e) {
-            throw new BadPlan(List.of(file + position(e.getLocation()) + ": " + e.getOriginalMessage()));
+            throw new InvalidDeploymentException(List.of(file + position(e.getLocation()) + ": " + e.getOriginalMessage()));
         } catch (IOException e) {
-            throw new BadPlan(List.of(file + ": cannot be read: " + e.getClass().getSimpleName()));
+            throw new InvalidDeploymentException(List.of(file + ": cannot be read: " + e.getClass().getSimpleName()));
         }
     }
 
@@ -43,14 +43,14 @@
     }
 
     /** @throws BadPlan with every violation of the schema, each naming its path in the file */
-    static void validate(JsonNode tree) throws BadPlan {
+    static void validate(JsonNode tree) throws InvalidDeploymentException {
         List<String> errors = new ArrayList<>();
         for (Error error : schema().validate(tree)) {
             String pointer = error.getInstanceLocation().toString();
             errors.add((pointer.isEmpty() ? "/" : pointer) + ": " + error.getMessage());
         }
         if (!errors.isEmpty()) {
-            throw new BadPlan(errors);
+            throw new InvalidDeploymentException(errors);
         }
     }
 
--- a/gateway/src/main/java/gradereach/plan/MembershipSettings.java
+++ b/gateway/src/main/java/gradereach/plan/MembershipSettings.java
@@ -30,7 +30,7 @@
         this.errors = errors;
         settings = tree.path("membership");
         readSecrets(keySettings);
-        checkKeepers();
+        checkGrantors();
     }
 
     private void readSecrets(KeySettings keySettings) {
@@ -43,7 +43,7 @@
         }
     }
 
-    private void checkKeepers() {
+    private void checkGrantors() {
         List<String> keepers = strings(settings.path("keepers"));
         Set<String> distinct = new HashSet<>();
         for (int i = 0; i < keepers.size(); i++) {
@@ -57,11 +57,11 @@
     }
 
     /** Null where shares are fixed by the number of front ends. */
-    Membership.Terms terms() {
+    Membership.Config config() {
         if (settings.isMissingNode()) {
             return null;
         }
-        return new Membership.Terms(tree.path("name").asText(), address(settings.path("listen").asText()),
+        return new Membership.Config(tree.path("name").asText(), address(settings.path("listen").asText()),
                 settings.path("cluster").asText(DEFAULT_CLUSTER), secrets, strings(settings.path("keepers")),
                 settings.path("seats").asInt(DEFAULT_SEATS), number(settings, "lease_ms", DEFAULT_LEASE_MILLIS));
     }
--- a/gateway/src/main/java/gradereach/plan/ModelSettings.java
+++ b/gateway/src/main/java/gradereach/plan/ModelSettings.java
@@ -3,11 +3,11 @@
 import static gradereach.plan.DeploymentJson.number;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gradereach.alerts.RuleFile;
+import gradereach.alerts.AlertRuleFile;
 import gradereach.api.DedupScope;
 import gradereach.api.ModelGroup;
-import gradereach.api.Repeat;
-import gradereach.desk.Catalogue;
+import gradereach.api.RetrySafety;
+import gradereach.desk.ModelCatalog;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,7 +21,7 @@
     private final JsonNode tree;
     private final List<String> errors;
     private final List<ModelGroup> groups = new ArrayList<>();
-    private final List<Catalogue.Entry> models = new ArrayList<>();
+    private final List<ModelCatalog.Entry> models = new ArrayList<>();
 
     /** @param errors takes the errors found */
     ModelSettings(JsonNode tree, List<String> errors) {
@@ -45,10 +45,10 @@
     }
 
     private ModelGroup readGroup(String path, JsonNode settings) {
-        Repeat repeat = Repeat.valueOf(settings.path("repeat").asText().toUpperCase().replace('-', '_'));
+        RetrySafety repeat = RetrySafety.valueOf(settings.path("repeat").asText().toUpperCase().replace('-', '_'));
         DedupScope scope = DedupScope.valueOf(settings.path("dedup_scope").asText("all").toUpperCase());
         double window = number(settings, "dedup_window_ms", 0);
-        if (repeat == Repeat.DEDUPED && window <= 0) {
+        if (repeat == RetrySafety.DEDUPED && window <= 0) {
             errors.add(path + "/dedup_window_ms: a deduped group needs the time for which repeats are dropped");
         }
         double slo = number(settings, "slo_ms", 0);
@@ -74,7 +74,7 @@
             if (!names.add(name)) {
                 errors.add("/models/" + i + "/name: twice");
             }
-            models.add(new Catalogue.Entry(name, Catalogue.hash(name), group, number(settings, "memory_mb", 0),
+            models.add(new ModelCatalog.Entry(name, ModelCatalog.hash(name), group, number(settings, "memory_mb", 0),
                     settings.path("lanes").asInt(1), number(settings, "load_ms", 0)));
         }
     }
@@ -83,21 +83,21 @@
         return groups;
     }
 
-    Catalogue catalogue() {
-        return new Catalogue(models);
+    ModelCatalog modelCatalog() {
+        return new ModelCatalog(models);
     }
 
     /** Share of the value asked for that is to be returned in time, by model group. */
     Map<String, Double> objectives() {
         Map<String, Double> objectives = new LinkedHashMap<>();
         for (JsonNode group : tree.path("model_groups")) {
-            objectives.put(group.path("name").asText(), group.path("objective").asDouble(RuleFile.OBJECTIVE));
+            objectives.put(group.path("name").asText(), group.path("objective").asDouble(AlertRuleFile.DEFAULT_OBJECTIVE));
         }
         return objectives;
     }
 
     /** The longest usual load time of any model, milliseconds. */
-    double longestLoad() {
-        return models.stream().mapToDouble(Catalogue.Entry::loadTime).max().orElse(0);
+    double maxLoadMillis() {
+        return models.stream().mapToDouble(ModelCatalog.Entry::loadMillis).max().orElse(0);
     }
 }
--- a/gateway/src/main/java/gradereach/plan/PeerSettings.java
+++ b/gateway/src/main/java/gradereach/plan/PeerSettings.java
@@ -4,7 +4,7 @@
 import static gradereach.plan.DeploymentJson.strings;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gradereach.claims.Members;
+import gradereach.claims.FrontEndSet;
 import gradereach.claims.PeerClaims;
 import gradereach.webhook.WebhookKey;
 import java.net.InetSocketAddress;
@@ -28,7 +28,7 @@
         this.tree = tree;
         this.errors = errors;
         settings = tree.path("peers");
-        if (present()) {
+        if (isConfigured()) {
             check(keySettings);
         }
     }
@@ -65,11 +65,11 @@
         return names;
     }
 
-    boolean present() {
+    boolean isConfigured() {
         return !settings.isMissingNode();
     }
 
-    InetSocketAddress listen() {
+    InetSocketAddress listenAddress() {
         return address(settings.path("listen").asText());
     }
 
@@ -87,12 +87,12 @@
     }
 
     /** The lists in force: the present one, and the one before it while it is being changed. */
-    List<Members> lists() {
+    List<FrontEndSet> peerSets() {
         int copies = settings.path("copies").asInt(DEFAULT_COPIES);
-        List<Members> lists = new ArrayList<>();
-        lists.add(new Members(peers().stream().map(PeerClaims.Peer::name).toList(), copies));
+        List<FrontEndSet> lists = new ArrayList<>();
+        lists.add(new FrontEndSet(peers().stream().map(PeerClaims.Peer::name).toList(), copies));
         if (settings.has("before")) {
-            lists.add(new Members(strings(settings.path("before")), copies));
+            lists.add(new FrontEndSet(strings(settings.path("before")), copies));
         }
         return lists;
     }
--- a/gateway/src/main/java/gradereach/plan/RemoteWriteSettings.java
+++ b/gateway/src/main/java/gradereach/plan/RemoteWriteSettings.java
@@ -16,15 +16,15 @@
     private static final long DEFAULT_INTERVAL_MILLIS = 15_000;
     private static final long DEFAULT_TIMEOUT_MILLIS = 10_000;
     private static final int DEFAULT_SHARDS = 4;
-    private static final long DEFAULT_STOP_MILLIS = 1000;
-    private static final int DEFAULT_SAMPLES = 200_000;
-    private static final long DEFAULT_BYTES = 32L << 20;
+    private static final long DEFAULT_STOP_TIMEOUT_MILLIS = 1000;
+    private static final int DEFAULT_MAX_SAMPLES = 200_000;
+    private static final long DEFAULT_MAX_BYTES = 32L << 20;
     private static final int DEFAULT_BATCH_SAMPLES = 2000;
     private static final long DEFAULT_BATCH_BYTES = 512 << 10;
-    private static final double LONGEST_BATCH_WAIT_MILLIS = 1000;
-    private static final double DEFAULT_KEEP_MILLIS = 600_000;
-    private static final double DEFAULT_FIRST_PAUSE_MILLIS = 500;
-    private static final double DEFAULT_LONGEST_PAUSE_MILLIS = 30_000;
+    private static final double MAX_BATCH_WAIT_MILLIS = 1000;
+    private static final double DEFAULT_RETENTION_MILLIS = 600_000;
+    private static final double DEFAULT_INITIAL_BACKOFF_MILLIS = 500;
+    private static final double DEFAULT_MAX_BACKOFF_MILLIS = 30_000;
 
     private RemoteWriteSettings() { }
 
@@ -34,8 +34,8 @@
         boolean version1 = settings.path("version").asText(DEFAULT_VERSION).equals(VERSION_1);
         return new Pusher.Receiver(URI.create(settings.path("url").asText()), version1, labels(settings, frontEnd), frontEnd,
                 interval, settings.path("timeout_ms").asLong(DEFAULT_TIMEOUT_MILLIS),
-                settings.path("shards").asInt(DEFAULT_SHARDS), bounds(settings, interval),
-                settings.path("stop_ms").asLong(DEFAULT_STOP_MILLIS));
+                settings.path("shards").asInt(DEFAULT_SHARDS), limits(settings, interval),
+                settings.path("stop_ms").asLong(DEFAULT_STOP_TIMEOUT_MILLIS));
     }
 
     /** Names and values of the labels that every series has, in turn, sorted by name. */
@@ -47,14 +47,14 @@
         return flat;
     }
 
-    private static SendQueue.Bounds bounds(JsonNode settings, long interval) {
-        return new SendQueue.Bounds(settings.path("samples").asInt(DEFAULT_SAMPLES),
-                settings.path("bytes").asLong(DEFAULT_BYTES),
+    private static SendQueue.Limits limits(JsonNode settings, long interval) {
+        return new SendQueue.Limits(settings.path("samples").asInt(DEFAULT_MAX_SAMPLES),
+                settings.path("bytes").asLong(DEFAULT_MAX_BYTES),
                 settings.path("batch_samples").asInt(DEFAULT_BATCH_SAMPLES),
                 settings.path("batch_bytes").asLong(DEFAULT_BATCH_BYTES),
-                Math.min(LONGEST_BATCH_WAIT_MILLIS, interval / 2.0),
-                settings.path("keep_ms").asDouble(DEFAULT_KEEP_MILLIS),
-                settings.path("first_pause_ms").asDouble(DEFAULT_FIRST_PAUSE_MILLIS),
-                settings.path("longest_pause_ms").asDouble(DEFAULT_LONGEST_PAUSE_MILLIS));
+                Math.min(MAX_BATCH_WAIT_MILLIS, interval / 2.0),
+                settings.path("keep_ms").asDouble(DEFAULT_RETENTION_MILLIS),
+                settings.path("first_pause_ms").asDouble(DEFAULT_INITIAL_BACKOFF_MILLIS),
+                settings.path("longest_pause_ms").asDouble(DEFAULT_MAX_BACKOFF_MILLIS));
     }
 }
--- a/gateway/src/main/java/gradereach/replay/IdWheel.java
+++ b/gateway/src/main/java/gradereach/replay/ExpiringIdTable.java
@@ -8,106 +8,106 @@
  * Two ids are taken for one only where their fingerprints agree in 128 bits, which no sender can bring about without
  * the signing key's customer being its own; that its own two ids meet has a chance of one in 2^128 for each pair.
  */
-public final class IdWheel {
+public final class ExpiringIdTable {
     /** What a lookup found. */
-    public enum Seen { NO, SAME, OTHER }
+    public enum Lookup { NOT_FOUND, SAME_DIGEST, OTHER_DIGEST }
 
-    private static final int SLOT = 3;
-    private static final int FIRST_SLOTS = 1024;
-    private static final double FULLEST = 0.625; // linear probing stays at two to three looks
+    private static final int LONGS_PER_SLOT = 3;
+    private static final int INITIAL_SLOTS = 1024;
+    private static final double MAX_LOAD_FACTOR = 0.625; // linear probing stays at two to three looks
 
     private static final class Bucket {
-        long[] table = new long[FIRST_SLOTS * SLOT];
-        int used;
-        long number = -1;
+        long[] table = new long[INITIAL_SLOTS * LONGS_PER_SLOT];
+        int usedSlots;
+        long period = -1;
 
         /** Index of its slot, or of the empty one where it belongs. The second word is never 0 in a used slot. */
-        int find(long high, long low) {
-            int slots = table.length / SLOT;
+        int findSlot(long high, long low) {
+            int slots = table.length / LONGS_PER_SLOT;
             int at = (int) (high >>> 1) & slots - 1;
-            while (table[at * SLOT + 1] != 0 && (table[at * SLOT] != high || table[at * SLOT + 1] != low)) {
+            while (table[at * LONGS_PER_SLOT + 1] != 0 && (table[at * LONGS_PER_SLOT] != high || table[at * LONGS_PER_SLOT + 1] != low)) {
                 at = at + 1 & slots - 1;
             }
-            return at * SLOT;
+            return at * LONGS_PER_SLOT;
         }
 
         void grow() {
             long[] old = table;
             table = new long[old.length * 2];
-            for (int i = 0; i < old.length; i += SLOT) {
+            for (int i = 0; i < old.length; i += LONGS_PER_SLOT) {
                 if (old[i + 1] != 0) {
-                    System.arraycopy(old, i, table, find(old[i], old[i + 1]), SLOT);
+                    System.arraycopy(old, i, table, findSlot(old[i], old[i + 1]), LONGS_PER_SLOT);
                 }
             }
         }
     }
 
     private final Bucket[] buckets;
-    private final double span;
-    private final int most;
+    private final double bucketMillis;
+    private final int maxIds;
     private int size;
 
     /**
      * @param kept milliseconds for which an id is remembered at least; an eighth more at most
      * @param most ids at one time
      */
-    public IdWheel(double kept, int most) {
+    public ExpiringIdTable(double kept, int most) {
         // One bucket more than whole parts of the time: the one being filled.
         buckets = new Bucket[9];
-        span = kept / 8;
-        this.most = most;
+        bucketMillis = kept / 8;
+        this.maxIds = most;
         for (int i = 0; i < buckets.length; i++) {
             buckets[i] = new Bucket();
         }
     }
 
-    private Bucket present(double now) {
-        long number = (long) Math.floor(now / span);
+    private Bucket currentBucket(double now) {
+        long number = (long) Math.floor(now / bucketMillis);
         for (Bucket bucket : buckets) {
-            if (bucket.number >= 0 && bucket.number <= number - buckets.length) {
-                empty(bucket);
+            if (bucket.period >= 0 && bucket.period <= number - buckets.length) {
+                clear(bucket);
             }
         }
         Bucket bucket = buckets[(int) (number % buckets.length)];
-        bucket.number = number;
+        bucket.period = number;
         return bucket;
     }
 
-    private void empty(Bucket bucket) {
-        size -= bucket.used;
-        bucket.used = 0;
-        bucket.number = -1;
+    private void clear(Bucket bucket) {
+        size -= bucket.usedSlots;
+        bucket.usedSlots = 0;
+        bucket.period = -1;
         // A quiet time after a loud one gives the room back.
-        bucket.table = new long[FIRST_SLOTS * SLOT];
+        bucket.table = new long[INITIAL_SLOTS * LONGS_PER_SLOT];
     }
 
     /** Whether it was seen, and with the same digest. */
-    public Seen find(long high, long low, long digest, double now) {
-        present(now);
+    public Lookup find(long high, long low, long digest, double now) {
+        currentBucket(now);
         long second = low == 0 ? 1 : low;
         for (Bucket bucket : buckets) {
-            if (bucket.used > 0) {
-                int at = bucket.find(high, second);
+            if (bucket.usedSlots > 0) {
+                int at = bucket.findSlot(high, second);
                 if (bucket.table[at + 1] != 0) {
-                    return bucket.table[at + 2] == digest ? Seen.SAME : Seen.OTHER;
+                    return bucket.table[at + 2] == digest ? Lookup.SAME_DIGEST : Lookup.OTHER_DIGEST;
                 }
             }
         }
-        return Seen.NO;
+        return Lookup.NOT_FOUND;
     }
 
     /** Remembers one that was not seen; false where there is no room. */
     public boolean add(long high, long low, long digest, double now) {
-        Bucket bucket = present(now);
-        if (size >= most) {
+        Bucket bucket = currentBucket(now);
+        if (size >= maxIds) {
             return false;
         }
-        if (bucket.used >= bucket.table.length / SLOT * FULLEST) {
+        if (bucket.usedSlots >= bucket.table.length / LONGS_PER_SLOT * MAX_LOAD_FACTOR) {
             bucket.grow();
         }
-        int at = bucket.find(high, low == 0 ? 1 : low);
+        int at = bucket.findSlot(high, low == 0 ? 1 : low);
         if (bucket.table[at + 1] == 0) {
-            bucket.used++;
+            bucket.usedSlots++;
             size++;
         }
         bucket.table[at] = high;
@@ -121,7 +121,7 @@
     }
 
     /** Bytes of its tables. */
-    public long bytes() {
+    public long memoryBytes() {
         long sum = 0;
         for (Bucket bucket : buckets) {
             sum += 8L * bucket.table.length;
--- a/gateway/src/main/java/gradereach/roster/RosterWatch.java
+++ b/gateway/src/main/java/gradereach/roster/RosterWatch.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import gradereach.counts.Counts;
 import gradereach.counts.FailureText;
-import gradereach.roster.EndpointSlices.BadRoster;
+import gradereach.roster.EndpointSliceParser.MalformedRosterException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.URI;
@@ -43,16 +43,16 @@
          * @param confirmedAt when it was last known to be complete
          * @param until from when on a change may have been missed
          */
-        void valid(double confirmedAt, double until);
+        void onValidityChanged(double confirmedAt, double until);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(RosterWatch.class);
-    private static final String SLICES = "/apis/discovery.k8s.io/v1/endpointslices";
+    private static final String SLICES_PATH = "/apis/discovery.k8s.io/v1/endpointslices";
     private static final ObjectMapper JSON = JsonMapper.builder(JsonFactory.builder().streamReadConstraints(
             StreamReadConstraints.builder().maxNestingDepth(64).build()).build()).build();
     /** First wait after a failure, doubled up to the longest: a roster that is away is not beaten on. */
-    private static final long FIRST_WAIT = 200;
-    private static final long LONGEST_WAIT = 5000;
+    private static final long INITIAL_BACKOFF_MILLIS = 200;
+    private static final long MAX_BACKOFF_MILLIS = 5000;
     /**
      * For how long something is relied on.
      *
@@ -60,19 +60,19 @@
      * @param watchLate how much later that end has come, were the server alive
      * @param validAfterFailure how long the roster counts as complete once it cannot be read
      */
-    record Timing(Duration watchLasts, Duration watchLate, Duration validAfterFailure) {
-        long watchMillis() {
-            return watchLasts.plus(watchLate).toMillis();
+    record Timing(Duration watchDuration, Duration watchGracePeriod, Duration validAfterFailure) {
+        long maxWatchMillis() {
+            return watchDuration.plus(watchGracePeriod).toMillis();
         }
     }
 
     /** After a failure a few tries. */
-    private static final Timing TIMING = new Timing(Duration.ofSeconds(30), Duration.ofSeconds(5), Duration.ofSeconds(4));
+    private static final Timing DEFAULT_TIMING = new Timing(Duration.ofSeconds(30), Duration.ofSeconds(5), Duration.ofSeconds(4));
     /** A file is looked at this often: as fast as a watch would tell. */
-    private static final long FILE_EVERY = 100;
+    private static final long FILE_POLL_INTERVAL_MILLIS = 100;
 
-    private final RosterBook book;
-    private final String agent;
+    private final RosterTracker tracker;
+    private final String userAgent;
     private final URI server;
     private final Path file;
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
@@ -84,9 +84,9 @@
     private final Random jitter = new Random();
     private final Thread thread;
     private volatile boolean closing;
-    private volatile InputStream open;
+    private volatile InputStream openWatch;
     private final DoubleSupplier clock;
-    private final ValidityListener validity;
+    private final ValidityListener validityListener;
     private final Timing timing;
     private final LongAdder silentWatches;
     private final ScheduledExecutorService watchdog = Executors.newSingleThreadScheduledExecutor(work -> {
@@ -102,19 +102,19 @@
      *
      * @param clock module time in milliseconds
      */
-    public RosterWatch(RosterBook book, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validity,
+    public RosterWatch(RosterTracker book, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validity,
             Counts counts) {
-        this(book, name, server, file, clock, validity, TIMING, counts);
+        this(book, name, server, file, clock, validity, DEFAULT_TIMING, counts);
     }
 
-    RosterWatch(RosterBook book, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validity,
+    RosterWatch(RosterTracker book, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validity,
             Timing timing, Counts counts) {
         this.clock = clock;
-        this.validity = validity;
+        this.validityListener = validity;
         this.timing = timing;
         silentWatches = counts.counter("roster_silent_watches");
-        this.book = book;
-        agent = "gradereach/" + name;
+        this.tracker = book;
+        userAgent = "gradereach/" + name;
         this.server = server;
         this.file = file;
         failures = counts.counter("roster_failures");
@@ -130,26 +130,26 @@
     }
 
     private void run() {
-        long wait = FIRST_WAIT;
+        long wait = INITIAL_BACKOFF_MILLIS;
         while (!closing) {
             try {
                 if (file != null) {
-                    followFile();
+                    pollFile();
                 } else {
-                    list();
-                    wait = FIRST_WAIT;
-                    watch();
+                    fetchList();
+                    wait = INITIAL_BACKOFF_MILLIS;
+                    followWatch();
                 }
-            } catch (IOException | BadRoster | RuntimeException e) {
+            } catch (IOException | MalformedRosterException | RuntimeException e) {
                 // Whatever breaks: this thread goes on, or nobody would hear of a change again.
                 if (closing) {
                     return;
                 }
                 failures.increment();
-                expires(clock.getAsDouble() + timing.validAfterFailure.toMillis());
+                limitValidity(clock.getAsDouble() + timing.validAfterFailure.toMillis());
                 LOG.atWarn().addKeyValue("from", file != null ? file : server).addKeyValue("wait_ms", wait)
-                        .log("roster not read, the old one stays: {}", FailureText.of(e));
-                wait = Math.min(LONGEST_WAIT, wait * 2);
+                        .log("roster not read, the old one stays: {}", FailureText.describe(e));
+                wait = Math.min(MAX_BACKOFF_MILLIS, wait * 2);
             } catch (InterruptedException e) {
                 return;
             }
@@ -161,37 +161,37 @@
         }
     }
 
-    private void list() throws IOException, InterruptedException, BadRoster {
+    private void fetchList() throws IOException, InterruptedException, MalformedRosterException {
         double askedAt = clock.getAsDouble();
         HttpResponse<InputStream> answer = get("", Duration.ofSeconds(5));
         try (InputStream body = answer.body()) {
-            book.list(JSON.readTree(body));
+            tracker.applyList(JSON.readTree(body));
         }
         lists.increment();
-        confirmed(askedAt, timing.watchMillis());
+        confirm(askedAt, timing.maxWatchMillis());
     }
 
     /** Returns where the server ended the watch or it has to be begun anew. */
-    private void watch() throws IOException, InterruptedException {
-        HttpResponse<InputStream> answer = get("?watch=1&allowWatchBookmarks=true&timeoutSeconds=" + timing.watchLasts.toSeconds()
-                + "&resourceVersion=" + book.version(), Duration.ofSeconds(5));
-        Future<?> silentEnd = watchdog.schedule(() -> endSilentWatch(answer.body()), timing.watchMillis(), TimeUnit.MILLISECONDS);
+    private void followWatch() throws IOException, InterruptedException {
+        HttpResponse<InputStream> answer = get("?watch=1&allowWatchBookmarks=true&timeoutSeconds=" + timing.watchDuration.toSeconds()
+                + "&resourceVersion=" + tracker.resourceVersion(), Duration.ofSeconds(5));
+        Future<?> silentEnd = watchdog.schedule(() -> endSilentWatch(answer.body()), timing.maxWatchMillis(), TimeUnit.MILLISECONDS);
         try (InputStream body = answer.body();
                 MappingIterator<JsonNode> events = JSON.readerFor(JsonNode.class).readValues(body)) {
-            open = body;
+            openWatch = body;
             while (!closing && events.hasNextValue()) {
                 try {
-                    if (!book.watched(events.nextValue())) {
+                    if (!tracker.applyWatchEvent(events.nextValue())) {
                         return;
                     }
                     watchEvents.increment();
-                } catch (BadRoster e) {
+                } catch (MalformedRosterException e) {
                     badSlices.increment();
                     LOG.warn("a slice was passed over, its earlier self stays: {}", e.getMessage());
                 }
             }
         } finally {
-            open = null;
+            openWatch = null;
             silentEnd.cancel(false);
         }
     }
@@ -205,8 +205,8 @@
 
     private HttpResponse<InputStream> get(String query, Duration patience) throws IOException, InterruptedException {
         // The time-out runs until the head of the answer; a watch's body then stays open.
-        HttpResponse<InputStream> answer = client.send(HttpRequest.newBuilder(server.resolve(SLICES + query))
-                .timeout(patience).header("accept", "application/json").header("user-agent", agent).build(),
+        HttpResponse<InputStream> answer = client.send(HttpRequest.newBuilder(server.resolve(SLICES_PATH + query))
+                .timeout(patience).header("accept", "application/json").header("user-agent", userAgent).build(),
                 HttpResponse.BodyHandlers.ofInputStream());
         if (answer.statusCode() != 200) {
             answer.body().close();
@@ -215,33 +215,33 @@
         return answer;
     }
 
-    private void followFile() throws IOException, InterruptedException, BadRoster {
+    private void pollFile() throws IOException, InterruptedException, MalformedRosterException {
         FileTime seen = null;
         long size = -1;
         while (!closing) {
             FileTime changed = Files.getLastModifiedTime(file);
             if (!changed.equals(seen) || Files.size(file) != size) {
                 JsonNode list = JSON.readTree(file.toFile());
-                book.list(list);
+                tracker.applyList(list);
                 seen = changed;
                 size = Files.size(file);
                 lists.increment();
             }
-            confirmed(clock.getAsDouble(), timing.validAfterFailure.toMillis());
-            Thread.sleep(FILE_EVERY);
+            confirm(clock.getAsDouble(), timing.validAfterFailure.toMillis());
+            Thread.sleep(FILE_POLL_INTERVAL_MILLIS);
         }
     }
 
-    private void confirmed(double at, double lasts) {
+    private void confirm(double at, double lasts) {
         confirmedAt = at;
         validUntil = at + lasts;
-        validity.valid(confirmedAt, validUntil);
+        validityListener.onValidityChanged(confirmedAt, validUntil);
     }
 
-    private void expires(double latest) {
+    private void limitValidity(double latest) {
         if (latest < validUntil) {
             validUntil = latest;
-            validity.valid(confirmedAt, validUntil);
+            validityListener.onValidityChanged(confirmedAt, validUntil);
         }
     }
 
@@ -250,7 +250,7 @@
         closing = true;
         thread.interrupt();
         watchdog.shutdownNow();
-        InputStream body = open;
+        InputStream body = openWatch;
         if (body != null) {
             closeQuietly(body);
         }
--- a/gateway/src/main/java/gradereach/serve/Admin.java
+++ b/gateway/src/main/java/gradereach/serve/AdminServer.java
@@ -27,7 +27,7 @@
 import java.util.function.Supplier;
 
 /** {@code /healthz}, {@code /readyz}, {@code /metrics} and {@code /members} on a listener of their own, served by the JDK's small server. */
-final class Admin implements AutoCloseable {
+final class AdminServer implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final HttpServer server;
     private final ExecutorService threads = Executors.newFixedThreadPool(2, work -> {
@@ -39,15 +39,15 @@
     private final Supplier<Membership.View> members;
 
     /** @param members may give null: there is no membership here, or none yet */
-    Admin(InetSocketAddress at, Counts counts, BooleanSupplier healthy, BooleanSupplier ready, Supplier<Membership.View> members)
+    AdminServer(InetSocketAddress at, Counts counts, BooleanSupplier healthy, BooleanSupplier ready, Supplier<Membership.View> members)
             throws IOException {
         this.counts = counts;
         this.members = members;
         server = HttpServer.create(at, 16);
         server.setExecutor(threads);
-        server.createContext("/healthz", ask -> say(ask, healthy.getAsBoolean()));
-        server.createContext("/readyz", ask -> say(ask, ready.getAsBoolean()));
-        server.createContext("/metrics", this::metrics);
+        server.createContext("/healthz", ask -> respond(ask, healthy.getAsBoolean()));
+        server.createContext("/readyz", ask -> respond(ask, ready.getAsBoolean()));
+        server.createContext("/metrics", this::handleMetrics);
         server.createContext("/members", this::members);
         server.start();
     }
@@ -56,14 +56,14 @@
         return server.getAddress();
     }
 
-    private static void say(HttpExchange ask, boolean yes) throws IOException {
+    private static void respond(HttpExchange ask, boolean yes) throws IOException {
         byte[] word = (yes ? "yes\n" : "no\n").getBytes(StandardCharsets.US_ASCII);
         ask.sendResponseHeaders(yes ? 200 : 503, word.length);
         ask.getResponseBody().write(word);
         ask.close();
     }
 
-    private void metrics(HttpExchange ask) throws IOException {
+    private void handleMetrics(HttpExchange ask) throws IOException {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         PrometheusTextFormatWriter.create().write(text, snapshots(counts));
         ask.getResponseHeaders().set("content-type", PrometheusTextFormatWriter.CONTENT_TYPE);
@@ -76,10 +76,10 @@
         Membership.View view = members.get();
         ObjectNode told = JSON.createObjectNode();
         if (view != null) {
-            told.put("present", view.present()).put("share", view.share()).put("ailing", view.ailing());
+            told.put("present", view.presentCount()).put("share", view.share()).put("ailing", view.healthScore());
             ArrayNode all = told.putArray("members");
-            add(all, view.self()).put("self", true);
-            view.members().stream().sorted(Comparator.comparing(Member::name)).forEach(member -> add(all, member));
+            addMember(all, view.self()).put("self", true);
+            view.members().stream().sorted(Comparator.comparing(Member::name)).forEach(member -> addMember(all, member));
         }
         byte[] text = JSON.writeValueAsBytes(told);
         ask.getResponseHeaders().set("content-type", "application/json");
@@ -88,7 +88,7 @@
         ask.close();
     }
 
-    private static ObjectNode add(ArrayNode to, Member member) {
+    private static ObjectNode addMember(ArrayNode to, Member member) {
         return to.addObject().put("name", member.name()).put("address", member.address())
                 .put("state", member.state().name().toLowerCase()).put("incarnation", member.incarnation());
     }
@@ -102,11 +102,11 @@
         CounterSnapshot.Builder refused = CounterSnapshot.builder().name("gradereach_limit_refused");
         for (Counts.Limit limit : counts.limits()) {
             Labels which = Labels.of("limit", limit.name);
-            present.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(which).value(limit.present()).build());
-            if (limit.bound < Long.MAX_VALUE) {
-                bound.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(which).value(limit.bound).build());
+            present.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(which).value(limit.inUse()).build());
+            if (limit.capacity < Long.MAX_VALUE) {
+                bound.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(which).value(limit.capacity).build());
             }
-            refused.dataPoint(CounterSnapshot.CounterDataPointSnapshot.builder().labels(which).value(limit.refused())
+            refused.dataPoint(CounterSnapshot.CounterDataPointSnapshot.builder().labels(which).value(limit.rejections())
                     .build());
         }
         all.add(present.build());
--- a/gateway/src/main/java/gradereach/serve/EchoExecutor.java
+++ b/gateway/src/main/java/gradereach/serve/EchoExecutor.java
@@ -61,7 +61,7 @@
                                 new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel stream) {
-                                        stream.pipeline().addLast(new Echo());
+                                        stream.pipeline().addLast(new EchoHandler());
                                     }
                                 }));
                     }
@@ -69,7 +69,7 @@
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    private static final class Echo extends ChannelInboundHandlerAdapter {
+    private static final class EchoHandler extends ChannelInboundHandlerAdapter {
         private String path = "";
 
         @Override
--- a/gateway/src/main/java/gradereach/serve/Between.java
+++ b/gateway/src/main/java/gradereach/serve/FaultInjection.java
@@ -1,7 +1,7 @@
 package gradereach.serve;
 
-import gradereach.api.Outlet;
-import gradereach.desk.Links;
+import gradereach.api.RouterActions;
+import gradereach.desk.ExecutorTransport;
 import gradereach.ledger.disk.Disk;
 import java.util.function.UnaryOperator;
 
@@ -12,6 +12,6 @@
  * @param outlet around the module's actions
  * @param links around the way to the executors
  */
-public record Between(UnaryOperator<Outlet> outlet, UnaryOperator<Links> links, Disk disk) {
-    public static final Between NOTHING = new Between(UnaryOperator.identity(), UnaryOperator.identity(), Disk.REAL);
+public record FaultInjection(UnaryOperator<RouterActions> routerActions, UnaryOperator<ExecutorTransport> executorTransport, Disk disk) {
+    public static final FaultInjection NONE = new FaultInjection(UnaryOperator.identity(), UnaryOperator.identity(), Disk.FILE_SYSTEM);
 }
--- a/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
+++ b/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
@@ -1,6 +1,6 @@
 package gradereach.serve;
 
-import gradereach.plan.BadPlan;
+import gradereach.plan.InvalidDeploymentException;
 import gradereach.plan.Deployment;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -15,20 +15,20 @@
     private FrontEndProcess() { }
 
     public static void main(String[] args) throws InterruptedException {
-        System.exit(run(Path.of(args[0]), Between.NOTHING, System.out, System.err));
+        System.exit(run(Path.of(args[0]), FaultInjection.NONE, System.out, System.err));
     }
 
-    private static String text(InetSocketAddress at) {
+    private static String hostAndPort(InetSocketAddress at) {
         return at.getHostString() + ":" + at.getPort();
     }
 
     /** The exit code: 0 after an orderly stop, 1 on run errors, 2 on a bad deployment file. */
-    public static int run(Path file, Between between, PrintStream out, PrintStream err)
+    public static int run(Path file, FaultInjection between, PrintStream out, PrintStream err)
             throws InterruptedException {
         Deployment plan;
         try {
             plan = Deployment.read(file);
-        } catch (BadPlan e) {
+        } catch (InvalidDeploymentException e) {
             e.errors().forEach(err::println);
             return 2;
         }
@@ -45,8 +45,8 @@
         Signals.register("INT", asked);
         try {
             InetSocketAddress at = gateway.start();
-            out.println("listening " + text(at) + (gateway.adminAddress() == null ? "" : " admin " + text(gateway.adminAddress()))
-                    + (gateway.grpcAddress() == null ? "" : " grpc " + text(gateway.grpcAddress())));
+            out.println("listening " + hostAndPort(at) + (gateway.adminAddress() == null ? "" : " admin " + hostAndPort(gateway.adminAddress()))
+                    + (gateway.grpcAddress() == null ? "" : " grpc " + hostAndPort(gateway.grpcAddress())));
             out.flush();
         } catch (BindException e) {
             err.println(file + ": /listen or /admin: " + e.getMessage());
--- a/gateway/src/main/java/gradereach/serve/Gateway.java
+++ b/gateway/src/main/java/gradereach/serve/Gateway.java
@@ -3,43 +3,43 @@
 import gradereach.Policy;
 import gradereach.api.Customer;
 import gradereach.api.ModelGroup;
-import gradereach.api.Outlet;
+import gradereach.api.RouterActions;
 import gradereach.api.Router;
-import gradereach.claims.KeeperBook;
+import gradereach.claims.ClaimTable;
 import gradereach.claims.PeerClaims;
-import gradereach.claims.PeerFront;
+import gradereach.claims.PeerServer;
 import gradereach.counts.Counts;
 import gradereach.counts.CountsSource;
 import gradereach.counts.FailureText;
-import gradereach.desk.Claims;
+import gradereach.desk.ClaimService;
 import gradereach.delivery.Outbox;
-import gradereach.desk.Desk;
+import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.Ledger;
-import gradereach.ledger.CarryBook;
-import gradereach.ledger.LedgerBook;
+import gradereach.ledger.CompactionPlanner;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.disk.DiskLedger;
 import gradereach.ledger.disk.LedgerClock;
 import gradereach.ledger.disk.LedgerFolder;
-import gradereach.desk.MessageMemory;
-import gradereach.flow.PartFlow;
-import gradereach.front.WebhookFront;
-import gradereach.grpcfront.GrpcFront;
-import gradereach.http2.Http2Pool;
+import gradereach.desk.MessageStore;
+import gradereach.flow.AnswerStream;
+import gradereach.front.WebhookServer;
+import gradereach.grpcfront.GrpcServer;
+import gradereach.http2.Http2ConnectionPool;
 import gradereach.intake.Intake;
-import gradereach.inquiry.InquiryBook;
-import gradereach.link.ExecutorLinks;
-import gradereach.loop.Clock;
+import gradereach.inquiry.InquiryScheduler;
+import gradereach.link.HttpExecutorTransport;
+import gradereach.loop.MonotonicClock;
 import gradereach.loop.DecisionLoop;
-import gradereach.loop.HaltWatch;
+import gradereach.loop.StallDetector;
 import gradereach.loop.StartRetry;
-import gradereach.loop.PatientServerChannel;
-import gradereach.measures.Service;
+import gradereach.loop.RetryingServerSocketChannel;
+import gradereach.measures.ServiceMetrics;
 import gradereach.members.Membership;
-import gradereach.message.Wording;
+import gradereach.message.AnswerFormat;
 import gradereach.plan.Deployment;
 import gradereach.remotewrite.Pusher;
-import gradereach.roster.EndpointSlices;
-import gradereach.roster.RosterBook;
+import gradereach.roster.EndpointSliceParser;
+import gradereach.roster.RosterTracker;
 import gradereach.roster.RosterWatch;
 import gradereach.webhook.KeyRing;
 import io.netty.channel.EventLoopGroup;
@@ -63,41 +63,41 @@
  */
 public final class Gateway implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-    private static final double REMEMBERED_FOR = KeyRing.REPLAYABLE_MILLIS;
+    private static final double MESSAGE_RETENTION_MILLIS = KeyRing.REPLAY_WINDOW_MILLIS;
 
-    private final Deployment plan;
+    private final Deployment deployment;
     private final Counts counts = new Counts();
-    private final Clock clock = Clock.system();
+    private final MonotonicClock clock = MonotonicClock.system();
     private final LedgerClock ledgerClock = new LedgerClock(clock::now, System::currentTimeMillis);
     private final EventLoopGroup boss = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoopGroup workers;
-    private final HaltWatch halts = new HaltWatch(clock::now);
-    private final CarryBook carry;
+    private final StallDetector haltWatch = new StallDetector(clock::now);
+    private final CompactionPlanner compactionPlanner;
     /** Null for none. */
     private final DiskLedger ledger;
     /** Null without peers. */
     private PeerClaims claims;
-    private final PeerFront peerFront;
-    private final DecisionLoop loop;
+    private final PeerServer peerServer;
+    private final DecisionLoop decisionLoop;
     private final Outbox outbox;
     private final Intake intake;
-    private final WebhookFront front;
+    private final WebhookServer webhookServer;
     /** Null without one. */
-    private final GrpcFront grpc;
-    private InetSocketAddress grpcAt;
-    private final RosterWatch roster;
-    private final Service service;
+    private final GrpcServer grpcServer;
+    private InetSocketAddress boundGrpcAddress;
+    private final RosterWatch rosterWatch;
+    private final ServiceMetrics service;
     /** Null where shares are fixed. */
     private Membership membership;
-    private final Random memberChance;
+    private final Random membershipRandom;
     /** Null where nothing is pushed. */
     private final Pusher pusher;
-    private Admin admin;
-    private volatile boolean rosterKnown;
+    private AdminServer adminServer;
+    private volatile boolean rosterReceived;
     private volatile boolean stopping;
 
-    public Gateway(Deployment plan, Between between) {
-        this.plan = plan;
+    public Gateway(Deployment plan, FaultInjection between) {
+        this.deployment = plan;
         // Half the processors: signatures and codecs are cheap beside what executors on the same machine may need.
         workers = new MultiThreadIoEventLoopGroup(Math.max(2, Runtime.getRuntime().availableProcessors() / 2),
                 NioIoHandler.newFactory());
@@ -105,139 +105,139 @@
         LOG.atInfo().addKeyValue("name", plan.name()).addKeyValue("seed", seed).log("front end starts");
         Random seeds = new Random(seed);
         List<String> names = plan.customers().stream().map(Customer::name).toList();
-        service = new Service(plan.groups().stream().map(ModelGroup::name).toList(), plan.seriesEach(), System::currentTimeMillis);
-        int streams = (int) plan.executors("streams", 100);
-        Http2Pool.Bounds links = new Http2Pool.Bounds((int) plan.executors("connections", 4), streams,
-                plan.connectTimeoutMillis(), plan.executors("idle_ms", 15_000),
-                (int) plan.executors("longest_answer_bytes", 16 << 20), 1 << 20);
-        Http2Pool.Bounds openStreams = new Http2Pool.Bounds(links.connections(), streams, links.connectTimeout(), links.idle(),
-                links.longestAnswer(), (int) plan.executors("stream_window_bytes", 1 << 16));
-        PartFlow.Bounds parts = new PartFlow.Bounds(plan.limit("parts_held_bytes", 256L << 20),
-                (int) plan.limit("record_bytes", 1 << 16), plan.limit("records_bytes", 64L << 20), counts);
-        carry = new CarryBook(REMEMBERED_FOR, (int) plan.ledger("open", 100_000));
+        service = new ServiceMetrics(plan.groups().stream().map(ModelGroup::name).toList(), plan.maxSeriesPerLabel(), System::currentTimeMillis);
+        int streams = (int) plan.executorSetting("streams", 100);
+        Http2ConnectionPool.Limits links = new Http2ConnectionPool.Limits((int) plan.executorSetting("connections", 4), streams,
+                plan.connectTimeoutMillis(), plan.executorSetting("idle_ms", 15_000),
+                (int) plan.executorSetting("longest_answer_bytes", 16 << 20), 1 << 20);
+        Http2ConnectionPool.Limits openStreams = new Http2ConnectionPool.Limits(links.maxConnections(), streams, links.connectTimeoutMillis(), links.idleTimeoutMillis(),
+                links.maxResponseBytes(), (int) plan.executorSetting("stream_window_bytes", 1 << 16));
+        AnswerStream.Limits parts = new AnswerStream.Limits(plan.limitSetting("parts_held_bytes", 256L << 20),
+                (int) plan.limitSetting("record_bytes", 1 << 16), plan.limitSetting("records_bytes", 64L << 20), counts);
+        compactionPlanner = new CompactionPlanner(MESSAGE_RETENTION_MILLIS, (int) plan.ledgerSetting("open", 100_000));
         ledger = plan.ledgerFolder() == null ? null : new DiskLedger(between.disk(),
-                new DiskLedger.Bounds(plan.ledger("segment_bytes", 64L << 20), plan.ledger("reserve_bytes", 256L << 20),
-                        (int) plan.ledger("waiting", 65_536)), carry, ledgerClock,
-                done -> toDesk(d -> done.run()), counts);
-        loop = new DecisionLoop(plan.name(), clock, (int) plan.limit("door", 8192), counts, timers -> {
-            MessageMemory memory = new MessageMemory((int) plan.limit("remembered", 500_000),
-                    plan.limit("remembered_bytes", 64L << 20), REMEMBERED_FOR,
-                    (int) plan.limit("ids", 5_000_000), new SecureRandom().nextLong());
-            return new Desk(plan.name(), outlet -> module(outlet, new Random(seeds.nextLong()), between.outlet()),
-                    between.links().apply(new ExecutorLinks(plan.name(), plan.grpcKinds(), workers, NioSocketChannel.class, links, openStreams, parts, counts,
-                            clock::now, this::toDesk)),
-                    timers, new Measured(new LifeLog(names), service, plan.groups(), names, plan.surplusValue()), clock, memory,
-                    ledger == null ? Ledger.NONE : ledger, peerClaims(timers),
-                    new InquiryBook(plan.executors("outcomes_kept_ms", 0), 32, (int) plan.limit("in_question", 10_000)), Wording.WEBHOOK,
-                    new Desk.Door((int) plan.limit("held", 20_000), (int) plan.limit("models", 200_000),
-                            (int) plan.limit("waiting_for_one", 8)),
-                    plan.loading(), plan.forwards(), plan.coldStart(), names, counts);
+                new DiskLedger.Limits(plan.ledgerSetting("segment_bytes", 64L << 20), plan.ledgerSetting("reserve_bytes", 256L << 20),
+                        (int) plan.ledgerSetting("waiting", 65_536)), compactionPlanner, ledgerClock,
+                done -> submit(d -> done.run()), counts);
+        decisionLoop = new DecisionLoop(plan.name(), clock, (int) plan.limitSetting("door", 8192), counts, timers -> {
+            MessageStore memory = new MessageStore((int) plan.limitSetting("remembered", 500_000),
+                    plan.limitSetting("remembered_bytes", 64L << 20), MESSAGE_RETENTION_MILLIS,
+                    (int) plan.limitSetting("ids", 5_000_000), new SecureRandom().nextLong());
+            return new InferenceCoordinator(plan.name(), outlet -> createRouter(outlet, new Random(seeds.nextLong()), between.routerActions()),
+                    between.executorTransport().apply(new HttpExecutorTransport(plan.name(), plan.grpcMachineKinds(), workers, NioSocketChannel.class, links, openStreams, parts, counts,
+                            clock::now, this::submit)),
+                    timers, new MetricsRecorder(new InferenceLog(names), service, plan.groups(), names, plan.overQuotaValue()), clock, memory,
+                    ledger == null ? Ledger.NONE : ledger, createPeerClaims(timers),
+                    new InquiryScheduler(plan.executorSetting("outcomes_kept_ms", 0), 32, (int) plan.limitSetting("in_question", 10_000)), AnswerFormat.WEBHOOK,
+                    new InferenceCoordinator.AdmissionLimits((int) plan.limitSetting("held", 20_000), (int) plan.limitSetting("models", 200_000),
+                            (int) plan.limitSetting("waiting_for_one", 8)),
+                    plan.loadingRules(), plan.forwardRules(), plan.coldStartRule(), names, counts);
         });
-        loop.onFailure(failure -> LOG.error("an event failed; it costs itself alone", failure));
-        peerFront = claims == null ? null : new PeerFront(claims, 4 * plan.peers().size() + 16, counts);
+        decisionLoop.setFailureListener(failure -> LOG.error("an event failed; it costs itself alone", failure));
+        peerServer = claims == null ? null : new PeerServer(claims, 4 * plan.peers().size() + 16, counts);
         outbox = new Outbox(names, plan.answerEndpoints(), plan.answerKeys(), ledger == null ? Ledger.NONE : ledger,
-                (int) plan.limit("outbox", 10_000), Outbox.thread(), clock::now,
+                (int) plan.limitSetting("outbox", 10_000), Outbox.newSchedulerThread(), clock::now,
                 System::currentTimeMillis, counts);
-        intake = new Intake(new KeyRing(plan.keys()), plan.answerKeys(), plan.catalogue(), loop, clock::now, halts,
-                System::currentTimeMillis, plan.forwards().longestPause(),
-                new Intake.Forms(true, !plan.grpcKinds().isEmpty()), counts);
-        front = new WebhookFront(intake, outbox,
-                new WebhookFront.Bounds((int) plan.limit("connections", 20_000), (int) plan.limit("head_bytes", 16_384),
-                        (int) plan.limit("body_bytes", 1 << 20), plan.limit("message_ms", 5000),
-                        plan.limit("idle_ms", 60_000), (int) plan.limit("streams", 1000)), counts);
-        grpc = plan.grpcListen() == null ? null : new GrpcFront(intake, new GrpcFront.Bounds((int) plan.grpc("calls", 20_000),
-                (int) plan.limit("streams", 1000), (int) plan.limit("head_bytes", 16_384),
-                (int) plan.limit("body_bytes", 1 << 20), plan.grpc("stream_bytes", 64L << 20), plan.grpc("stalled_ms", 10_000),
-                plan.limit("idle_ms", 60_000), plan.grpc("age_ms", 1_800_000), plan.grpc("age_grace_ms", 60_000)),
-                this::takes, counts);
-        RosterBook book = new RosterBook(new EndpointSlices(plan.locations()), (form, lines) -> {
-            loop.pass(d -> {
-                d.roster(form, lines);
-                rosterKnown = true;
+        intake = new Intake(new KeyRing(plan.customerKeys()), plan.answerKeys(), plan.modelCatalog(), decisionLoop, clock::now, haltWatch,
+                System::currentTimeMillis, plan.forwardRules().maxRetryAfter(),
+                new Intake.InputFormats(true, !plan.grpcMachineKinds().isEmpty()), counts);
+        webhookServer = new WebhookServer(intake, outbox,
+                new WebhookServer.Limits((int) plan.limitSetting("connections", 20_000), (int) plan.limitSetting("head_bytes", 16_384),
+                        (int) plan.limitSetting("body_bytes", 1 << 20), plan.limitSetting("message_ms", 5000),
+                        plan.limitSetting("idle_ms", 60_000), (int) plan.limitSetting("streams", 1000)), counts);
+        grpcServer = plan.grpcListenAddress() == null ? null : new GrpcServer(intake, new GrpcServer.Limits((int) plan.grpcSetting("calls", 20_000),
+                (int) plan.limitSetting("streams", 1000), (int) plan.limitSetting("head_bytes", 16_384),
+                (int) plan.limitSetting("body_bytes", 1 << 20), plan.grpcSetting("stream_bytes", 64L << 20), plan.grpcSetting("stalled_ms", 10_000),
+                plan.limitSetting("idle_ms", 60_000), plan.grpcSetting("age_ms", 1_800_000), plan.grpcSetting("age_grace_ms", 60_000)),
+                this::acceptsInferences, counts);
+        RosterTracker book = new RosterTracker(new EndpointSliceParser(plan.locations()), (form, lines) -> {
+            decisionLoop.post(d -> {
+                d.onRosterUpdate(form, lines);
+                rosterReceived = true;
             });
             LOG.atInfo().addKeyValue("form", form).addKeyValue("lines", lines.size()).log("roster");
         });
-        pusher = plan.remoteWrite() == null ? null : new Pusher(plan.remoteWrite(),
+        pusher = plan.remoteWriteReceiver() == null ? null : new Pusher(plan.remoteWriteReceiver(),
                 List.of(new CountsSource(counts, System.currentTimeMillis()), service), System::currentTimeMillis,
                 new Random(seeds.nextLong()));
-        memberChance = new Random(seeds.nextLong());
+        membershipRandom = new Random(seeds.nextLong());
         // Where executors cannot be asked, an old roster is better than none: nobody here tells when a drain counts as told.
-        boolean asks = plan.tier().probes();
-        roster = new RosterWatch(book, plan.name(), plan.rosterServer(), plan.rosterFile(), clock::now,
-                (confirmedAt, until) -> loop.pass(desk -> desk.rosterValid(confirmedAt, asks ? until : Double.POSITIVE_INFINITY)),
+        boolean asks = plan.frontEndSettings().probesAllowed();
+        rosterWatch = new RosterWatch(book, plan.name(), plan.rosterServer(), plan.rosterFile(), clock::now,
+                (confirmedAt, until) -> decisionLoop.post(desk -> desk.onRosterConfirmed(confirmedAt, asks ? until : Double.POSITIVE_INFINITY)),
                 counts);
     }
 
-    private Claims peerClaims(gradereach.desk.Timers timers) {
-        if (!plan.hasPeers()) {
-            return Claims.ALONE;
+    private ClaimService createPeerClaims(gradereach.desk.Timers timers) {
+        if (!deployment.hasPeers()) {
+            return ClaimService.ALONE;
         }
-        claims = new PeerClaims(plan.name(), plan.peers(), plan.peerLists(), plan.peersKey(), ledger,
-                new KeeperBook((int) plan.limit("claims", 1_000_000), REMEMBERED_FOR), timers, clock::now,
-                System::currentTimeMillis, workers, NioSocketChannel.class, this::toDesk, counts);
+        claims = new PeerClaims(deployment.name(), deployment.peers(), deployment.peerSets(), deployment.peerKey(), ledger,
+                new ClaimTable((int) deployment.limitSetting("claims", 1_000_000), MESSAGE_RETENTION_MILLIS), timers, clock::now,
+                System::currentTimeMillis, workers, NioSocketChannel.class, this::submit, counts);
         return claims;
     }
 
-    private void toDesk(java.util.function.Consumer<Desk> event) {
-        loop.pass(event);
+    private void submit(java.util.function.Consumer<InferenceCoordinator> event) {
+        decisionLoop.post(event);
     }
 
-    private Router module(Outlet outlet, Random chance, UnaryOperator<Outlet> around) {
-        return new Policy(around.apply(outlet), chance, plan.tier(), plan.groups(), plan.customers(),
-                plan.surplusValue(), plan.coldStart(), plan.loadRation(), plan.loading(), plan.forwards());
+    private Router createRouter(RouterActions outlet, Random chance, UnaryOperator<RouterActions> around) {
+        return new Policy(around.apply(outlet), chance, deployment.frontEndSettings(), deployment.groups(), deployment.customers(),
+                deployment.overQuotaValue(), deployment.coldStartRule(), deployment.loadOrderBudget(), deployment.loadingRules(), deployment.forwardRules());
     }
 
     /** Warms up, then listens. Returns the address of the webhook front. */
     public InetSocketAddress start() throws IOException, InterruptedException {
-        WarmUp.run(plan.grpcListen() != null);
-        if (!plan.grpcKinds().isEmpty()) {
-            ExecutorLinks.warmUp(1000);
+        WarmUp.run(deployment.grpcListenAddress() != null);
+        if (!deployment.grpcMachineKinds().isEmpty()) {
+            HttpExecutorTransport.warmUp(1000);
         }
         return listen();
     }
 
     /** Listens at once: the first inferences of a process pay for loading its classes. */
     public InetSocketAddress listen() throws IOException, InterruptedException {
-        halts.start();
+        haltWatch.start();
         // Listens first: what comes while the ledger is read waits at the door and is not refused.
-        InetSocketAddress at = patiently("listen on " + plan.listen(),
-                () -> front.listen(plan.listen(), boss, workers, PatientServerChannel.class));
-        if (grpc != null) {
-            grpcAt = patiently("listen on " + plan.grpcListen(),
-                    () -> grpc.listen(plan.grpcListen(), boss, workers, PatientServerChannel.class));
+        InetSocketAddress at = withRetries("listen on " + deployment.listenAddress(),
+                () -> webhookServer.listen(deployment.listenAddress(), boss, workers, RetryingServerSocketChannel.class));
+        if (grpcServer != null) {
+            boundGrpcAddress = withRetries("listen on " + deployment.grpcListenAddress(),
+                    () -> grpcServer.listen(deployment.grpcListenAddress(), boss, workers, RetryingServerSocketChannel.class));
         }
         if (ledger != null) {
             recover();
         }
-        loop.start();
-        if (peerFront != null) {
-            patiently("listen on " + plan.peersListen(),
-                    () -> peerFront.listen(plan.peersListen(), boss, workers, PatientServerChannel.class));
+        decisionLoop.start();
+        if (peerServer != null) {
+            withRetries("listen on " + deployment.peersListenAddress(),
+                    () -> peerServer.listen(deployment.peersListenAddress(), boss, workers, RetryingServerSocketChannel.class));
         }
-        if (plan.membership() != null) {
-            membership = new Membership(plan.membership(), memberChance, clock::now, () -> counts.value("inferences_taken"),
-                    (part, until) -> toDesk(desk -> desk.share(part, until)), counts);
+        if (deployment.membership() != null) {
+            membership = new Membership(deployment.membership(), membershipRandom, clock::now, () -> counts.value("inferences_taken"),
+                    (part, until) -> submit(desk -> desk.share(part, until)), counts);
             // Until seats are held nothing of what is shared is spent.
-            toDesk(desk -> desk.share(0, Double.POSITIVE_INFINITY));
+            submit(desk -> desk.share(0, Double.POSITIVE_INFINITY));
             membership.start();
         }
-        roster.start();
+        rosterWatch.start();
         if (pusher != null) {
             pusher.start();
         }
-        if (plan.admin() != null) {
-            admin = new Admin(plan.admin(), counts, () -> loop.death() == null,
-                    this::takes, this::members);
+        if (deployment.adminAddress() != null) {
+            adminServer = new AdminServer(deployment.adminAddress(), counts, () -> decisionLoop.fatalError() == null,
+                    this::acceptsInferences, this::members);
         }
-        LOG.atInfo().addKeyValue("front", at).addKeyValue("grpc", grpcAt).addKeyValue("admin", admin == null ? "none" : admin.address())
+        LOG.atInfo().addKeyValue("front", at).addKeyValue("grpc", boundGrpcAddress).addKeyValue("admin", adminServer == null ? "none" : adminServer.address())
                 .log("front end listens");
         return at;
     }
 
-    private <T> T patiently(String what, Callable<T> step) throws IOException, InterruptedException {
+    private <T> T withRetries(String what, Callable<T> step) throws IOException, InterruptedException {
         try {
             return StartRetry.run(step, () -> !stopping,
-                    failure -> LOG.atWarn().log("cannot {} yet: {}", what, FailureText.of(failure)));
+                    failure -> LOG.atWarn().log("cannot {} yet: {}", what, FailureText.describe(failure)));
         } catch (IOException | InterruptedException | RuntimeException e) {
             throw e;
         } catch (Exception e) {
@@ -245,36 +245,36 @@
         }
     }
 
-    private boolean takes() {
-        return rosterKnown && !stopping && loop.death() == null;
+    private boolean acceptsInferences() {
+        return rosterReceived && !stopping && decisionLoop.fatalError() == null;
     }
 
     private void recover() throws IOException, InterruptedException {
         long began = System.nanoTime();
-        LedgerFolder folder = patiently("open " + plan.ledgerFolder(), () -> new LedgerFolder(plan.ledgerFolder()));
+        LedgerFolder folder = withRetries("open " + deployment.ledgerFolder(), () -> new LedgerFolder(deployment.ledgerFolder()));
         if (claims != null) {
-            folder.mustHaveReached(claims.positionKnownToPeers(folder.identity()));
+            folder.checkAgainstKnownPosition(claims.queryPeersForPosition(folder.identity()));
         }
-        LedgerBook book = new LedgerBook();
-        book.forgotten(folder.forgottenUpTo());
-        book.claimsForgotten(folder.claimsForgottenUpTo());
-        LedgerFolder.Found found = LedgerFolder.read(plan.ledgerFolder(), true, (record, segment) -> {
+        LedgerState book = new LedgerState();
+        book.markForgottenUpTo(folder.forgottenUpTo());
+        book.markClaimsForgottenUpTo(folder.claimsForgottenUpTo());
+        LedgerFolder.ReadResult found = LedgerFolder.read(deployment.ledgerFolder(), true, (record, segment) -> {
             book.apply(record);
-            carry.wrote(record, segment);
+            compactionPlanner.recordWritten(record, segment);
         });
         found.damage().forEach(damage -> LOG.error("ledger damaged, {}", damage));
-        book.oddities().forEach(line -> LOG.error("ledger: {}", line));
-        ledgerClock.set(plan.ledgerFolder(), carry.youngest());
+        book.anomalies().forEach(line -> LOG.error("ledger: {}", line));
+        ledgerClock.resume(deployment.ledgerFolder(), compactionPlanner.latestTimestamp());
         long damagedUpTo = found.damage().isEmpty() ? Long.MIN_VALUE
                 : found.damagedAt() / 1000 + KeyRing.TOLERANCE_SECONDS;
         long suspect = Math.max(damagedUpTo, folder.suspectUpTo());
-        book.claimsForgotten(suspect);
+        book.markClaimsForgottenUpTo(suspect);
         if (claims != null) {
-            claims.recover(folder.identity(), found.nextSegment(), book, REMEMBERED_FOR);
+            claims.recover(folder.identity(), found.nextSegment(), book, MESSAGE_RETENTION_MILLIS);
         }
         ledger.start(folder, found.nextSegment());
-        loop.before(desk -> desk.recover(book, clock.now(), REMEMBERED_FOR, plan.groups(), suspect, outbox::owed));
-        LOG.atInfo().addKeyValue("messages", book.size()).addKeyValue("records", found.records())
+        decisionLoop.runBeforeStart(desk -> desk.recover(book, clock.now(), MESSAGE_RETENTION_MILLIS, deployment.groups(), suspect, outbox::recoveredObserver));
+        LOG.atInfo().addKeyValue("messages", book.size()).addKeyValue("records", found.recordCount())
                 .addKeyValue("bytes", found.bytes()).addKeyValue("torn_bytes", found.tornBytes())
                 .addKeyValue("damage", found.damage().size())
                 .addKeyValue("took_ms", (System.nanoTime() - began) / 1_000_000).log("ledger read");
@@ -282,12 +282,12 @@
 
     /** Null without a gRPC listener. */
     public InetSocketAddress grpcAddress() {
-        return grpcAt;
+        return boundGrpcAddress;
     }
 
     /** Null without an admin listener. */
     public InetSocketAddress adminAddress() {
-        return admin == null ? null : admin.address();
+        return adminServer == null ? null : adminServer.address();
     }
 
     /** Who is there; null where shares are fixed. */
@@ -296,8 +296,8 @@
     }
 
     /** What became of samples that were pushed; null where none are. */
-    public Pusher.Tally pushed() {
-        return pusher == null ? null : pusher.tally();
+    public Pusher.PushStatistics pushTally() {
+        return pusher == null ? null : pusher.statistics();
     }
 
     public Counts counts() {
@@ -305,8 +305,8 @@
     }
 
     /** Whether the roster has been heard. */
-    public boolean ready() {
-        return rosterKnown;
+    public boolean isReady() {
+        return rosterReceived;
     }
 
     /** Takes nothing new, answers what is held, then ends. Returns whether everything was answered. */
@@ -316,15 +316,15 @@
         }
         stopping = true;
         LOG.info("front end stops: nothing new is taken");
-        front.stopTaking();
-        if (grpc != null) {
-            grpc.stopTaking();
+        webhookServer.stopAccepting();
+        if (grpcServer != null) {
+            grpcServer.stopAccepting();
         }
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(plan.limit("drain_ms", 30_000));
-        int owed = owed();
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(deployment.limitSetting("drain_ms", 30_000));
+        int owed = openInferenceCount();
         while (owed > 0 && System.nanoTime() < until) {
             Thread.sleep(10);
-            owed = owed();
+            owed = openInferenceCount();
         }
         // What was answered last is still on its way through the I/O threads.
         Thread.sleep(50);
@@ -333,44 +333,44 @@
         return owed == 0;
     }
 
-    private int owed() throws InterruptedException {
+    private int openInferenceCount() throws InterruptedException {
         java.util.concurrent.CompletableFuture<Integer> answer = new java.util.concurrent.CompletableFuture<>();
-        loop.pass(d -> answer.complete(d.owed()));
+        decisionLoop.post(d -> answer.complete(d.openInferenceCount()));
         try {
             return answer.get(1, TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-            return loop.death() == null ? 1 : 0;
+            return decisionLoop.fatalError() == null ? 1 : 0;
         }
     }
 
     @Override
     public void close() {
-        halts.close();
+        haltWatch.close();
         if (membership != null) {
             membership.close();
         }
         if (pusher != null) {
             pusher.close();
         }
-        roster.close();
-        front.close();
-        if (grpc != null) {
-            grpc.close();
+        rosterWatch.close();
+        webhookServer.close();
+        if (grpcServer != null) {
+            grpcServer.close();
         }
-        if (peerFront != null) {
-            peerFront.close();
+        if (peerServer != null) {
+            peerServer.close();
         }
-        loop.close();
+        decisionLoop.close();
         if (ledger != null) {
             try {
                 ledger.close();
             } catch (IOException e) {
-                LOG.warn("ledger not closed: {}", FailureText.of(e));
+                LOG.warn("ledger not closed: {}", FailureText.describe(e));
             }
         }
         outbox.close();
-        if (admin != null) {
-            admin.close();
+        if (adminServer != null) {
+            adminServer.close();
         }
         boss.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
         workers.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
--- a/gateway/src/main/java/gradereach/serve/WarmUp.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUp.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gradereach.plan.BadPlan;
+import gradereach.plan.InvalidDeploymentException;
 import gradereach.plan.Deployment;
 import gradereach.webhook.WebhookKey;
 import io.netty.channel.EventLoopGroup;
@@ -29,7 +29,7 @@
 final class WarmUp {
     private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
     /** One that failed is distrusted for a while: others are left for the next inference. */
-    private static final int EXECUTORS = 8;
+    private static final int EXECUTOR_COUNT = 8;
     /** Model groups, named as how their inferences may be repeated: it decides which are shed and which fail. */
     private static final List<String> GROUPS = List.of("retriable", "deduped", "non-retriable");
 
@@ -42,19 +42,19 @@
         Path roster = null;
         try {
             roster = Files.createTempFile("warm-up", ".json");
-            Files.writeString(roster, roster(loops));
+            Files.writeString(roster, rosterJson(loops));
             String key = WebhookKey.newSecret(new SecureRandom());
-            Gateway gateway = new Gateway(Deployment.of(plan(roster, key, grpc), roster.getParent()), Between.NOTHING);
+            Gateway gateway = new Gateway(Deployment.of(deployment(roster, key, grpc), roster.getParent()), FaultInjection.NONE);
             try {
                 InetSocketAddress at = gateway.listen();
                 try (WarmUpClients clients = new WarmUpClients(loops, at, gateway.grpcAddress(), WebhookKey.parse(key))) {
-                    clients.served(GROUPS.get(0));
-                    clients.unserved(GROUPS);
+                    clients.runSuccessful(GROUPS.get(0));
+                    clients.runFailing(GROUPS);
                 }
             } finally {
                 gateway.close();
             }
-        } catch (IOException | BadPlan e) {
+        } catch (IOException | InvalidDeploymentException e) {
             LOG.atWarn().setCause(e).log("warm-up failed");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -71,7 +71,7 @@
         }
     }
 
-    private static ObjectNode plan(Path roster, String key, boolean grpc) {
+    private static ObjectNode deployment(Path roster, String key, boolean grpc) {
         ObjectNode plan = new ObjectMapper().createObjectNode();
         plan.put("name", "warm-up").put("listen", "127.0.0.1:0").putObject("roster").put("file", roster.toString());
         plan.putArray("customers").addObject().put("name", "nobody").putArray("keys").addObject().put("inline", key);
@@ -91,9 +91,9 @@
         return plan;
     }
 
-    private static String roster(EventLoopGroup loops) throws InterruptedException {
+    private static String rosterJson(EventLoopGroup loops) throws InterruptedException {
         List<String> slices = new ArrayList<>();
-        for (int i = 0; i < EXECUTORS; i++) {
+        for (int i = 0; i < EXECUTOR_COUNT; i++) {
             slices.add("{\"metadata\":{\"name\":\"slice-" + i + "\"},\"ports\":[{\"port\":" + EchoExecutor.listen(loops)
                     + "}],\"endpoints\":[{\"addresses\":[\"127.0.0.1\"],\"conditions\":{\"ready\":true}}]}");
         }
--- a/gateway/src/test/java/gradereach/claims/KeeperBookTest.java
+++ b/gateway/src/test/java/gradereach/claims/KeeperBookTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gradereach.claims.KeeperBook.Word;
+import gradereach.claims.ClaimTable.ClaimReply;
 import gradereach.desk.MessageIdentity;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -11,18 +11,18 @@
 class KeeperBookTest {
     private static final double KEPT = 600_000;
     private static final long SIGNED_AT = 1_900_000_000L;
-    private static final Word CANNOT_BE_KNOWN = new Word(false, null, false);
+    private static final ClaimReply CANNOT_BE_KNOWN = new ClaimReply(false, null, false);
 
     private static MessageIdentity message(String id, String signedAt) {
         long told = signedAt.equals("untold") ? MessageIdentity.SIGNED_AT_UNKNOWN : SIGNED_AT + Long.parseLong(signedAt);
         return new MessageIdentity("yard", id, 1, 2, told);
     }
 
-    private static Word word(String said) {
+    private static ClaimReply word(String said) {
         return switch (said) {
-            case "granted" -> new Word(true, null, true);
-            case "again" -> new Word(true, null, false);
-            case "a's" -> new Word(false, "fe-a/1", false);
+            case "granted" -> new ClaimReply(true, null, true);
+            case "again" -> new ClaimReply(true, null, false);
+            case "a's" -> new ClaimReply(false, "fe-a/1", false);
             default -> CANNOT_BE_KNOWN;
         };
     }
@@ -40,7 +40,7 @@
         "untold, 600000, fe-b/1, other, 301, granted", // an earlier version had asked: signed 300 s ahead at the latest
     })
     void whatMayBeForgottenIsNotGranted(String signedAt, double later, String claimant, String id, String thenSignedAt, String said) {
-        KeeperBook book = new KeeperBook(10, KEPT);
+        ClaimTable book = new ClaimTable(10, KEPT);
         assertEquals(word("granted"), book.claim(message("m", signedAt), "fe-a/1", 1, 0, SIGNED_AT + 300));
         assertEquals(word(said), book.claim(message(id, thenSignedAt), claimant, 1, later, SIGNED_AT + 900));
     }
@@ -48,8 +48,8 @@
     @ParameterizedTest
     @CsvSource({"-1, unknown", "0, unknown", "1, granted"})
     void whatWasForgottenBeforeARestartIsNotGranted(String signedAt, String said) {
-        KeeperBook book = new KeeperBook(10, KEPT);
-        book.forgotten(SIGNED_AT);
+        ClaimTable book = new ClaimTable(10, KEPT);
+        book.markForgottenUpTo(SIGNED_AT);
         assertEquals(word(said), book.claim(message("m", signedAt), "fe-b/1", 1, 0, SIGNED_AT + 300));
     }
 
@@ -57,7 +57,7 @@
     @ParameterizedTest
     @CsvSource({"m, 0", "other, -5"})
     void whatWasGivenBackBarsNothing(String id, String signedAt) {
-        KeeperBook book = new KeeperBook(10, KEPT);
+        ClaimTable book = new ClaimTable(10, KEPT);
         book.claim(message("m", "0"), "fe-a/1", 1, 0, SIGNED_AT + 300);
         book.release("yard", "m", "fe-a/1", 1);
         assertEquals(word("granted"), book.claim(message(id, signedAt), "fe-b/1", 1, 700_000, SIGNED_AT + 900));
--- a/gateway/src/test/java/gradereach/desk/PaperLedger.java
+++ b/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
@@ -1,48 +1,48 @@
 package gradereach.desk;
 
-import gradereach.ledger.LedgerBook;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A ledger in memory whose commits the test brings about one by one. */
-final class PaperLedger implements Ledger {
-    private record Pending(LedgerRecord record, Then then) { }
+final class ManualCommitLedger implements Ledger {
+    private record Pending(LedgerRecord record, AppendCallback then) { }
 
     final List<LedgerRecord> durable = new ArrayList<>();
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
     boolean usable = true;
     double margin;
     /** A planted bug: says durable before it is. */
-    boolean lies;
+    boolean acknowledgesEarly;
 
     @Override
-    public boolean usable() {
+    public boolean isWritable() {
         return usable;
     }
 
     @Override
-    public double margin() {
+    public double commitMargin() {
         return margin;
     }
 
     @Override
-    public void append(LedgerRecord record, Then then) {
+    public void append(LedgerRecord record, AppendCallback then) {
         pending.add(new Pending(record, then));
     }
 
-    boolean waits() {
+    boolean hasPending() {
         return !pending.isEmpty();
     }
 
     /** Commits the oldest; {@code ok} false for a disk that fails. */
-    void commit(Stage stage, boolean ok) {
+    void commit(CoordinatorHarness stage, boolean ok) {
         Pending next = pending.poll();
-        if (ok && !lies) {
+        if (ok && !acknowledgesEarly) {
             durable.add(next.record);
         }
-        stage.at(stage.now, () -> next.then.done(ok));
+        stage.runBatch(stage.now, () -> next.then.onComplete(ok));
     }
 
     /** What is in memory only is gone with the process. */
@@ -50,8 +50,8 @@
         pending.clear();
     }
 
-    LedgerBook read() {
-        LedgerBook book = new LedgerBook();
+    LedgerState replay() {
+        LedgerState book = new LedgerState();
         durable.forEach(book::apply);
         return book;
     }
--- a/gateway/src/test/java/gradereach/desk/ProcessIdentityTest.java
+++ b/gateway/src/test/java/gradereach/desk/ProcessIdentityTest.java
@@ -12,22 +12,22 @@
 
     /** Guards against a late answer of the process before, which would name the present one wrongly for good. */
     @Test
-    void aLateAnswerOfTheProcessBeforeTellsNothingOfThePresentOne() {
-        DoubleConsumer late = identity.ask(0);
-        identity.forget();
+    void lateAnswerOfAnEarlierProcessIsIgnored() {
+        DoubleConsumer late = identity.beginQuery(0);
+        identity.reset();
         late.accept(1);
         assertEquals(Double.NaN, identity.number());
-        assertTrue(identity.mayAsk(1), "the present one is never asked");
+        assertTrue(identity.isQueryDue(1), "the present one is never asked");
     }
 
     @Test
-    void whatThePresentOneTellsIsKeptAndNotAskedForAgain() {
-        DoubleConsumer answer = identity.ask(0);
-        assertFalse(identity.mayAsk(1));
+    void numberOfTheCurrentProcessIsKept() {
+        DoubleConsumer answer = identity.beginQuery(0);
+        assertFalse(identity.isQueryDue(1));
         answer.accept(Double.NaN);
         assertEquals(Double.NaN, identity.number());
-        identity.ask(6000).accept(7);
+        identity.beginQuery(6000).accept(7);
         assertEquals(7, identity.number());
-        assertFalse(identity.mayAsk(60_000));
+        assertFalse(identity.isQueryDue(60_000));
     }
 }
--- a/gateway/src/test/java/gradereach/desk/LinkLeaseTest.java
+++ b/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gradereach.api.RosterForm;
-import gradereach.api.Standing;
+import gradereach.api.RosterUpdateKind;
+import gradereach.api.ExecutorState;
 import gradereach.counts.Counts;
-import gradereach.flow.PartFlow;
-import gradereach.http2.Http2Pool;
-import gradereach.link.ExecutorLinks;
+import gradereach.flow.AnswerStream;
+import gradereach.http2.Http2ConnectionPool;
+import gradereach.link.HttpExecutorTransport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -40,20 +40,20 @@
 
 /** What waits for an I/O thread that stands still is written only if it still may be. */
 @Timeout(30)
-class LinkLeaseTest {
-    private static final double ROSTER_LASTS = 200;
-    private static final double FAR = 1e9;
+class SendLeaseTest {
+    private static final double ROSTER_VALIDITY = 200;
+    private static final double NO_LIMIT = 1e9;
     /** The stage's grace of rule 3, and what the module keeps of it for the way. */
     private static final double GRACE = 500;
     private static final double MARGIN = 25;
 
-    private final Stage stage = new Stage(1, 100, 100, router -> router);
+    private final CoordinatorHarness harness = new CoordinatorHarness(1, 100, 100, router -> router);
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MultiThreadIoEventLoopGroup peer = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final BlockingQueue<Consumer<Desk>> events = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Consumer<InferenceCoordinator>> events = new LinkedBlockingQueue<>();
     private final AtomicInteger arrived = new AtomicInteger();
     private volatile double time;
-    private ExecutorLinks links;
+    private HttpExecutorTransport transport;
     private String address;
 
     @BeforeEach
@@ -66,15 +66,15 @@
                                 new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel stream) {
-                                        stream.pipeline().addLast(new Answers());
+                                        stream.pipeline().addLast(new OkResponder());
                                     }
                                 }));
                     }
                 }).bind("127.0.0.1", 0).sync().channel().localAddress();
         address = "127.0.0.1:" + at.getPort();
-        Http2Pool.Bounds bounds = new Http2Pool.Bounds(1, 10, 5000, FAR, 1000, 1 << 16);
-        links = new ExecutorLinks("fe", Set.of(), loop, NioSocketChannel.class, bounds, bounds,
-                new PartFlow.Bounds(1000, 100, 1000, stage.counts), new Counts(), () -> time, events::add);
+        Http2ConnectionPool.Limits bounds = new Http2ConnectionPool.Limits(1, 10, 5000, NO_LIMIT, 1000, 1 << 16);
+        transport = new HttpExecutorTransport("fe", Set.of(), loop, NioSocketChannel.class, bounds, bounds,
+                new AnswerStream.Limits(1000, 100, 1000, harness.counts), new Counts(), () -> time, events::add);
     }
 
     @AfterEach
@@ -83,7 +83,7 @@
         peer.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private final class Answers extends ChannelInboundHandlerAdapter {
+    private final class OkResponder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object frame) {
             if (frame instanceof Http2HeadersFrame) {
@@ -95,15 +95,15 @@
     }
 
     /** Returns when the lease of the one executor ends. */
-    private double ready(double rosterLasts) {
-        stage.roster(RosterForm.FULL, new RosterLine(address, address, 1, 0, Standing.READY, 0, 0, 0));
-        double until = stage.now + rosterLasts;
-        stage.at(stage.now, () -> stage.desk.rosterValid(stage.now, until));
+    private double listAsReady(double rosterLasts) {
+        harness.updateRoster(RosterUpdateKind.FULL, new RosterEntry(address, address, 1, 0, ExecutorState.READY, 0, 0, 0));
+        double until = harness.now + rosterLasts;
+        harness.runBatch(harness.now, () -> harness.coordinator.onRosterConfirmed(harness.now, until));
         return until + GRACE - MARGIN;
     }
 
     /** Hands it to the links while their thread stands still, and lets that go on at that time. */
-    private void writtenAt(double writes, Runnable handOver) throws InterruptedException {
+    private void writeAt(double writes, Runnable handOver) throws InterruptedException {
         CountDownLatch goesOn = new CountDownLatch(1);
         loop.execute(() -> {
             try {
@@ -112,51 +112,51 @@
                 Thread.currentThread().interrupt();
             }
         });
-        time = stage.now;
+        time = harness.now;
         handOver.run();
         time = writes;
         goesOn.countDown();
-        Consumer<Desk> end = events.take();
-        stage.at(time, () -> end.accept(stage.desk));
+        Consumer<InferenceCoordinator> end = events.take();
+        harness.runBatch(time, () -> end.accept(harness.coordinator));
     }
 
     /** Guards against a forward that is written after its executor's lease (rule 3) or its own time has run out. */
     @ParameterizedTest
     @CsvSource({"lease, -1, 1", "lease, 1, 0", "time, -1, 1", "time, 1, 0"})
-    void aForwardIsWrittenWithinItsLeaseAndItsTime(String limit, double after, int arrives) throws Exception {
-        double leaseEnds = ready(limit.equals("lease") ? ROSTER_LASTS : FAR);
-        stage.ask("a", Stage.RETRIABLE, 1);
-        Flight flight = stage.out();
-        double ends = limit.equals("lease") ? leaseEnds : flight.stopAt();
-        assertEquals(Math.min(leaseEnds, flight.stopAt()), ends);
-        writtenAt(ends + after, () -> links.forward(flight));
+    void forwardIsWrittenOnlyWithinItsLeaseAndDeadline(String limit, double after, int arrives) throws Exception {
+        double leaseEnds = listAsReady(limit.equals("lease") ? ROSTER_VALIDITY : NO_LIMIT);
+        harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        InFlightForward flight = harness.awaitForward();
+        double ends = limit.equals("lease") ? leaseEnds : flight.deadline();
+        assertEquals(Math.min(leaseEnds, flight.deadline()), ends);
+        writeAt(ends + after, () -> transport.forward(flight));
         assertEquals(arrives, arrived.get());
     }
 
     /** The same of a load order; a question may be asked at any time. */
     @ParameterizedTest
     @CsvSource({"order, -1, 1", "order, 1, 0", "question, 1, 1"})
-    void aLoadOrderIsWrittenWithinItsLease(String what, double after, int arrives) throws Exception {
-        double leaseEnds = ready(ROSTER_LASTS);
-        stage.ask("a", Stage.RETRIABLE, 1);
-        while (what.equals("order") && stage.orders.stream().noneMatch(order -> order.copies > 0)) {
-            stage.standing(0);
-            stage.pass(stage.now + 5);
+    void loadOrderIsWrittenOnlyWithinItsLease(String what, double after, int arrives) throws Exception {
+        double leaseEnds = listAsReady(ROSTER_VALIDITY);
+        harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        while (what.equals("order") && harness.orders.stream().noneMatch(order -> order.copies > 0)) {
+            harness.answerLoadOrders(0);
+            harness.advanceTo(harness.now + 5);
         }
-        Order order = stage.orders.stream().filter(each -> each.copies > 0 == what.equals("order")).findFirst().orElseThrow();
-        writtenAt(leaseEnds + after, () -> links.order(order));
+        LoadOrder order = harness.orders.stream().filter(each -> each.copies > 0 == what.equals("order")).findFirst().orElseThrow();
+        writeAt(leaseEnds + after, () -> transport.sendLoadOrder(order));
         assertEquals(arrives, arrived.get());
     }
 
     /** Guards against a forward for a warm process that is written to the cold one which took its place (rule 4). */
     @Test
-    void aForwardIsNotWrittenToAProcessThatItWasNotMeantFor() throws Exception {
-        ready(FAR);
-        stage.ask("a", Stage.RETRIABLE, 1);
-        Flight flight = stage.out();
-        writtenAt(stage.now + 1, () -> {
-            links.forward(flight);
-            stage.roster(RosterForm.CHANGES, new RosterLine(address, address, 1, stage.now, Standing.READY, 0, 0, 0));
+    void forwardIsNotWrittenToAReplacedProcess() throws Exception {
+        listAsReady(NO_LIMIT);
+        harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        InFlightForward flight = harness.awaitForward();
+        writeAt(harness.now + 1, () -> {
+            transport.forward(flight);
+            harness.updateRoster(RosterUpdateKind.CHANGES, new RosterEntry(address, address, 1, harness.now, ExecutorState.READY, 0, 0, 0));
         });
         assertEquals(0, arrived.get());
     }
--- a/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
+++ b/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gradereach.api.Outcome;
-import gradereach.api.Report;
-import gradereach.api.RosterForm;
-import gradereach.api.Standing;
-import gradereach.api.Warmth;
-import gradereach.desk.Stage.Client;
-import gradereach.state.Copies;
+import gradereach.api.ExecutorReport;
+import gradereach.api.RosterUpdateKind;
+import gradereach.api.ExecutorState;
+import gradereach.api.LoadStatus;
+import gradereach.desk.CoordinatorHarness.Client;
+import gradereach.state.ModelCopies;
 import gradereach.state.Executor;
 import java.util.List;
 import java.util.function.UnaryOperator;
@@ -22,19 +22,19 @@
 class StaleEvidenceTest {
     /** For so long after its sending a probe that was answered as ready allows sends: the grace less its margin. */
     private static final double LEASE = 475;
-    private static final Report REPORT = new Report(7, 1, 0.5, 10, 1, 0, 0.5, 0);
+    private static final ExecutorReport REPORT = new ExecutorReport(7, 1, 0.5, 10, 1, 0, 0.5, 0);
 
     /** How discovery tells that an instance is another process now; a start may be untold. */
-    enum Change {
+    enum ProcessChange {
         NEW_START, NEW_ADDRESS, GONE_AND_BACK, MOVED_AND_BACK;
 
-        void told(Stage stage) {
+        void deliverTo(CoordinatorHarness stage) {
             if (this == GONE_AND_BACK) {
-                stage.roster(RosterForm.CHANGES, line("10.0.0.1:80", 0, Standing.GONE));
+                stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", 0, ExecutorState.REMOVED));
             } else if (this == MOVED_AND_BACK) {
-                stage.roster(RosterForm.CHANGES, line("10.0.0.9:80", 0, Standing.READY));
+                stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.9:80", 0, ExecutorState.READY));
             }
-            stage.roster(RosterForm.CHANGES, line(address(), this == NEW_START ? stage.now : 0, Standing.READY));
+            stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry(address(), this == NEW_START ? stage.now : 0, ExecutorState.READY));
         }
 
         String address() {
@@ -43,47 +43,47 @@
     }
 
     /** What is believed of an executor, and of the copies of one model there. */
-    private record Belief(int copies, double shunnedUntil, double distrust, double limit, double took, double answers,
-            Report report, double provenReadyAt, double refusedAt, double disconnectedAt) { }
+    private record ExecutorView(int copies, double shunnedUntil, double distrust, double limit, double took, double answers,
+            ExecutorReport report, double provenReadyAt, double refusedAt, double disconnectedAt) { }
 
-    private static RosterLine line(String address, double startedAt, Standing standing) {
-        return new RosterLine("s-1", address, 1, startedAt, standing, 0, 0, 0);
+    private static RosterEntry rosterEntry(String address, double startedAt, ExecutorState standing) {
+        return new RosterEntry("s-1", address, 1, startedAt, standing, 0, 0, 0);
     }
 
-    private static Stage listed(Stage stage) {
-        stage.roster(RosterForm.FULL, line("10.0.0.1:80", 0, Standing.READY));
+    private static CoordinatorHarness withExecutor(CoordinatorHarness stage) {
+        stage.updateRoster(RosterUpdateKind.FULL, rosterEntry("10.0.0.1:80", 0, ExecutorState.READY));
         return stage;
     }
 
-    private static Belief believed(Stage stage, Client client) {
-        Executor ex = stage.placeOf("s-1").executor;
-        Copies c = client.life.inference.model.on(ex);
-        return new Belief(c.warm, c.shunnedUntil, ex.distrust.value(stage.now, 1000), ex.limit,
-                ex.took.value(stage.now, 1000), ex.answers.value(stage.now, 1000), ex.report, ex.provenReadyAt,
-                ex.refusedAt, ex.disconnectedAt);
+    private static ExecutorView viewOf(CoordinatorHarness stage, Client client) {
+        Executor ex = stage.endpointOf("s-1").executor;
+        ModelCopies c = client.inferenceState.inference.model.copiesOn(ex);
+        return new ExecutorView(c.loadedCopies, c.backoffUntil, ex.suspicion.value(stage.now, 1000), ex.concurrencyLimit,
+                ex.slowdownSum.value(stage.now, 1000), ex.answerCount.value(stage.now, 1000), ex.report, ex.readyProbeSentAt,
+                ex.notReadyProbeSentAt, ex.disconnectedAt);
     }
 
-    private static void answerQuestions(Stage stage) {
-        for (Order question : stage.orders.stream().filter(order -> order.copies == 0).toList()) {
+    private static void answerStatusQueries(CoordinatorHarness stage) {
+        for (LoadOrder question : stage.orders.stream().filter(order -> order.copies == 0).toList()) {
             stage.orders.remove(question);
-            stage.at(stage.now, () -> stage.desk.ordered(question, Outcome.RETURNED, 0));
+            stage.runBatch(stage.now, () -> stage.coordinator.onLoadOrderEnded(question, Outcome.RETURNED, 0));
         }
     }
 
     /** Lets time pass, with every question answered with no copies, until {@code n} probes have been sent. */
-    private static void passToProbe(Stage stage, int n, double within) {
+    private static void advanceToProbe(CoordinatorHarness stage, int n, double within) {
         for (double until = stage.now + within; stage.probesSent() < n && stage.now < until;) {
-            stage.pass(stage.now + 5);
-            answerQuestions(stage);
+            stage.advanceTo(stage.now + 5);
+            answerStatusQueries(stage);
         }
         assertEquals(n, stage.probesSent());
     }
 
     /** A load order is out to the executor, and after half its SLO time the inference too. */
-    private static Order orderOut(Stage stage) {
+    private static LoadOrder awaitLoadOrder(CoordinatorHarness stage) {
         while (stage.orders.stream().noneMatch(order -> order.copies > 0)) {
-            answerQuestions(stage);
-            stage.pass(stage.now + 5);
+            answerStatusQueries(stage);
+            stage.advanceTo(stage.now + 5);
         }
         return stage.orders.get(0);
     }
@@ -92,26 +92,26 @@
     @ParameterizedTest
     @CsvSource({"given up, RETURNED", "given up, FULL", "given up, ERROR", "given up, RESET", "given up, CONNECT_FAILED",
         "module anew, RETURNED", "module anew, FULL"})
-    void aProbeThatIsNotWaitedForDoesNotAnswerTheNextOne(String why, Outcome late) {
+    void lateProbeAnswerDoesNotCountForTheNextProbe(String why, Outcome late) {
         int[] made = {0};
-        Stage stage = listed(Stage.withProbes(real -> made[0]++ == 0 ? DeskTest.failing(real, "left", 1) : real));
-        stage.rosterExpires();
-        Client client = stage.ask("a", Stage.RETRIABLE, 1);
-        passToProbe(stage, 1, 50);
-        stage.pass(stage.now + 100);
+        CoordinatorHarness stage = withExecutor(CoordinatorHarness.withProbes(real -> made[0]++ == 0 ? InferenceCoordinatorTest.failingOnCall(real, "onInferenceCancelled", 1) : real));
+        stage.expireRoster();
+        Client client = stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        advanceToProbe(stage, 1, 50);
+        stage.advanceTo(stage.now + 100);
         if (why.equals("module anew")) {
-            stage.at(stage.now, () -> stage.desk.left(client.life, client));
+            stage.runBatch(stage.now, () -> stage.coordinator.onClientDisconnected(client.inferenceState, client));
             stage.orders.clear();
         }
-        stage.ask("b", Stage.RETRIABLE, 2);
-        passToProbe(stage, 2, 1100);
-        stage.pass(Math.max(stage.probeSentAt(1) + 10, stage.probeSentAt(0) + LEASE + 1));
+        stage.sendMessage("b", CoordinatorHarness.RETRIABLE, 2);
+        advanceToProbe(stage, 2, 1100);
+        stage.advanceTo(Math.max(stage.probeSentAt(1) + 10, stage.probeSentAt(0) + LEASE + 1));
         stage.answerProbe(0, late, null);
-        assertFalse(stage.mayBeSentTo("s-1"), "by an answer to the probe before");
+        assertFalse(stage.maySendTo("s-1"), "by an answer to the probe before");
         stage.answerProbe(1, Outcome.RETURNED, null);
-        assertTrue(stage.mayBeSentTo("s-1"), "by its own answer");
+        assertTrue(stage.maySendTo("s-1"), "by its own answer");
         stage.now = stage.probeSentAt(1) + LEASE;
-        assertFalse(stage.mayBeSentTo("s-1"));
+        assertFalse(stage.maySendTo("s-1"));
     }
 
     /** Guards against a cold process that counts as warm (rule 4), or as unwell, by an answer of the one before it. */
@@ -121,19 +121,19 @@
         "MOVED_AND_BACK, RETURNED, 1 RETURNED",
         "NEW_START, FULL, 0", "NEW_ADDRESS, FULL, 0", "NEW_START, RESET, 0", "NEW_ADDRESS, RESET, 0",
         "NEW_START, ERROR, 0", "NEW_ADDRESS, ERROR, 0", "NEW_START, TIMED_OUT, 0", "NEW_ADDRESS, TIMED_OUT, 0"})
-    void aForwardToTheProcessBeforeTellsNothingOfThePresentOne(Change change, Outcome late, String heard) {
-        Stage stage = listed(new Stage(1, 100, 1000, UnaryOperator.identity()));
-        Client client = stage.ask("a", Stage.RETRIABLE, 1);
-        orderOut(stage);
-        stage.pass(stage.now + 250);
-        Flight out = stage.flights.get(0);
-        change.told(stage);
-        Belief before = believed(stage, client);
+    void forwardToAnEarlierProcessDoesNotChangeTheView(ProcessChange change, Outcome late, String heard) {
+        CoordinatorHarness stage = withExecutor(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        Client client = stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        awaitLoadOrder(stage);
+        stage.advanceTo(stage.now + 250);
+        InFlightForward out = stage.forwards.get(0);
+        change.deliverTo(stage);
+        ExecutorView before = viewOf(stage, client);
         assertEquals(0, before.copies);
-        stage.at(stage.now, () -> stage.desk.ended(out, late, Warmth.FOUND_LOADED, 3, REPORT, "{}".getBytes()));
-        assertEquals(heard, client.heard());
-        assertEquals(before, believed(stage, client));
-        presentOneServes(stage, change);
+        stage.runBatch(stage.now, () -> stage.coordinator.onForwardEnded(out, late, LoadStatus.ALREADY_LOADED, 3, REPORT, "{}".getBytes()));
+        assertEquals(heard, client.received());
+        assertEquals(before, viewOf(stage, client));
+        assertCurrentProcessServes(stage, change);
     }
 
     /** The same by an answer to a load order. */
@@ -141,86 +141,86 @@
     @CsvSource({
         "NEW_START, RETURNED, 1", "NEW_ADDRESS, RETURNED, 1", "GONE_AND_BACK, RETURNED, 1", "MOVED_AND_BACK, RETURNED, 1",
         "NEW_START, FULL, 1", "NEW_ADDRESS, FULL, 0", "NEW_START, ERROR, 0", "NEW_ADDRESS, RESET, 0", "NEW_START, TIMED_OUT, 0"})
-    void anOrderToTheProcessBeforeTellsNothingOfThePresentOne(Change change, Outcome late, int copies) {
-        Stage stage = listed(new Stage(1, 100, 1000, UnaryOperator.identity()));
-        Client client = stage.ask("a", Stage.RETRIABLE, 1);
-        Order out = orderOut(stage);
-        change.told(stage);
-        Belief before = believed(stage, client);
+    void loadOrderToAnEarlierProcessDoesNotChangeTheView(ProcessChange change, Outcome late, int copies) {
+        CoordinatorHarness stage = withExecutor(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        Client client = stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        LoadOrder out = awaitLoadOrder(stage);
+        change.deliverTo(stage);
+        ExecutorView before = viewOf(stage, client);
         stage.orders.remove(out);
-        stage.at(stage.now, () -> stage.desk.ordered(out, late, copies));
-        assertEquals(before, believed(stage, client));
-        assertEquals(List.of(), stage.flights);
-        presentOneServes(stage, change);
+        stage.runBatch(stage.now, () -> stage.coordinator.onLoadOrderEnded(out, late, copies));
+        assertEquals(before, viewOf(stage, client));
+        assertEquals(List.of(), stage.forwards);
+        assertCurrentProcessServes(stage, change);
     }
 
     /** Asked once what was sent to the process before has left the window of rule 4. */
-    private static void presentOneServes(Stage stage, Change change) {
-        stage.pass(stage.now + 1000);
-        Client next = stage.ask("next", Stage.RETRIABLE, 2);
-        stage.out();
-        Flight served = stage.flights.stream().filter(flight -> flight.life == next.life).findFirst().orElseThrow();
-        assertEquals(change.address(), served.place.address);
-        stage.end(served, Outcome.RETURNED);
-        assertEquals("1 RETURNED", next.heard());
-        assertTrue(believed(stage, next).copies > 0, "its own answer counts");
+    private static void assertCurrentProcessServes(CoordinatorHarness stage, ProcessChange change) {
+        stage.advanceTo(stage.now + 1000);
+        Client next = stage.sendMessage("next", CoordinatorHarness.RETRIABLE, 2);
+        stage.awaitForward();
+        InFlightForward served = stage.forwards.stream().filter(flight -> flight.inferenceState == next.inferenceState).findFirst().orElseThrow();
+        assertEquals(change.address(), served.endpoint.address);
+        stage.endForward(served, Outcome.RETURNED);
+        assertEquals("1 RETURNED", next.received());
+        assertTrue(viewOf(stage, next).copies > 0, "its own answer counts");
     }
 
     /** Guards against a forward that is to find a copy which only the process before was asked to load. */
     @ParameterizedTest
     @EnumSource
-    void anOrderToTheProcessBeforeBringsNoForwardToThePresentOne(Change change) {
-        Stage stage = listed(new Stage(1, 100, 1000, UnaryOperator.identity()));
-        stage.ask("a", Stage.RETRIABLE, 1);
-        Order out = orderOut(stage);
-        stage.pass(stage.now + 50);
-        change.told(stage);
-        stage.pass(stage.now + 1000);
-        assertTrue(stage.flights.isEmpty() || stage.orders.stream().anyMatch(order -> order != out && order.copies > 0),
-                stage.flights.size() + " forwards, no order since");
+    void loadOrderToAnEarlierProcessCausesNoForward(ProcessChange change) {
+        CoordinatorHarness stage = withExecutor(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        LoadOrder out = awaitLoadOrder(stage);
+        stage.advanceTo(stage.now + 50);
+        change.deliverTo(stage);
+        stage.advanceTo(stage.now + 1000);
+        assertTrue(stage.forwards.isEmpty() || stage.orders.stream().anyMatch(order -> order != out && order.copies > 0),
+                stage.forwards.size() + " forwards, no order since");
     }
 
     /** Guards against sends to a process that was never asked (rule 3): proven ready, or refused, by the one before. */
     @ParameterizedTest
     @CsvSource({"NEW_START, RETURNED", "NEW_ADDRESS, RETURNED", "GONE_AND_BACK, RETURNED", "MOVED_AND_BACK, RETURNED",
         "NEW_START, FULL", "NEW_ADDRESS, FULL", "NEW_START, ERROR", "NEW_ADDRESS, RESET", "NEW_START, CONNECT_FAILED"})
-    void aProbeOfTheProcessBeforeTellsNothingOfThePresentOne(Change change, Outcome late) {
-        Stage stage = listed(Stage.withProbes(UnaryOperator.identity()));
-        stage.rosterExpires();
-        Client client = stage.ask("a", Stage.RETRIABLE, 1);
-        passToProbe(stage, 1, 50);
-        stage.pass(stage.now + 50);
-        change.told(stage);
-        Belief before = believed(stage, client);
+    void probeOfAnEarlierProcessDoesNotChangeTheView(ProcessChange change, Outcome late) {
+        CoordinatorHarness stage = withExecutor(CoordinatorHarness.withProbes(UnaryOperator.identity()));
+        stage.expireRoster();
+        Client client = stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        advanceToProbe(stage, 1, 50);
+        stage.advanceTo(stage.now + 50);
+        change.deliverTo(stage);
+        ExecutorView before = viewOf(stage, client);
         stage.answerProbe(0, late, REPORT);
-        assertEquals(before, believed(stage, client));
-        assertFalse(stage.mayBeSentTo("s-1"));
-        stage.pass(stage.now + 200);
+        assertEquals(before, viewOf(stage, client));
+        assertFalse(stage.maySendTo("s-1"));
+        stage.advanceTo(stage.now + 200);
         int own = stage.probesSent() - 1;
-        assertEquals("s-1 " + change.address(), stage.probeTo(own));
+        assertEquals("s-1 " + change.address(), stage.probeTarget(own));
         stage.answerProbe(own, Outcome.RETURNED, null);
-        assertTrue(stage.mayBeSentTo("s-1"), "by its own answer");
+        assertTrue(stage.maySendTo("s-1"), "by its own answer");
     }
 
     /** Guards against a process that may be new and counts as warm again (rule 4) by a word that may be older than its start. */
     @ParameterizedTest
-    @EnumSource(value = RosterForm.class, names = {"CHANGES", "FULL"})
-    void aListingFromDuringTheOutageEndsNoAssumedRestart(RosterForm form) {
-        Stage stage = listed(Stage.withProbes(UnaryOperator.identity()));
-        stage.rosterExpires();
-        stage.ask("a", Stage.RETRIABLE, 1);
-        passToProbe(stage, 1, 50);
+    @EnumSource(value = RosterUpdateKind.class, names = {"CHANGES", "FULL"})
+    void rosterFromTheOutageDoesNotEndAnAssumedRestart(RosterUpdateKind form) {
+        CoordinatorHarness stage = withExecutor(CoordinatorHarness.withProbes(UnaryOperator.identity()));
+        stage.expireRoster();
+        stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        advanceToProbe(stage, 1, 50);
         stage.answerProbe(0, Outcome.RETURNED, REPORT);
-        stage.at(stage.now, () -> stage.desk.disconnected(stage.placeOf("s-1")));
-        stage.pass(stage.now + LEASE + 50);
-        stage.ask("b", Stage.RETRIABLE, 2);
-        passToProbe(stage, 2, 100);
+        stage.runBatch(stage.now, () -> stage.coordinator.onExecutorDisconnected(stage.endpointOf("s-1")));
+        stage.advanceTo(stage.now + LEASE + 50);
+        stage.sendMessage("b", CoordinatorHarness.RETRIABLE, 2);
+        advanceToProbe(stage, 2, 100);
         stage.answerProbe(1, Outcome.RETURNED, null);
-        double assumed = stage.placeOf("s-1").executor.startedAt;
+        double assumed = stage.endpointOf("s-1").executor.startedAt;
         assertEquals(stage.now, assumed);
-        stage.roster(form, line("10.0.0.1:80", 0, Standing.READY));
-        assertEquals(assumed, stage.placeOf("s-1").executor.startedAt);
-        stage.at(stage.now, () -> stage.desk.rosterValid(stage.now, stage.now + 4000));
-        assertEquals(0, stage.placeOf("s-1").executor.startedAt, "once the roster is known to be complete");
+        stage.updateRoster(form, rosterEntry("10.0.0.1:80", 0, ExecutorState.READY));
+        assertEquals(assumed, stage.endpointOf("s-1").executor.startedAt);
+        stage.runBatch(stage.now, () -> stage.coordinator.onRosterConfirmed(stage.now, stage.now + 4000));
+        assertEquals(0, stage.endpointOf("s-1").executor.startedAt, "once the roster is known to be complete");
     }
 }
--- a/gateway/src/test/java/gradereach/front/IdleConnectionTest.java
+++ b/gateway/src/test/java/gradereach/front/IdleConnectionTest.java
@@ -35,7 +35,7 @@
 /** Connections that look idle while the next message lies unread in their sockets. */
 @Timeout(60)
 class IdleConnectionTest {
-    private static final long IDLE = 10_000_000; // milliseconds: only the test itself looks
+    private static final long IDLE_TIMEOUT_MILLIS = 10_000_000; // milliseconds: only the test itself looks
 
     private final MultiThreadIoEventLoopGroup server = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MultiThreadIoEventLoopGroup client = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -65,12 +65,12 @@
 
     @Test
     void anUnreadMessageKeepsAConnectionOpen() throws Exception {
-        MessageClock messageClock = new MessageClock(IDLE, IDLE, time::get, time::get, new Counts().limit("slow", 1));
+        MessageTimeoutHandler messageClock = new MessageTimeoutHandler(IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS, time::get, time::get, new Counts().limit("slow", 1));
         InetSocketAddress address = listen(messageClock);
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             Channel channel = accepted.get();
             assertFalse(onServer(() -> {
-                time.set(IDLE);
+                time.set(IDLE_TIMEOUT_MILLIS);
                 socket.getOutputStream().write("POST".getBytes(StandardCharsets.US_ASCII));
                 return messageClock.closeIfIdle(channel.pipeline().context(messageClock));
             }));
@@ -79,13 +79,13 @@
     }
 
     @Test
-    void aQuietConnectionIsClosed() throws Exception {
-        MessageClock messageClock = new MessageClock(IDLE, IDLE, time::get, time::get, new Counts().limit("slow", 1));
+    void anIdleConnectionIsClosed() throws Exception {
+        MessageTimeoutHandler messageClock = new MessageTimeoutHandler(IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS, time::get, time::get, new Counts().limit("slow", 1));
         InetSocketAddress address = listen(messageClock);
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             Channel channel = accepted.get();
             assertTrue(onServer(() -> {
-                time.set(IDLE);
+                time.set(IDLE_TIMEOUT_MILLIS);
                 return messageClock.closeIfIdle(channel.pipeline().context(messageClock));
             }));
             assertTrue(socket.getInputStream().read() < 0);
@@ -94,7 +94,7 @@
 
     @Test
     void anUnreadStreamKeepsAConnectionOpen() throws Exception {
-        IdleStreams idleStreams = new IdleStreams(IDLE);
+        Http2IdleHandler idleStreams = new Http2IdleHandler(IDLE_TIMEOUT_MILLIS);
         CompletableFuture<Void> settled = new CompletableFuture<>();
         InetSocketAddress address = listen(Http2FrameCodecBuilder.forServer().build(),
                 new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()), idleStreams);
