--- a/gateway/src/test/java/gradereach/grpcfront/GrpcFrontTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
@@ -1,6 +1,6 @@
 package gradereach.grpcfront;
 
-import static gradereach.grpcfront.StreamCalls.request;
+import static gradereach.grpcfront.GrpcTestSupport.request;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,7 +19,7 @@
 import gradereach.protocol.inference.ServerLiveRequest;
 import gradereach.protocol.inference.ServerMetadataRequest;
 import gradereach.protocol.inference.ServerReadyRequest;
-import gradereach.serve.Between;
+import gradereach.serve.FaultInjection;
 import gradereach.serve.Gateway;
 import gradereach.standins.SmallFleet;
 import gradereach.webhook.WebhookKey;
@@ -53,7 +53,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import gradereach.grpcfront.StreamCalls.Heard;
+import gradereach.grpcfront.GrpcTestSupport.RecordingClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -65,27 +65,27 @@
 
 /** The gRPC front on loopback sockets, with the library's own client and stand-in executors. */
 @Timeout(60)
-class GrpcFrontTest {
+class GrpcServerTest {
     private final String secret = WebhookKey.newSecret(new SecureRandom());
     private final WebhookKey key = WebhookKey.parse(secret);
-    private final WebhookKey stranger = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
+    private final WebhookKey unregisteredKey = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
     @TempDir
     private Path folder;
     private SmallFleet fleet;
     private Gateway gateway;
-    private InetSocketAddress webhooks;
+    private InetSocketAddress webhookAddress;
     private ManagedChannel channel;
 
     @BeforeEach
     void start() throws Exception {
         fleet = new SmallFleet(folder, 2);
-        ObjectNode plan = fleet.plan("fe", secret);
+        ObjectNode plan = fleet.createDeployment("fe", secret);
         plan.putObject("grpc").put("listen", "127.0.0.1:0").put("stalled_ms", 300).put("stream_bytes", 4 << 20);
         plan.putObject("ledger").put("folder", folder.resolve("ledger").toString());
         plan.putObject("limits").put("body_bytes", 1 << 16).put("streams", 600);
-        gateway = new Gateway(Deployment.of(plan, folder), Between.NOTHING);
-        webhooks = gateway.listen();
-        until(gateway::ready);
+        gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
+        webhookAddress = gateway.listen();
+        waitUntil(gateway::isReady);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry()
                 .build();
     }
@@ -97,7 +97,7 @@
         fleet.close();
     }
 
-    private static void until(BooleanSupplier holds) throws InterruptedException {
+    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
         while (!holds.getAsBoolean()) {
             Thread.sleep(2);
         }
@@ -107,59 +107,59 @@
         return Metadata.Key.of(name, as);
     }
 
-    private GRPCInferenceServiceGrpc.GRPCInferenceServiceBlockingStub signed(String id, ModelInferRequest request,
+    private GRPCInferenceServiceGrpc.GRPCInferenceServiceBlockingStub signedStub(String id, ModelInferRequest request,
             WebhookKey by) {
         long now = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
         headers.put(key("webhook-id", Metadata.ASCII_STRING_MARSHALLER), id);
         headers.put(key("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
         headers.put(key("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + by.sign(id, now,
-                CallSignature.signed(InferCalls.UNARY, CallSignature.digest(request))));
+                CallSignature.signedContent(GrpcInferenceService.UNARY_METHOD, CallSignature.digest(request))));
         return GRPCInferenceServiceGrpc.newBlockingStub(channel)
                 .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
     }
 
-    private ModelInferResponse ask(String id, ModelInferRequest request) {
-        return signed(id, request, key).modelInfer(request);
+    private ModelInferResponse infer(String id, ModelInferRequest request) {
+        return signedStub(id, request, key).modelInfer(request);
     }
 
-    private StatusRuntimeException fails(String id, ModelInferRequest request) {
+    private StatusRuntimeException inferAndFail(String id, ModelInferRequest request) {
         try {
-            ask(id, request);
+            infer(id, request);
         } catch (StatusRuntimeException e) {
             return e;
         }
         throw new AssertionError("was returned");
     }
 
-    private long ran(String id) throws Exception {
-        return fleet.runs().getOrDefault("yard/" + id, 0);
+    private long runCount(String id) throws Exception {
+        return fleet.closeAndCountRuns().getOrDefault("yard/" + id, 0);
     }
 
     @Test
-    void anInferenceIsReturnedAndItsRepeatGetsTheSame() throws Exception {
-        ModelInferResponse first = ask("m1", request("book-1", 5));
+    void aRepeatGetsTheSameAnswer() throws Exception {
+        ModelInferResponse first = infer("m1", request("book-1", 5));
         assertEquals("book-1", first.getModelName());
         assertEquals("m1", first.getId());
-        assertEquals(first, ask("m1", request("book-1", 5)));
-        assertEquals(Status.Code.ALREADY_EXISTS, fails("m1", request("book-1", 6)).getStatus().getCode());
-        assertEquals(1, ran("m1"));
+        assertEquals(first, infer("m1", request("book-1", 5)));
+        assertEquals(Status.Code.ALREADY_EXISTS, inferAndFail("m1", request("book-1", 6)).getStatus().getCode());
+        assertEquals(1, runCount("m1"));
     }
 
     /** Ids of both fronts share one memory: what ran by one never runs by the other. */
     @Test
-    void anIdThatCameByOneFrontDoesNotRunByTheOther() throws Exception {
-        ask("both", request("book-1", 5));
+    void anIdReceivedByOneServerDoesNotRunThroughTheOther() throws Exception {
+        infer("both", request("book-1", 5));
         byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"book-1\",\"input\":{\"inputs\":[]}}}")
                 .getBytes(StandardCharsets.UTF_8);
         long now = System.currentTimeMillis() / 1000;
         HttpResponse<String> answer = HttpClient.newHttpClient().send(HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + webhooks.getPort() + "/v1/inferences")).version(HttpClient.Version.HTTP_1_1)
+                URI.create("http://127.0.0.1:" + webhookAddress.getPort() + "/v1/inferences")).version(HttpClient.Version.HTTP_1_1)
                 .header("content-type", "application/json").header("webhook-id", "both")
                 .header("webhook-timestamp", Long.toString(now)).header("webhook-signature", "v1," + key.sign("both", now, body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(), HttpResponse.BodyHandlers.ofString());
         assertEquals(409, answer.statusCode());
-        assertEquals(1, ran("both"));
+        assertEquals(1, runCount("both"));
     }
 
     @ParameterizedTest
@@ -170,7 +170,7 @@
         "raw-beside, INVALID_ARGUMENT, beside raw", "huge-shape, INVALID_ARGUMENT, inputs[0].shape: more than",
         "nan, INVALID_ARGUMENT, no finite number", "too-large, RESOURCE_EXHAUSTED, exceeds maximum",
     })
-    void whatIsNoInferenceHasOneClearStatus(String what, Status.Code code, String says) throws Exception {
+    void invalidRequestsGetASpecificStatus(String what, Status.Code code, String says) throws Exception {
         ModelInferRequest good = request("look-1", 5);
         ModelInferRequest.InferInputTensor tensor = good.getInputs(0);
         ModelInferRequest asked = switch (what) {
@@ -190,10 +190,10 @@
         Status status;
         try {
             switch (what) {
-                case "stranger" -> signed("x", asked, stranger).modelInfer(asked);
-                case "other-message" -> signed("x", request("look-1", 6), key).modelInfer(asked);
+                case "stranger" -> signedStub("x", asked, unregisteredKey).modelInfer(asked);
+                case "other-message" -> signedStub("x", request("look-1", 6), key).modelInfer(asked);
                 case "unsigned" -> GRPCInferenceServiceGrpc.newBlockingStub(channel).modelInfer(asked);
-                default -> ask("x", asked);
+                default -> infer("x", asked);
             }
             throw new AssertionError("was returned");
         } catch (StatusRuntimeException e) {
@@ -202,24 +202,24 @@
         assertEquals(code, status.getCode(), status.toString());
         assertTrue(status.getDescription().contains(says), status.toString());
         // Nothing is held for it, and the connection goes on.
-        assertNotNull(ask("after", request("look-1", 5)));
-        assertEquals(0, limit("grpc_calls"));
-        assertEquals(0, ran("x"));
+        assertNotNull(infer("after", request("look-1", 5)));
+        assertEquals(0, inUse("grpc_calls"));
+        assertEquals(0, runCount("x"));
     }
 
-    private long refused(String name) {
-        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().refused();
+    private long rejections(String name) {
+        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().rejections();
     }
 
-    private long limit(String name) {
-        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().present();
+    private long inUse(String name) {
+        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().inUse();
     }
 
     @Test
-    void bytesThatAreNoMessageAreToldSo() throws Exception {
+    void malformedBytesGetInvalidArgument() throws Exception {
         MethodDescriptor<byte[], byte[]> method = MethodDescriptor.<byte[], byte[]>newBuilder()
-                .setType(MethodDescriptor.MethodType.UNARY).setFullMethodName(InferCalls.UNARY)
-                .setRequestMarshaller(RAW).setResponseMarshaller(RAW).build();
+                .setType(MethodDescriptor.MethodType.UNARY).setFullMethodName(GrpcInferenceService.UNARY_METHOD)
+                .setRequestMarshaller(BYTE_ARRAY_MARSHALLER).setResponseMarshaller(BYTE_ARRAY_MARSHALLER).build();
         CompletableFuture<Status> ended = new CompletableFuture<>();
         ClientCall<byte[], byte[]> call = channel.newCall(method, CallOptions.DEFAULT);
         call.start(new ClientCall.Listener<>() {
@@ -234,7 +234,7 @@
         assertEquals(Status.Code.INVALID_ARGUMENT, ended.get().getCode(), ended.get().toString());
     }
 
-    private static final MethodDescriptor.Marshaller<byte[]> RAW = new MethodDescriptor.Marshaller<>() {
+    private static final MethodDescriptor.Marshaller<byte[]> BYTE_ARRAY_MARSHALLER = new MethodDescriptor.Marshaller<>() {
         @Override
         public InputStream stream(byte[] value) {
             return new java.io.ByteArrayInputStream(value);
@@ -252,42 +252,42 @@
 
     /** The client's deadline is its budget: it hears in time, and the reservation stays a matter of record. */
     @Test
-    void aDeadlineIsTheClientsTime() throws Exception {
-        ask("warm", request("book-1", 1));
+    void theDeadlineLimitsTheInference() throws Exception {
+        infer("warm", request("book-1", 1));
         ModelInferRequest slow = request("book-1", 1500);
         try {
-            signed("slow", slow, key).withDeadlineAfter(300, TimeUnit.MILLISECONDS).modelInfer(slow);
+            signedStub("slow", slow, key).withDeadlineAfter(300, TimeUnit.MILLISECONDS).modelInfer(slow);
             throw new AssertionError("was returned");
         } catch (StatusRuntimeException e) {
             assertEquals(Status.Code.DEADLINE_EXCEEDED, e.getStatus().getCode());
         }
-        until(() -> limit("grpc_calls") == 0);
-        StatusRuntimeException again = fails("slow", slow);
+        waitUntil(() -> inUse("grpc_calls") == 0);
+        StatusRuntimeException again = inferAndFail("slow", slow);
         assertEquals(Status.Code.DEADLINE_EXCEEDED, again.getStatus().getCode());
-        assertEquals("false", again.getTrailers().get(Statuses.HARMLESS));
-        assertTrue(ran("slow") <= 1);
+        assertEquals("false", again.getTrailers().get(GrpcStatuses.REPEAT_HARMLESS));
+        assertTrue(runCount("slow") <= 1);
     }
 
     @ParameterizedTest
     @CsvSource({"SHED, 503, true, UNAVAILABLE", "FAILED, 504, false, DEADLINE_EXCEEDED", "FAILED, 502, false, UNKNOWN",
         "FAILED, 504, true, ABORTED", "FAILED, 502, true, ABORTED"})
-    void everyEndHasItsStatus(gradereach.message.FinalAnswer.Kind kind, int status, boolean harmless, Status.Code code) {
-        assertEquals(code, Statuses.of(new gradereach.message.FinalAnswer(kind, status, new byte[0], 0, harmless)).getStatus()
+    void finalAnswersMapToStatusCodes(gradereach.message.FinalAnswer.Kind kind, int status, boolean harmless, Status.Code code) {
+        assertEquals(code, GrpcStatuses.toException(new gradereach.message.FinalAnswer(kind, status, new byte[0], 0, harmless)).getStatus()
                 .getCode());
     }
 
     /** The client hears UNAVAILABLE and how long to wait, in both forms. */
     @Test
-    void whatIsShedSaysSoAndForHowLong() throws Exception {
-        StatusRuntimeException shed = Statuses.of(gradereach.message.FinalAnswer.shed("a", "no room", 1250));
+    void shedInferencesCarryARetryDelay() throws Exception {
+        StatusRuntimeException shed = GrpcStatuses.toException(gradereach.message.FinalAnswer.shed("a", "no room", 1250));
         assertEquals(Status.Code.UNAVAILABLE, shed.getStatus().getCode());
-        assertEquals("1250", shed.getTrailers().get(Statuses.PUSHBACK));
+        assertEquals("1250", shed.getTrailers().get(GrpcStatuses.PUSHBACK));
         com.google.rpc.RetryInfo told = StatusProto.fromThrowable(shed).getDetails(0).unpack(com.google.rpc.RetryInfo.class);
         assertEquals(1_250_000_000L, told.getRetryDelay().getSeconds() * 1_000_000_000L + told.getRetryDelay().getNanos());
     }
 
     @Test
-    void theServiceTellsOfItself() {
+    void metadataAndHealthAreServed() {
         GRPCInferenceServiceGrpc.GRPCInferenceServiceBlockingStub stub = GRPCInferenceServiceGrpc.newBlockingStub(channel);
         assertTrue(stub.serverLive(ServerLiveRequest.getDefaultInstance()).getLive());
         assertTrue(stub.serverReady(ServerReadyRequest.getDefaultInstance()).getReady());
@@ -301,30 +301,30 @@
 
     // ---- streams ---------------------------------------------------------------------------------------------
 
-    private ModelInferRequest signedInside(String id, String model, double work) {
-        return StreamCalls.signed(key, id, request(model, work));
+    private ModelInferRequest signedStreamRequest(String id, String model, double work) {
+        return GrpcTestSupport.signedRequest(key, id, request(model, work));
     }
 
-    private StreamObserver<ModelInferRequest> open(Heard heard) {
+    private StreamObserver<ModelInferRequest> openStream(RecordingClient heard) {
         return GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(heard);
     }
 
     @Test
-    void manyInferencesInOneStreamAreAnsweredByIdAsTheyEnd() throws Exception {
-        ask("warm", request("look-1", 1));
-        Heard heard = new Heard(true);
-        StreamObserver<ModelInferRequest> stream = open(heard);
-        stream.onNext(signedInside("slow", "look-1", 400));
+    void inferencesOfOneStreamAreAnsweredInOrderOfCompletion() throws Exception {
+        infer("warm", request("look-1", 1));
+        RecordingClient heard = new RecordingClient(true);
+        StreamObserver<ModelInferRequest> stream = openStream(heard);
+        stream.onNext(signedStreamRequest("slow", "look-1", 400));
         Set<String> sent = new HashSet<>(Set.of("slow"));
         for (int i = 0; i < 300; i++) {
-            stream.onNext(signedInside("s" + i, "look-1", 1));
+            stream.onNext(signedStreamRequest("s" + i, "look-1", 1));
             sent.add("s" + i);
         }
-        stream.onNext(signedInside("none", "none", 1));
-        ModelInferRequest forged = signedInside("forged", "look-1", 1);
+        stream.onNext(signedStreamRequest("none", "none", 1));
+        ModelInferRequest forged = signedStreamRequest("forged", "look-1", 1);
         stream.onNext(forged.toBuilder().setModelName("look-2").build());
         stream.onCompleted();
-        assertEquals(Status.Code.OK, heard.end.get().getCode());
+        assertEquals(Status.Code.OK, heard.endStatus.get().getCode());
         Set<String> returned = new HashSet<>();
         List<String> failed = new ArrayList<>();
         for (ModelStreamInferResponse answer : heard.answers) {
@@ -339,88 +339,88 @@
         assertEquals(List.of("forged UNAUTHENTICATED", "none NOT_FOUND"), failed.stream().sorted().toList());
         assertTrue(heard.answers.indexOf(heard.answers.stream().filter(a -> a.getInferResponse().getId().equals("slow"))
                 .findFirst().orElseThrow()) > 10, "answered in the order of asking");
-        until(() -> limit("grpc_calls") == 0 && limit("inferences_held") == 0);
+        waitUntil(() -> inUse("grpc_calls") == 0 && inUse("inferences_held") == 0);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"cancel", "deadline", "connection"})
-    void anEndFromTheClientsSideLeavesNothingBehind(String how) throws Exception {
-        ask("warm", request("look-1", 1));
-        Heard heard = new Heard(true);
+    void clientSideTerminationReleasesEverything(String how) throws Exception {
+        infer("warm", request("look-1", 1));
+        RecordingClient heard = new RecordingClient(true);
         GRPCInferenceServiceGrpc.GRPCInferenceServiceStub stub = GRPCInferenceServiceGrpc.newStub(channel);
         StreamObserver<ModelInferRequest> stream = (how.equals("deadline") ? stub.withDeadlineAfter(200, TimeUnit.MILLISECONDS)
                 : stub).modelStreamInfer(heard);
         for (int i = 0; i < 20; i++) {
-            stream.onNext(signedInside("s" + i, "look-1", 3000));
+            stream.onNext(signedStreamRequest("s" + i, "look-1", 3000));
         }
-        until(() -> gateway.counts().value("inferences_taken") >= 5);
+        waitUntil(() -> gateway.counts().value("inferences_taken") >= 5);
         if (how.equals("cancel")) {
             heard.call.cancel("enough", null);
         } else if (how.equals("connection")) {
             channel.shutdownNow();
         }
-        assertTrue(heard.end.get().getCode() != Status.Code.OK);
-        until(() -> limit("grpc_calls") == 0 && limit("grpc_stream_bytes_waiting") == 0);
+        assertTrue(heard.endStatus.get().getCode() != Status.Code.OK);
+        waitUntil(() -> inUse("grpc_calls") == 0 && inUse("grpc_stream_bytes_waiting") == 0);
     }
 
     /** One reader that takes nothing beside others that do: it is cut after its time, and they are served. */
     @Test
-    void aReaderThatStopsIsCutAndHoldsNobodyUp() throws Exception {
-        ask("warm", request("look-1", 1));
+    void aStalledReaderIsResetAndDelaysNobody() throws Exception {
+        infer("warm", request("look-1", 1));
         ManagedChannel narrow = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext()
                 .flowControlWindow(1024).build();
-        Heard stopped = new Heard(false);
+        RecordingClient stopped = new RecordingClient(false);
         StreamObserver<ModelInferRequest> stream = GRPCInferenceServiceGrpc.newStub(narrow).modelStreamInfer(stopped);
-        for (int i = 0; refused("grpc_readers_that_stopped") == 0; i++) {
+        for (int i = 0; rejections("grpc_readers_that_stopped") == 0; i++) {
             if (stopped.call.isReady()) {
-                stream.onNext(signedInside("stopped" + i, "look-1", 1));
+                stream.onNext(signedStreamRequest("stopped" + i, "look-1", 1));
             } else {
-                assertNotNull(ask("fast" + i, request("look-1", 1)));
+                assertNotNull(infer("fast" + i, request("look-1", 1)));
             }
         }
         // It hears of it once it has read what was sent before.
         stopped.call.request(Integer.MAX_VALUE);
-        assertEquals(Status.Code.CANCELLED, stopped.end.get().getCode(), stopped.end.get().toString());
-        until(() -> limit("grpc_calls") == 0 && limit("grpc_stream_bytes_waiting") == 0);
+        assertEquals(Status.Code.CANCELLED, stopped.endStatus.get().getCode(), stopped.endStatus.get().toString());
+        waitUntil(() -> inUse("grpc_calls") == 0 && inUse("grpc_stream_bytes_waiting") == 0);
         narrow.shutdownNow();
     }
 
     /** SIGTERM: what is open is answered, each stream has one end, new ones find nobody. */
     @Test
-    void streamsThatAreOpenAtAStopGetTheirAnswers() throws Exception {
-        ask("warm", request("look-1", 1));
-        List<Heard> all = new ArrayList<>();
+    void openStreamsAreAnsweredOnShutdown() throws Exception {
+        infer("warm", request("look-1", 1));
+        List<RecordingClient> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            Heard heard = new Heard(true);
-            StreamObserver<ModelInferRequest> stream = open(heard);
-            stream.onNext(signedInside("stop" + i, "look-1", 200));
+            RecordingClient heard = new RecordingClient(true);
+            StreamObserver<ModelInferRequest> stream = openStream(heard);
+            stream.onNext(signedStreamRequest("stop" + i, "look-1", 200));
             all.add(heard);
         }
-        until(() -> gateway.counts().value("inferences_taken") == 101);
+        waitUntil(() -> gateway.counts().value("inferences_taken") == 101);
         assertTrue(gateway.stop());
-        for (Heard heard : all) {
-            assertEquals(Status.Code.OK, heard.end.get().getCode(), heard.end.get().toString());
+        for (RecordingClient heard : all) {
+            assertEquals(Status.Code.OK, heard.endStatus.get().getCode(), heard.endStatus.get().toString());
             assertEquals(1, heard.answers.size());
         }
     }
 
     @Test
-    void manyStreamsAreOpenAtOnce() throws Exception {
-        ask("warm", request("look-1", 1));
+    void manyStreamsCanBeOpenAtOnce() throws Exception {
+        infer("warm", request("look-1", 1));
         List<StreamObserver<ModelInferRequest>> streams = new ArrayList<>();
-        List<Heard> all = new ArrayList<>();
+        List<RecordingClient> all = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            Heard heard = new Heard(true);
-            StreamObserver<ModelInferRequest> stream = open(heard);
-            stream.onNext(signedInside("many" + i, "look-1", 1));
+            RecordingClient heard = new RecordingClient(true);
+            StreamObserver<ModelInferRequest> stream = openStream(heard);
+            stream.onNext(signedStreamRequest("many" + i, "look-1", 1));
             streams.add(stream);
             all.add(heard);
         }
-        until(() -> all.stream().allMatch(h -> h.answers.size() == 1 || h.end.isDone()));
-        assertEquals(500, limit("grpc_calls"));
+        waitUntil(() -> all.stream().allMatch(h -> h.answers.size() == 1 || h.endStatus.isDone()));
+        assertEquals(500, inUse("grpc_calls"));
         streams.forEach(StreamObserver::onCompleted);
-        for (Heard heard : all) {
-            assertEquals(Status.Code.OK, heard.end.get().getCode());
+        for (RecordingClient heard : all) {
+            assertEquals(Status.Code.OK, heard.endStatus.get().getCode());
         }
     }
 }
--- a/gateway/src/test/java/gradereach/grpcfront/StreamCalls.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /** What tests of the gRPC front send and hear. */
-final class StreamCalls {
-    private StreamCalls() { }
+final class GrpcTestSupport {
+    private GrpcTestSupport() { }
 
-    private static InferParameter text(String value) {
+    private static InferParameter stringParameter(String value) {
         return InferParameter.newBuilder().setStringParam(value).build();
     }
 
@@ -31,29 +31,29 @@
     }
 
     /** One message of a stream, signed inside. */
-    static ModelInferRequest signed(WebhookKey key, String id, ModelInferRequest request) {
+    static ModelInferRequest signedRequest(WebhookKey key, String id, ModelInferRequest request) {
         ModelInferRequest bare = request.toBuilder().setId(id).build();
         long now = System.currentTimeMillis() / 1000;
-        return bare.toBuilder().putParameters("webhook-timestamp", text(Long.toString(now)))
-                .putParameters("webhook-signature", text("v1," + key.sign(id, now,
-                        CallSignature.signed(InferCalls.STREAMED, CallSignature.digest(bare))))).build();
+        return bare.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
+                .putParameters("webhook-signature", stringParameter("v1," + key.sign(id, now,
+                        CallSignature.signedContent(GrpcInferenceService.STREAMING_METHOD, CallSignature.digest(bare))))).build();
     }
 
     /** A stream's client: what it heard and how it ended; it reads only what it is told to. */
-    static final class Heard implements ClientResponseObserver<ModelInferRequest, ModelStreamInferResponse> {
+    static final class RecordingClient implements ClientResponseObserver<ModelInferRequest, ModelStreamInferResponse> {
         final List<ModelStreamInferResponse> answers = Collections.synchronizedList(new ArrayList<>());
-        final CompletableFuture<Status> end = new CompletableFuture<>();
-        private final boolean reads;
+        final CompletableFuture<Status> endStatus = new CompletableFuture<>();
+        private final boolean readsAll;
         ClientCallStreamObserver<ModelInferRequest> call;
 
-        Heard(boolean reads) {
-            this.reads = reads;
+        RecordingClient(boolean reads) {
+            this.readsAll = reads;
         }
 
         @Override
         public void beforeStart(ClientCallStreamObserver<ModelInferRequest> to) {
             call = to;
-            if (!reads) {
+            if (!readsAll) {
                 to.disableAutoRequestWithInitial(1);
             }
         }
@@ -65,12 +65,12 @@
 
         @Override
         public void onError(Throwable why) {
-            end.complete(Status.fromThrowable(why));
+            endStatus.complete(Status.fromThrowable(why));
         }
 
         @Override
         public void onCompleted() {
-            end.complete(Status.OK);
+            endStatus.complete(Status.OK);
         }
     }
 }
--- a/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
@@ -6,14 +6,14 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gradereach.counts.Counts;
-import gradereach.grpcfront.StreamCalls.Heard;
+import gradereach.grpcfront.GrpcTestSupport.RecordingClient;
 import gradereach.plan.Deployment;
 import gradereach.protocol.inference.GRPCInferenceServiceGrpc;
 import gradereach.protocol.inference.InferParameter;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.protocol.inference.ModelInferResponse;
 import gradereach.protocol.inference.ModelStreamInferResponse;
-import gradereach.serve.Between;
+import gradereach.serve.FaultInjection;
 import gradereach.serve.Gateway;
 import gradereach.standins.SmallFleet;
 import gradereach.webhook.WebhookKey;
@@ -53,19 +53,19 @@
     @BeforeEach
     void start() throws Exception {
         fleet = new SmallFleet(folder, 1);
-        plan = fleet.plan("fe", secret);
+        plan = fleet.createDeployment("fe", secret);
         plan.putObject("grpc").put("listen", "127.0.0.1:0");
         plan.putObject("ledger").put("folder", folder.resolve("ledger").toString());
         plan.putObject("executors").put("stream_window_bytes", 4096).putArray("grpc_kinds").add(0);
         plan.putObject("limits").put("record_bytes", 20_000);
-        serve();
+        startGateway();
     }
 
-    private void serve() throws Exception {
+    private void startGateway() throws Exception {
         plan.withObject("/grpc").put("stalled_ms", stalledMillis);
-        gateway = new Gateway(Deployment.of(plan, folder), Between.NOTHING);
+        gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
         gateway.listen();
-        until(gateway::ready);
+        waitUntil(gateway::isReady);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry()
                 .flowControlWindow(4096).build();
     }
@@ -77,58 +77,58 @@
         fleet.close();
     }
 
-    private static void until(BooleanSupplier holds) throws InterruptedException {
+    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
         while (!holds.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private ModelInferRequest parts(String id, String model, int parts, int bytes, int every) {
-        ModelInferRequest.Builder asked = StreamCalls.request(model, 1).toBuilder();
-        asked.putParameters("parts", number(parts)).putParameters("part_bytes", number(bytes)).putParameters("part_ms", number(every));
-        return StreamCalls.signed(key, id, asked.build());
+    private ModelInferRequest signedRequest(String id, String model, int parts, int bytes, int every) {
+        ModelInferRequest.Builder asked = GrpcTestSupport.request(model, 1).toBuilder();
+        asked.putParameters("parts", intParameter(parts)).putParameters("part_bytes", intParameter(bytes)).putParameters("part_ms", intParameter(every));
+        return GrpcTestSupport.signedRequest(key, id, asked.build());
     }
 
-    private static InferParameter number(long n) {
+    private static InferParameter intParameter(long n) {
         return InferParameter.newBuilder().setInt64Param(n).build();
     }
 
-    private StreamObserver<ModelInferRequest> open(Heard heard) {
+    private StreamObserver<ModelInferRequest> openStream(RecordingClient heard) {
         return GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(heard);
     }
 
     /** All of one inference, asked in a stream of its own. */
-    private Heard ask(ModelInferRequest request) throws Exception {
-        Heard heard = new Heard(true);
-        StreamObserver<ModelInferRequest> to = open(heard);
+    private RecordingClient infer(ModelInferRequest request) throws Exception {
+        RecordingClient heard = new RecordingClient(true);
+        StreamObserver<ModelInferRequest> to = openStream(heard);
         to.onNext(request);
         to.onCompleted();
-        assertEquals(Status.Code.OK, heard.end.get().getCode(), heard.end.get().toString());
+        assertEquals(Status.Code.OK, heard.endStatus.get().getCode(), heard.endStatus.get().toString());
         return heard;
     }
 
-    private long limit(String name) {
-        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().present();
+    private long inUse(String name) {
+        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().inUse();
     }
 
-    private void nothingIsHeld() throws InterruptedException {
+    private void awaitAllReleased() throws InterruptedException {
         for (String name : List.of("grpc_calls", "grpc_stream_bytes_waiting", "stream_parts_held_bytes", "stream_records_bytes",
                 "inferences_held")) {
-            until(() -> limit(name) == 0);
+            waitUntil(() -> inUse(name) == 0);
         }
     }
 
     /** "1,2,3 final 3", or how it broke. */
-    private static String told(Heard heard, String id) {
+    private static String summary(RecordingClient heard, String id) {
         List<String> words = new ArrayList<>();
         for (ModelStreamInferResponse answer : heard.answers) {
             ModelInferResponse told = answer.getInferResponse();
             if (told.getId().equals(id)) {
-                long parts = told.getParametersOrDefault(StreamCall.PARTS, number(0)).getInt64Param();
+                long parts = told.getParametersOrDefault(StreamingCall.PART_COUNT_PARAMETER, intParameter(0)).getInt64Param();
                 words.add(!answer.getErrorMessage().isEmpty()
                         ? told.getParametersOrThrow("grpc-status").getStringParam() + " after " + parts
-                        : told.containsParameters(StreamCall.FINAL) ? "final " + parts
-                        : String.valueOf(told.getParametersOrThrow(StreamCall.PART).getInt64Param()));
+                        : told.containsParameters(StreamingCall.FINAL_PARAMETER) ? "final " + parts
+                        : String.valueOf(told.getParametersOrThrow(StreamingCall.PART_NUMBER_PARAMETER).getInt64Param()));
             }
         }
         return String.join(" ", words);
@@ -137,36 +137,36 @@
     /** The same parts for whoever asks again, from memory and, for what must not run twice, from the ledger. */
     @ParameterizedTest
     @ValueSource(strings = {"tell-1", "sign-1"})
-    void partsComeInOrderAndARepeatGetsTheSame(String model) throws Exception {
-        ModelInferRequest asked = parts("p", model, 5, 10, 1);
-        Heard first = ask(asked);
-        assertEquals("1 2 3 4 5 final 5", told(first, "p"));
-        assertEquals(first.answers, ask(asked).answers);
-        nothingIsHeld();
+    void partsArriveInOrderAndARepeatGetsTheSame(String model) throws Exception {
+        ModelInferRequest asked = signedRequest("p", model, 5, 10, 1);
+        RecordingClient first = infer(asked);
+        assertEquals("1 2 3 4 5 final 5", summary(first, "p"));
+        assertEquals(first.answers, infer(asked).answers);
+        awaitAllReleased();
         if (model.startsWith("sign")) {
             channel.shutdownNow();
             gateway.close();
-            serve();
-            assertEquals(first.answers, ask(asked).answers);
+            startGateway();
+            assertEquals(first.answers, infer(asked).answers);
         }
-        assertEquals(1, fleet.runs().get("yard/p"));
+        assertEquals(1, fleet.closeAndCountRuns().get("yard/p"));
     }
 
     /** Longer than is kept: a repeat runs again where it may, else it hears that it was answered. */
     @ParameterizedTest
     @CsvSource({"tell-1, 2", "sign-1, 1"})
-    void whatIsNotKeptRunsAgainOnlyWhereItMay(String model, int runs) throws Exception {
-        ModelInferRequest asked = parts("long", model, 30, 1000, 0);
-        assertTrue(told(ask(asked), "long").endsWith("30 final 30"));
-        nothingIsHeld();
-        Heard again = ask(asked);
+    void anUnrecordedAnswerRunsAgainOnlyIfRetriable(String model, int runs) throws Exception {
+        ModelInferRequest asked = signedRequest("long", model, 30, 1000, 0);
+        assertTrue(summary(infer(asked), "long").endsWith("30 final 30"));
+        awaitAllReleased();
+        RecordingClient again = infer(asked);
         if (runs == 2) {
-            assertTrue(told(again, "long").endsWith("30 final 30"));
+            assertTrue(summary(again, "long").endsWith("30 final 30"));
         } else {
             assertEquals(1, again.answers.size());
             assertEquals(false, again.answers.get(0).getInferResponse().getParametersOrThrow("gradereach-parts-kept").getBoolParam());
         }
-        assertEquals(runs, fleet.runs().get("yard/long"));
+        assertEquals(runs, fleet.closeAndCountRuns().get("yard/long"));
     }
 
     /** Where a forward breaks decides: before its start as any other, after it once, and the client hears where. */
@@ -177,15 +177,15 @@
         "reset_head, tell-1, 1 2 3 4 final 4, 2", "reset_part, tell-1, 1 ABORTED after 1, 1",
         "reset_status, tell-1, 1 2 3 4 ABORTED after 4, 1",
     })
-    void aStreamThatBreaksSaysWhere(String fault, String model, String says, int leastForwards) throws Exception {
-        ask(parts("warm", model, 1, 1, 0));
+    void aBrokenStreamReportsItsPartCount(String fault, String model, String says, int leastForwards) throws Exception {
+        infer(signedRequest("warm", model, 1, 1, 0));
         long before = gateway.counts().value("forwards_sent");
-        fleet.apply(JSON.readTree("{\"kind\":\"" + fault + "\",\"ex\":0,\"for_ms\":150}"));
-        Heard heard = ask(parts("b", model, 4, 10, 1));
-        assertEquals(says, told(heard, "b"));
+        fleet.injectFault(JSON.readTree("{\"kind\":\"" + fault + "\",\"ex\":0,\"for_ms\":150}"));
+        RecordingClient heard = infer(signedRequest("b", model, 4, 10, 1));
+        assertEquals(says, summary(heard, "b"));
         long forwards = gateway.counts().value("forwards_sent") - before;
         assertTrue(leastForwards == 1 ? forwards == 1 : forwards >= leastForwards, forwards + " forwards");
-        nothingIsHeld();
+        awaitAllReleased();
     }
 
     /**
@@ -193,76 +193,76 @@
      * that were never flushed, after which an executor waited for ever.
      */
     @Test
-    void aSlowReaderSlowsItsExecutorAndNobodyElse() throws Exception {
-        ask(parts("warm", "tell-1", 1, 1, 0));
-        Heard slow = new Heard(false);
+    void aSlowReaderSlowsOnlyItsOwnExecutorStream() throws Exception {
+        infer(signedRequest("warm", "tell-1", 1, 1, 0));
+        RecordingClient slow = new RecordingClient(false);
         ManagedChannel narrow = channel;
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry().build();
         StreamObserver<ModelInferRequest> to = GRPCInferenceServiceGrpc.newStub(narrow).modelStreamInfer(slow);
-        to.onNext(parts("slow", "tell-1", 400, 1000, 0));
+        to.onNext(signedRequest("slow", "tell-1", 400, 1000, 0));
         to.onCompleted();
-        until(() -> slow.answers.size() == 1);
+        waitUntil(() -> slow.answers.size() == 1);
         for (int i = 0; i < 20; i++) {
-            assertEquals("1 2 3 final 3", told(ask(parts("fast" + i, "tell-1", 3, 1000, 0)), "fast" + i));
+            assertEquals("1 2 3 final 3", summary(infer(signedRequest("fast" + i, "tell-1", 3, 1000, 0)), "fast" + i));
         }
         // Two windows of it, whatever its length.
-        assertTrue(limit("stream_parts_held_bytes") <= 2 * 4096 + 1100, "held " + limit("stream_parts_held_bytes"));
-        while (!slow.end.isDone()) {
+        assertTrue(inUse("stream_parts_held_bytes") <= 2 * 4096 + 1100, "held " + inUse("stream_parts_held_bytes"));
+        while (!slow.endStatus.isDone()) {
             slow.call.request(1);
             Thread.sleep(0, 100_000);
         }
-        assertEquals(Status.Code.OK, slow.end.get().getCode());
-        assertTrue(told(slow, "slow").endsWith(" 399 400 final 400"));
-        nothingIsHeld();
+        assertEquals(Status.Code.OK, slow.endStatus.get().getCode());
+        assertTrue(summary(slow, "slow").endsWith(" 399 400 final 400"));
+        awaitAllReleased();
         narrow.shutdownNow();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"stopped", "cancelled", "deadline"})
-    void whoseReaderEndsLeavesNothingBehind(String how) throws Exception {
+    void aTerminatedReaderReleasesEverything(String how) throws Exception {
         if (how.equals("stopped")) {
             end();
             stalledMillis = 300;
             start();
         }
-        ask(parts("warm", "tell-1", 1, 1, 0));
-        Heard heard = new Heard(!how.equals("stopped"));
+        infer(signedRequest("warm", "tell-1", 1, 1, 0));
+        RecordingClient heard = new RecordingClient(!how.equals("stopped"));
         GRPCInferenceServiceGrpc.GRPCInferenceServiceStub stub = GRPCInferenceServiceGrpc.newStub(channel);
         StreamObserver<ModelInferRequest> to = (how.equals("deadline") ? stub.withDeadlineAfter(300, TimeUnit.MILLISECONDS) : stub)
                 .modelStreamInfer(heard);
-        to.onNext(parts("left", "tell-1", 1_000_000, 1000, 1));
-        until(() -> gateway.counts().value("answers_started") == 2);
+        to.onNext(signedRequest("left", "tell-1", 1_000_000, 1000, 1));
+        waitUntil(() -> gateway.counts().value("answers_started") == 2);
         if (how.equals("cancelled")) {
             heard.call.cancel("enough", null);
         }
-        until(() -> gateway.counts().value("forwards_ended_cancelled") == 1);
-        nothingIsHeld();
+        waitUntil(() -> gateway.counts().value("forwards_ended_cancelled") == 1);
+        awaitAllReleased();
         Counts.Limit cut = gateway.counts().limits().stream().filter(l -> l.name.equals("grpc_readers_that_stopped")).findFirst()
                 .orElseThrow();
-        assertEquals(how.equals("stopped") ? 1 : 0, cut.refused());
+        assertEquals(how.equals("stopped") ? 1 : 0, cut.rejections());
         if (how.equals("stopped")) {
             heard.call.request(Integer.MAX_VALUE);
-            assertEquals(Status.Code.CANCELLED, heard.end.get().getCode(), heard.end.get().toString());
+            assertEquals(Status.Code.CANCELLED, heard.endStatus.get().getCode(), heard.endStatus.get().toString());
         }
     }
 
     /** Several that flow in one call take turns. */
     @Test
-    void answersOfOneCallTakeTurns() throws Exception {
-        ask(parts("warm", "tell-1", 1, 1, 0));
-        Heard heard = new Heard(false);
-        StreamObserver<ModelInferRequest> to = open(heard);
+    void answersOfOneCallAreInterleaved() throws Exception {
+        infer(signedRequest("warm", "tell-1", 1, 1, 0));
+        RecordingClient heard = new RecordingClient(false);
+        StreamObserver<ModelInferRequest> to = openStream(heard);
         for (int i = 0; i < 4; i++) {
-            to.onNext(parts("t" + i, "tell-1", 50, 1000, 0));
+            to.onNext(signedRequest("t" + i, "tell-1", 50, 1000, 0));
         }
         to.onCompleted();
-        until(() -> gateway.counts().value("answers_started") == 5);
-        while (!heard.end.isDone()) {
+        waitUntil(() -> gateway.counts().value("answers_started") == 5);
+        while (!heard.endStatus.isDone()) {
             heard.call.request(1);
             Thread.sleep(1);
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(told(heard, "t" + i).endsWith("50 final 50"));
+            assertTrue(summary(heard, "t" + i).endsWith("50 final 50"));
         }
         // Once all have begun, none is far ahead of another.
         int[] had = new int[4];
--- a/gateway/src/test/java/gradereach/http2/StalledPeerTest.java
+++ b/gateway/src/test/java/gradereach/http2/StalledPeerTest.java
@@ -46,44 +46,44 @@
 @Timeout(60)
 class StalledPeerTest {
     private static final String BODY = "a body that must not come late";
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
     /** Together more than any socket's buffers hold on loopback (Linux: 6 MB to read, 4 MB to write). */
-    private static final int FILLERS = 900;
+    private static final int FILLER_REQUESTS = 900;
     private static final int FILLER_BYTES = 15_000;
 
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> framesSeen = new LinkedBlockingQueue<>();
     private final BlockingQueue<Channel> connections = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-    private final AtomicBoolean wanted = new AtomicBoolean(true);
+    private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
+    private final AtomicBoolean mayWrite = new AtomicBoolean(true);
 
     @AfterEach
-    void end() {
+    void shutDown() {
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private Http2Pool pool(InetSocketAddress at) {
-        return new Http2Pool(at, loops.next(), NioSocketChannel.class, new Http2Pool.Bounds(1, 1000, 500, 60_000, 1000, 1 << 16),
-                new Http2Pool.Tally(new Counts(), "test"), () -> System.nanoTime() / 1e6);
+    private Http2ConnectionPool pool(InetSocketAddress at) {
+        return new Http2ConnectionPool(at, loops.next(), NioSocketChannel.class, new Http2ConnectionPool.Limits(1, 1000, 500, 60_000, 1000, 1 << 16),
+                new Http2ConnectionPool.Metrics(new Counts(), "test"), () -> System.nanoTime() / 1e6);
     }
 
     /** Returns once the pool has asked whether it is wanted, and has handed it to the connection. */
-    private Http2Pool.Request sendWanted(Http2Pool pool) throws InterruptedException {
+    private Http2ConnectionPool.Request sendAndAwaitHandover(Http2ConnectionPool pool) throws InterruptedException {
         CountDownLatch handedOver = new CountDownLatch(1);
-        Http2Pool.Request request = pool.send(() -> {
-            boolean now = wanted.get();
+        Http2ConnectionPool.Request request = pool.send(() -> {
+            boolean now = mayWrite.get();
             handedOver.countDown();
             return now;
-        }, "POST", "/", BODY.getBytes(StandardCharsets.UTF_8), (end, status, headers, body) -> ends.add(end.name()));
+        }, "POST", "/", BODY.getBytes(StandardCharsets.UTF_8), (end, status, headers, body) -> results.add(end.name()));
         handedOver.await();
         return request;
     }
 
     /** Writes down the frames of each stream, and answers those without a body. */
-    private final class Frames extends ChannelInboundHandlerAdapter {
+    private final class FrameRecorder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object frame) {
-            seen.add(frame instanceof Http2HeadersFrame ? "head" : frame instanceof Http2DataFrame ? "body"
+            framesSeen.add(frame instanceof Http2HeadersFrame ? "head" : frame instanceof Http2DataFrame ? "body"
                     : frame instanceof Http2ResetFrame ? "reset" : "other");
             if (frame instanceof Http2HeadersFrame head && head.isEndStream()) {
                 ctx.writeAndFlush(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().status("200"), true));
@@ -94,13 +94,13 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof Http2ResetFrame) {
-                seen.add("reset");
+                framesSeen.add("reset");
             }
         }
     }
 
     /** A peer whose windows are 0. */
-    private InetSocketAddress closedWindow() throws InterruptedException {
+    private InetSocketAddress startServerWithZeroWindow() throws InterruptedException {
         return (InetSocketAddress) new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -110,7 +110,7 @@
                                 new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel stream) {
-                                        stream.pipeline().addLast(new Frames());
+                                        stream.pipeline().addLast(new FrameRecorder());
                                     }
                                 }));
                         connections.add(connection);
@@ -120,46 +120,46 @@
 
     /** Guards against a forward whose body goes to an executor after its lease, when that opens its window (rules 1 and 3). */
     @Test
-    void whatWaitsForFlowControlIsWithdrawnWhenItIsNoLongerWanted() throws Exception {
-        Http2Pool pool = pool(closedWindow());
+    void bodyWaitingForFlowControlIsWithdrawn() throws Exception {
+        Http2ConnectionPool pool = pool(startServerWithZeroWindow());
         // The first one learns the peer's settings, which come before its answer.
-        pool.send("GET", "/", NONE, (end, status, headers, body) -> ends.add(end.name()));
-        assertEquals("ANSWERED", ends.poll(20, TimeUnit.SECONDS));
-        assertEquals("head", seen.poll(20, TimeUnit.SECONDS));
-        sendWanted(pool);
-        assertEquals("head", seen.poll(20, TimeUnit.SECONDS));
-        wanted.set(false);
-        assertEquals("NOT_WRITTEN", ends.poll(5, TimeUnit.SECONDS));
+        pool.send("GET", "/", EMPTY_BODY, (end, status, headers, body) -> results.add(end.name()));
+        assertEquals("ANSWERED", results.poll(20, TimeUnit.SECONDS));
+        assertEquals("head", framesSeen.poll(20, TimeUnit.SECONDS));
+        sendAndAwaitHandover(pool);
+        assertEquals("head", framesSeen.poll(20, TimeUnit.SECONDS));
+        mayWrite.set(false);
+        assertEquals("NOT_WRITTEN", results.poll(5, TimeUnit.SECONDS));
         connections.take().writeAndFlush(new DefaultHttp2SettingsFrame(Http2Settings.defaultSettings().initialWindowSize(65_535)));
-        assertEquals("reset", seen.poll(20, TimeUnit.SECONDS));
+        assertEquals("reset", framesSeen.poll(20, TimeUnit.SECONDS));
     }
 
     /** Guards against the same where the peer reads nothing for a while: given up, or its lease over. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatWaitsForTheSocketIsNeverWrittenLate(boolean givenUp) throws Exception {
+    void bodyWaitingForSocketIsNeverWrittenLate(boolean givenUp) throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReceiveBufferSize(4096);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            Http2Pool pool = pool((InetSocketAddress) listener.getLocalSocketAddress());
-            for (int i = 0; i < FILLERS; i++) {
-                pool.send("GET", "/", NONE, (end, status, headers, body) -> { }, "filler", "f" + i + "x".repeat(FILLER_BYTES));
+            Http2ConnectionPool pool = pool((InetSocketAddress) listener.getLocalSocketAddress());
+            for (int i = 0; i < FILLER_REQUESTS; i++) {
+                pool.send("GET", "/", EMPTY_BODY, (end, status, headers, body) -> { }, "filler", "f" + i + "x".repeat(FILLER_BYTES));
             }
             try (Socket peer = listener.accept()) {
                 peer.setSoTimeout(2000);
-                Http2Pool.Request request = sendWanted(pool);
+                Http2ConnectionPool.Request request = sendAndAwaitHandover(pool);
                 if (givenUp) {
-                    request.giveUp();
+                    request.cancel();
                 }
-                wanted.set(false);
-                ends.poll(5, TimeUnit.SECONDS);
-                assertFalse(allOf(peer).contains(BODY));
+                mayWrite.set(false);
+                results.poll(5, TimeUnit.SECONDS);
+                assertFalse(readAll(peer).contains(BODY));
             }
         }
     }
 
     /** What comes until the connection ends, or nothing more comes. */
-    private static String allOf(Socket peer) throws Exception {
+    private static String readAll(Socket peer) throws Exception {
         StringBuilder all = new StringBuilder();
         byte[] some = new byte[1 << 16];
         try {
--- a/gateway/src/test/java/gradereach/inquiry/SilentExecutorsTest.java
+++ b/gateway/src/test/java/gradereach/inquiry/SilentExecutorsTest.java
@@ -3,24 +3,24 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.inquiry.InquiryBook.Forwarded;
-import gradereach.inquiry.InquiryBook.Question;
+import gradereach.inquiry.InquiryScheduler.InquiredForward;
+import gradereach.inquiry.InquiryScheduler.Inquiry;
 import gradereach.ledger.Recipient;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Executors that answer nothing keep others neither waiting for their turn nor a thread at work. */
 class SilentExecutorsTest {
-    private final InquiryBook book = new InquiryBook(30_000, 2, 10);
+    private final InquiryScheduler scheduler = new InquiryScheduler(30_000, 2, 10);
 
     @Test
-    void nobodyLooksWhileNothingMayBeAsked() {
+    void noWakeUpWhileMaximumIsInFlight() {
         for (int i = 0; i < 3; i++) {
-            book.add("x" + i, new Forwarded(new Recipient("s-" + i, "ex" + i, 0), "f", 0), 0);
+            scheduler.add("x" + i, new InquiredForward(new Recipient("s-" + i, "ex" + i, 0), "f", 0), 0);
         }
-        List<Question> out = book.due(100);
+        List<Inquiry> out = scheduler.takeDue(100);
         assertEquals(2, out.size());
-        assertEquals(List.of(), book.due(200));
-        assertTrue(book.next() > 200, "looked at again at " + book.next() + ", though as many are asked as may be");
+        assertEquals(List.of(), scheduler.takeDue(200));
+        assertTrue(scheduler.nextDueAt() > 200, "looked at again at " + scheduler.nextDueAt() + ", though as many are asked as may be");
     }
 }
--- a/gateway/src/test/java/gradereach/ledger/LedgerTest.java
+++ b/gateway/src/test/java/gradereach/ledger/LedgerTest.java
@@ -43,25 +43,25 @@
     }
 
     private static LedgerRecord intended(String id, double at) {
-        return new LedgerRecord.Intended("yard", id, at, 1, 2, "book", "book-1", "10.0.0.1:80", "yard/" + id + "#fe-1-0");
+        return new LedgerRecord.ForwardIntended("yard", id, at, 1, 2, "book", "book-1", "10.0.0.1:80", "yard/" + id + "#fe-1-0");
     }
 
     private static List<LedgerRecord> life(String id, double at) {
-        return List.of(new LedgerRecord.Promised("yard", id, at, 1, 2, "book"), intended(id, at + 1),
-                new LedgerRecord.NotRun("yard", id, at + 2), intended(id, at + 3),
+        return List.of(new LedgerRecord.DeliveryPromised("yard", id, at, 1, 2, "book"), intended(id, at + 1),
+                new LedgerRecord.ProvenNotRun("yard", id, at + 2), intended(id, at + 3),
                 new LedgerRecord.Answered("yard", id, at + 4, answer("{\"\u00fc\":1}")),
-                new LedgerRecord.Delivered("yard", id, at + 5, at, 1, true),
-                new LedgerRecord.Claimed("yard", id, at + 6, 1, 2, "fe-1/x"));
+                new LedgerRecord.DeliveryAttempted("yard", id, at + 5, at, 1, true),
+                new LedgerRecord.ClaimGranted("yard", id, at + 6, 1, 2, "fe-1/x"));
     }
 
     private static byte[] bytes(List<LedgerRecord> records) {
         java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
-        records.forEach(r -> out.writeBytes(RecordCodec.frame(r)));
+        records.forEach(r -> out.writeBytes(RecordCodec.encode(r)));
         return out.toByteArray();
     }
 
     private static String text(LedgerRecord r) {
-        return r instanceof LedgerRecord.Answered a ? a.id() + a.at() + a.answer().kind() + new String(a.answer().body())
+        return r instanceof LedgerRecord.Answered a ? a.id() + a.timestamp() + a.answer().kind() + new String(a.answer().body())
                 : r.toString();
     }
 
@@ -70,10 +70,10 @@
         List<LedgerRecord> written = life("a", 10);
         List<String> read = new ArrayList<>();
         byte[] bytes = bytes(written);
-        SegmentScan.Result result = SegmentScan.scan("s", bytes, 0, bytes.length, -1, r -> read.add(text(r)));
+        SegmentScanner.Result result = SegmentScanner.scan("s", bytes, 0, bytes.length, -1, r -> read.add(text(r)));
         assertEquals(written.stream().map(LedgerTest::text).toList(), read);
         assertTrue(result.damage().isEmpty());
-        assertEquals(bytes.length, result.end());
+        assertEquals(bytes.length, result.validLength());
     }
 
     /** Whichever bit flips, it is noticed, named, and costs the one record that it is in. */
@@ -86,7 +86,7 @@
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
             Set<String> read = new HashSet<>();
-            SegmentScan.Result result = SegmentScan.scan("s", bad, 0, bad.length, -1, r -> read.add(text(r)));
+            SegmentScanner.Result result = SegmentScanner.scan("s", bad, 0, bad.length, -1, r -> read.add(text(r)));
             assertEquals(1, result.damage().size(), "bit " + bit);
             assertEquals(2, read.size(), "bit " + bit);
             assertTrue(all.containsAll(read), "bit " + bit + " made a record up");
@@ -97,15 +97,15 @@
     @Test
     void everyTornTailIsToldFromDamageByWhatWasDurable() {
         byte[] good = bytes(List.of(intended("a", 1), intended("b", 2)));
-        int first = RecordCodec.frame(intended("a", 1)).length;
+        int first = RecordCodec.encode(intended("a", 1)).length;
         for (int length = 0; length < good.length; length++) {
             byte[] torn = Arrays.copyOf(good, length);
             int whole = length < first ? 0 : first;
-            SegmentScan.Result unsure = SegmentScan.scan("s", torn, 0, length, 0, r -> { });
+            SegmentScanner.Result unsure = SegmentScanner.scan("s", torn, 0, length, 0, r -> { });
             assertEquals(List.of(), unsure.damage());
-            assertEquals(whole, unsure.end());
-            assertEquals(length - whole, unsure.torn());
-            assertEquals(1, SegmentScan.scan("s", torn, 0, length, good.length, r -> { }).damage().size());
+            assertEquals(whole, unsure.validLength());
+            assertEquals(length - whole, unsure.tornBytes());
+            assertEquals(1, SegmentScanner.scan("s", torn, 0, length, good.length, r -> { }).damage().size());
         }
     }
 
@@ -113,20 +113,20 @@
     @CsvSource({"'', TAKEN, false", "i, MAY_HAVE_RUN, true", "in, PROVEN_NOT_RUN, false", "ini, MAY_HAVE_RUN, true",
         "ia, ANSWERED, false", "if, ANSWERED, true", "ifa, ANSWERED, false", "iaf, ANSWERED, false",
         "inia, ANSWERED, false", "ifi, MAY_HAVE_RUN, true"})
-    void theStateIsThatOfTheTable(String steps, LedgerBook.State state, boolean unknown) {
-        LedgerBook book = new LedgerBook();
-        book.apply(new LedgerRecord.Promised("yard", "a", 0, 1, 2, "book"));
+    void theStateIsThatOfTheTable(String steps, LedgerState.MessageState state, boolean unknown) {
+        LedgerState book = new LedgerState();
+        book.apply(new LedgerRecord.DeliveryPromised("yard", "a", 0, 1, 2, "book"));
         for (char step : steps.toCharArray()) {
             book.apply(switch (step) {
                 case 'i' -> intended("a", 1);
-                case 'n' -> new LedgerRecord.NotRun("yard", "a", 2);
+                case 'n' -> new LedgerRecord.ProvenNotRun("yard", "a", 2);
                 case 'a' -> new LedgerRecord.Answered("yard", "a", 3, answer("x"));
                 default -> new LedgerRecord.Answered("yard", "a", 3, FinalAnswer.failed("a", 504, "w", false));
             });
         }
-        LedgerBook.Message message = book.find("yard", "a");
+        LedgerState.Message message = book.find("yard", "a");
         assertEquals(state, message.state());
-        assertEquals(unknown, message.unknown());
+        assertEquals(unknown, message.hasUnknownOutcome());
         assertNull(book.find("shop", "a"));
     }
 
@@ -135,9 +135,9 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void compactionLosesNothingOpenAndNothingYoung(long seed) {
         Random chance = new Random(seed);
-        CarryBook carry = new CarryBook(1000, 10_000);
+        CompactionPlanner carry = new CompactionPlanner(1000, 10_000);
         List<List<LedgerRecord>> segments = new ArrayList<>();
-        LedgerBook all = new LedgerBook();
+        LedgerState all = new LedgerState();
         int removed = 0;
         double now = 0;
         for (int segment = 0; segment < 60; segment++) {
@@ -147,32 +147,32 @@
                 String id = "m" + (segment * 5 + chance.nextInt(15));
                 LedgerRecord record = switch (chance.nextInt(4)) {
                     case 0, 1 -> intended(id, now);
-                    case 2 -> new LedgerRecord.NotRun("yard", id, now);
+                    case 2 -> new LedgerRecord.ProvenNotRun("yard", id, now);
                     default -> new LedgerRecord.Answered("yard", id, now, chance.nextBoolean() ? answer("x" + id)
                             : FinalAnswer.failed(id, 504, "w", false));
                 };
                 segments.get(segment).add(record);
-                carry.wrote(record, segment);
+                carry.recordWritten(record, segment);
                 all.apply(record);
             }
-            for (long old; (old = carry.mayGo(now, segment)) >= 0; removed++) {
-                List<LedgerRecord> carried = carry.carried(old, segment);
+            for (long old; (old = carry.oldestRemovableSegment(now, segment)) >= 0; removed++) {
+                List<LedgerRecord> carried = carry.recordsToRewrite(old, segment);
                 segments.get(segment).addAll(carried);
                 for (LedgerRecord record : carried) {
-                    carry.wrote(record, segment);
+                    carry.recordWritten(record, segment);
                 }
                 segments.get((int) old).clear();
-                carry.gone(old);
+                carry.segmentRemoved(old);
             }
         }
         assertTrue(removed > 20, removed + " segments went");
-        LedgerBook left = new LedgerBook();
+        LedgerState left = new LedgerState();
         segments.forEach(s -> s.forEach(left::apply));
-        for (LedgerBook.Message m : all.messages()) {
-            if (m.unknown() || m.lastAt() > now - 1000) {
-                LedgerBook.Message again = left.find(m.customer, m.id);
-                assertEquals(m.unknown(), again != null && again.unknown(), m.id);
-                assertTrue(m.unknown() || again.state() == m.state(), m.id);
+        for (LedgerState.Message m : all.messages()) {
+            if (m.hasUnknownOutcome() || m.lastRecordedAt() > now - 1000) {
+                LedgerState.Message again = left.find(m.customer, m.id);
+                assertEquals(m.hasUnknownOutcome(), again != null && again.hasUnknownOutcome(), m.id);
+                assertTrue(m.hasUnknownOutcome() || again.state() == m.state(), m.id);
             }
         }
     }
@@ -180,20 +180,20 @@
     // ---- on the disk -----------------------------------------------------------------------------------
 
     /** A disk with faults. */
-    private static final class BadDisk implements Disk {
+    private static final class FaultyDisk implements Disk {
         volatile boolean full;
         volatile boolean forceFails;
         /** A new file still gets its name, as it does on most full disks. */
-        volatile boolean namesFit;
+        volatile boolean createSucceeds;
         final AtomicInteger failedWrites = new AtomicInteger();
         volatile long room = Long.MAX_VALUE;
 
         @Override
         public Appender create(Path file) throws IOException {
-            if (full && !namesFit) {
+            if (full && !createSucceeds) {
                 throw new IOException("No space left on device");
             }
-            Appender real = Disk.REAL.create(file);
+            Appender real = Disk.FILE_SYSTEM.create(file);
             return new Appender() {
                 @Override
                 public void write(ByteBuffer bytes) throws IOException {
@@ -228,20 +228,20 @@
         }
 
         @Override
-        public long room(Path at) {
+        public long usableSpace(Path at) {
             return room;
         }
     }
 
-    private DiskLedger open(Disk disk, long segmentBytes, LedgerBook into) throws IOException {
+    private DiskLedger open(Disk disk, long segmentBytes, LedgerState into) throws IOException {
         LedgerFolder opened = new LedgerFolder(folder);
-        CarryBook carry = new CarryBook(600_000, 1000);
-        LedgerFolder.Found found = LedgerFolder.read(folder, true, (r, s) -> {
+        CompactionPlanner carry = new CompactionPlanner(600_000, 1000);
+        LedgerFolder.ReadResult found = LedgerFolder.read(folder, true, (r, s) -> {
             into.apply(r);
-            carry.wrote(r, s);
+            carry.recordWritten(r, s);
         });
         assertEquals(List.of(), found.damage());
-        DiskLedger ledger = new DiskLedger(disk, new DiskLedger.Bounds(segmentBytes, 100, 1024), carry, () -> 1000,
+        DiskLedger ledger = new DiskLedger(disk, new DiskLedger.Limits(segmentBytes, 100, 1024), carry, () -> 1000,
                 told::add, new Counts());
         ledger.start(opened, found.nextSegment());
         return ledger;
@@ -256,14 +256,14 @@
 
     @Test
     void whatWasToldDurableIsThereAfterwardsOverManySegments() throws Exception {
-        try (DiskLedger ledger = open(Disk.REAL, 500, new LedgerBook())) {
+        try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 500, new LedgerState())) {
             for (int i = 0; i < 50; i++) {
                 assertTrue(append(ledger, intended("m" + i, i)));
             }
             assertThrows(IOException.class, () -> new LedgerFolder(folder));
         }
-        LedgerBook again = new LedgerBook();
-        open(Disk.REAL, 500, again).close();
+        LedgerState again = new LedgerState();
+        open(Disk.FILE_SYSTEM, 500, again).close();
         assertEquals(50, again.size());
         try (var files = Files.list(folder)) {
             assertTrue(files.filter(f -> f.toString().endsWith(".ledger")).count() > 5);
@@ -274,32 +274,32 @@
     @ParameterizedTest
     @ValueSource(strings = {"full", "force"})
     void aFailingDiskMakesItUnusableUntilItIsMended(String how) throws Exception {
-        BadDisk disk = new BadDisk();
-        try (DiskLedger ledger = open(disk, 1 << 20, new LedgerBook())) {
+        FaultyDisk disk = new FaultyDisk();
+        try (DiskLedger ledger = open(disk, 1 << 20, new LedgerState())) {
             assertTrue(append(ledger, intended("before", 1)));
             disk.full = how.equals("full");
             disk.forceFails = !disk.full;
             assertFalse(append(ledger, intended("lost", 2)));
-            assertFalse(ledger.usable());
+            assertFalse(ledger.isWritable());
             assertFalse(append(ledger, intended("refused", 3)));
             disk.full = false;
             disk.forceFails = false;
-            while (!ledger.usable()) {
+            while (!ledger.isWritable()) {
                 Thread.sleep(5);
             }
             assertTrue(append(ledger, intended("after", 4)));
         }
-        LedgerBook again = new LedgerBook();
-        open(Disk.REAL, 1 << 20, again).close();
+        LedgerState again = new LedgerState();
+        open(Disk.FILE_SYSTEM, 1 << 20, again).close();
         assertEquals(Set.of("before", "after"), ids(again));
     }
 
     /** Segments that got a name and no more, before one that could be written: nothing was lost, and no start says so. */
     @Test
     void segmentsThatCouldNotBeBegunAreNoDamage() throws Exception {
-        BadDisk disk = new BadDisk();
-        disk.namesFit = true;
-        try (DiskLedger ledger = open(disk, 1 << 20, new LedgerBook())) {
+        FaultyDisk disk = new FaultyDisk();
+        disk.createSucceeds = true;
+        try (DiskLedger ledger = open(disk, 1 << 20, new LedgerState())) {
             assertTrue(append(ledger, intended("before", 1)));
             disk.full = true;
             assertFalse(append(ledger, intended("lost", 2)));
@@ -307,13 +307,13 @@
                 Thread.sleep(5);
             }
             disk.full = false;
-            while (!ledger.usable()) {
+            while (!ledger.isWritable()) {
                 Thread.sleep(5);
             }
             assertTrue(append(ledger, intended("after", 4)));
         }
-        LedgerBook again = new LedgerBook();
-        open(Disk.REAL, 1 << 20, again).close();
+        LedgerState again = new LedgerState();
+        open(Disk.FILE_SYSTEM, 1 << 20, again).close();
         assertEquals(Set.of("before", "after"), ids(again));
     }
 
@@ -321,16 +321,16 @@
     @Test
     void whatIsForcedIsDurableWithoutItsMark() throws Exception {
         Files.createSymbolicLink(folder.resolve("tail"), Path.of("/dev/full"));
-        try (DiskLedger ledger = open(Disk.REAL, 1 << 20, new LedgerBook())) {
+        try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 1 << 20, new LedgerState())) {
             assertTrue(append(ledger, intended("a", 1)));
             assertTrue(append(ledger, intended("b", 2)));
         }
-        LedgerBook again = new LedgerBook();
-        open(Disk.REAL, 1 << 20, again).close();
+        LedgerState again = new LedgerState();
+        open(Disk.FILE_SYSTEM, 1 << 20, again).close();
         assertEquals(Set.of("a", "b"), ids(again));
     }
 
-    private static Set<String> ids(LedgerBook book) {
+    private static Set<String> ids(LedgerState book) {
         Set<String> ids = new HashSet<>();
         book.messages().forEach(m -> ids.add(m.id));
         return ids;
@@ -338,14 +338,14 @@
 
     @Test
     void aDiskThatIsNearlyFullIsNotFilled() throws Exception {
-        BadDisk disk = new BadDisk();
-        try (DiskLedger ledger = open(disk, 1 << 20, new LedgerBook())) {
+        FaultyDisk disk = new FaultyDisk();
+        try (DiskLedger ledger = open(disk, 1 << 20, new LedgerState())) {
             disk.room = 50;
-            while (ledger.usable()) {
+            while (ledger.isWritable()) {
                 Thread.sleep(5);
             }
             disk.room = 500;
-            while (!ledger.usable()) {
+            while (!ledger.isWritable()) {
                 Thread.sleep(5);
             }
         }
@@ -353,7 +353,7 @@
 
     @Test
     void aTornTailIsCutOffOnceAndDamageIsNamed() throws Exception {
-        try (DiskLedger ledger = open(Disk.REAL, 1 << 20, new LedgerBook())) {
+        try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 1 << 20, new LedgerState())) {
             append(ledger, intended("a", 1));
             append(ledger, intended("b", 2));
         }
@@ -364,9 +364,9 @@
         byte[] whole = Files.readAllBytes(segment);
         // Half a record after what the mark covers: written, never told.
         byte[] torn = Arrays.copyOf(whole, whole.length + 30);
-        System.arraycopy(RecordCodec.frame(intended("c", 3)), 0, torn, whole.length, 30);
+        System.arraycopy(RecordCodec.encode(intended("c", 3)), 0, torn, whole.length, 30);
         Files.write(segment, torn);
-        LedgerFolder.Found found = LedgerFolder.read(folder, true, (r, s) -> { });
+        LedgerFolder.ReadResult found = LedgerFolder.read(folder, true, (r, s) -> { });
         assertEquals(List.of(), found.damage());
         assertEquals(30, found.tornBytes());
         assertArrayEquals(whole, Files.readAllBytes(segment));
@@ -378,8 +378,8 @@
         assertTrue(found.damagedAt() > 0);
     }
 
-    private LedgerBook book() throws IOException {
-        LedgerBook book = new LedgerBook();
+    private LedgerState book() throws IOException {
+        LedgerState book = new LedgerState();
         LedgerFolder.read(folder, false, (record, segment) -> book.apply(record));
         return book;
     }
@@ -389,7 +389,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void compactionOfAClosedLedgerKeepsWhatIsNeeded(long seed) throws Exception {
         Random chance = new Random(seed);
-        try (DiskLedger ledger = open(Disk.REAL, 4096, new LedgerBook())) {
+        try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 4096, new LedgerState())) {
             for (int i = 0; i < 600; i++) {
                 List<LedgerRecord> life = life("m" + i, 1000 * i);
                 for (LedgerRecord record : life.subList(0, 1 + chance.nextInt(life.size()))) {
@@ -397,25 +397,25 @@
                 }
             }
         }
-        LedgerBook before = book();
+        LedgerState before = book();
         Path old = Files.createDirectory(folder.resolveSibling(folder.getFileName() + "-old"));
         try (var files = Files.list(folder)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".ledger")).toList()) {
                 Files.copy(file, old.resolve(file.getFileName()));
             }
         }
-        LedgerFolder.Compacted done = LedgerFolder.compact(folder, 500_000);
-        assertTrue(done.kept() < done.found().records());
+        LedgerFolder.CompactionResult done = LedgerFolder.compact(folder, 500_000);
+        assertTrue(done.keptRecords() < done.readResult().recordCount());
         for (int left = 0; left < 2; left++) {
-            LedgerBook after = book();
-            assertEquals(List.of(), after.oddities());
+            LedgerState after = book();
+            assertEquals(List.of(), after.anomalies());
             int open = 0;
-            for (LedgerBook.Message m : before.messages()) {
-                LedgerBook.Message again = after.find(m.customer, m.id);
-                if (m.lastAt() >= 500_000 || m.unknown() || m.owed()) {
+            for (LedgerState.Message m : before.messages()) {
+                LedgerState.Message again = after.find(m.customer, m.id);
+                if (m.lastRecordedAt() >= 500_000 || m.hasUnknownOutcome() || m.isDeliveryPending()) {
                     open++;
-                    assertEquals(m.state() + " " + m.forwards() + m.owed() + m.tries() + m.uncertainSince(),
-                            again.state() + " " + again.forwards() + again.owed() + again.tries() + again.uncertainSince());
+                    assertEquals(m.state() + " " + m.unresolvedForwards() + m.isDeliveryPending() + m.deliveryAttempts() + m.uncertainSince(),
+                            again.state() + " " + again.unresolvedForwards() + again.isDeliveryPending() + again.deliveryAttempts() + again.uncertainSince());
                 } else if (left == 0) {
                     assertNull(again);
                 }
@@ -444,28 +444,28 @@
         sum.update(frame, 8, 100);
         java.nio.ByteBuffer.wrap(frame).putInt(4, (int) sum.getValue());
         List<LedgerRecord> read = new ArrayList<>();
-        SegmentScan.scan("s", frame, 0, frame.length, -1, read::add);
-        assertEquals(List.of(new LedgerRecord.Claimed("yard", "m", 5000, 1, 2, "fe-1/x", 305, 0)), read);
+        SegmentScanner.scan("s", frame, 0, frame.length, -1, read::add);
+        assertEquals(List.of(new LedgerRecord.ClaimGranted("yard", "m", 5000, 1, 2, "fe-1/x", 305, 0)), read);
     }
 
     /** Killed while the next segment was made: no damage, neither at the next start nor at the one after. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 19})
     void aSegmentThatWasOnlyBegunIsNoDamage(int bytes) throws Exception {
-        try (DiskLedger ledger = open(Disk.REAL, 4096, new LedgerBook())) {
+        try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 4096, new LedgerState())) {
             append(ledger, intended("a", 1));
         }
         Files.write(folder.resolve("00000000000000ff.ledger"), Arrays.copyOf("gradereach ledger 1\n".getBytes(), bytes));
         for (int i = 0; i < 2; i++) {
-            LedgerBook again = new LedgerBook();
-            open(Disk.REAL, 4096, again).close();
+            LedgerState again = new LedgerState();
+            open(Disk.FILE_SYSTEM, 4096, again).close();
             assertEquals(1, again.size());
         }
     }
 
     @Test
     void aDamagedLedgerIsNotCompacted() throws Exception {
-        try (DiskLedger ledger = open(Disk.REAL, 4096, new LedgerBook())) {
+        try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 4096, new LedgerState())) {
             assertTrue(append(ledger, intended("a", 0)));
         }
         Path segment;
@@ -475,19 +475,19 @@
         byte[] bytes = Files.readAllBytes(segment);
         bytes[40] ^= 1;
         Files.write(segment, bytes);
-        assertEquals(1, LedgerFolder.compact(folder, 0).found().damage().size());
+        assertEquals(1, LedgerFolder.compact(folder, 0).readResult().damage().size());
         assertArrayEquals(bytes, Files.readAllBytes(segment));
     }
 
     @Test
     void aSlowDiskMakesDeadlinesEarlierAndFades() {
-        CommitPace pace = new CommitPace();
-        pace.took(2, 0);
-        pace.took(50, 100);
-        pace.took(2, 200);
+        CommitDelay pace = new CommitDelay();
+        pace.recordDelay(2, 0);
+        pace.recordDelay(50, 100);
+        pace.recordDelay(2, 200);
         assertEquals(50, pace.margin(200), 1);
         assertTrue(pace.margin(60_000) < 1);
-        pace.took(10_000, 60_000);
+        pace.recordDelay(10_000, 60_000);
         assertEquals(500, pace.margin(60_000), 1e-9);
     }
 }
--- a/gateway/src/test/java/gradereach/ledger/disk/UptimeOfAnotherStartTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/ContainerUptimeTest.java
@@ -16,7 +16,7 @@
  * Where a container is shown an uptime of its own, which begins anew with every start of it while the machine's id stays: the
  * ledger's time must not fall behind its records, or what is old seems to lie ahead.
  */
-class UptimeOfAnotherStartTest {
+class ContainerUptimeTest {
     private static final double DAY = 86_400_000;
     private static final double WALL = 1_900_000_000_000d;
     @TempDir
@@ -27,12 +27,12 @@
         MachineUptime uptime = MachineUptimeReader.readMachine();
         // A first life began a second into a start like this one's, and wrote for ten days.
         Files.writeString(folder.resolve("clock"),
-                uptime.boot() + " " + Math.max(0, uptime.millis() - 1000) + " " + WALL + " " + WALL + " "
-                        + Math.max(0, uptime.monotonic() - 1000) + "\n");
+                uptime.bootId() + " " + Math.max(0, uptime.uptimeMillis() - 1000) + " " + WALL + " " + WALL + " "
+                        + Math.max(0, uptime.monotonicMillis() - 1000) + "\n");
         double youngest = WALL + 10 * DAY;
         LedgerClock clock = new LedgerClock(() -> 5000, () -> youngest + 60_000);
-        clock.set(folder, youngest);
-        double age = 5000 - clock.toModule(youngest);
+        clock.resume(folder, youngest);
+        double age = 5000 - clock.toMonotonic(youngest);
         assertTrue(Double.isNaN(age) || age >= 0, "its youngest record is written " + -age + " ms from now");
         assertTrue(clock.now() > youngest, "what is written now is dated before what was");
     }
@@ -43,7 +43,7 @@
 
     private LedgerClock life(double wall, MachineUptime uptime, double youngest) {
         LedgerClock clock = new LedgerClock(() -> 5000, () -> wall, () -> uptime);
-        clock.set(folder, youngest);
+        clock.resume(folder, youngest);
         return clock;
     }
 
@@ -68,7 +68,7 @@
     void whatACountOfItsOwnTellsIsNoSpan(double uptime, double monotonic, double nextUptime, double nextMonotonic, double age) {
         double written = life(WALL, new MachineUptime(BOOT, uptime * SECOND, monotonic * SECOND), Double.NEGATIVE_INFINITY).now();
         LedgerClock next = life(WALL + 10 * HOUR, new MachineUptime(BOOT, nextUptime * SECOND, nextMonotonic * SECOND), written);
-        assertEquals(age * SECOND, 5000 - next.toModule(written), 1);
+        assertEquals(age * SECOND, 5000 - next.toMonotonic(written), 1);
         assertTrue(next.now() > written || age == 0, "what is written now is dated before what was");
     }
 
@@ -77,7 +77,7 @@
     @ValueSource(strings = {BOOT + " 600000.0 1.9E12 1.9E12", "other 600000.0 1.9E12 1.9E12 600000.0"})
     void whatCannotBeComparedIsNoSpan(String kept) throws IOException {
         Files.writeString(folder.resolve("clock"), kept + "\n");
-        assertEquals(Double.NaN, life(WALL + HOUR, new MachineUptime(BOOT, HOUR, HOUR), WALL + 1).toModule(WALL));
+        assertEquals(Double.NaN, life(WALL + HOUR, new MachineUptime(BOOT, HOUR, HOUR), WALL + 1).toMonotonic(WALL));
     }
 
     /** A machine's {@code /proc}, in a folder. */
--- a/gateway/src/test/java/gradereach/ledger/disk/ForgottenClaimsTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/ForgottenClaimsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gradereach.counts.Counts;
-import gradereach.ledger.CarryBook;
-import gradereach.ledger.LedgerBook;
+import gradereach.ledger.CompactionPlanner;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,7 +23,7 @@
 class ForgottenClaimsTest {
     private static final double KEPT = 600_000;
     private static final long SIGNED_AT = 1_900_000_000L;
-    private static final DiskLedger.Bounds ONE_RECORD_A_SEGMENT = new DiskLedger.Bounds(50, 0, 64);
+    private static final DiskLedger.Limits ONE_RECORD_A_SEGMENT = new DiskLedger.Limits(50, 0, 64);
 
     @TempDir
     private Path folder;
@@ -32,7 +32,7 @@
 
     @BeforeEach
     void twoClaims() throws Exception {
-        ledger = new DiskLedger(Disk.REAL, ONE_RECORD_A_SEGMENT, new CarryBook(KEPT, 1000), () -> now, Runnable::run, new Counts());
+        ledger = new DiskLedger(Disk.FILE_SYSTEM, ONE_RECORD_A_SEGMENT, new CompactionPlanner(KEPT, 1000), () -> now, Runnable::run, new Counts());
         ledger.start(new LedgerFolder(folder), 1);
         claimed("old", 1000, SIGNED_AT);
         claimed("young", 899_000, SIGNED_AT + 1000);
@@ -41,12 +41,12 @@
 
     private void claimed(String id, double at, long signedAt) throws Exception {
         CompletableFuture<Boolean> durable = new CompletableFuture<>();
-        ledger.append(new LedgerRecord.Claimed("yard", id, at, 1, 2, "fe-1/x", signedAt, 0), durable::complete);
+        ledger.append(new LedgerRecord.ClaimGranted("yard", id, at, 1, 2, "fe-1/x", signedAt, 0), durable::complete);
         assertTrue(durable.get(10, TimeUnit.SECONDS));
     }
 
     private void onlyTheOldOneIsForgotten() throws Exception {
-        LedgerBook left = new LedgerBook();
+        LedgerState left = new LedgerState();
         LedgerFolder.read(folder, false, (record, segment) -> left.apply(record));
         List<String> ids = new ArrayList<>();
         left.claims().forEach(claim -> ids.add(claim.id()));
--- a/gateway/src/test/java/gradereach/ledger/disk/LedgerClockTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/LedgerClockTest.java
@@ -23,7 +23,7 @@
 
     private LedgerClock life(double wall, double youngest) {
         LedgerClock clock = new LedgerClock(() -> MODULE_START, () -> wall);
-        clock.set(folder, youngest);
+        clock.resume(folder, youngest);
         return clock;
     }
 
@@ -41,7 +41,7 @@
     }
 
     private static double since(LedgerClock clock, double written) {
-        return MODULE_START - clock.toModule(written);
+        return MODULE_START - clock.toMonotonic(written);
     }
 
     @ParameterizedTest
@@ -68,23 +68,23 @@
             forge(how, earlier);
         }
         LedgerClock next = life(wall(), written);
-        assertEquals(Double.NaN, next.toModule(written));
+        assertEquals(Double.NaN, next.toMonotonic(written));
         assertTrue(next.now() > written, "dated before what is older");
         double later = next.now();
         assertEquals(0, since(life(wall() - HOUR, later), later), HEARD_WITHIN);
-        assertEquals(Double.NaN, life(wall() + HOUR, later).toModule(written));
+        assertEquals(Double.NaN, life(wall() + HOUR, later).toMonotonic(written));
     }
 
     /** `ledger compact` lets go of nothing whose age nobody knows. */
     @Test
     void whatIsKeptSinceIsKnownOnlyOnceThatLongHasPassed() throws IOException {
-        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.keptSince(folder, HOUR));
+        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR));
         double written = life(wall(), Double.NEGATIVE_INFINITY).now();
-        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.keptSince(folder, HOUR));
+        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR));
         forge("", 3 * HOUR);
-        assertEquals(written + 2 * HOUR, LedgerClock.keptSince(folder, HOUR), HEARD_WITHIN);
+        assertEquals(written + 2 * HOUR, LedgerClock.retentionCutoff(folder, HOUR), HEARD_WITHIN);
         forge("other", 0);
-        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.keptSince(folder, HOUR));
+        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR));
     }
 
     @Test
@@ -93,6 +93,6 @@
         forge("other", 0);
         Files.createDirectory(folder.resolve("clock.new")); // the next anchor cannot be written
         double second = life(wall(), written).now();
-        assertEquals(Double.NaN, life(wall(), second).toModule(second));
+        assertEquals(Double.NaN, life(wall(), second).toMonotonic(second));
     }
 }
--- a/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.ledger.LedgerBook;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.Recipient;
 import gradereach.message.FinalAnswer;
@@ -33,17 +33,17 @@
     void openedOnce() throws IOException {
         ledger = folder.resolve("ledger");
         try (LedgerFolder opened = new LedgerFolder(ledger)) {
-            append(opened, 1, new LedgerRecord.Claimed("yard", "claim", AT, 1, 2, "fe-1/x", SIGNED_AT, 0));
+            append(opened, 1, new LedgerRecord.ClaimGranted("yard", "claim", AT, 1, 2, "fe-1/x", SIGNED_AT, 0));
         }
     }
 
     private static void append(LedgerFolder opened, long segment, LedgerRecord... records) throws IOException {
-        LedgerFolder.write(opened.segment(segment), List.of(records));
-        opened.keepFileNumbers(segment);
+        LedgerFolder.writeSegment(opened.segmentPath(segment), List.of(records));
+        opened.saveInodeNumbers(segment);
     }
 
-    private LedgerBook read() throws IOException {
-        LedgerBook book = new LedgerBook();
+    private LedgerState read() throws IOException {
+        LedgerState book = new LedgerState();
         assertEquals(List.of(), LedgerFolder.read(ledger, false, (record, segment) -> book.apply(record)).damage());
         return book;
     }
@@ -65,10 +65,10 @@
     private static LedgerRecord record(String what) {
         FinalAnswer.Kind kind = what.equals("returned") ? FinalAnswer.Kind.RETURNED : FinalAnswer.Kind.SHED;
         return switch (what) {
-            case "promised" -> new LedgerRecord.Promised("yard", "m", AT, 1, 2, "book");
-            case "intended" -> new LedgerRecord.Intended("yard", "m", AT, 1, 2, "book", "book-1", new Recipient("s-1", "ex:1", 7),
+            case "promised" -> new LedgerRecord.DeliveryPromised("yard", "m", AT, 1, 2, "book");
+            case "intended" -> new LedgerRecord.ForwardIntended("yard", "m", AT, 1, 2, "book", "book-1", new Recipient("s-1", "ex:1", 7),
                     "f", SIGNED_AT);
-            case "not run" -> new LedgerRecord.NotRun("yard", "m", AT + 1);
+            case "not run" -> new LedgerRecord.ProvenNotRun("yard", "m", AT + 1);
             default -> new LedgerRecord.Answered("yard", "m", AT + 2, new FinalAnswer(kind, 200, new byte[0], 0, true));
         };
     }
@@ -77,7 +77,7 @@
     @ParameterizedTest
     @CsvSource({"promised, MAY_HAVE_RUN, 1", "intended, MAY_HAVE_RUN, 2", "intended+not run, MAY_HAVE_RUN, 1",
         "promised+intended+not run+shed, MAY_HAVE_RUN, 1", "intended+shed, MAY_HAVE_RUN, 2", "intended+returned, ANSWERED, 1"})
-    void whatWasNotReturnedMayHaveRun(String records, LedgerBook.State state, int forwards) throws IOException {
+    void whatWasNotReturnedMayHaveRun(String records, LedgerState.MessageState state, int forwards) throws IOException {
         try (LedgerFolder opened = new LedgerFolder(ledger)) {
             List<LedgerRecord> all = new ArrayList<>();
             for (String what : records.split("\\+")) {
@@ -92,12 +92,12 @@
                 double until = Math.max(AT, System.currentTimeMillis()) + TEN_MINUTES;
                 assertTrue(opened.suspectUpTo() >= until / 1000, "signed by then, a repeat would be taken for new");
             }
-            LedgerBook.Message message = read().find("yard", "m");
+            LedgerState.Message message = read().find("yard", "m");
             assertEquals(state, message.state());
-            assertEquals(state == LedgerBook.State.MAY_HAVE_RUN, message.unknown());
-            assertEquals(forwards, message.forwards().size());
-            assertEquals(state == LedgerBook.State.MAY_HAVE_RUN, message.forwards().stream().anyMatch(open -> !open.recipient().isKnown()));
-            assertTrue(message.lastAt() <= AT + 2, "it would be remembered for longer than it was");
+            assertEquals(state == LedgerState.MessageState.MAY_HAVE_RUN, message.hasUnknownOutcome());
+            assertEquals(forwards, message.unresolvedForwards().size());
+            assertEquals(state == LedgerState.MessageState.MAY_HAVE_RUN, message.unresolvedForwards().stream().anyMatch(open -> !open.recipient().isKnown()));
+            assertTrue(message.lastRecordedAt() <= AT + 2, "it would be remembered for longer than it was");
         }
     }
 
@@ -113,8 +113,8 @@
         Files.writeString(ledger.resolve("files"), told);
         assertTrue(LedgerFolder.isRestoredCopy(ledger));
         new LedgerFolder(ledger).close();
-        assertEquals(1, read().find("yard", "m").forwards().size());
-        assertEquals(List.of(), read().oddities());
+        assertEquals(1, read().find("yard", "m").unresolvedForwards().size());
+        assertEquals(List.of(), read().anomalies());
     }
 
     /** Compacted by hand before it is started: the copy is found by that as well. */
@@ -128,19 +128,19 @@
         try (LedgerFolder opened = new LedgerFolder(ledger)) {
             assertTrue(opened.suspectUpTo() > SIGNED_AT);
         }
-        assertEquals(LedgerBook.State.MAY_HAVE_RUN, read().find("yard", "m").state());
+        assertEquals(LedgerState.MessageState.MAY_HAVE_RUN, read().find("yard", "m").state());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"nothing", "renamed", "touched", "mode", "segment gone", "segment begun", "of an earlier version", "compacted"})
     void whatPassesForNoCopy(String what) throws IOException {
-        Path segment = LedgerFolder.segment(ledger, 1);
+        Path segment = LedgerFolder.segmentPath(ledger, 1);
         switch (what) {
             case "renamed" -> ledger = Files.move(ledger, folder.resolve("elsewhere"));
             case "touched" -> Files.setLastModifiedTime(segment, java.nio.file.attribute.FileTime.fromMillis(0));
             case "mode" -> Files.setPosixFilePermissions(segment, java.nio.file.attribute.PosixFilePermissions.fromString("rw-------"));
             case "segment gone" -> Files.delete(segment);
-            case "segment begun" -> Files.write(LedgerFolder.segment(ledger, 2), LedgerFolder.MAGIC);
+            case "segment begun" -> Files.write(LedgerFolder.segmentPath(ledger, 2), LedgerFolder.MAGIC);
             case "of an earlier version" -> Files.delete(ledger.resolve("files"));
             case "compacted" -> LedgerFolder.compact(ledger, 0);
             default -> { }
@@ -158,10 +158,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"all", "segment", "identity", "another segment", "torn"})
     void whatPassesForACopy(String what) throws IOException {
-        Path segment = LedgerFolder.segment(ledger, 1);
+        Path segment = LedgerFolder.segmentPath(ledger, 1);
         switch (what) {
             case "all" -> restore();
-            case "another segment" -> Files.copy(segment, LedgerFolder.segment(ledger, 2));
+            case "another segment" -> Files.copy(segment, LedgerFolder.segmentPath(ledger, 2));
             case "torn" -> Files.writeString(ledger.resolve("files"), "iden");
             default -> {
                 Path file = what.equals("segment") ? segment : ledger.resolve("identity");
--- a/gateway/src/test/java/gradereach/link/ProofsTest.java
+++ b/gateway/src/test/java/gradereach/link/ExchangeOutcomesTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import gradereach.api.Outcome;
-import gradereach.api.Report;
-import gradereach.http2.Exchange.End;
+import gradereach.api.ExecutorReport;
+import gradereach.http2.ExchangeListener.ExchangeResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ProofsTest {
+class ExchangeOutcomesTest {
     /** docs/proofs.md, row by row. */
     @ParameterizedTest
     @CsvSource(value = {
@@ -23,28 +23,28 @@
         "ABOVE_GOAWAY, 0, null, NEVER_SENT, true", "RESET, 0, null, RESET, false", "LOST, 0, null, RESET, false",
         "TOO_LONG, 0, null, ERROR, false", "GIVEN_UP, 0, null, CANCELLED, false",
     }, nullValues = "null")
-    void anEndProvesWhatTheTableSays(End end, int status, String begun, Outcome outcome, boolean neverRan) {
-        assertEquals(outcome, Proofs.ofForward(end, status, begun));
+    void mapsForwardResultToOutcome(ExchangeResult end, int status, String begun, Outcome outcome, boolean neverRan) {
+        assertEquals(outcome, ExchangeOutcomes.ofForward(end, status, begun));
         assertEquals(neverRan, outcome.provesNotRun);
     }
 
     @ParameterizedTest
     @CsvSource({"ANSWERED, 200, RETURNED", "ANSWERED, 503, FULL", "ANSWERED, 500, ERROR", "ANSWERED, 404, ERROR",
         "NOT_CONNECTED, 0, CONNECT_FAILED", "LOST, 0, RESET"})
-    void anOrderNeedsNoMark(End end, int status, Outcome outcome) {
-        assertEquals(outcome, Proofs.ofOrder(end, status));
+    void loadOrderOutcomeNeedsNoBegunHeader(ExchangeResult end, int status, Outcome outcome) {
+        assertEquals(outcome, ExchangeOutcomes.ofLoadOrderOrProbe(end, status));
     }
 
     @Test
-    void reportsAreReadInBothFormsAndNeverCostAnAnswer() {
+    void parsesBothReportFormatsAndIgnoresUnreadableOnes() {
         double no = Double.NaN;
-        assertEquals(new Report(3, 1, 0.5, no, 7, 0.25, 0.8, 2), LoadReport.parse("TEXT cpu_utilization=0.5,"
+        assertEquals(new ExecutorReport(3, 1, 0.5, no, 7, 0.25, 0.8, 2), OrcaReportParser.parse("TEXT cpu_utilization=0.5,"
                 + "mem_utilization=0.8, rps_fractional=7,eps=0.25,named_metrics.in_flight=3,named_metrics.queued=1,"
                 + "named_metrics.loads=2,named_metrics.other=9"));
-        assertEquals(new Report(3, no, 0.5, no, no, no, no, no),
-                LoadReport.parse("JSON {\"cpu_utilization\":0.5,\"named_metrics\":{\"in_flight\":3}}"));
+        assertEquals(new ExecutorReport(3, no, 0.5, no, no, no, no, no),
+                OrcaReportParser.parse("JSON {\"cpu_utilization\":0.5,\"named_metrics\":{\"in_flight\":3}}"));
         for (String bad : new String[] {"", "BIN AAAA", "TEXT cpu_utilization=x", "JSON {"}) {
-            assertNull(LoadReport.parse(bad));
+            assertNull(OrcaReportParser.parse(bad));
         }
     }
 }
--- a/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
+++ b/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
@@ -8,9 +8,9 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gradereach.api.Outcome;
-import gradereach.http2.Exchange.End;
+import gradereach.http2.ExchangeListener.ExchangeResult;
 import gradereach.plan.Deployment;
-import gradereach.serve.Between;
+import gradereach.serve.FaultInjection;
 import gradereach.serve.Gateway;
 import gradereach.standins.SmallFleet;
 import gradereach.webhook.WebhookKey;
@@ -48,29 +48,29 @@
         "ANSWERED, 14, yes, ERROR", "ANSWERED, x, no, ERROR", "REFUSED, , , FULL", "ABOVE_GOAWAY, , , NEVER_SENT",
         "RESET, , , RESET", "LOST, , , RESET", "NOT_CONNECTED, , , CONNECT_FAILED", "NO_STREAM, , , FULL", "TOO_LONG, , , ERROR",
     })
-    void whatAnEndByGrpcProves(End end, String status, String begun, Outcome outcome) {
-        assertEquals(outcome, Proofs.ofGrpc(end, status, begun));
+    void mapsGrpcResultToOutcome(ExchangeResult end, String status, String begun, Outcome outcome) {
+        assertEquals(outcome, ExchangeOutcomes.ofGrpcForward(end, status, begun));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "00000000", "0100000000", "0000000001", "00000000020a", "000000000aff", "0000000001ff"})
-    void anAnswerThatIsNoMessageIsTold(String hex) {
-        assertThrows(IOException.class, () -> GrpcForm.output(java.util.HexFormat.of().parseHex(hex)));
+    void rejectsMalformedResponse(String hex) {
+        assertThrows(IOException.class, () -> GrpcFraming.decodeResponse(java.util.HexFormat.of().parseHex(hex)));
     }
 
     @Test
-    void anInferenceByWebhookRunsAtAnExecutorByGrpc() throws Exception {
+    void webhookInferenceRunsAtGrpcExecutor() throws Exception {
         SmallFleet fleet = new SmallFleet(folder, 1);
-        ObjectNode plan = fleet.plan("fe", secret);
+        ObjectNode plan = fleet.createDeployment("fe", secret);
         plan.putObject("ledger").put("folder", folder.resolve("ledger").toString());
         plan.putObject("executors").put("outcomes_kept_ms", 60_000).putArray("grpc_kinds").add(0);
         Map<String, String> heard = new HashMap<>();
-        try (Gateway gateway = new Gateway(Deployment.of(plan, folder), Between.NOTHING)) {
+        try (Gateway gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE)) {
             String at = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
-            while (!gateway.ready()) {
+            while (!gateway.isReady()) {
                 Thread.sleep(2);
             }
-            JsonNode answer = JSON.readTree(ask(at, "plain", "book-1").body());
+            JsonNode answer = JSON.readTree(sendInference(at, "plain", "book-1").body());
             assertEquals(5.0, answer.at("/data/output/outputs/0/data/0").asDouble());
             assertEquals("book-1", answer.at("/data/output/model_name").asText());
             for (String fault : new String[] {"reset_before", "reset_within", "reset_after", "refuse"}) {
@@ -78,16 +78,16 @@
                         + fleet.controlPort() + "/fault")).POST(HttpRequest.BodyPublishers.ofString(
                         "{\"kind\":\"" + fault + "\",\"ex\":0,\"for_ms\":400}")).build(), HttpResponse.BodyHandlers.discarding());
                 assertEquals(200, set.statusCode());
-                heard.put(fault, ask(at, fault, "book-1").statusCode() + "");
+                heard.put(fault, sendInference(at, fault, "book-1").statusCode() + "");
                 // Asked until it is known: what ran is learnt, what did not goes on.
-                while (!fault.equals("reset_before") && ask(at, fault, "book-1").statusCode() != 200) {
+                while (!fault.equals("reset_before") && sendInference(at, fault, "book-1").statusCode() != 200) {
                     Thread.sleep(5);
                 }
             }
             assertEquals(0, gateway.counts().value("answers_unreadable"));
             assertEquals(0, gateway.counts().value("load_reports_unreadable"));
         }
-        Map<String, Integer> ran = fleet.runs();
+        Map<String, Integer> ran = fleet.closeAndCountRuns();
         assertEquals("502", heard.get("reset_within"));
         assertEquals(1, ran.get("yard/reset_within"));
         assertEquals(1, ran.get("yard/reset_after"));
@@ -95,7 +95,7 @@
         assertTrue(ran.getOrDefault("yard/reset_before", 0) <= 1);
     }
 
-    private HttpResponse<String> ask(String at, String id, String model) throws Exception {
+    private HttpResponse<String> sendInference(String at, String id, String model) throws Exception {
         byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
                 + "\",\"budget_ms\":2000,\"input\":{\"inputs\":[{\"name\":\"x\",\"shape\":[1],\"datatype\":\"FP32\",\"data\":[1]}]}}}")
                 .getBytes(StandardCharsets.UTF_8);
--- a/gateway/src/test/java/gradereach/loop/DecisionLoopTest.java
+++ b/gateway/src/test/java/gradereach/loop/DecisionLoopTest.java
@@ -6,13 +6,13 @@
 
 import gradereach.api.Router;
 import gradereach.counts.Counts;
-import gradereach.desk.Claims;
-import gradereach.desk.Desk;
+import gradereach.desk.ClaimService;
+import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.Ledger;
-import gradereach.desk.MessageMemory;
+import gradereach.desk.MessageStore;
 import gradereach.desk.Timers;
-import gradereach.inquiry.InquiryBook;
-import gradereach.message.Wording;
+import gradereach.inquiry.InquiryScheduler;
+import gradereach.message.AnswerFormat;
 import java.lang.reflect.Proxy;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -23,20 +23,20 @@
 
 class DecisionLoopTest {
     @Test
-    void whatOneEventBreaksCostsThatEventAlone() throws InterruptedException {
+    void failingEventDoesNotStopTheLoop() throws InterruptedException {
         Counts counts = new Counts();
         BlockingQueue<Throwable> told = new LinkedBlockingQueue<>();
-        try (DecisionLoop loop = new DecisionLoop("test", Clock.system(), 16, counts, timers -> desk(timers, counts))) {
-            loop.onFailure(told::add);
+        try (DecisionLoop loop = new DecisionLoop("test", MonotonicClock.system(), 16, counts, timers -> idleCoordinator(timers, counts))) {
+            loop.setFailureListener(told::add);
             loop.start();
-            loop.pass(desk -> {
+            loop.post(desk -> {
                 throw new AssertionError("planted");
             });
             CountDownLatch later = new CountDownLatch(2);
-            loop.pass(desk -> later.countDown());
+            loop.post(desk -> later.countDown());
             assertTrue(loop.offer(desk -> later.countDown()));
             assertTrue(later.await(20, TimeUnit.SECONDS));
-            assertNull(loop.death());
+            assertNull(loop.fatalError());
             assertEquals("planted", told.poll(20, TimeUnit.SECONDS).getMessage());
             assertEquals(1, counts.value("event_failures"));
         }
@@ -44,14 +44,14 @@
 
     /** Guards against an idle front end that takes a part of a core from whatever runs beside it. */
     @Test
-    void oneThatHasOnlyFarTimersSleeps() throws InterruptedException {
+    void sleepsWhileOnlyDistantTimersAreSet() throws InterruptedException {
         Counts counts = new Counts();
-        Clock clock = Clock.system();
-        try (DecisionLoop loop = new DecisionLoop("test", clock, 16, counts, timers -> desk(timers, counts))) {
+        MonotonicClock clock = MonotonicClock.system();
+        try (DecisionLoop loop = new DecisionLoop("test", clock, 16, counts, timers -> idleCoordinator(timers, counts))) {
             loop.start();
             CountDownLatch set = new CountDownLatch(1);
-            loop.pass(desk -> {
-                loop.set(clock.now() + 60_000, (Runnable) () -> { });
+            loop.post(desk -> {
+                loop.schedule(clock.now() + 60_000, (Runnable) () -> { });
                 set.countDown();
             });
             assertTrue(set.await(20, TimeUnit.SECONDS));
@@ -66,11 +66,11 @@
     private static final int SHORTEST_IDLE_SLEEP_MILLIS = 25;
 
     /** One that is asked for nothing. */
-    private static Desk desk(Timers timers, Counts counts) {
+    private static InferenceCoordinator idleCoordinator(Timers timers, Counts counts) {
         Router router = (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class},
                 (proxy, method, arguments) -> method.getReturnType() == boolean.class ? false : null);
-        return new Desk("test", outlet -> router, null, timers, null, Clock.system(),
-                new MessageMemory(10, 1000, 0, 16, 1), Ledger.NONE, Claims.ALONE, new InquiryBook(0, 1, 1),
-                Wording.WEBHOOK, new Desk.Door(10, 10, 1), null, null, null, List.of(), counts);
+        return new InferenceCoordinator("test", outlet -> router, null, timers, null, MonotonicClock.system(),
+                new MessageStore(10, 1000, 0, 16, 1), Ledger.NONE, ClaimService.ALONE, new InquiryScheduler(0, 1, 1),
+                AnswerFormat.WEBHOOK, new InferenceCoordinator.AdmissionLimits(10, 10, 1), null, null, null, List.of(), counts);
     }
 }
--- a/gateway/src/test/java/gradereach/loop/HaltWatchTest.java
+++ b/gateway/src/test/java/gradereach/loop/StallDetectorTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class HaltWatchTest {
+class StallDetectorTest {
     private double now;
 
     @ParameterizedTest
@@ -14,13 +14,13 @@
         "100, 0, 105, 105", "100, 0, 150, 150", "100, 0, 800, 100", "100, 800, 810, 100", "100, 800, 899, 100",
         "100, 800, 901, 901", "100, 140, 145, 145",
     })
-    void whatIsReadAfterAHaltMayHaveComeAtItsStart(double tick, double next, double read, double came) {
-        HaltWatch watch = new HaltWatch(() -> now);
+    void dataReadAfterStallMayHaveArrivedAtItsStart(double tick, double next, double read, double came) {
+        StallDetector watch = new StallDetector(() -> now);
         for (double t = 0; t <= tick; t += 5) {
-            watch.tick(t);
+            watch.recordTick(t);
         }
         for (double t = next; next > 0 && t <= read; t += 5) {
-            watch.tick(t);
+            watch.recordTick(t);
         }
         now = read;
         assertEquals(came, watch.getAsDouble());
--- a/gateway/src/test/java/gradereach/loop/StartRetryTest.java
+++ b/gateway/src/test/java/gradereach/loop/StartRetryTest.java
@@ -26,21 +26,21 @@
 
 @Timeout(20)
 class StartRetryTest {
-    private final List<Exception> told = new ArrayList<>();
+    private final List<Exception> reportedFailures = new ArrayList<>();
 
     /** An ending process still holds the address, and lets go of it once the first attempt has failed. */
     @Test
-    void anAddressThatIsStillHeldIsTakenOnceItIsFree() throws Exception {
+    void bindsAddressInUseOnceItIsReleased() throws Exception {
         ServerSocket holder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         int port = holder.getLocalPort();
         try (ServerSocket taken = StartRetry.run(() -> new ServerSocket(port, 1, InetAddress.getLoopbackAddress()),
                 () -> true, failure -> {
-                    told.add(failure);
+                    reportedFailures.add(failure);
                     close(holder);
                 })) {
             assertEquals(port, taken.getLocalPort());
         }
-        assertEquals(1, told.size());
+        assertEquals(1, reportedFailures.size());
     }
 
     private static void close(ServerSocket socket) {
@@ -52,40 +52,40 @@
     }
 
     @Test
-    void whatMayPassIsTriedAgainAndToldOnce() throws Exception {
+    void retriesTransientFailureAndReportsItOnce() throws Exception {
         int[] tries = {0};
         assertEquals("open", StartRetry.run(() -> {
             if (++tries[0] < 4) {
                 throw new IOException("Too many open files");
             }
             return "open";
-        }, () -> true, told::add));
+        }, () -> true, reportedFailures::add));
         assertEquals(4, tries[0]);
-        assertEquals(1, told.size());
+        assertEquals(1, reportedFailures.size());
     }
 
     @Test
-    void anAddressThatIsNotOursIsNotTriedAgain() {
+    void doesNotRetryUnassignableAddress() {
         assertThrows(BindException.class, () -> StartRetry.run(() -> {
             throw new BindException("Cannot assign requested address");
-        }, () -> true, told::add));
-        assertEquals(0, told.size());
+        }, () -> true, reportedFailures::add));
+        assertEquals(0, reportedFailures.size());
     }
 
     @Test
-    void whatIsToldToStopStopsTrying() {
+    void stopsRetryingWhenNoLongerWanted() {
         assertThrows(IOException.class, () -> StartRetry.run(() -> {
             throw new IOException("Too many open files");
-        }, () -> false, told::add));
+        }, () -> false, reportedFailures::add));
     }
 
     /** After a failed accept Netty's own listener takes nothing for a second. */
     @Test
-    void aListenerGoesOnSoonAfterAFailedAccept() throws Exception {
+    void listenerResumesSoonAfterFailedAccept() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             CountDownLatch accepted = new CountDownLatch(1);
-            Channel listener = new ServerBootstrap().group(group).channel(PatientServerChannel.class)
+            Channel listener = new ServerBootstrap().group(group).channel(RetryingServerSocketChannel.class)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel connection) {
--- a/gateway/src/test/java/gradereach/loop/UnreadBytesTest.java
+++ b/gateway/src/test/java/gradereach/loop/UnreadBytesTest.java
@@ -32,12 +32,12 @@
     private int received;
 
     @AfterEach
-    void end() {
+    void shutDown() {
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     /** A listener whose connections read one byte at a time, however much is there (read(2) may return fewer). */
-    public static final class ShortReads extends NioServerSocketChannel {
+    public static final class ShortReadServerChannel extends NioServerSocketChannel {
         @Override
         protected int doReadMessages(List<Object> connections) throws Exception {
             SocketChannel made = javaChannel().accept();
@@ -57,8 +57,8 @@
 
     /** Guards against a close over bytes that a short read has left in the socket. */
     @Test
-    void allThatIsThereIsRead() throws Exception {
-        InetSocketAddress address = (InetSocketAddress) new ServerBootstrap().group(loop).channel(ShortReads.class)
+    void readsAllBytesDespiteShortReads() throws Exception {
+        InetSocketAddress address = (InetSocketAddress) new ServerBootstrap().group(loop).channel(ShortReadServerChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
+++ b/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class InferenceMessageTest {
-    private static final String HEAD = "{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":";
+    private static final String MESSAGE_PREFIX = "{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":";
 
-    private static InferenceMessage parse(String text) throws BadMessage {
+    private static InferenceMessage parse(String text) throws InvalidMessageException {
         return InferenceMessage.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void theInputGoesOnByteForByte() throws BadMessage {
+    void inputIsKeptByteForByte() throws InvalidMessageException {
         String input = "{ \"inputs\" : [ {\"n\":\"\u00fc\ud83d\ude00\"} ] , \"x\":1e400 }";
         InferenceMessage message = parse("{\"data\":{\"z\":[{}],\"input\":" + input
                 + ",\"model\":\"m\",\"budget_ms\":1.5},\"extra\":{\"a\":[1]},\"timestamp\":\"t\",\"type\":\"inference.requested\"}");
         assertEquals(input, new String(message.input(), StandardCharsets.UTF_8));
         assertEquals("m", message.model());
-        assertEquals(1.5, message.budget());
+        assertEquals(1.5, message.budgetMillis());
     }
 
     @ParameterizedTest
@@ -39,24 +39,24 @@
         "HEAD {\"model\":\"m\",\"input\":{}}} x | body: no proper JSON", "HEAD {\"model\":\"m\",\"input\":{}}}{} | body: goes on after its object",
         "HEAD {\"model\":\"m\",\"input\":DEEP}} | body: nested deeper than 64", "HEAD {\"model\":\"m\",\"input\":{}},\"data\":{}} | data: twice",
     })
-    void whatIsWrongIsNamedByItsPlace(String text, String says) {
-        String body = text.replace("HEAD ", HEAD).replace("DEEP", "{\"a\":".repeat(99) + "1" + "}".repeat(99));
-        assertEquals(says, assertThrows(BadMessage.class, () -> parse(body)).getMessage());
+    void errorNamesTheInvalidMember(String text, String says) {
+        String body = text.replace("HEAD ", MESSAGE_PREFIX).replace("DEEP", "{\"a\":".repeat(99) + "1" + "}".repeat(99));
+        assertEquals(says, assertThrows(InvalidMessageException.class, () -> parse(body)).getMessage());
     }
 
     /** Found by a rehearsal: two answers after which a repeat was harmless, and the last one, all under one id. */
     @ParameterizedTest
     @CsvSource({"shed, true, m.shed-", "failed, true, m.failed-", "failed, false, m.answer"})
-    void anAnswerThatIsNoEndHasAnIdOfItsOwn(String kind, boolean harmless, String id) {
+    void repeatableAnswerHasItsOwnWebhookId(String kind, boolean harmless, String id) {
         FinalAnswer one = kind.equals("shed") ? FinalAnswer.shed("m", "one", 0) : FinalAnswer.failed("m", 504, "one", harmless);
         FinalAnswer other = kind.equals("shed") ? FinalAnswer.shed("m", "two", 0) : FinalAnswer.failed("m", 504, "two", harmless);
-        assertEquals(id, one.messageId("m").substring(0, id.length()));
-        assertEquals(harmless, !one.messageId("m").equals(other.messageId("m")));
-        assertEquals("m", FinalAnswer.inferenceId(one.messageId("m")));
+        assertEquals(id, one.webhookId("m").substring(0, id.length()));
+        assertEquals(harmless, !one.webhookId("m").equals(other.webhookId("m")));
+        assertEquals("m", FinalAnswer.inferenceId(one.webhookId("m")));
     }
 
     @Test
-    void answersAreProperJsonWhateverTheyQuote() throws Exception {
+    void answersAreValidJson() throws Exception {
         ObjectMapper json = new ObjectMapper();
         String odd = "a\"\\\u0001";
         byte[] returned = FinalAnswer.returned(odd, odd, "{\"o\":1}".getBytes(StandardCharsets.UTF_8), Instant.EPOCH).body();
--- a/gateway/src/test/java/gradereach/oip/InferJsonTest.java
+++ b/gateway/src/test/java/gradereach/oip/InferenceJsonConverterTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.google.protobuf.ByteString;
-import gradereach.message.BadMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.protocol.inference.InferParameter;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.protocol.inference.ModelInferResponse;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class InferJsonTest {
+class InferenceJsonConverterTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private static JsonNode tensor(String type, String shape, String data) throws Exception {
@@ -32,17 +32,17 @@
         "UINT32 | [2] | [0,4294967295]", "UINT64 | [1] | [18446744073709551615]", "FP32 | [3] | [0.1,-3.4028235E38,1.4E-45]",
         "FP64 | [2] | [0.1,1.7976931348623157E308]", "BYTES | [2] | [\"\",\"sch\u00fcr\"]", "FP32 | [2,0] | []",
     })
-    void everyDatatypeGoesThereAndBack(String type, String shape, String data) throws Exception {
+    void everyDatatypeRoundTrips(String type, String shape, String data) throws Exception {
         JsonNode told = tensor(type, shape, data);
-        ModelInferRequest request = InferJson.request(told, "m");
-        JsonNode again = JSON.readTree(InferJson.input(request));
+        ModelInferRequest request = InferenceJsonConverter.requestFromJson(told, "m");
+        JsonNode again = JSON.readTree(InferenceJsonConverter.requestToJson(request));
         assertEquals(told.at("/inputs/0/data").toString(), again.at("/inputs/0/data").toString());
         assertEquals(told.at("/inputs/0/shape"), again.at("/inputs/0/shape"));
         assertEquals(told.path("parameters"), again.path("parameters"));
         assertEquals(told.path("outputs"), again.path("outputs"));
         // What an executor says goes the same way.
         String output = told.toString().replace("\"outputs\"", "\"ignored\"").replace("\"inputs\"", "\"outputs\"");
-        ModelInferResponse response = InferJson.output(JSON.readTree(output), "m", "i");
+        ModelInferResponse response = InferenceJsonConverter.responseFromJson(JSON.readTree(output), "m", "i");
         assertEquals(request.getInputs(0).getContents(), response.getOutputs(0).getContents());
         assertEquals(request.getParametersMap(), response.getParametersMap());
     }
@@ -65,16 +65,16 @@
                 ModelInferRequest.InferInputTensor.newBuilder().setName("x").setDatatype(type).addShape(count))
                 .addRawInputContents(ByteString.copyFrom(raw)).build();
         if (data != null) {
-            assertEquals(data, JSON.readTree(InferJson.input(request)).at("/inputs/0/data"));
+            assertEquals(data, JSON.readTree(InferenceJsonConverter.requestToJson(request)).at("/inputs/0/data"));
         } else {
-            String why = assertThrows(BadMessage.class, () -> InferJson.input(request)).getMessage();
+            String why = assertThrows(InvalidMessageException.class, () -> InferenceJsonConverter.requestToJson(request)).getMessage();
             assertTrue(why.contains(says), why);
         }
     }
 
     @Test
-    void aParameterWithoutAValueIsNamed() {
+    void aParameterWithoutAValueIsRejected() {
         ModelInferRequest request = ModelInferRequest.newBuilder().putParameters("p", InferParameter.getDefaultInstance()).build();
-        assertEquals("parameters.p: no value", assertThrows(BadMessage.class, () -> InferJson.input(request)).getMessage());
+        assertEquals("parameters.p: no value", assertThrows(InvalidMessageException.class, () -> InferenceJsonConverter.requestToJson(request)).getMessage());
     }
 }
--- a/gateway/src/test/java/gradereach/plan/DeploymentTest.java
+++ b/gateway/src/test/java/gradereach/plan/DeploymentTest.java
@@ -22,7 +22,7 @@
     @TempDir
     private Path folder;
 
-    private ObjectNode good() throws Exception {
+    private ObjectNode validDeployment() throws Exception {
         String text = """
                 {"name": "fe", "listen": "127.0.0.1:0", "roster": {"file": "r.json"},
                  "tier": {"me": 0, "front_ends": 2, "location": "a", "locations": ["a", "b"]},
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void aGoodFileGivesEachPartItsOwn() throws Exception {
-        Files.writeString(folder.resolve("fe.json"), good().toString());
+    void aValidFileIsRead() throws Exception {
+        Files.writeString(folder.resolve("fe.json"), validDeployment().toString());
         Deployment plan = Deployment.read(folder.resolve("fe.json"));
         assertEquals(folder.resolve("r.json"), plan.rosterFile());
-        assertEquals(2, plan.tier().frontEnds());
-        assertEquals(3, plan.catalogue().find("m1").lanes());
-        assertEquals(1, plan.catalogue().find("m2").lanes());
-        assertEquals(null, plan.catalogue().find("x"));
+        assertEquals(2, plan.frontEndSettings().frontEnds());
+        assertEquals(3, plan.modelCatalog().find("m1").lanes());
+        assertEquals(1, plan.modelCatalog().find("m2").lanes());
+        assertEquals(null, plan.modelCatalog().find("x"));
     }
 
     @ParameterizedTest
@@ -60,7 +60,7 @@
         "/limits | {\"held\":0} | /limits/held: ", "/answers_key | {\"inline\":\"whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw\"} | /answers_key: no whsk_ key",
     })
     void everyErrorNamesItsPath(String pointer, String value, String says) throws Exception {
-        ObjectNode plan = good();
+        ObjectNode plan = validDeployment();
         int slash = pointer.lastIndexOf('/');
         var parent = plan.at(pointer.substring(0, slash));
         String name = pointer.substring(slash + 1);
@@ -69,7 +69,7 @@
         } else {
             ((ObjectNode) parent).set(name, JSON.readTree(value));
         }
-        BadPlan bad = assertThrows(BadPlan.class, () -> Deployment.of(plan, folder));
+        InvalidDeploymentException bad = assertThrows(InvalidDeploymentException.class, () -> Deployment.of(plan, folder));
         assertEquals(1, bad.errors().size(), bad.getMessage());
         assertTrue(bad.errors().get(0).startsWith(says), bad.getMessage());
         assertFalse(bad.getMessage().contains("MfKQ9r8"), "quotes a key");
@@ -77,35 +77,35 @@
 
     @ParameterizedTest
     @CsvSource({"rw-------, true", "r--------, true", "rw-r-----, false", "rw----r--, false"})
-    void keyFilesMustBeTheirOwnersAlone(String mode, boolean good) throws Exception {
+    void keyFilesMustBeAccessibleToTheirOwnerOnly(String mode, boolean good) throws Exception {
         Path key = folder.resolve("k");
         Files.writeString(key, WebhookKey.newSecret(new SecureRandom()) + "\n");
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString(mode));
-        ObjectNode plan = good();
+        ObjectNode plan = validDeployment();
         ((ObjectNode) plan.at("/customers/0")).putArray("keys").addObject().put("file", "k");
         if (good) {
-            assertEquals("v1", Deployment.of(plan, folder).keys().get(0).get(0).scheme());
+            assertEquals("v1", Deployment.of(plan, folder).customerKeys().get(0).get(0).scheme());
         } else {
-            assertTrue(assertThrows(BadPlan.class, () -> Deployment.of(plan, folder)).getMessage()
+            assertTrue(assertThrows(InvalidDeploymentException.class, () -> Deployment.of(plan, folder)).getMessage()
                     .startsWith("/customers/0/keys/0/file: others may read it"));
         }
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {"{ | :1:", "{\"a\":1,\"a\":2} | Duplicate field 'a'"})
-    void brokenJsonIsNamedByLine(String text, String says) throws Exception {
+    void malformedJsonIsReportedWithItsPosition(String text, String says) throws Exception {
         Path file = folder.resolve("fe.json");
         Files.writeString(file, text);
-        String error = assertThrows(BadPlan.class, () -> Deployment.read(file)).getMessage();
+        String error = assertThrows(InvalidDeploymentException.class, () -> Deployment.read(file)).getMessage();
         assertTrue(error.startsWith(file.toString()) && error.contains(says), error);
     }
 
     @Test
-    void customersWithPublicKeysAloneNeedAKeyToAnswerThem() throws Exception {
-        ObjectNode plan = good();
+    void customersWithOnlyPublicKeysRequireAnAnswersKey() throws Exception {
+        ObjectNode plan = validDeployment();
         String pair = WebhookKey.newPrivate(new SecureRandom());
-        ((ObjectNode) plan.at("/customers/0")).putArray("keys").addObject().put("inline", WebhookKey.parse(pair).publicPart());
-        assertTrue(assertThrows(BadPlan.class, () -> Deployment.of(plan, folder)).getMessage().contains("/answers_key"));
+        ((ObjectNode) plan.at("/customers/0")).putArray("keys").addObject().put("inline", WebhookKey.parse(pair).publicKeyText());
+        assertTrue(assertThrows(InvalidDeploymentException.class, () -> Deployment.of(plan, folder)).getMessage().contains("/answers_key"));
         plan.putObject("answers_key").put("inline", pair);
         assertEquals("v1a", Deployment.of(plan, folder).answerKeys().get(0).get(0).scheme());
     }
--- a/gateway/src/test/java/gradereach/roster/RosterWatchTest.java
+++ b/gateway/src/test/java/gradereach/roster/RosterWatchTest.java
@@ -36,12 +36,12 @@
 
     /** An exception on the watch's thread: it goes on, and what could not be told is told again. */
     @Test
-    void whatBreaksOneReadingEndsNoWatch() throws Exception {
+    void failedReadDoesNotEndTheWatch() throws Exception {
         Path file = Files.writeString(folder.resolve("slices.json"), "{\"items\":[{\"metadata\":{\"name\":\"a\"},"
                 + "\"ports\":[{\"port\":80}],\"endpoints\":[{\"addresses\":[\"10.0.0.1\"]}]}]}");
         BlockingQueue<String> told = new LinkedBlockingQueue<>();
         AtomicBoolean fails = new AtomicBoolean(true);
-        RosterBook book = new RosterBook(new EndpointSlices(List.of()), (form, lines) -> {
+        RosterTracker book = new RosterTracker(new EndpointSliceParser(List.of()), (form, lines) -> {
             if (fails.getAndSet(false)) {
                 throw new IllegalStateException("planted");
             }
@@ -55,7 +55,7 @@
 
     /** Guards against "null" as the cause that an operator reads: a refused connection of the platform's client has no message. */
     @Test
-    void aServerThatCannotBeReachedIsNamedAsTheCause() throws Exception {
+    void logsCauseWhenServerIsUnreachable() throws Exception {
         int nobody;
         try (ServerSocket socket = new ServerSocket(0)) {
             nobody = socket.getLocalPort();
@@ -70,7 +70,7 @@
         };
         appender.start();
         logger.addAppender(appender);
-        try (RosterWatch watch = new RosterWatch(new RosterBook(new EndpointSlices(List.of()), (form, lines) -> { }), "test",
+        try (RosterWatch watch = new RosterWatch(new RosterTracker(new EndpointSliceParser(List.of()), (form, lines) -> { }), "test",
                 URI.create("http://127.0.0.1:" + nobody), null, () -> 0, (at, until) -> { }, new Counts())) {
             watch.start();
             String line = said.poll(20, TimeUnit.SECONDS);
@@ -83,7 +83,7 @@
 
     /** A watch on which nothing comes any more is begun anew, and the roster counts as complete no longer than was told. */
     @Test
-    void aSilentWatchIsBegunAnew() throws Exception {
+    void silentWatchIsRestarted() throws Exception {
         BlockingQueue<Double> confirmed = new LinkedBlockingQueue<>();
         AtomicBoolean reachable = new AtomicBoolean(true);
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
@@ -103,7 +103,7 @@
         server.start();
         Counts counts = new Counts();
         URI at = URI.create("http://127.0.0.1:" + server.getAddress().getPort());
-        try (RosterWatch watch = new RosterWatch(new RosterBook(new EndpointSlices(List.of()), (form, lines) -> { }), "test", at,
+        try (RosterWatch watch = new RosterWatch(new RosterTracker(new EndpointSliceParser(List.of()), (form, lines) -> { }), "test", at,
                 null, () -> 1000, (confirmedAt, until) -> confirmed.add(until), TIMING, counts)) {
             watch.start();
             assertEquals(2200, confirmed.poll(20, TimeUnit.SECONDS));
--- a/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
@@ -34,12 +34,12 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MODELS = 6;
     /** How long the roster counts after a failure, the grace of the rule, and a failed try before it; milliseconds. */
-    private static final double TOLD = 4000;
-    private static final double GRACE = 500;
-    private static final double TRY = 600;
-    private static final double OUTAGE = 8000;
+    private static final double ROSTER_VALIDITY_MILLIS = 4000;
+    private static final double DRAIN_GRACE_MILLIS = 500;
+    private static final double FAILED_ATTEMPT_MILLIS = 600;
+    private static final double OUTAGE_MILLIS = 8000;
     /** For the last forward's way and the transcript of both; one machine's clock. */
-    private static final double SLACK = 50;
+    private static final double SLACK_MILLIS = 50;
 
     private final String secret = WebhookKey.newSecret(new SecureRandom());
     private final WebhookKey key = WebhookKey.parse(secret);
@@ -48,15 +48,15 @@
     private Path folder;
     private SmallFleet fleet;
     private Gateway gateway;
-    private InetSocketAddress at;
-    private int asked;
+    private InetSocketAddress address;
+    private int requestCount;
 
     @BeforeEach
     void start() throws Exception {
         fleet = new SmallFleet(folder, 2);
-        gateway = new Gateway(Deployment.of(fleet.plan("fe", secret), folder), Between.NOTHING);
-        at = gateway.listen();
-        while (!gateway.ready()) {
+        gateway = new Gateway(Deployment.of(fleet.createDeployment("fe", secret), folder), FaultInjection.NONE);
+        address = gateway.listen();
+        while (!gateway.isReady()) {
             Thread.onSpinWait();
         }
     }
@@ -67,15 +67,15 @@
         fleet.close();
     }
 
-    private int ask() throws IOException, InterruptedException {
-        String id = "o" + asked++;
-        byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"look-" + asked % MODELS
+    private int infer() throws IOException, InterruptedException {
+        String id = "o" + requestCount++;
+        byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"look-" + requestCount % MODELS
                 + "\",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":1}}}}").getBytes(StandardCharsets.UTF_8);
         long now = System.currentTimeMillis() / 1000;
-        return client.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + "/v1/inferences"))
+        return client.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + "/v1/inferences"))
                 .header("content-type", "application/json").header("webhook-id", id)
                 .header("webhook-timestamp", Long.toString(now))
-                .header("webhook-signature", KeyRing.header(List.of(key), id, now, body))
+                .header("webhook-signature", KeyRing.signatureHeader(List.of(key), id, now, body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(), HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
@@ -89,19 +89,19 @@
 
     /** Guards against going on with executors that drain while the roster cannot be read (rule 3), and against not serving. */
     @Test
-    void nothingGoesToAnExecutorThatDrainsUnheardAndTheOtherServes() throws Exception {
+    void aDrainingExecutorGetsNothingDuringARosterOutage() throws Exception {
         for (int i = 0; i < 2 * MODELS; i++) {
-            assertEquals(200, ask());
+            assertEquals(200, infer());
         }
-        fleet.apply(JSON.readTree("{\"kind\":\"roster_away\",\"for_ms\":60000}"));
-        fleet.apply(JSON.readTree("{\"kind\":\"drain_unheard\",\"ex\":0,\"for_ms\":60000}"));
+        fleet.injectFault(JSON.readTree("{\"kind\":\"roster_away\",\"for_ms\":60000}"));
+        fleet.injectFault(JSON.readTree("{\"kind\":\"drain_unheard\",\"ex\":0,\"for_ms\":60000}"));
         double from = Transcript.now();
-        double told = from + TRY + TOLD + GRACE + SLACK;
+        double told = from + FAILED_ATTEMPT_MILLIS + ROSTER_VALIDITY_MILLIS + DRAIN_GRACE_MILLIS + SLACK_MILLIS;
         int late = 0;
         int served = 0;
-        while (Transcript.now() < from + OUTAGE) {
+        while (Transcript.now() < from + OUTAGE_MILLIS) {
             boolean isLate = Transcript.now() > told;
-            int status = ask();
+            int status = infer();
             late += isLate ? 1 : 0;
             served += isLate && status == 200 ? 1 : 0;
         }
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -39,7 +39,7 @@
     private Path folder;
     private StandInFleet fleet;
     private Gateway gateway;
-    private InetSocketAddress at;
+    private InetSocketAddress address;
 
     @BeforeEach
     void start() throws Exception {
@@ -58,9 +58,9 @@
                 .putArray("keys").addObject().put("inline", secret);
         plan.putObject("limits").put("message_ms", 300).put("connections", 12).put("head_bytes", 2048)
                 .put("body_bytes", 4096);
-        gateway = new Gateway(Deployment.of(plan, folder), Between.NOTHING);
-        at = gateway.listen();
-        until(gateway::ready);
+        gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
+        address = gateway.listen();
+        waitUntil(gateway::isReady);
     }
 
     @AfterEach
@@ -69,7 +69,7 @@
         fleet.close();
     }
 
-    private static void until(BooleanSupplier holds) throws InterruptedException {
+    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
         while (!holds.getAsBoolean()) {
             Thread.sleep(2);
         }
@@ -80,15 +80,15 @@
                 + "\",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":" + work + "}}}}").getBytes(StandardCharsets.UTF_8);
     }
 
-    private String head(String id, byte[] body, String... more) {
+    private String requestHead(String id, byte[] body, String... more) {
         long now = System.currentTimeMillis() / 1000;
         return "POST /v1/inferences HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\nwebhook-id: " + id
                 + "\r\nwebhook-timestamp: " + now + "\r\nwebhook-signature: v1," + key.sign(id, now, body)
                 + "\r\ncontent-length: " + body.length + "\r\n" + String.join("", more) + "\r\n";
     }
 
-    private Socket open() throws IOException {
-        Socket socket = new Socket(at.getAddress(), at.getPort());
+    private Socket openConnection() throws IOException {
+        Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(20_000);
         return socket;
     }
@@ -100,9 +100,9 @@
     }
 
     /** Status, head and body of the next answer. */
-    private record Answer(int status, String head, JsonNode body) { }
+    private record Response(int status, String head, JsonNode body) { }
 
-    private static Answer read(Socket from) throws IOException {
+    private static Response read(Socket from) throws IOException {
         InputStream in = from.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -114,19 +114,19 @@
         }
         String lower = head.toString().toLowerCase();
         int length = Integer.parseInt(lower.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
-        return new Answer(Integer.parseInt(head.substring(9, 12)), head.toString(), JSON.readTree(in.readNBytes(length)));
+        return new Response(Integer.parseInt(head.substring(9, 12)), head.toString(), JSON.readTree(in.readNBytes(length)));
     }
 
-    private Answer ask(String id, String model, double work) throws IOException {
-        try (Socket socket = open()) {
-            write(socket, head(id, body(model, work)), body(model, work));
+    private Response infer(String id, String model, double work) throws IOException {
+        try (Socket socket = openConnection()) {
+            write(socket, requestHead(id, body(model, work)), body(model, work));
             return read(socket);
         }
     }
 
     @Test
     void aSignedInferenceIsReturnedAndItsAnswerIsSigned() throws IOException {
-        Answer answer = ask("a", "look-1", 5);
+        Response answer = infer("a", "look-1", 5);
         assertEquals(200, answer.status);
         assertEquals("inference.returned", answer.body.path("type").asText());
         assertEquals("look-1", answer.body.at("/data/output/model_name").asText());
@@ -135,7 +135,7 @@
             names[i] = answer.head.replaceAll("(?s).*" + names[i] + ": ([^\r]+).*", "$1");
         }
         assertEquals("a.answer", names[0]);
-        assertEquals(0, new KeyRing(List.of(List.of(key))).judge(names[0], names[1], names[2],
+        assertEquals(0, new KeyRing(List.of(List.of(key))).verify(names[0], names[1], names[2],
                 JSON.writeValueAsBytes(answer.body), System.currentTimeMillis() / 1000, -1).customer());
     }
 
@@ -148,12 +148,12 @@
         "webhook-timestamp: 1 | webhook-timestamp: 0 | 400 | too-old", "host: x | host: LONG | 431 | head-too-large",
         "webhook-timestamp: 1 | webhook-timestamp: 2 | 400 | too-new", "HTTP/1.1 | HTTQ | 400 | bad-http",
     })
-    void whatIsNoInferenceIsRefusedWithOneReason(String replaced, String by, int status, String word) throws IOException {
+    void invalidRequestsAreRejectedWithASpecificReason(String replaced, String by, int status, String word) throws IOException {
         byte[] body = body("look-1", 5);
-        String head = head("x", body).replace(replaced.replace("\\r\\n", "\r\n"), by == null ? "" : by.replace("LONG", "l".repeat(3000)));
-        try (Socket socket = open()) {
+        String head = requestHead("x", body).replace(replaced.replace("\\r\\n", "\r\n"), by == null ? "" : by.replace("LONG", "l".repeat(3000)));
+        try (Socket socket = openConnection()) {
             write(socket, head, body);
-            Answer answer = read(socket);
+            Response answer = read(socket);
             assertEquals(status, answer.status);
             assertEquals(word, answer.body.path("outcome").asText());
         }
@@ -162,11 +162,11 @@
     }
 
     @Test
-    void badBodiesAreRefusedBeforeAnythingIsTaken() throws IOException {
+    void invalidBodiesAreRejectedBeforeAcceptance() throws IOException {
         for (String text : List.of("{}", "x", new String(body("none-1", 5), StandardCharsets.UTF_8), "[" + "1,".repeat(4000) + "1]")) {
             byte[] body = text.getBytes(StandardCharsets.UTF_8);
-            try (Socket socket = open()) {
-                write(socket, head("b", body), body);
+            try (Socket socket = openConnection()) {
+                write(socket, requestHead("b", body), body);
                 int expected = text.contains("none-1") ? 404 : text.length() > 4096 ? 413 : 400;
                 assertEquals(expected, read(socket).status, text.substring(0, Math.min(20, text.length())));
             }
@@ -177,12 +177,12 @@
     /** Guards against a refusal that is lost to a reset, since its client had not yet written all of its body. */
     @ParameterizedTest
     @CsvSource({"x, 413", "LONG, 431"})
-    void aRefusalReachesAClientThatGoesOnWriting(String host, int status) throws IOException {
+    void aRejectionReachesAClientThatIsStillSending(String host, int status) throws IOException {
         byte[] piece = new byte[1 << 16];
         int pieces = 200;
-        String head = head("x", piece).replace("host: x", "host: " + host.replace("LONG", "l".repeat(3000)))
+        String head = requestHead("x", piece).replace("host: x", "host: " + host.replace("LONG", "l".repeat(3000)))
                 .replace("content-length: " + piece.length, "content-length: " + (long) pieces * piece.length);
-        try (Socket socket = open()) {
+        try (Socket socket = openConnection()) {
             write(socket, head, piece);
             for (int i = 1; i < pieces; i++) {
                 socket.getOutputStream().write(piece);
@@ -195,13 +195,13 @@
     /** Slow heads, slow bodies, and bytes of no protocol: cut off at the stated time, nothing taken. */
     @ParameterizedTest
     @CsvSource({"head, 408", "body, 408", "preface, 0"})
-    void slowSendersAreCutOff(String what, int status) throws IOException {
+    void slowSendersTimeOut(String what, int status) throws IOException {
         byte[] body = body("look-1", 5);
-        try (Socket socket = open()) {
-            String head = head("s", body);
+        try (Socket socket = openConnection()) {
+            String head = requestHead("s", body);
             write(socket, what.equals("head") ? head.substring(0, 60) : what.equals("body") ? head : "PRI * HT",
                     what.equals("body") ? new byte[] {'{'} : new byte[0]);
-            Answer answer = read(socket);
+            Response answer = read(socket);
             assertEquals(status, answer == null ? 0 : answer.status);
             assertEquals(-1, socket.getInputStream().read());
         }
@@ -209,14 +209,14 @@
     }
 
     @Test
-    void connectionsBeyondTheBoundAreClosed() throws Exception {
+    void connectionsOverTheLimitAreClosed() throws Exception {
         Socket[] open = new Socket[13];
         for (int i = 0; i < 13; i++) {
-            open[i] = open();
+            open[i] = openConnection();
         }
         // Which of them is the one too many is for the event loops to settle.
-        until(() -> gateway.counts().limits().stream().anyMatch(
-                l -> l.name.equals("client_connections") && l.refused() == 1 && l.present() == 12));
+        waitUntil(() -> gateway.counts().limits().stream().anyMatch(
+                l -> l.name.equals("client_connections") && l.rejections() == 1 && l.inUse() == 12));
         int closed = 0;
         for (Socket socket : open) {
             socket.setSoTimeout(100);
@@ -229,9 +229,9 @@
         }
         assertEquals(1, closed);
         // And the places come free again.
-        until(() -> {
+        waitUntil(() -> {
             try {
-                return ask("c", "look-1", 5) != null;
+                return infer("c", "look-1", 5) != null;
             } catch (IOException e) {
                 return false;
             }
@@ -241,10 +241,10 @@
     /** RFC 9112, 9.3.2: answers in the order of asking, the slow first as well. */
     @Test
     void pipelinedMessagesAreAnsweredInOrder() throws IOException {
-        ask("warm", "look-1", 5);
-        try (Socket socket = open()) {
+        infer("warm", "look-1", 5);
+        try (Socket socket = openConnection()) {
             for (int i = 0; i < 7; i++) {
-                write(socket, head("p" + i, body("look-1", i == 0 ? 300 : 2)), body("look-1", i == 0 ? 300 : 2));
+                write(socket, requestHead("p" + i, body("look-1", i == 0 ? 300 : 2)), body("look-1", i == 0 ? 300 : 2));
             }
             for (int i = 0; i < 7; i++) {
                 assertEquals("p" + i, read(socket).body.at("/data/id").asText());
@@ -253,23 +253,23 @@
     }
 
     /** A message of another model than those behind it: what it takes tells nothing of theirs. */
-    private void beginLongOne(Socket socket) throws Exception {
-        ask("warm", "look-1", 5);
-        ask("warm-too", "book-1", 5);
-        write(socket, head("p0", body("book-1", 600)), body("book-1", 600));
-        until(() -> gateway.counts().value("forwards_sent") == 3);
+    private void startLongInference(Socket socket) throws Exception {
+        infer("warm", "look-1", 5);
+        infer("warm-too", "book-1", 5);
+        write(socket, requestHead("p0", body("book-1", 600)), body("book-1", 600));
+        waitUntil(() -> gateway.counts().value("forwards_sent") == 3);
     }
 
-    private static void assertReturned(String id, Answer answer) {
+    private static void assertReturned(String id, Response answer) {
         assertEquals(id, answer.body.at("/data/id").asText(), answer.toString());
     }
 
     /** Guards against refusing a message that came whole as too slow, in place of the answer that is still worked on. */
     @Test
-    void aPipelinedMessageIsNotSlowWhileAnEarlierOneIsWorkedOn() throws Exception {
-        try (Socket socket = open()) {
-            beginLongOne(socket);
-            write(socket, head("p1", body("look-1", 2)), body("look-1", 2));
+    void aQueuedPipelinedMessageDoesNotTimeOut() throws Exception {
+        try (Socket socket = openConnection()) {
+            startLongInference(socket);
+            write(socket, requestHead("p1", body("look-1", 2)), body("look-1", 2));
             for (int i = 0; i < 2; i++) {
                 assertReturned("p" + i, read(socket));
             }
@@ -280,20 +280,20 @@
     @ParameterizedTest
     @CsvSource({"slow, 408, too-slow", "large, 413, body-too-large", "expected, 413, body-too-large", "head, 431, head-too-large",
         "protocol, 400, bad-http"})
-    void refusalsOfPipelinedMessagesComeInTurn(String what, int status, String word) throws Exception {
+    void rejectionsOfPipelinedMessagesAreSentInOrder(String what, int status, String word) throws Exception {
         byte[] body = body("look-1", 2);
         byte[] large = new byte[5000];
-        try (Socket socket = open()) {
-            beginLongOne(socket);
+        try (Socket socket = openConnection()) {
+            startLongInference(socket);
             switch (what) {
-                case "slow" -> write(socket, head("p1", body), new byte[] {'{'});
-                case "large" -> write(socket, head("p1", large), large);
-                case "expected" -> write(socket, head("p1", large, "expect: 100-continue\r\n"), new byte[0]);
-                case "head" -> write(socket, head("p1", body, "x: " + "l".repeat(3000) + "\r\n"), body);
+                case "slow" -> write(socket, requestHead("p1", body), new byte[] {'{'});
+                case "large" -> write(socket, requestHead("p1", large), large);
+                case "expected" -> write(socket, requestHead("p1", large, "expect: 100-continue\r\n"), new byte[0]);
+                case "head" -> write(socket, requestHead("p1", body, "x: " + "l".repeat(3000) + "\r\n"), body);
                 default -> write(socket, "no protocol at all\r\n\r\n", body);
             }
             assertReturned("p0", read(socket));
-            Answer refusal = read(socket);
+            Response refusal = read(socket);
             assertEquals(status, refusal.status);
             assertEquals(word, refusal.body.path("outcome").asText());
             assertEquals(-1, socket.getInputStream().read());
@@ -303,11 +303,11 @@
 
     /** Guards against an interim response that a client would take for one to its earlier message. */
     @Test
-    void aPipelinedMessageIsToldToContinueInTurn() throws Exception {
+    void interimResponsesToPipelinedMessagesAreSentInOrder() throws Exception {
         byte[] body = body("look-1", 2);
-        try (Socket socket = open()) {
-            beginLongOne(socket);
-            write(socket, head("p1", body, "expect: 100-continue\r\n"), new byte[0]);
+        try (Socket socket = openConnection()) {
+            startLongInference(socket);
+            write(socket, requestHead("p1", body, "expect: 100-continue\r\n"), new byte[0]);
             assertReturned("p0", read(socket));
             assertEquals("HTTP/1.1 100 Continue\r\n", new String(socket.getInputStream().readNBytes(23), StandardCharsets.US_ASCII));
             socket.getInputStream().readNBytes(2);
@@ -318,14 +318,14 @@
 
     /** Guards against closing a connection, as the front end stops, over messages that were read from it. */
     @Test
-    void whatWasPipelinedBeforeAStopIsAnswered() throws Exception {
-        ask("warm", "look-1", 5);
+    void pipelinedMessagesAreAnsweredOnShutdown() throws Exception {
+        infer("warm", "look-1", 5);
         byte[] first = body("look-1", 400);
         byte[] later = body("look-1", 2);
-        try (Socket socket = open()) {
-            write(socket, head("p0", first) + new String(first, StandardCharsets.UTF_8) + head("p1", later)
-                    + new String(later, StandardCharsets.UTF_8) + head("p2", later), later);
-            until(() -> gateway.counts().value("forwards_sent") == 2);
+        try (Socket socket = openConnection()) {
+            write(socket, requestHead("p0", first) + new String(first, StandardCharsets.UTF_8) + requestHead("p1", later)
+                    + new String(later, StandardCharsets.UTF_8) + requestHead("p2", later), later);
+            waitUntil(() -> gateway.counts().value("forwards_sent") == 2);
             CompletableFuture<Boolean> stopped = CompletableFuture.supplyAsync(() -> {
                 try {
                     return gateway.stop();
@@ -335,7 +335,7 @@
             });
             assertEquals(200, read(socket).status);
             for (int i = 1; i < 3; i++) {
-                Answer shed = read(socket);
+                Response shed = read(socket);
                 assertEquals(503, shed.status);
                 assertEquals(i == 2, shed.head.toLowerCase().contains("connection: close"));
             }
@@ -346,57 +346,57 @@
 
     /** Guards against working on a message behind the one with which its client said that it closes (RFC 9112, 9.6). */
     @Test
-    void nothingIsTakenBehindTheLastMessageOfAConnection() throws Exception {
+    void messagesAfterTheLastOneOfAConnectionAreIgnored() throws Exception {
         byte[] body = body("look-1", 5);
-        try (Socket socket = open()) {
-            write(socket, head("p0", body, "connection: close\r\n") + new String(body, StandardCharsets.UTF_8) + head("p1", body), body);
+        try (Socket socket = openConnection()) {
+            write(socket, requestHead("p0", body, "connection: close\r\n") + new String(body, StandardCharsets.UTF_8) + requestHead("p1", body), body);
             assertReturned("p0", read(socket));
             assertEquals(-1, socket.getInputStream().read());
         }
-        ask("after", "look-1", 5);
+        infer("after", "look-1", 5);
         assertEquals(2, gateway.counts().value("inferences_taken"));
     }
 
     @Test
-    void theSameMessageIsOneInferenceOverAllConnections() throws Exception {
-        ask("warm", "book-1", 5);
-        CompletableFuture<Answer> first = CompletableFuture.supplyAsync(() -> {
+    void duplicatesOnSeveralConnectionsShareOneInference() throws Exception {
+        infer("warm", "book-1", 5);
+        CompletableFuture<Response> first = CompletableFuture.supplyAsync(() -> {
             try {
-                return ask("same", "book-1", 400);
+                return infer("same", "book-1", 400);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        until(() -> gateway.counts().value("inferences_taken") == 2);
-        Answer joined = ask("same", "book-1", 400);
+        waitUntil(() -> gateway.counts().value("inferences_taken") == 2);
+        Response joined = infer("same", "book-1", 400);
         assertEquals(first.get().body, joined.body);
-        assertEquals(joined.body, ask("same", "book-1", 400).body);
-        assertEquals(409, ask("same", "book-1", 401).status);
+        assertEquals(joined.body, infer("same", "book-1", 400).body);
+        assertEquals(409, infer("same", "book-1", 401).status);
         assertEquals(2, gateway.counts().value("forwards_sent"));
         assertEquals(1, gateway.counts().value("repeats_joined"));
         assertEquals(1, gateway.counts().value("repeats_answered_from_memory"));
     }
 
     @Test
-    void aClientThatClosesHasLeft() throws Exception {
-        ask("warm", "look-1", 5);
-        try (Socket socket = open()) {
-            write(socket, head("l", body("look-1", 2000)), body("look-1", 2000));
-            until(() -> gateway.counts().value("forwards_sent") == 2);
+    void closingTheConnectionCancelsTheInference() throws Exception {
+        infer("warm", "look-1", 5);
+        try (Socket socket = openConnection()) {
+            write(socket, requestHead("l", body("look-1", 2000)), body("look-1", 2000));
+            waitUntil(() -> gateway.counts().value("forwards_sent") == 2);
         }
-        until(() -> gateway.counts().value("forwards_ended_cancelled") == 1);
+        waitUntil(() -> gateway.counts().value("forwards_ended_cancelled") == 1);
     }
 
     /** The stated answer of a non-retriable inference by how its forward broke; and that it ran no second time. */
     @ParameterizedTest
     @CsvSource({"reset_within, book-1, 502", "reset_after, book-1, 502", "unanswered, book-1, 504"})
-    void aBrokenForwardIsAnsweredByWhatItProves(String kind, String model, int status) throws Exception {
-        ask("warm", model, 5);
-        fleet.apply(JSON.readTree("{\"kind\":\"" + kind + "\",\"group\":\"book\",\"for_ms\":600}"));
-        Answer answer = ask("r", model, 5);
+    void aBrokenForwardDeterminesTheFinalAnswer(String kind, String model, int status) throws Exception {
+        infer("warm", model, 5);
+        fleet.injectFault(JSON.readTree("{\"kind\":\"" + kind + "\",\"group\":\"book\",\"for_ms\":600}"));
+        Response answer = infer("r", model, 5);
         assertEquals(status, answer.status, answer.body.toString());
         assertEquals(false, answer.body.path("repeat_harmless").asBoolean());
-        assertEquals(answer.body, ask("r", model, 5).body);
+        assertEquals(answer.body, infer("r", model, 5).body);
         assertEquals(2, gateway.counts().value("forwards_sent"));
     }
 
@@ -405,23 +405,23 @@
      * from run to run: models are asked for until one was sent to the broken one.
      */
     @Test
-    void retriableInferencesOutliveABrokenExecutor() throws Exception {
-        fleet.apply(JSON.readTree("{\"kind\":\"reset_within\",\"ex\":0,\"for_ms\":60000}"));
+    void retriableInferencesAreRetriedOnAnotherExecutor() throws Exception {
+        fleet.injectFault(JSON.readTree("{\"kind\":\"reset_within\",\"ex\":0,\"for_ms\":60000}"));
         for (int i = 0; i < 6 || gateway.counts().value("forwards_ended_reset") == 0; i++) {
-            assertEquals(200, ask("r" + i, "look-" + i, 5).status);
+            assertEquals(200, infer("r" + i, "look-" + i, 5).status);
         }
     }
 
     @Test
-    void preferringAsyncGivesTheAnswerByWebhook() throws Exception {
+    void respondAsyncDeliversTheAnswerByWebhook() throws Exception {
         byte[] body = body("look-1", 5);
-        try (Socket socket = open()) {
-            write(socket, head("async", body, "prefer: respond-async\r\n"), body);
-            Answer answer = read(socket);
+        try (Socket socket = openConnection()) {
+            write(socket, requestHead("async", body, "prefer: respond-async\r\n"), body);
+            Response answer = read(socket);
             assertEquals(202, answer.status);
             assertTrue(answer.head.contains("preference-applied: respond-async"));
         }
-        until(() -> gateway.counts().value("answers_delivered") == 1);
+        waitUntil(() -> gateway.counts().value("answers_delivered") == 1);
         fleet.close();
         List<JsonNode> webhooks = Files.readAllLines(folder.resolve("t.jsonl")).stream().map(line -> {
             try {
@@ -432,18 +432,18 @@
         }).filter(l -> l.path("ev").asText().equals("webhook")).toList();
         assertEquals(1, webhooks.size());
         JsonNode got = webhooks.get(0);
-        assertEquals(0, new KeyRing(List.of(List.of(key))).judge("async.answer", got.path("timestamp").asText(),
+        assertEquals(0, new KeyRing(List.of(List.of(key))).verify("async.answer", got.path("timestamp").asText(),
                 got.path("signature").asText(), got.path("body").asText().getBytes(StandardCharsets.UTF_8),
                 System.currentTimeMillis() / 1000, -1).customer());
     }
 
     @Test
-    void stoppingAnswersWhatIsHeldAndTakesNothingNew() throws Exception {
-        ask("warm", "look-1", 5);
-        Socket idle = open();
-        Socket busy = open();
-        write(busy, head("held", body("look-1", 300)), body("look-1", 300));
-        until(() -> gateway.counts().value("forwards_sent") == 2);
+    void shutdownAnswersOpenInferencesAndAcceptsNoNewOnes() throws Exception {
+        infer("warm", "look-1", 5);
+        Socket idle = openConnection();
+        Socket busy = openConnection();
+        write(busy, requestHead("held", body("look-1", 300)), body("look-1", 300));
+        waitUntil(() -> gateway.counts().value("forwards_sent") == 2);
         CompletableFuture<Boolean> stopped = CompletableFuture.supplyAsync(() -> {
             try {
                 return gateway.stop();
@@ -451,7 +451,7 @@
                 throw new IllegalStateException(e);
             }
         });
-        Answer answer = read(busy);
+        Response answer = read(busy);
         assertEquals(200, answer.status);
         assertTrue(answer.head.toLowerCase().contains("connection: close"));
         assertTrue(stopped.get());
--- a/gateway/src/test/java/gradereach/serve/MeasuresTest.java
+++ b/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
@@ -6,9 +6,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gradereach.plan.Deployment;
 import gradereach.remotewrite.Pusher;
-import gradereach.remotewrite.SendQueue.Drop;
+import gradereach.remotewrite.SendQueue.DropReason;
 import gradereach.standins.SmallFleet;
-import gradereach.standins.prometheus.Receiver;
+import gradereach.standins.prometheus.RemoteWriteServer;
 import gradereach.webhook.WebhookKey;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -25,19 +25,19 @@
 
 /** From inferences by webhook to series at a receiver. */
 @Timeout(60)
-class MeasuresTest {
+class MetricsPushTest {
     private final String secret = WebhookKey.newSecret(new SecureRandom());
     private final HttpClient client = HttpClient.newHttpClient();
     @TempDir
     private Path folder;
 
-    private static void until(BooleanSupplier holds) throws InterruptedException {
+    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
         while (!holds.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private int ask(String at, String id, String model, int budget) throws Exception {
+    private int infer(String at, String id, String model, int budget) throws Exception {
         byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model + "\",\"budget_ms\":" + budget
                 + ",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":1}}}}").getBytes(StandardCharsets.UTF_8);
         long now = System.currentTimeMillis() / 1000;
@@ -51,31 +51,31 @@
     /** What was asked and returned is what the receiver has, whether or not it drops half of what it is sent. */
     @ParameterizedTest
     @ValueSource(strings = {"none", "drop-half", "only-one"})
-    void whatWasServedIsWhatIsTold(String fault) throws Exception {
-        try (Receiver receiver = new Receiver(); SmallFleet fleet = new SmallFleet(folder, 2)) {
+    void pushedSeriesMatchTheServedInferences(String fault) throws Exception {
+        try (RemoteWriteServer receiver = new RemoteWriteServer(); SmallFleet fleet = new SmallFleet(folder, 2)) {
             receiver.fault = fault;
-            ObjectNode plan = fleet.plan("fe-7", secret);
+            ObjectNode plan = fleet.createDeployment("fe-7", secret);
             plan.putObject("metrics").putObject("remote_write").put("url", receiver.url()).put("interval_ms", 100)
                     .put("first_pause_ms", 5).put("longest_pause_ms", 50).putObject("labels").put("hall", "halle-a");
-            Gateway gateway = new Gateway(Deployment.of(plan, folder), Between.NOTHING);
+            Gateway gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
             String at = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
-            until(gateway::ready);
+            waitUntil(gateway::isReady);
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, ask(at, "m" + i, i % 2 == 0 ? "look-1" : "book-1", 8000));
+                assertEquals(200, infer(at, "m" + i, i % 2 == 0 ? "look-1" : "book-1", 8000));
             }
             String[] labels = {"group", "look", "instance", "fe-7", "job", "gradereach", "hall", "halle-a"};
-            until(() -> receiver.store.last("gradereach_group_inferences_total", labels) == 10);
+            waitUntil(() -> receiver.store.lastValue("gradereach_group_inferences_total", labels) == 10);
             // Each may come by another write.
-            until(() -> receiver.store.last("gradereach_model_inferences_total", "model", "book-1") == 10);
-            until(() -> receiver.store.last("gradereach_customer_value_asked_total", "customer", "yard") == 20);
-            until(() -> receiver.store.last("gradereach_load_orders_sent_total") >= 2);
-            until(() -> receiver.store.last("gradereach_limit_bound", "limit", "inferences_held") > 0);
-            assertTrue(receiver.store.last("gradereach_group_value_in_slo_total", labels) <= 10);
+            waitUntil(() -> receiver.store.lastValue("gradereach_model_inferences_total", "model", "book-1") == 10);
+            waitUntil(() -> receiver.store.lastValue("gradereach_customer_value_asked_total", "customer", "yard") == 20);
+            waitUntil(() -> receiver.store.lastValue("gradereach_load_orders_sent_total") >= 2);
+            waitUntil(() -> receiver.store.lastValue("gradereach_limit_bound", "limit", "inferences_held") > 0);
+            assertTrue(receiver.store.lastValue("gradereach_group_value_in_slo_total", labels) <= 10);
             receiver.fault = fault.equals("only-one") ? fault : "none";
             gateway.close();
-            Pusher.Tally end = gateway.pushed();
-            assertEquals(end.added(), end.accepted() + end.dropped(Drop.STOPPED));
-            assertEquals(0, end.held());
+            Pusher.PushStatistics end = gateway.pushTally();
+            assertEquals(end.added(), end.accepted() + end.dropped(DropReason.STOPPED));
+            assertEquals(0, end.pending());
         }
     }
 }
--- a/gateway/src/test/java/gradereach/serve/WarmUpTest.java
+++ b/gateway/src/test/java/gradereach/serve/WarmUpTest.java
@@ -42,9 +42,9 @@
 class WarmUpTest {
     private static final double BUDGET_MILLIS = 300;
     /** One that did not answer is distrusted: each call finds another. */
-    private static final int EXECUTORS = 12;
+    private static final int EXECUTOR_COUNT = 12;
     /** A line of {@code -Xlog:class+load} that names a class of the program or of the libraries its answers go through. */
-    private static final String LOADED = ".*\\] ?(gradereach|com\\.google|io\\.grpc|io\\.netty)\\..*";
+    private static final String LOADED_CLASS_LINE = ".*\\] ?(gradereach|com\\.google|io\\.grpc|io\\.netty)\\..*";
 
     private final String secret = WebhookKey.newSecret(new SecureRandom());
     private final WebhookKey key = WebhookKey.parse(secret);
@@ -53,17 +53,17 @@
 
     /** Guards against a first refusal that is late because the classes of its words are loaded only then. */
     @Test
-    void theFirstRefusalsAndFailuresLoadNoClasses() throws Exception {
+    void theFirstRejectionsAndFailuresLoadNoClasses() throws Exception {
         List<ServerSocket> silent = new ArrayList<>();
         try {
-            for (int i = 0; i < EXECUTORS; i++) {
+            for (int i = 0; i < EXECUTOR_COUNT; i++) {
                 silent.add(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
             }
-            Process frontEnd = start(deployment(silent.stream().mapToInt(ServerSocket::getLocalPort).toArray()));
+            Process frontEnd = startFrontEnd(deployment(silent.stream().mapToInt(ServerSocket::getLocalPort).toArray()));
             try (BufferedReader said = frontEnd.inputReader()) {
                 String[] words = said.readLine().split(" ");
                 awaitReady("http://" + words[3] + "/readyz");
-                List<String> before = loaded();
+                List<String> before = loadedClasses();
                 assertEquals(503, post("http://" + words[1], "shed-0"));
                 assertEquals(504, post("http://" + words[1], "fail-0"));
                 ManagedChannel channel = NettyChannelBuilder.forTarget(words[5]).usePlaintext().build();
@@ -75,7 +75,7 @@
                 } finally {
                     channel.shutdownNow();
                 }
-                List<String> after = loaded();
+                List<String> after = loadedClasses();
                 assertEquals(List.of(), after.subList(before.size(), after.size()));
             } finally {
                 frontEnd.destroy();
@@ -88,7 +88,7 @@
         }
     }
 
-    private Process start(Path deployment) throws Exception {
+    private Process startFrontEnd(Path deployment) throws Exception {
         return new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
                 "-Xlog:class+load:file=" + folder.resolve("classes.log"), "-cp", System.getProperty("java.class.path"),
                 "gradereach.serve.FrontEndProcess", deployment.toString())
@@ -120,8 +120,8 @@
         }
     }
 
-    private List<String> loaded() throws Exception {
-        return Files.readAllLines(folder.resolve("classes.log")).stream().filter(line -> line.matches(LOADED)).toList();
+    private List<String> loadedClasses() throws Exception {
+        return Files.readAllLines(folder.resolve("classes.log")).stream().filter(line -> line.matches(LOADED_CLASS_LINE)).toList();
     }
 
     private int post(String front, String model) throws Exception {
@@ -146,7 +146,7 @@
         headers.put(Metadata.Key.of("webhook-id", Metadata.ASCII_STRING_MARSHALLER), bare.getId());
         headers.put(Metadata.Key.of("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
         headers.put(Metadata.Key.of("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + key.sign(bare.getId(), now,
-                CallSignature.signed("inference.GRPCInferenceService/ModelInfer", CallSignature.digest(bare))));
+                CallSignature.signedContent("inference.GRPCInferenceService/ModelInfer", CallSignature.digest(bare))));
         try {
             GRPCInferenceServiceGrpc.newBlockingStub(channel)
                     .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers)).modelInfer(bare);
@@ -174,15 +174,15 @@
             @Override
             public void onCompleted() { }
         });
-        to.onNext(bare.toBuilder().putParameters("webhook-timestamp", text(Long.toString(now)))
-                .putParameters("webhook-signature", text("v1," + key.sign(bare.getId(), now,
-                        CallSignature.signed("inference.GRPCInferenceService/ModelStreamInfer", CallSignature.digest(bare)))))
+        to.onNext(bare.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
+                .putParameters("webhook-signature", stringParameter("v1," + key.sign(bare.getId(), now,
+                        CallSignature.signedContent("inference.GRPCInferenceService/ModelStreamInfer", CallSignature.digest(bare)))))
                 .build());
         to.onCompleted();
         return heard.get(10, TimeUnit.SECONDS).getInferResponse().getParametersOrThrow("grpc-status").getStringParam();
     }
 
-    private static InferParameter text(String value) {
+    private static InferParameter stringParameter(String value) {
         return InferParameter.newBuilder().setStringParam(value).build();
     }
 }
--- a/membership/src/main/java/gradereach/membership/Member.java
+++ b/membership/src/main/java/gradereach/membership/Member.java
@@ -15,7 +15,7 @@
         return incarnation > other.incarnation || incarnation == other.incarnation && state.compareTo(other.state) > 0;
     }
 
-    public boolean present() {
+    public boolean isPresent() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
 }
--- a/membership/src/main/java/gradereach/membership/Message.java
+++ b/membership/src/main/java/gradereach/membership/Message.java
@@ -10,15 +10,15 @@
     List<Member> gossip();
 
     /** Are you there? {@code fromAddress} is where the answer goes. */
-    record Ping(String from, String fromAddress, long number, List<Member> gossip) implements Message { }
+    record Ping(String from, String fromAddress, long sequenceNumber, List<Member> gossip) implements Message { }
 
     /** {@code number} of the ping. */
-    record Ack(String from, long number, List<Member> gossip) implements Message { }
+    record Ack(String from, long sequenceNumber, List<Member> gossip) implements Message { }
 
     /** Ask that one for me; its answer is passed on. */
-    record PingFor(String from, String fromAddress, long number, String target, String targetAddress, List<Member> gossip)
+    record PingRequest(String from, String fromAddress, long sequenceNumber, String target, String targetAddress, List<Member> gossip)
             implements Message { }
 
     /** All that I know; {@code asks} for the same in return. */
-    record Sync(String from, String fromAddress, boolean asks, List<Member> gossip) implements Message { }
+    record Sync(String from, String fromAddress, boolean replyRequested, List<Member> gossip) implements Message { }
 }
--- a/membership/src/main/java/gradereach/membership/SeatKeeper.java
+++ b/membership/src/main/java/gradereach/membership/SeatGrantor.java
@@ -13,33 +13,33 @@
  *
  * Pure: times come in; the same events give the same answers.
  */
-public final class SeatKeeper {
+public final class SeatGrantor {
     private final double lease;
     private final String[] holder;
-    private final double[] until;
-    private final double quietUntil;
+    private final double[] expiresAt;
+    private final double grantsFrom;
     /** The latest round of each holder: an earlier one that comes late must not give back what was claimed since. */
     private final Map<String, Round> rounds = new HashMap<>();
 
     private record Round(long number, double at) { }
 
     /** @param lease milliseconds by this keeper's clock */
-    public SeatKeeper(int seats, double lease, double now) {
+    public SeatGrantor(int seats, double lease, double now) {
         this.lease = lease;
         holder = new String[seats];
-        until = new double[seats];
-        quietUntil = now + lease;
+        expiresAt = new double[seats];
+        grantsFrom = now + lease;
     }
 
     /** What a keeper says: the seats of a claim that it gives, and those that nobody has here. */
-    public record Grant(BitSet given, BitSet free) { }
+    public record Grant(BitSet granted, BitSet available) { }
 
     /**
      * One round of a holder: gives back some seats and claims, or claims again, others. Null for a round that is overtaken.
      *
      * @param who a name that no other life of the same front end has
      */
-    public Grant claim(String who, long round, BitSet wanted, BitSet released, double now) {
+    public Grant handleRequest(String who, long round, BitSet wanted, BitSet released, double now) {
         rounds.values().removeIf(last -> now - last.at > 2 * lease);
         Round last = rounds.get(who);
         if (last != null && last.number >= round) {
@@ -54,13 +54,13 @@
         BitSet given = new BitSet(holder.length);
         BitSet free = new BitSet(holder.length);
         for (int i = 0; i < holder.length; i++) {
-            boolean open = holder[i] == null || now >= until[i];
-            if (now < quietUntil) {
+            boolean open = holder[i] == null || now >= expiresAt[i];
+            if (now < grantsFrom) {
                 continue;
             }
             if (wanted.get(i) && (open || holder[i].equals(who))) {
                 holder[i] = who;
-                until[i] = now + lease;
+                expiresAt[i] = now + lease;
                 given.set(i);
             } else if (open) {
                 free.set(i);
@@ -70,10 +70,10 @@
     }
 
     /** Seats out at this moment, for those who look. */
-    public List<String> holders(double now) {
+    public List<String> currentHolders(double now) {
         List<String> all = new ArrayList<>();
         for (int i = 0; i < holder.length; i++) {
-            all.add(holder[i] == null || now >= until[i] ? "" : holder[i]);
+            all.add(holder[i] == null || now >= expiresAt[i] ? "" : holder[i]);
         }
         return all;
     }
--- a/membership/src/main/java/gradereach/membership/SeatHolder.java
+++ b/membership/src/main/java/gradereach/membership/SeatHolder.java
@@ -18,28 +18,28 @@
  */
 public final class SeatHolder {
     /** Clocks may differ by so much in pace: ten times what quartz and virtual machines show. */
-    public static final double DRIFT = 0.01;
+    public static final double MAX_CLOCK_DRIFT = 0.01;
 
     /** What to send to every keeper. */
-    public record Claim(long round, BitSet wanted, BitSet released) { }
+    public record Request(long round, BitSet wanted, BitSet released) { }
 
     private final String name;
     private final int seats;
-    private final int keepers;
+    private final int grantors;
     private final double lease;
-    private final Random chance;
+    private final Random random;
     private final double[] heldUntil;
-    private final BitSet letGo;
-    private long round;
+    private final BitSet released;
+    private long startRound;
     private double sentAt;
     private BitSet wanted = new BitSet();
-    private final int[] given;
-    private final int[] free;
+    private final int[] grantCounts;
+    private final int[] availableCounts;
     private final Map<Integer, Boolean> answered = new HashMap<>();
-    private BitSet open = new BitSet();
+    private BitSet available = new BitSet();
 
     /** The name of a front end's new life, which none of its other lives has: two may begin at one reading of the clock. */
-    public static String nameOfNewLife(String frontEnd, SecureRandom chance) {
+    public static String uniqueName(String frontEnd, SecureRandom chance) {
         return frontEnd + "." + Long.toHexString(chance.nextLong());
     }
 
@@ -50,13 +50,13 @@
     public SeatHolder(String name, int seats, int keepers, double lease, Random chance) {
         this.name = name;
         this.seats = seats;
-        this.keepers = keepers;
+        this.grantors = keepers;
         this.lease = lease;
-        this.chance = chance;
+        this.random = chance;
         heldUntil = new double[seats];
-        given = new int[seats];
-        free = new int[seats];
-        letGo = new BitSet(seats);
+        grantCounts = new int[seats];
+        availableCounts = new int[seats];
+        released = new BitSet(seats);
     }
 
     public String name() {
@@ -64,8 +64,8 @@
     }
 
     /** When the next round is due: a third of the lease, so that two may be lost. */
-    public double roundAt() {
-        return round == 0 ? Double.NEGATIVE_INFINITY : sentAt + lease / 3;
+    public double nextRoundAt() {
+        return startRound == 0 ? Double.NEGATIVE_INFINITY : sentAt + lease / 3;
     }
 
     /**
@@ -73,62 +73,62 @@
      *
      * @param part of all the traffic that is this front end's, 0 to 1
      */
-    public Claim round(double part, double now) {
+    public Request startRound(double part, double now) {
         int target = Math.max(1, (int) Math.floor(part * seats));
-        BitSet held = held(now);
+        BitSet held = heldSeats(now);
         BitSet next = (BitSet) held.clone();
-        letGo.clear();
+        released.clear();
         // Beyond a tenth more than its part: it gives back. The slack keeps seats from going to and fro.
         for (int extra = held.cardinality() - (int) Math.ceil(target * 1.1); extra > 0; extra--) {
             int seat = next.length() - 1;
             next.clear(seat);
-            letGo.set(seat);
+            released.set(seat);
             heldUntil[seat] = Double.NEGATIVE_INFINITY;
         }
         int missing = target - next.cardinality();
         // A quarter of what is missing at a time: of many that grow at once none takes all.
         int more = missing <= 0 ? 0 : Math.max(1, (missing + 3) / 4);
-        BitSet options = (BitSet) open.clone();
+        BitSet options = (BitSet) available.clone();
         options.andNot(next);
-        options.andNot(letGo);
-        if (round == 0) {
+        options.andNot(released);
+        if (startRound == 0) {
             more = 0; // first it asks what is free
         }
         for (; more > 0 && !options.isEmpty(); more--) {
-            int seat = options.nextSetBit(chance.nextInt(seats));
+            int seat = options.nextSetBit(random.nextInt(seats));
             seat = seat < 0 ? options.nextSetBit(0) : seat;
             options.clear(seat);
             next.set(seat);
         }
-        round++;
+        startRound++;
         sentAt = now;
         wanted = next;
-        java.util.Arrays.fill(given, 0);
-        java.util.Arrays.fill(free, 0);
+        java.util.Arrays.fill(grantCounts, 0);
+        java.util.Arrays.fill(availableCounts, 0);
         answered.clear();
-        open = new BitSet();
-        return new Claim(round, (BitSet) next.clone(), (BitSet) letGo.clone());
+        available = new BitSet();
+        return new Request(startRound, (BitSet) next.clone(), (BitSet) released.clone());
     }
 
     /** A keeper's answer to a round; one to an earlier round says nothing any more. */
-    public void answer(int keeper, long of, SeatKeeper.Grant grant) {
-        if (of != round || answered.put(keeper, true) != null) {
+    public void handleGrant(int keeper, long of, SeatGrantor.Grant grant) {
+        if (of != startRound || answered.put(keeper, true) != null) {
             return;
         }
         for (int i = 0; i < seats; i++) {
-            given[i] += grant.given().get(i) ? 1 : 0;
-            free[i] += grant.free().get(i) ? 1 : 0;
-            if (wanted.get(i) && given[i] > keepers / 2) {
-                heldUntil[i] = Math.max(heldUntil[i], sentAt + lease * (1 - DRIFT));
+            grantCounts[i] += grant.granted().get(i) ? 1 : 0;
+            availableCounts[i] += grant.available().get(i) ? 1 : 0;
+            if (wanted.get(i) && grantCounts[i] > grantors / 2) {
+                heldUntil[i] = Math.max(heldUntil[i], sentAt + lease * (1 - MAX_CLOCK_DRIFT));
             }
-            if (free[i] > keepers / 2) {
-                open.set(i);
+            if (availableCounts[i] > grantors / 2) {
+                available.set(i);
             }
         }
     }
 
     /** Seats that may be spent at this moment. */
-    public BitSet held(double now) {
+    public BitSet heldSeats(double now) {
         BitSet held = new BitSet(seats);
         for (int i = 0; i < seats; i++) {
             held.set(i, now < heldUntil[i]);
@@ -137,7 +137,7 @@
     }
 
     /** Until when the seats that are held now are surely all still held; Double.POSITIVE_INFINITY without any. */
-    public double surelyUntil(double now) {
+    public double earliestExpiry(double now) {
         double until = Double.POSITIVE_INFINITY;
         for (double one : heldUntil) {
             until = now < one ? Math.min(until, one) : until;
@@ -147,6 +147,6 @@
 
     /** The part of all that is shared which may be spent at this moment. */
     public double share(double now) {
-        return held(now).cardinality() / (double) seats;
+        return heldSeats(now).cardinality() / (double) seats;
     }
 }
