--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -3,7 +3,7 @@
 import gradereach.membership.Member.State;
 import gradereach.membership.Message.Ack;
 import gradereach.membership.Message.Ping;
-import gradereach.membership.Message.PingFor;
+import gradereach.membership.Message.PingRequest;
 import gradereach.membership.Message.Sync;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -35,92 +35,92 @@
      * @param sync between two exchanges of everything
      * @param forget after which the dead are no longer kept: longer than any message may be late
      */
-    public record Timing(double period, double patience, int helpers, double suspicion, double sync, double forget) {
-        public static final Timing LOCAL = new Timing(500, 200, 3, 4, 15_000, 120_000);
+    public record Timing(double pingPeriod, double ackTimeout, int indirectPings, double suspicionMultiplier, double syncPeriod, double deadRetention) {
+        public static final Timing LOCAL_NETWORK = new Timing(500, 200, 3, 4, 15_000, 120_000);
     }
 
     /** What this member does; all at the present moment. */
-    public interface Out {
+    public interface Environment {
         void send(String address, Message message);
 
         /** What is believed of a member has changed. */
-        void changed(Member now);
+        void memberChanged(Member now);
     }
 
     /** Words on one message: some 60 bytes each, and a packet of 1,400 with what surrounds them. */
-    private static final int WORDS = 12;
+    private static final int MAX_UPDATES_PER_MESSAGE = 12;
     /** Lifeguard's scale of the own health: at most so many times slower with everything. */
-    private static final int MOST_AILING = 8;
+    private static final int MAX_HEALTH_SCORE = 8;
 
-    private static final class Known {
-        Member word;
+    private static final class Peer {
+        Member member;
         /** For a suspect: when it is dead; for a dead one: when it is forgotten. */
-        double until = Double.POSITIVE_INFINITY;
+        double deadline = Double.POSITIVE_INFINITY;
         double suspectedAt;
-        int confirmed;
+        int confirmations;
 
-        Known(Member word) {
-            this.word = word;
+        Peer(Member word) {
+            this.member = word;
         }
     }
 
     /** A ping whose answer is awaited. */
-    private static final class Asked {
-        final long number;
-        final Member whom;
-        final double helpAt;
-        final double endsAt;
-        boolean helped;
-        boolean answered;
+    private static final class PendingPing {
+        final long sequenceNumber;
+        final Member target;
+        final double indirectPingAt;
+        final double expiresAt;
+        boolean indirectPingsSent;
+        boolean acknowledged;
         /** For one asked on behalf of another: where its answer goes, and its number there. */
-        final String forAddress;
-        final long forNumber;
-
-        Asked(long number, Member whom, double helpAt, double endsAt, String forAddress, long forNumber) {
-            this.number = number;
-            this.whom = whom;
-            this.helpAt = helpAt;
-            this.endsAt = endsAt;
-            this.forAddress = forAddress;
-            this.forNumber = forNumber;
+        final String requesterAddress;
+        final long requesterSequenceNumber;
+
+        PendingPing(long number, Member whom, double helpAt, double endsAt, String forAddress, long forNumber) {
+            this.sequenceNumber = number;
+            this.target = whom;
+            this.indirectPingAt = helpAt;
+            this.expiresAt = endsAt;
+            this.requesterAddress = forAddress;
+            this.requesterSequenceNumber = forNumber;
         }
     }
 
     private final Timing timing;
-    private final Random chance;
-    private final Out out;
-    private final Map<String, Known> known = new LinkedHashMap<>();
-    private final Map<Long, Asked> asked = new HashMap<>();
-    private final PriorityQueue<Asked> ends = new PriorityQueue<>((a, b) -> a.endsAt != b.endsAt
-            ? Double.compare(a.endsAt, b.endsAt) : Long.compare(a.number, b.number));
-    private final List<String> round = new ArrayList<>();
-    private final Rumours rumours = new Rumours(WORDS);
+    private final Random random;
+    private final Environment environment;
+    private final Map<String, Peer> peers = new LinkedHashMap<>();
+    private final Map<Long, PendingPing> pendingPings = new HashMap<>();
+    private final PriorityQueue<PendingPing> pingsByExpiry = new PriorityQueue<>((a, b) -> a.expiresAt != b.expiresAt
+            ? Double.compare(a.expiresAt, b.expiresAt) : Long.compare(a.sequenceNumber, b.sequenceNumber));
+    private final List<String> pingOrder = new ArrayList<>();
+    private final GossipQueue gossipQueue = new GossipQueue(MAX_UPDATES_PER_MESSAGE);
     private Member self;
-    private int present;
-    private int ailing;
-    private long numbers;
+    private int presentCount;
+    private int healthScore;
+    private long lastSequenceNumber;
     private double pingAt;
     private double syncAt;
-    private double lookedAt = Double.NaN;
+    private double lastTickAt = Double.NaN;
     private boolean left;
 
     /** @param incarnation higher than any that this name had before: Unix milliseconds of the start will do */
-    public Swim(String name, String address, long incarnation, Timing timing, Random chance, double now, Out out) {
+    public Swim(String name, String address, long incarnation, Timing timing, Random chance, double now, Environment out) {
         this.timing = timing;
-        this.chance = chance;
-        this.out = out;
+        this.random = chance;
+        this.environment = out;
         self = new Member(name, address, incarnation, State.ALIVE);
         // Members that start at once do not ping at once.
-        pingAt = now + chance.nextDouble() * timing.period;
-        syncAt = now + timing.sync * (0.5 + chance.nextDouble());
-        rumours.add(self);
+        pingAt = now + chance.nextDouble() * timing.pingPeriod;
+        syncAt = now + timing.syncPeriod * (0.5 + chance.nextDouble());
+        gossipQueue.add(self);
     }
 
     /** Asks these to tell all they know. Again where nobody answered: the caller's matter. */
     public void join(List<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(self.address())) {
-                out.send(address, new Sync(self.name(), self.address(), true, everything()));
+                environment.send(address, new Sync(self.name(), self.address(), true, allMembers()));
             }
         }
     }
@@ -130,12 +130,12 @@
         left = true;
         self = new Member(self.name(), self.address(), self.incarnation(), State.LEFT);
         List<Member> goodbye = List.of(self);
-        List<Known> some = new ArrayList<>(known.values());
-        Collections.shuffle(some, chance);
+        List<Peer> some = new ArrayList<>(peers.values());
+        Collections.shuffle(some, random);
         int count = 0;
-        for (Known one : some) {
-            if (one.word.present() && count++ < Rumours.times(present + 1)) {
-                out.send(one.word.address(), new Ping(self.name(), self.address(), ++numbers, goodbye));
+        for (Peer one : some) {
+            if (one.member.isPresent() && count++ < GossipQueue.transmitLimit(presentCount + 1)) {
+                environment.send(one.member.address(), new Ping(self.name(), self.address(), ++lastSequenceNumber, goodbye));
             }
         }
     }
@@ -143,144 +143,144 @@
     // ---- time -----------------------------------------------------------------------------------------------
 
     /** When {@link #tick} has something to do. */
-    public double nextAt() {
+    public double nextTickAt() {
         double next = left ? Double.POSITIVE_INFINITY : Math.min(pingAt, syncAt);
-        for (Asked one : asked.values()) {
-            next = Math.min(next, one.helped || one.forAddress != null || one.answered ? one.endsAt : one.helpAt);
+        for (PendingPing one : pendingPings.values()) {
+            next = Math.min(next, one.indirectPingsSent || one.requesterAddress != null || one.acknowledged ? one.expiresAt : one.indirectPingAt);
         }
-        for (Known one : known.values()) {
-            next = Math.min(next, one.until);
+        for (Peer one : peers.values()) {
+            next = Math.min(next, one.deadline);
         }
         return next;
     }
 
     public void tick(double now) {
-        boolean halted = !Double.isNaN(lookedAt) && now - lookedAt > timing.period * 3;
-        lookedAt = now;
+        boolean halted = !Double.isNaN(lastTickAt) && now - lastTickAt > timing.pingPeriod * 3;
+        lastTickAt = now;
         if (left) {
             return;
         }
         if (halted) {
-            resumed(now);
+            handleHalt(now);
         }
-        for (Asked one : List.copyOf(asked.values())) {
-            if (!one.helped && !one.answered && one.forAddress == null && now >= one.helpAt && now < one.endsAt) {
-                help(one);
+        for (PendingPing one : List.copyOf(pendingPings.values())) {
+            if (!one.indirectPingsSent && !one.acknowledged && one.requesterAddress == null && now >= one.indirectPingAt && now < one.expiresAt) {
+                sendIndirectPings(one);
             }
         }
-        while (!ends.isEmpty() && ends.peek().endsAt <= now) {
-            end(ends.poll(), now);
+        while (!pingsByExpiry.isEmpty() && pingsByExpiry.peek().expiresAt <= now) {
+            expirePing(pingsByExpiry.poll(), now);
         }
-        expire(now);
+        expirePeers(now);
         if (now >= pingAt) {
-            pingAt = now + timing.period * (1 + ailing / 2.0);
+            pingAt = now + timing.pingPeriod * (1 + healthScore / 2.0);
             ping(now);
         }
         if (now >= syncAt) {
-            syncAt = now + timing.sync * (0.5 + chance.nextDouble());
-            Known whom = any();
+            syncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
+            Peer whom = randomPresentPeer();
             if (whom != null) {
-                out.send(whom.word.address(), new Sync(self.name(), self.address(), true, everything()));
+                environment.send(whom.member.address(), new Sync(self.name(), self.address(), true, allMembers()));
             }
         }
     }
 
     /** After a halt of our own no answer was heard because nobody listened: nothing is held against anybody. */
-    private void resumed(double now) {
-        asked.clear();
-        ends.clear();
-        ailing = Math.min(MOST_AILING, ailing + 2);
-        for (Known one : known.values()) {
-            if (one.word.state() == State.SUSPECT) {
-                one.until = now + suspicion(one.confirmed);
+    private void handleHalt(double now) {
+        pendingPings.clear();
+        pingsByExpiry.clear();
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 2);
+        for (Peer one : peers.values()) {
+            if (one.member.state() == State.SUSPECT) {
+                one.deadline = now + suspicionTimeout(one.confirmations);
             }
         }
     }
 
     private void ping(double now) {
-        Known next = null;
-        while (next == null || !next.word.present()) {
-            if (round.isEmpty()) {
-                known.values().forEach(one -> {
-                    if (one.word.present()) {
-                        round.add(one.word.name());
+        Peer next = null;
+        while (next == null || !next.member.isPresent()) {
+            if (pingOrder.isEmpty()) {
+                peers.values().forEach(one -> {
+                    if (one.member.isPresent()) {
+                        pingOrder.add(one.member.name());
                     }
                 });
-                if (round.isEmpty()) {
+                if (pingOrder.isEmpty()) {
                     return;
                 }
-                Collections.shuffle(round, chance);
+                Collections.shuffle(pingOrder, random);
             }
-            next = known.get(round.remove(round.size() - 1));
+            next = peers.get(pingOrder.remove(pingOrder.size() - 1));
         }
-        double patience = timing.patience * (1 + ailing);
-        Asked one = new Asked(++numbers, next.word, now + patience, now + Math.max(patience * 2.5, timing.period), null, 0);
-        asked.put(one.number, one);
-        ends.add(one);
+        double patience = timing.ackTimeout * (1 + healthScore);
+        PendingPing one = new PendingPing(++lastSequenceNumber, next.member, now + patience, now + Math.max(patience * 2.5, timing.pingPeriod), null, 0);
+        pendingPings.put(one.sequenceNumber, one);
+        pingsByExpiry.add(one);
         // A suspect hears first that it is one, so that it can speak up.
-        out.send(next.word.address(), new Ping(self.name(), self.address(), one.number,
-                news(next.word.state() == State.SUSPECT ? next.word : null)));
+        environment.send(next.member.address(), new Ping(self.name(), self.address(), one.sequenceNumber,
+                nextGossip(next.member.state() == State.SUSPECT ? next.member : null)));
     }
 
-    private void help(Asked one) {
-        one.helped = true;
-        List<Known> others = new ArrayList<>();
-        known.values().forEach(k -> {
-            if (k.word.state() == State.ALIVE && !k.word.name().equals(one.whom.name())) {
+    private void sendIndirectPings(PendingPing one) {
+        one.indirectPingsSent = true;
+        List<Peer> others = new ArrayList<>();
+        peers.values().forEach(k -> {
+            if (k.member.state() == State.ALIVE && !k.member.name().equals(one.target.name())) {
                 others.add(k);
             }
         });
-        Collections.shuffle(others, chance);
-        for (Known helper : others.subList(0, Math.min(timing.helpers, others.size()))) {
-            out.send(helper.word.address(), new PingFor(self.name(), self.address(), one.number, one.whom.name(),
-                    one.whom.address(), news(null)));
+        Collections.shuffle(others, random);
+        for (Peer helper : others.subList(0, Math.min(timing.indirectPings, others.size()))) {
+            environment.send(helper.member.address(), new PingRequest(self.name(), self.address(), one.sequenceNumber, one.target.name(),
+                    one.target.address(), nextGossip(null)));
         }
     }
 
-    private void end(Asked one, double now) {
-        asked.remove(one.number);
-        if (one.answered) {
-            ailing = Math.max(0, ailing - 1);
+    private void expirePing(PendingPing one, double now) {
+        pendingPings.remove(one.sequenceNumber);
+        if (one.acknowledged) {
+            healthScore = Math.max(0, healthScore - 1);
             return;
         }
-        if (one.forAddress != null) {
+        if (one.requesterAddress != null) {
             return;
         }
-        ailing = Math.min(MOST_AILING, ailing + 1);
-        Known about = known.get(one.whom.name());
-        if (about != null && about.word.state() == State.SUSPECT) {
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 1);
+        Peer about = peers.get(one.target.name());
+        if (about != null && about.member.state() == State.SUSPECT) {
             // Found silent by ourselves as well: what others say in a row is one finding, told often.
-            about.confirmed = Math.min(3, about.confirmed + 1);
-            about.until = Math.min(about.until, about.suspectedAt + suspicion(about.confirmed));
-        } else if (about != null && about.word.state() == State.ALIVE && about.word.incarnation() == one.whom.incarnation()) {
-            believe(new Member(about.word.name(), about.word.address(), about.word.incarnation(), State.SUSPECT), now);
+            about.confirmations = Math.min(3, about.confirmations + 1);
+            about.deadline = Math.min(about.deadline, about.suspectedAt + suspicionTimeout(about.confirmations));
+        } else if (about != null && about.member.state() == State.ALIVE && about.member.incarnation() == one.target.incarnation()) {
+            applyUpdate(new Member(about.member.name(), about.member.address(), about.member.incarnation(), State.SUSPECT), now);
         }
     }
 
-    private double suspicion(int confirmed) {
-        double least = timing.suspicion * timing.period * Math.max(1, Math.log10(present + 1));
+    private double suspicionTimeout(int confirmed) {
+        double least = timing.suspicionMultiplier * timing.pingPeriod * Math.max(1, Math.log10(presentCount + 1));
         // Six times as long at first, less with each time that we find it silent ourselves (after Lifeguard, "LHA-Suspicion").
         double factor = 6 - 5 * Math.log(confirmed + 1) / Math.log(4);
-        return least * Math.max(1, factor) * (1 + ailing / 2.0);
+        return least * Math.max(1, factor) * (1 + healthScore / 2.0);
     }
 
-    private void expire(double now) {
-        for (Known one : List.copyOf(known.values())) {
-            if (now < one.until) {
+    private void expirePeers(double now) {
+        for (Peer one : List.copyOf(peers.values())) {
+            if (now < one.deadline) {
                 continue;
             }
-            if (one.word.state() == State.SUSPECT) {
-                believe(new Member(one.word.name(), one.word.address(), one.word.incarnation(), State.DEAD), now);
-            } else if (!one.word.present()) {
-                known.remove(one.word.name());
+            if (one.member.state() == State.SUSPECT) {
+                applyUpdate(new Member(one.member.name(), one.member.address(), one.member.incarnation(), State.DEAD), now);
+            } else if (!one.member.isPresent()) {
+                peers.remove(one.member.name());
             }
         }
     }
 
     // ---- messages -------------------------------------------------------------------------------------------
 
-    public void heard(Message message, double now) {
-        lookedAt = Double.isNaN(lookedAt) ? now : lookedAt;
+    public void handleMessage(Message message, double now) {
+        lastTickAt = Double.isNaN(lastTickAt) ? now : lastTickAt;
         if (left) {
             return;
         }
@@ -288,94 +288,94 @@
         for (Member word : message.gossip()) {
             // Also where we have taken it back long since: that word was lost on its way there.
             wronged |= word.name().equals(self.name()) && word.state() != State.ALIVE;
-            believe(word, now);
+            applyUpdate(word, now);
         }
         if (message instanceof Ping ping) {
-            out.send(ping.fromAddress(), new Ack(self.name(), ping.number(), news(wronged ? self : null)));
+            environment.send(ping.fromAddress(), new Ack(self.name(), ping.sequenceNumber(), nextGossip(wronged ? self : null)));
         } else if (message instanceof Ack ack) {
-            Asked one = asked.get(ack.number());
-            if (one != null && !one.answered) {
-                one.answered = true;
-                if (one.forAddress != null) {
-                    out.send(one.forAddress, new Ack(self.name(), one.forNumber, news(null)));
+            PendingPing one = pendingPings.get(ack.sequenceNumber());
+            if (one != null && !one.acknowledged) {
+                one.acknowledged = true;
+                if (one.requesterAddress != null) {
+                    environment.send(one.requesterAddress, new Ack(self.name(), one.requesterSequenceNumber, nextGossip(null)));
                 }
             }
-        } else if (message instanceof PingFor ask) {
+        } else if (message instanceof PingRequest ask) {
             Member target = new Member(ask.target(), ask.targetAddress(), 0, State.ALIVE);
-            Asked one = new Asked(++numbers, target, Double.POSITIVE_INFINITY, now + timing.patience * 2, ask.fromAddress(), ask.number());
-            asked.put(one.number, one);
-            ends.add(one);
-            out.send(ask.targetAddress(), new Ping(self.name(), self.address(), one.number, news(null)));
-        } else if (message instanceof Sync sync && sync.asks()) {
-            out.send(sync.fromAddress(), new Sync(self.name(), self.address(), false, everything()));
+            PendingPing one = new PendingPing(++lastSequenceNumber, target, Double.POSITIVE_INFINITY, now + timing.ackTimeout * 2, ask.fromAddress(), ask.sequenceNumber());
+            pendingPings.put(one.sequenceNumber, one);
+            pingsByExpiry.add(one);
+            environment.send(ask.targetAddress(), new Ping(self.name(), self.address(), one.sequenceNumber, nextGossip(null)));
+        } else if (message instanceof Sync sync && sync.replyRequested()) {
+            environment.send(sync.fromAddress(), new Sync(self.name(), self.address(), false, allMembers()));
         }
     }
 
-    private List<Member> news(Member first) {
-        return rumours.next(present + 1, first);
+    private List<Member> nextGossip(Member first) {
+        return gossipQueue.next(presentCount + 1, first);
     }
 
-    private List<Member> everything() {
+    private List<Member> allMembers() {
         List<Member> all = new ArrayList<>();
         all.add(self);
-        known.values().forEach(one -> all.add(one.word));
+        peers.values().forEach(one -> all.add(one.member));
         return all;
     }
 
-    private Known any() {
-        List<Known> there = new ArrayList<>();
-        known.values().forEach(one -> {
-            if (one.word.present()) {
+    private Peer randomPresentPeer() {
+        List<Peer> there = new ArrayList<>();
+        peers.values().forEach(one -> {
+            if (one.member.isPresent()) {
                 there.add(one);
             }
         });
-        return there.isEmpty() ? null : there.get(chance.nextInt(there.size()));
+        return there.isEmpty() ? null : there.get(random.nextInt(there.size()));
     }
 
     /** A word on a member, our own or heard. */
-    private void believe(Member word, double now) {
+    private void applyUpdate(Member word, double now) {
         if (word.name().equals(self.name())) {
             if (word.incarnation() > self.incarnation() || word.incarnation() == self.incarnation() && word.state() != State.ALIVE) {
                 // Somebody holds us dead, or remembers an earlier life of ours: only a higher incarnation takes that back.
                 self = new Member(self.name(), self.address(), word.incarnation() + 1, State.ALIVE);
-                ailing = Math.min(MOST_AILING, ailing + 1);
-                rumours.add(self);
+                healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 1);
+                gossipQueue.add(self);
             }
             return;
         }
-        Known about = known.get(word.name());
+        Peer about = peers.get(word.name());
         if (about == null) {
-            if (!word.present()) {
+            if (!word.isPresent()) {
                 return; // of somebody we never knew, or have forgotten
             }
-            about = new Known(word);
-            known.put(word.name(), about);
-            present++;
-            tell(about, now);
+            about = new Peer(word);
+            peers.put(word.name(), about);
+            presentCount++;
+            stateChanged(about, now);
             // New ones are pinged within a round, at a place of it that chance decides.
-            round.add(chance.nextInt(round.size() + 1), word.name());
+            pingOrder.add(random.nextInt(pingOrder.size() + 1), word.name());
             return;
         }
-        if (!word.overrides(about.word)) {
+        if (!word.overrides(about.member)) {
             return;
         }
-        present += (word.present() ? 1 : 0) - (about.word.present() ? 1 : 0);
-        boolean changes = word.state() != about.word.state() || !word.address().equals(about.word.address());
-        about.word = word;
+        presentCount += (word.isPresent() ? 1 : 0) - (about.member.isPresent() ? 1 : 0);
+        boolean changes = word.state() != about.member.state() || !word.address().equals(about.member.address());
+        about.member = word;
         if (changes) {
-            tell(about, now);
+            stateChanged(about, now);
         } else {
-            rumours.add(word);
+            gossipQueue.add(word);
         }
     }
 
-    private void tell(Known about, double now) {
-        State state = about.word.state();
-        about.confirmed = 0;
+    private void stateChanged(Peer about, double now) {
+        State state = about.member.state();
+        about.confirmations = 0;
         about.suspectedAt = now;
-        about.until = state == State.SUSPECT ? now + suspicion(0) : state == State.ALIVE ? Double.POSITIVE_INFINITY : now + timing.forget;
-        rumours.add(about.word);
-        out.changed(about.word);
+        about.deadline = state == State.SUSPECT ? now + suspicionTimeout(0) : state == State.ALIVE ? Double.POSITIVE_INFINITY : now + timing.deadRetention;
+        gossipQueue.add(about.member);
+        environment.memberChanged(about.member);
     }
 
     // ---- what is believed -----------------------------------------------------------------------------------
@@ -387,17 +387,17 @@
     /** All that are known, this member not among them. */
     public Collection<Member> members() {
         List<Member> all = new ArrayList<>();
-        known.values().forEach(one -> all.add(one.word));
+        peers.values().forEach(one -> all.add(one.member));
         return all;
     }
 
     /** Members present, this one among them; a guess, never to be used where a rule depends on it. */
-    public int present() {
-        return present + 1;
+    public int presentCount() {
+        return presentCount + 1;
     }
 
     /** How slow this member believes itself to be: 0 is well. */
-    public int ailing() {
-        return ailing;
+    public int healthScore() {
+        return healthScore;
     }
 }
--- a/membership/src/test/java/gradereach/membership/SeatsTest.java
+++ b/membership/src/test/java/gradereach/membership/SeatLeaseTest.java
@@ -16,23 +16,23 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Holders and keepers over a network that loses, delays, doubles and cuts, with clocks that differ, pauses and restarts. */
-class SeatsTest {
+class SeatLeaseTest {
     private static final int SEATS = 60;
     private static final double LEASE = 3000;
 
     /** What is built wrong, to see that it is found. */
-    enum Planted { NOTHING, COUNTS_FROM_THE_ANSWER, NO_QUIET_START, ONE_KEEPER_IS_ENOUGH, SPENDS_WHAT_IT_GAVE_BACK, LATE_ROUNDS_COUNT }
+    enum Bug { NONE, LEASE_COUNTED_FROM_THE_GRANT, GRANTS_AT_ONCE_AFTER_A_START, ONE_GRANTOR_IS_ENOUGH, SPENDS_RELEASED_SEATS, ACCEPTS_LATE_ROUNDS }
 
     private record Event(double at, long order, Runnable what) { }
 
     /** One day of it, in real time; every process has a clock of its own pace and beginning. */
-    private static final class Day {
+    private static final class Simulation {
         final Random chance;
-        final Planted planted;
+        final Bug planted;
         final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at)
                 : Long.compare(a.order, b.order));
         final int fronts;
-        final SeatKeeper[] keepers;
+        final SeatGrantor[] keepers;
         final SeatHolder[] holders;
         final double[] pace;
         final double[] began;
@@ -46,11 +46,11 @@
         double used;
         int broken;
 
-        Day(long seed, int fronts, Planted planted) {
+        Simulation(long seed, int fronts, Bug planted) {
             chance = new Random(seed);
             this.planted = planted;
             this.fronts = fronts;
-            keepers = new SeatKeeper[fronts];
+            keepers = new SeatGrantor[fronts];
             holders = new SeatHolder[fronts];
             pace = new double[fronts];
             began = new double[fronts];
@@ -61,7 +61,7 @@
             java.util.Arrays.fill(weight, 1);
             gaveBack = new BitSet[fronts];
             for (int i = 0; i < fronts; i++) {
-                pace[i] = 1 + (chance.nextDouble() - 0.5) * SeatHolder.DRIFT;
+                pace[i] = 1 + (chance.nextDouble() - 0.5) * SeatHolder.MAX_CLOCK_DRIFT;
                 began[i] = chance.nextDouble() * 1e6;
                 start(i);
             }
@@ -77,9 +77,9 @@
 
         void start(int i) {
             lives[i]++;
-            boolean rash = planted == Planted.NO_QUIET_START;
-            keepers[i] = new SeatKeeper(SEATS, LEASE, rash ? clock(i) - LEASE : clock(i));
-            holders[i] = new SeatHolder("fe-" + i + "." + lives[i], SEATS, planted == Planted.ONE_KEEPER_IS_ENOUGH ? 1 : fronts, LEASE,
+            boolean rash = planted == Bug.GRANTS_AT_ONCE_AFTER_A_START;
+            keepers[i] = new SeatGrantor(SEATS, LEASE, rash ? clock(i) - LEASE : clock(i));
+            holders[i] = new SeatHolder("fe-" + i + "." + lives[i], SEATS, planted == Bug.ONE_GRANTOR_IS_ENOUGH ? 1 : fronts, LEASE,
                     new Random(chance.nextLong()));
             gaveBack[i] = new BitSet();
             int life = lives[i];
@@ -111,21 +111,21 @@
 
         void round(int i, int life) {
             reach(i, life, () -> {
-                SeatHolder.Claim claim = holders[i].round(weight[i] / java.util.Arrays.stream(weight).sum(), clock(i));
+                SeatHolder.Request claim = holders[i].startRound(weight[i] / java.util.Arrays.stream(weight).sum(), clock(i));
                 gaveBack[i].or(claim.released());
                 String name = holders[i].name();
                 for (int k = 0; k < fronts; k++) {
                     int keeper = k;
                     send(i, k, () -> {
-                        long number = planted == Planted.LATE_ROUNDS_COUNT ? order : claim.round();
-                        SeatKeeper.Grant grant = keepers[keeper].claim(name, number, claim.wanted(), claim.released(), clock(keeper));
+                        long number = planted == Bug.ACCEPTS_LATE_ROUNDS ? order : claim.round();
+                        SeatGrantor.Grant grant = keepers[keeper].handleRequest(name, number, claim.wanted(), claim.released(), clock(keeper));
                         if (grant == null) {
                             return;
                         }
                         send(keeper, i, () -> {
                             if (lives[i] == life) {
-                                double counted = planted == Planted.COUNTS_FROM_THE_ANSWER ? clock(i) : Double.NaN;
-                                holders[i].answer(keeper, claim.round(), grant);
+                                double counted = planted == Bug.LEASE_COUNTED_FROM_THE_GRANT ? clock(i) : Double.NaN;
+                                holders[i].handleGrant(keeper, claim.round(), grant);
                                 if (!Double.isNaN(counted)) {
                                     stretch(i, counted);
                                 }
@@ -144,11 +144,11 @@
         }
 
         BitSet held(int i) {
-            BitSet held = holders[i].held(clock(i));
-            if (planted == Planted.COUNTS_FROM_THE_ANSWER && clock(i) < stretched.getOrDefault(i, 0.0)) {
+            BitSet held = holders[i].heldSeats(clock(i));
+            if (planted == Bug.LEASE_COUNTED_FROM_THE_GRANT && clock(i) < stretched.getOrDefault(i, 0.0)) {
                 held.or(before[i]);
             }
-            if (planted == Planted.SPENDS_WHAT_IT_GAVE_BACK) {
+            if (planted == Bug.SPENDS_RELEASED_SEATS) {
                 held.or(gaveBack[i]);
             }
             return held;
@@ -205,15 +205,15 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Planted.class)
-    void noSeatIsSpentByTwo(Planted planted) {
+    @EnumSource(Bug.class)
+    void noSeatIsSpentByTwo(Bug planted) {
         int found = 0;
-        for (long seed = 1; seed <= (planted == Planted.NOTHING ? 60 : 600) && (found == 0); seed++) {
-            Day day = new Day(seed, 3 + (int) (seed % 5), planted);
+        for (long seed = 1; seed <= (planted == Bug.NONE ? 60 : 600) && (found == 0); seed++) {
+            Simulation day = new Simulation(seed, 3 + (int) (seed % 5), planted);
             day.run(90_000, true);
             found += day.broken > 0 ? 1 : 0;
         }
-        if (planted == Planted.NOTHING) {
+        if (planted == Bug.NONE) {
             assertEquals(0, found);
         } else {
             assertTrue(found > 0, "not found");
@@ -227,14 +227,14 @@
         SecureRandom chance = new SecureRandom();
         Set<String> names = new HashSet<>();
         for (int i = 0; i < 1000; i++) {
-            names.add(SeatHolder.nameOfNewLife("fe-0", chance));
+            names.add(SeatHolder.uniqueName("fe-0", chance));
         }
         assertEquals(1000, names.size());
     }
 
     @Test
     void inPeaceNearlyAllSeatsAreUsed() {
-        Day day = new Day(7, 12, Planted.NOTHING);
+        Simulation day = new Simulation(7, 12, Bug.NONE);
         day.run(120_000, false);
         int sum = 0;
         for (int i = 0; i < 12; i++) {
@@ -243,7 +243,7 @@
             sum += own;
         }
         assertTrue(sum >= 55, sum + " of 60 in use");
-        List<String> holders = new ArrayList<>(day.keepers[0].holders(day.clock(0)));
+        List<String> holders = new ArrayList<>(day.keepers[0].currentHolders(day.clock(0)));
         assertTrue(holders.stream().filter(h -> !h.isEmpty()).count() >= 55);
     }
 }
--- a/membership/src/test/java/gradereach/membership/SwimTest.java
+++ b/membership/src/test/java/gradereach/membership/SwimTest.java
@@ -21,7 +21,7 @@
 
     private record Event(double at, long order, Runnable what) { }
 
-    private static final class Net {
+    private static final class Network {
         final Random chance;
         final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at)
                 : Long.compare(a.order, b.order));
@@ -37,7 +37,7 @@
         /** Deaths that somebody believed of a member that was up and well. */
         long falseDeaths;
 
-        Net(long seed) {
+        Network(long seed) {
             chance = new Random(seed);
         }
 
@@ -48,14 +48,14 @@
         void start(String name, long incarnation) {
             Map<String, Member> view = new HashMap<>();
             believed.put(name, view);
-            Swim made = new Swim(name, name, incarnation, TIMING, new Random(chance.nextLong()), now, new Swim.Out() {
+            Swim made = new Swim(name, name, incarnation, TIMING, new Random(chance.nextLong()), now, new Swim.Environment() {
                 @Override
                 public void send(String address, Message message) {
                     pass(name, address, message);
                 }
 
                 @Override
-                public void changed(Member member) {
+                public void memberChanged(Member member) {
                     Member before = view.put(member.name(), member);
                     assertTrue(before == null || member.overrides(before), "a word that does not hold: " + before + " then " + member);
                     if (member.state() == State.DEAD) {
@@ -74,14 +74,14 @@
         private void join(Swim made, List<String> seeds) {
             made.join(seeds);
             at(now + 2000, () -> {
-                if (made.present() == 1 && up.get(made.self().name()) == made) {
+                if (made.presentCount() == 1 && up.get(made.self().name()) == made) {
                     join(made, seeds);
                 }
             });
         }
 
         void wake(String name, Swim of) {
-            at(Math.max(now + 1, Math.min(of.nextAt(), now + 1000)), () -> {
+            at(Math.max(now + 1, Math.min(of.nextTickAt(), now + 1000)), () -> {
                 if (up.get(name) != of) {
                     return;
                 }
@@ -115,7 +115,7 @@
                 at(pausedUntil.get(to), () -> deliver(to, message));
                 return;
             }
-            there.heard(message, now);
+            there.handleMessage(message, now);
         }
 
         void run(double until) {
@@ -129,7 +129,7 @@
 
         /** How many believe that so many are present. */
         long agree(int present) {
-            return up.values().stream().filter(s -> s.present() == present).count();
+            return up.values().stream().filter(s -> s.presentCount() == present).count();
         }
 
         void fleet(int count) {
@@ -143,7 +143,7 @@
     @ParameterizedTest
     @CsvSource({"3, 0", "10, 0", "100, 0", "30, 0.1", "300, 0.1"})
     void allFindEachOtherAndADeadOneIsFoundOut(int count, double loss) {
-        Net net = new Net(count);
+        Network net = new Network(count);
         net.loss = loss;
         net.fleet(count);
         net.run(60_000);
@@ -157,7 +157,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void whoIsWellIsNotHeldDead(long seed) {
-        Net net = new Net(seed);
+        Network net = new Network(seed);
         net.loss = 0.1;
         net.fleet(40);
         for (int i = 0; i < 20; i++) {
@@ -173,7 +173,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void halvesHeal(long seed) {
-        Net net = new Net(seed);
+        Network net = new Network(seed);
         net.fleet(20);
         net.run(20_000);
         for (int i = 0; i < 8; i++) {
@@ -192,7 +192,7 @@
     /** Nine in ten restart one after the other under their old names; 44 in a hundred die at once. */
     @Test
     void rollingRestartsAndMassDeathsAreSeen() {
-        Net net = new Net(5);
+        Network net = new Network(5);
         net.fleet(50);
         net.run(20_000);
         for (int i = 0; i < 45; i++) {
@@ -212,7 +212,7 @@
     /** Who leaves in good order is not suspected, and its name may come back. */
     @Test
     void aGoodbyeIsNoDeath() {
-        Net net = new Net(9);
+        Network net = new Network(9);
         net.fleet(20);
         net.run(20_000);
         net.up.get("fe-0003").leave();
@@ -231,7 +231,7 @@
         double[] each = new double[2];
         for (int n = 0; n < 2; n++) {
             int count = n == 0 ? 20 : 200;
-            Net net = new Net(3);
+            Network net = new Network(3);
             net.fleet(count);
             net.run(30_000);
             long before = net.messages;
@@ -245,7 +245,7 @@
     void theSameSeedGivesTheSameDay() {
         List<String> days = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Net net = new Net(77);
+            Network net = new Network(77);
             net.loss = 0.2;
             net.fleet(15);
             net.run(30_000);
--- a/rehearsal/src/main/java/gradereach/measure/GrpcLoad.java
+++ b/rehearsal/src/main/java/gradereach/measure/GrpcLoadGenerator.java
@@ -20,30 +20,30 @@
 import java.util.function.Consumer;
 
 /** Signed unary calls with a tensor of 64 numbers, over so many connections in turn. */
-final class GrpcLoad implements AutoCloseable {
-    private static final String METHOD = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
-    private static final Metadata.Key<String> ID = ascii(CallSignature.ID);
-    private static final Metadata.Key<String> TIMESTAMP = ascii(CallSignature.TIMESTAMP);
-    private static final Metadata.Key<String> SIGNATURE = ascii(CallSignature.SIGNATURE);
+final class GrpcLoadGenerator implements AutoCloseable {
+    private static final String METHOD_NAME = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
+    private static final Metadata.Key<String> ID = asciiKey(CallSignature.ID);
+    private static final Metadata.Key<String> TIMESTAMP = asciiKey(CallSignature.TIMESTAMP);
+    private static final Metadata.Key<String> SIGNATURE = asciiKey(CallSignature.SIGNATURE);
     private final List<ManagedChannel> channels = new ArrayList<>();
     private final WebhookKey key;
     /** By model, with what is signed of it. */
     private final Map<String, ModelInferRequest> requests = new HashMap<>();
-    private final Map<String, byte[]> signed = new HashMap<>();
-    private int turn;
+    private final Map<String, byte[]> signedContents = new HashMap<>();
+    private int nextChannel;
 
-    GrpcLoad(InetSocketAddress to, WebhookKey key, int connections) {
+    GrpcLoadGenerator(InetSocketAddress to, WebhookKey key, int connections) {
         this.key = key;
         for (int i = 0; i < connections; i++) {
             channels.add(NettyChannelBuilder.forAddress(to).usePlaintext().disableRetry().directExecutor().build());
         }
     }
 
-    private static Metadata.Key<String> ascii(String name) {
+    private static Metadata.Key<String> asciiKey(String name) {
         return Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER);
     }
 
-    private static ModelInferRequest request(String model) {
+    private static ModelInferRequest createRequest(String model) {
         InferTensorContents.Builder numbers = InferTensorContents.newBuilder();
         for (int i = 0; i < 64; i++) {
             numbers.addFp32Contents(0.125f);
@@ -54,14 +54,14 @@
 
     /** Of one thread; {@code then} hears on the I/O threads whether it was returned. */
     void send(String id, String model, Consumer<Boolean> then) {
-        ModelInferRequest request = requests.computeIfAbsent(model, GrpcLoad::request);
-        byte[] of = signed.computeIfAbsent(model, m -> CallSignature.signed(METHOD, CallSignature.digest(request)));
+        ModelInferRequest request = requests.computeIfAbsent(model, GrpcLoadGenerator::createRequest);
+        byte[] of = signedContents.computeIfAbsent(model, m -> CallSignature.signedContent(METHOD_NAME, CallSignature.digest(request)));
         long at = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
         headers.put(ID, id);
         headers.put(TIMESTAMP, Long.toString(at));
         headers.put(SIGNATURE, "v1," + key.sign(id, at, of));
-        ClientCall<ModelInferRequest, ModelInferResponse> call = channels.get(turn++ % channels.size())
+        ClientCall<ModelInferRequest, ModelInferResponse> call = channels.get(nextChannel++ % channels.size())
                 .newCall(GRPCInferenceServiceGrpc.getModelInferMethod(), CallOptions.DEFAULT);
         call.start(new ClientCall.Listener<>() {
             @Override
--- a/rehearsal/src/main/java/gradereach/measure/Measure.java
+++ b/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
@@ -4,14 +4,14 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gradereach.counts.Counts;
-import gradereach.http2.Exchange.End;
-import gradereach.http2.Http2Pool;
-import gradereach.measures.Service;
+import gradereach.http2.ExchangeListener.ExchangeResult;
+import gradereach.http2.Http2ConnectionPool;
+import gradereach.measures.ServiceMetrics;
 import gradereach.rehearsal.ChildProcesses;
 import gradereach.rehearsal.Rehearsal;
 import gradereach.remotewrite.Pusher;
 import gradereach.remotewrite.SendQueue;
-import gradereach.standins.prometheus.Receiver;
+import gradereach.standins.prometheus.RemoteWriteServer;
 import gradereach.webhook.WebhookKey;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -44,21 +44,21 @@
  * What one front end adds: client to executor directly and through the front end, in turn in one run, open loop. Times
  * count from when a request was due, so a stall shows in all that it delayed (no coordinated omission).
  */
-public final class Measure {
+public final class LatencyBenchmark {
     /** Executors behind the front end; each answers at once, so that they do not bound it. */
     private static final int EXECUTORS = 4;
     private static final int MODELS = 16;
     /** Of gRPC; the HTTP/2 pools below open up to four each. */
-    private static final int CONNECTIONS = 6;
+    private static final int GRPC_CONNECTIONS = 6;
 
     /** One figure of a run: microseconds, and CPU of the front end in microseconds an inference. */
-    public record Figure(String way, int rate, double reached, long errors, long p50, long p99, long p999, double cpu,
+    public record LoadMeasurement(String path, int requestedRate, double achievedRate, long errors, long p50, long p99, long p999, double cpuMicros,
             long memoryMb) {
         @Override
         public String toString() {
             return String.format("%-8s %6d/s asked %8.0f/s reached %6d errors  p50 %6.2f ms  p99 %6.2f ms  p99.9 %7.2f ms%s",
-                    way, rate, reached, errors, p50 / 1e3, p99 / 1e3, p999 / 1e3,
-                    cpu < 0 ? "" : String.format("  %5.1f us CPU an inference  %d MB resident", cpu, memoryMb));
+                    path, requestedRate, achievedRate, errors, p50 / 1e3, p99 / 1e3, p999 / 1e3,
+                    cpuMicros < 0 ? "" : String.format("  %5.1f us CPU an inference  %d MB resident", cpuMicros, memoryMb));
         }
     }
 
@@ -71,10 +71,10 @@
     private final ChildProcesses children = new ChildProcesses(TimeUnit.SECONDS.toMillis(10));
     /** In the order of their start. */
     private final List<Process> processes = new ArrayList<>();
-    private Histogram lastTimes;
+    private Histogram lastLatencies;
 
     /** {@code ledger}: the inferences are non-retriable and every one is in a ledger. */
-    public Measure(Path folder, List<String> frontEndCommand, boolean ledger, PrintStream out) {
+    public LatencyBenchmark(Path folder, List<String> frontEndCommand, boolean ledger, PrintStream out) {
         this.ledger = ledger;
         this.folder = folder;
         this.frontEndCommand = frontEndCommand;
@@ -82,25 +82,25 @@
     }
 
     /** Runs each rate directly and through, {@code rounds} times in turn. */
-    public List<Figure> run(int[] rates, int seconds, int rounds, int openConnections)
+    public List<LoadMeasurement> run(int[] rates, int seconds, int rounds, int openConnections)
             throws IOException, InterruptedException {
-        List<Figure> figures = new ArrayList<>();
+        List<LoadMeasurement> figures = new ArrayList<>();
         List<Socket> idle = new ArrayList<>();
         try {
             List<Integer> ports = new ArrayList<>();
             for (int i = 0; i < EXECUTORS; i++) {
-                ports.add(Integer.parseInt(start(Rehearsal.javaCommand("gradereach.serve.EchoExecutor")).split(" ")[1]));
+                ports.add(Integer.parseInt(startProcess(Rehearsal.javaCommand("gradereach.serve.EchoExecutor")).split(" ")[1]));
             }
-            String said = start(frontEnd(ports, null, "plan"));
+            String said = startProcess(writeFrontEndCommand(ports, null, "plan"));
             Process frontEnd = processes.get(processes.size() - 1);
             InetSocketAddress front = new InetSocketAddress("127.0.0.1",
                     Integer.parseInt(said.split(" ")[1].replaceAll(".*:", "")));
             InetSocketAddress direct = new InetSocketAddress("127.0.0.1", ports.get(0));
             InetSocketAddress grpc = new InetSocketAddress("127.0.0.1",
                     Integer.parseInt(said.split(" ")[3].replaceAll(".*:", "")));
-            load("warm-up", front, 1000, 5, null);
-            load("grpc", grpc, 1000, 5, null);
-            load("direct", direct, 1000, 2, null);
+            runLoad("warm-up", front, 1000, 5, null);
+            runLoad("grpc", grpc, 1000, 5, null);
+            runLoad("direct", direct, 1000, 2, null);
             for (int i = 0; i < openConnections; i++) {
                 idle.add(new Socket(front.getAddress(), front.getPort()));
             }
@@ -109,16 +109,16 @@
             }
             for (int round = 0; round < rounds; round++) {
                 for (int rate : rates) {
-                    figures.add(say(load("direct", direct, rate, seconds, null)));
-                    figures.add(say(load("through", front, rate, seconds, frontEnd)));
-                    figures.add(say(load("grpc", grpc, rate, seconds, frontEnd)));
+                    figures.add(print(runLoad("direct", direct, rate, seconds, null)));
+                    figures.add(print(runLoad("through", front, rate, seconds, frontEnd)));
+                    figures.add(print(runLoad("grpc", grpc, rate, seconds, frontEnd)));
                 }
             }
         } finally {
             for (Socket socket : idle) {
                 socket.close();
             }
-            end();
+            stopProcesses();
         }
         return figures;
     }
@@ -127,38 +127,38 @@
      * The users' test of pushing measures: the same load on front ends that push to nobody (two of them: what lies between them is
      * noise), to a receiver that is well, to one that drops every second write, to one that answers after half a minute.
      */
-    public void push(int rate, int seconds, int rounds) throws IOException, InterruptedException {
-        Map<String, Receiver> receivers = new LinkedHashMap<>();
+    public void runRemoteWrite(int rate, int seconds, int rounds) throws IOException, InterruptedException {
+        Map<String, RemoteWriteServer> receivers = new LinkedHashMap<>();
         for (String fault : new String[] {"", "drop-half", "hang"}) {
-            Receiver receiver = new Receiver();
+            RemoteWriteServer receiver = new RemoteWriteServer();
             receiver.fault = fault;
             receivers.put(fault, receiver);
         }
         try {
             List<Integer> ports = new ArrayList<>();
             for (int i = 0; i < EXECUTORS; i++) {
-                ports.add(Integer.parseInt(start(Rehearsal.javaCommand("gradereach.serve.EchoExecutor")).split(" ")[1]));
+                ports.add(Integer.parseInt(startProcess(Rehearsal.javaCommand("gradereach.serve.EchoExecutor")).split(" ")[1]));
             }
             Map<String, InetSocketAddress> fronts = new LinkedHashMap<>();
             Map<String, Process> of = new HashMap<>();
             for (String way : new String[] {"off", "off too", "healthy", "dropping", "hanging"}) {
-                Receiver to = receivers.get(way.equals("healthy") ? "" : way.equals("dropping") ? "drop-half"
+                RemoteWriteServer to = receivers.get(way.equals("healthy") ? "" : way.equals("dropping") ? "drop-half"
                         : way.equals("hanging") ? "hang" : "none");
-                String said = start(frontEnd(ports, to == null ? null : to.url(), way.replace(' ', '-')));
+                String said = startProcess(writeFrontEndCommand(ports, to == null ? null : to.url(), way.replace(' ', '-')));
                 of.put(way, processes.get(processes.size() - 1));
                 fronts.put(way, new InetSocketAddress("127.0.0.1", Integer.parseInt(said.split(" ")[1].replaceAll(".*:", ""))));
             }
             for (int i = 0; i < 2; i++) {
                 for (InetSocketAddress front : fronts.values()) {
-                    load("warm-up", front, rate, 4, null);
+                    runLoad("warm-up", front, rate, 4, null);
                 }
             }
             Map<String, Histogram> all = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
                 for (String way : fronts.keySet()) {
-                    Figure figure = load(way, fronts.get(way), rate, seconds, of.get(way));
-                    say(figure);
-                    all.computeIfAbsent(way, w -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3)).add(lastTimes);
+                    LoadMeasurement figure = runLoad(way, fronts.get(way), rate, seconds, of.get(way));
+                    print(figure);
+                    all.computeIfAbsent(way, w -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3)).add(lastLatencies);
                 }
             }
             out.println();
@@ -167,33 +167,33 @@
                     times.getValueAtPercentile(99) / 1e6, times.getValueAtPercentile(99.9) / 1e6, times.getMaxValue() / 1e6,
                     times.getTotalCount())));
             receivers.forEach((fault, receiver) -> out.println(String.format("receiver %-10s %4d requests, %6d samples accepted, "
-                    + "%5.1f bytes a sample, %d series", fault.isEmpty() ? "healthy" : fault, receiver.requests(), receiver.accepted(),
-                    receiver.bytes() / (double) Math.max(1, receiver.accepted()), receiver.store.seriesCount())));
+                    + "%5.1f bytes a sample, %d series", fault.isEmpty() ? "healthy" : fault, receiver.requestCount(), receiver.acceptedSamples(),
+                    receiver.acceptedBytes() / (double) Math.max(1, receiver.acceptedSamples()), receiver.store.seriesCount())));
         } finally {
-            end();
-            receivers.values().forEach(Receiver::close);
+            stopProcesses();
+            receivers.values().forEach(RemoteWriteServer::close);
         }
     }
 
     /** Sixty front ends' pushers that start at once, in this process, against one receiver: writes in each second. */
-    public void sixtyPushers() throws IOException, InterruptedException {
+    public void runSimultaneousPushers() throws IOException, InterruptedException {
         int interval = 15_000;
         List<Pusher> all = new ArrayList<>();
-        try (Receiver receiver = new Receiver()) {
+        try (RemoteWriteServer receiver = new RemoteWriteServer()) {
             for (int i = 0; i < 60; i++) {
-                Service service = new Service(List.of("a", "b", "c"), 50, System::currentTimeMillis);
+                ServiceMetrics service = new ServiceMetrics(List.of("a", "b", "c"), 50, System::currentTimeMillis);
                 for (int n = 0; n < 100; n++) {
-                    service.ended(n % 3, "c-" + n % 7, n % 7, "m-" + n, n * 0x9e3779b97f4a7c15L, Service.End.RETURNED, 1, 1, true, 20, 1, 1);
+                    service.recordInference(n % 3, "c-" + n % 7, n % 7, "m-" + n, n * 0x9e3779b97f4a7c15L, ServiceMetrics.EndReason.RETURNED, 1, 1, true, 20, 1, 1);
                 }
                 all.add(new Pusher(new Pusher.Receiver(URI.create(receiver.url()), false, List.of("instance", "fe-" + i, "job", "gradereach"),
-                        "fe-" + i, interval, 10_000, 4, new SendQueue.Bounds(200_000, 32 << 20, 2000, 512 << 10, 1000, 600_000, 500,
+                        "fe-" + i, interval, 10_000, 4, new SendQueue.Limits(200_000, 32 << 20, 2000, 512 << 10, 1000, 600_000, 500,
                         30_000), 1000), List.of(service), System::currentTimeMillis, new Random(i)));
             }
             long start = System.nanoTime() / 1_000_000;
             all.forEach(Pusher::start);
             Thread.sleep(3 * interval + 1000);
             int[] seconds = new int[3 * interval / 1000];
-            for (long at : receiver.arrivals()) {
+            for (long at : receiver.arrivalTimes()) {
                 int second = (int) ((at - start) / 1000);
                 if (second < seconds.length) {
                     seconds[second]++;
@@ -203,24 +203,24 @@
             out.println(String.format("sixty that start at once: %.0f writes a second in the mean, most in one second of the first interval %d,"
                     + " of the next two %d; %d series, %.1f bytes a sample", steady, Arrays.stream(seconds, 0, interval / 1000).max().orElse(0),
                     Arrays.stream(seconds, interval / 1000, seconds.length).max().orElse(0), receiver.store.seriesCount(),
-                    receiver.bytes() / (double) receiver.accepted()));
+                    receiver.acceptedBytes() / (double) receiver.acceptedSamples()));
         } finally {
             all.parallelStream().forEach(Pusher::close);
         }
     }
 
-    private void end() throws InterruptedException {
+    private void stopProcesses() throws InterruptedException {
         children.close();
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private Figure say(Figure figure) {
+    private LoadMeasurement print(LoadMeasurement figure) {
         out.println(figure);
         return figure;
     }
 
     /** @param pushTo a receiver's URL, null to push nowhere; every 200 ms, so that a run of seconds has many pushes */
-    private List<String> frontEnd(List<Integer> ports, String pushTo, String file) throws IOException {
+    private List<String> writeFrontEndCommand(List<Integer> ports, String pushTo, String file) throws IOException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode list = json.createObjectNode();
         ArrayNode items = list.putArray("items");
@@ -255,7 +255,7 @@
         return command;
     }
 
-    private String start(List<String> command) throws IOException {
+    private String startProcess(List<String> command) throws IOException {
         Process made = children.start(new ProcessBuilder(command).redirectError(
                 ProcessBuilder.Redirect.appendTo(folder.resolve("processes.log").toFile())));
         processes.add(made);
@@ -266,21 +266,21 @@
         return line;
     }
 
-    private Figure load(String way, InetSocketAddress to, int rate, int seconds, Process measured)
+    private LoadMeasurement runLoad(String way, InetSocketAddress to, int rate, int seconds, Process measured)
             throws InterruptedException {
-        Http2Pool[] pools = new Http2Pool[3];
+        Http2ConnectionPool[] pools = new Http2ConnectionPool[3];
         for (int i = 0; i < pools.length; i++) {
-            pools[i] = new Http2Pool(to, loops.next(), NioSocketChannel.class,
-                    new Http2Pool.Bounds(4, 1000, 1000, 60_000, 1 << 20, 1 << 20), new Http2Pool.Tally(new Counts(), "load"),
+            pools[i] = new Http2ConnectionPool(to, loops.next(), NioSocketChannel.class,
+                    new Http2ConnectionPool.Limits(4, 1000, 1000, 60_000, 1 << 20, 1 << 20), new Http2ConnectionPool.Metrics(new Counts(), "load"),
                     () -> System.nanoTime() / 1e6);
         }
         boolean direct = way.equals("direct");
-        GrpcLoad calls = way.equals("grpc") ? new GrpcLoad(to, key, CONNECTIONS) : null;
+        GrpcLoadGenerator calls = way.equals("grpc") ? new GrpcLoadGenerator(to, key, GRPC_CONNECTIONS) : null;
         Recorder times = new Recorder(TimeUnit.SECONDS.toNanos(60), 3);
         AtomicLong errors = new AtomicLong();
         AtomicLong open = new AtomicLong();
         AtomicLong done = new AtomicLong();
-        long cpuBefore = cpu(measured);
+        long cpuBefore = cpuNanos(measured);
         long count = (long) rate * seconds;
         long start = System.nanoTime();
         double gap = 1e9 / rate;
@@ -296,17 +296,17 @@
             }
             open.incrementAndGet();
             String model = "m-" + i % MODELS;
-            Http2Pool pool = pools[(int) (i % pools.length)];
-            gradereach.http2.Exchange heard = (end, status, head, content) -> {
+            Http2ConnectionPool pool = pools[(int) (i % pools.length)];
+            gradereach.http2.ExchangeListener heard = (end, status, head, content) -> {
                 times.recordValue(Math.max(1, System.nanoTime() - due));
-                if (end != End.ANSWERED || status != 200) {
+                if (end != ExchangeResult.ANSWERED || status != 200) {
                     errors.incrementAndGet();
                 }
                 done.incrementAndGet();
                 open.decrementAndGet();
             };
             if (calls != null) {
-                calls.send("r" + run + "-" + i, model, returned -> heard.ended(returned ? End.ANSWERED : End.LOST, 200, null, null));
+                calls.send("r" + run + "-" + i, model, returned -> heard.onEnd(returned ? ExchangeResult.ANSWERED : ExchangeResult.LOST, 200, null, null));
             } else if (direct) {
                 pool.send("POST", "/v2/models/" + model + "/infer", INPUT, heard, "content-type", "application/json");
             } else {
@@ -328,13 +328,13 @@
             calls.close();
         }
         Histogram all = times.getIntervalHistogram();
-        lastTimes = all;
-        for (Http2Pool pool : pools) {
+        lastLatencies = all;
+        for (Http2ConnectionPool pool : pools) {
             pool.close();
         }
-        return new Figure(way, rate, done.get() / took, errors.get(), all.getValueAtPercentile(50) / 1000,
+        return new LoadMeasurement(way, rate, done.get() / took, errors.get(), all.getValueAtPercentile(50) / 1000,
                 all.getValueAtPercentile(99) / 1000, all.getValueAtPercentile(99.9) / 1000,
-                measured == null ? -1 : (cpu(measured) - cpuBefore) / 1e3 / count, memory(measured));
+                measured == null ? -1 : (cpuNanos(measured) - cpuBefore) / 1e3 / count, residentMb(measured));
     }
 
     /** A tensor of 64 numbers: what a small model is asked. */
@@ -342,11 +342,11 @@
             + "0.125,".repeat(63) + "0.125]}]}";
     private static final byte[] INPUT = INPUT_TEXT.getBytes(StandardCharsets.UTF_8);
 
-    private static long cpu(Process process) {
+    private static long cpuNanos(Process process) {
         return process == null ? 0 : process.toHandle().info().totalCpuDuration().map(d -> d.toNanos()).orElse(0L);
     }
 
-    private static long memory(Process process) {
+    private static long residentMb(Process process) {
         try {
             return process == null ? 0 : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
                     .filter(l -> l.startsWith("VmRSS")).mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1024)
--- a/rehearsal/src/main/java/gradereach/measure/StreamMeasure.java
+++ b/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gradereach.client.End;
+import gradereach.client.AttemptOutcome;
 import gradereach.client.Inference;
-import gradereach.client.Way;
+import gradereach.client.FrontEndTransport;
 import gradereach.counts.Counts;
-import gradereach.http2.Http2Pool;
+import gradereach.http2.Http2ConnectionPool;
 import gradereach.protocol.inference.InferParameter;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.rehearsal.ChildProcesses;
@@ -39,19 +39,19 @@
  * Answers in parts, asked of an executor directly and through one front end in one run: how much later the first part is,
  * how evenly streams that compete are served, what one reader at a crawl does to others, what an open stream costs.
  */
-public final class StreamMeasure {
+public final class StreamingBenchmark {
     private static final int EXECUTORS = 20;
     /** Ways of one connection each: a connection bears a thousand streams. */
-    private static final int WAYS = 20;
+    private static final int CLIENTS = 20;
 
     private final Path folder;
     private final List<String> frontEndCommand;
     private final PrintStream out;
     private final WebhookKey key = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
-    private final List<Way> ways = new ArrayList<>();
-    private int asked;
+    private final List<FrontEndTransport> clients = new ArrayList<>();
+    private int requestCount;
 
-    public StreamMeasure(Path folder, List<String> frontEndCommand, PrintStream out) {
+    public StreamingBenchmark(Path folder, List<String> frontEndCommand, PrintStream out) {
         this.folder = folder;
         this.frontEndCommand = frontEndCommand;
         this.out = out;
@@ -65,12 +65,12 @@
                  "models": [{"name": "t-*", "group": "t", "lanes": 2000, "load_ms": 20}]}""");
         ObjectNode told = shared.deepCopy().put("executors", EXECUTORS).put("work_ms", 0.1);
         told.putObject("machine").put("cores", 64).put("queue", 4000).put("keeps_idle_ms", 600_000);
-        for (int i = 0; i < WAYS; i++) {
-            ways.add(Way.grpc(key));
+        for (int i = 0; i < CLIENTS; i++) {
+            clients.add(FrontEndTransport.grpc(key));
         }
         try (StandInFleet fleet = new StandInFleet(told, folder.resolve("stand-ins.jsonl"))) {
             ChildProcesses children = new ChildProcesses(TimeUnit.SECONDS.toMillis(10));
-            Process frontEnd = children.start(new ProcessBuilder(command(shared, fleet.rosterPort())).redirectError(
+            Process frontEnd = children.start(new ProcessBuilder(writeFrontEndCommand(shared, fleet.rosterPort())).redirectError(
                     folder.resolve("front-end.log").toFile()));
             try {
                 String line = frontEnd.inputReader(StandardCharsets.UTF_8).readLine();
@@ -78,65 +78,65 @@
                     throw new IOException("the front end did not start: see " + folder.resolve("front-end.log"));
                 }
                 String through = "127.0.0.1:" + line.replaceAll(".*:", "");
-                measure(fleet.addresses().get(0), through, frontEnd, rounds, open);
+                runAll(fleet.addresses().get(0), through, frontEnd, rounds, open);
             } finally {
                 children.close();
-                ways.forEach(Way::close);
+                clients.forEach(FrontEndTransport::close);
             }
         }
     }
 
-    private void measure(String direct, String through, Process frontEnd, int rounds, int open) throws InterruptedException {
+    private void runAll(String direct, String through, Process frontEnd, int rounds, int open) throws InterruptedException {
         // Loads the model everywhere it will stand, and the classes on all sides.
-        firstParts(through, 500, 5000);
-        hold(direct);
-        firstParts(direct, 500, 2000);
+        measureFirstParts(through, 500, 5000);
+        loadModel(direct);
+        measureFirstParts(direct, 500, 2000);
         for (int round = 0; round < rounds; round++) {
-            say("first part, direct", firstParts(direct, 500, 3000));
-            say("first part, through", firstParts(through, 500, 3000));
+            printLatencies("first part, direct", measureFirstParts(direct, 500, 3000));
+            printLatencies("first part, through", measureFirstParts(through, 500, 3000));
         }
         for (int round = 0; round < rounds; round++) {
-            fairness(through);
+            measureFairness(through);
         }
         for (int round = 0; round < rounds; round++) {
-            say("500 streams alone", manyFirst(through, false));
-            say("500 beside one at a crawl", manyFirst(through, true));
+            printLatencies("500 streams alone", measureBesideSlowReader(through, false));
+            printLatencies("500 beside one at a crawl", measureBesideSlowReader(through, true));
         }
-        held(through, frontEnd, open);
+        measureOpenStreams(through, frontEnd, open);
     }
 
-    private void say(String what, Histogram times) {
+    private void printLatencies(String what, Histogram times) {
         out.println(String.format("%-26s %6d streams  p50 %6.2f ms  p99 %6.2f ms  p99.9 %6.2f ms", what, times.getTotalCount(),
                 times.getValueAtPercentile(50) / 1e6, times.getValueAtPercentile(99) / 1e6, times.getValueAtPercentile(99.9) / 1e6));
     }
 
     /** An executor that is asked directly has nobody who orders for it. */
-    private static void hold(String executor) throws InterruptedException {
+    private static void loadModel(String executor) throws InterruptedException {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         int colon = executor.indexOf(':');
         CountDownLatch stands = new CountDownLatch(1);
-        new Http2Pool(new InetSocketAddress(executor.substring(0, colon), Integer.parseInt(executor.substring(colon + 1))),
-                loops.next(), NioSocketChannel.class, new Http2Pool.Bounds(1, 10, 1000, 1000, 1 << 16, 1 << 16),
-                new Http2Pool.Tally(new Counts(), "hold"), () -> System.nanoTime() / 1e6)
+        new Http2ConnectionPool(new InetSocketAddress(executor.substring(0, colon), Integer.parseInt(executor.substring(colon + 1))),
+                loops.next(), NioSocketChannel.class, new Http2ConnectionPool.Limits(1, 10, 1000, 1000, 1 << 16, 1 << 16),
+                new Http2ConnectionPool.Metrics(new Counts(), "hold"), () -> System.nanoTime() / 1e6)
                 .send("POST", "/v2/repository/models/t-0/load", "{\"parameters\":{\"copies\":1}}".getBytes(StandardCharsets.UTF_8),
                         (end, status, head, body) -> stands.countDown());
         stands.await(5, TimeUnit.SECONDS);
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private static InferParameter number(double value) {
+    private static InferParameter doubleParameter(double value) {
         return InferParameter.newBuilder().setDoubleParam(value).build();
     }
 
-    private Way.Try ask(String to, int way, int parts, int bytes, double every, Consumer<Object> part, Consumer<End> then) {
-        ModelInferRequest asking = ModelInferRequest.newBuilder().setModelName("t-0").putParameters("parts", number(parts))
-                .putParameters("part_bytes", number(bytes)).putParameters("part_ms", number(every)).build();
-        return ways.get(way % WAYS).stream(to, new Inference("s-" + System.nanoTime() + "-" + asked++, "t-0", asking), 600_000,
+    private FrontEndTransport.Attempt openStream(String to, int way, int parts, int bytes, double every, Consumer<Object> part, Consumer<AttemptOutcome> then) {
+        ModelInferRequest asking = ModelInferRequest.newBuilder().setModelName("t-0").putParameters("parts", doubleParameter(parts))
+                .putParameters("part_bytes", doubleParameter(bytes)).putParameters("part_ms", doubleParameter(every)).build();
+        return clients.get(way % CLIENTS).stream(to, new Inference("s-" + System.nanoTime() + "-" + requestCount++, "t-0", asking), 600_000,
                 part, then);
     }
 
     /** So many streams a second of five parts each; from when each was due to its first part. */
-    private Histogram firstParts(String to, int rate, int millis) throws InterruptedException {
+    private Histogram measureFirstParts(String to, int rate, int millis) throws InterruptedException {
         Recorder times = new Recorder(TimeUnit.SECONDS.toNanos(60), 3);
         int count = (int) ((long) rate * millis / 1000);
         CountDownLatch all = new CountDownLatch(count);
@@ -150,13 +150,13 @@
                 }
             }
             boolean[] first = new boolean[1];
-            ask(to, i, 5, 256, 2, part -> {
+            openStream(to, i, 5, 256, 2, part -> {
                 if (!first[0]) {
                     first[0] = true;
                     times.recordValue(System.nanoTime() - due);
                 }
             }, end -> {
-                bad.addAndGet(end.kind() == End.Kind.RETURNED ? 0 : 1);
+                bad.addAndGet(end.kind() == AttemptOutcome.Kind.RETURNED ? 0 : 1);
                 all.countDown();
             });
         }
@@ -168,13 +168,13 @@
     }
 
     /** A hundred streams as fast as they go, over one connection: parts had by each in two seconds in which all flow. */
-    private void fairness(String to) throws InterruptedException {
+    private void measureFairness(String to) throws InterruptedException {
         AtomicInteger[] had = new AtomicInteger[100];
-        List<Way.Try> all = new ArrayList<>();
+        List<FrontEndTransport.Attempt> all = new ArrayList<>();
         for (int i = 0; i < had.length; i++) {
             AtomicInteger own = new AtomicInteger();
             had[i] = own;
-            all.add(ask(to, 0, 1_000_000, 512, 0, part -> own.incrementAndGet(), end -> { }));
+            all.add(openStream(to, 0, 1_000_000, 512, 0, part -> own.incrementAndGet(), end -> { }));
         }
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (Arrays.stream(had).anyMatch(n -> n.get() == 0) && System.nanoTime() < until) {
@@ -186,7 +186,7 @@
         for (int i = 0; i < more.length; i++) {
             more[i] = had[i].get() - before[i];
         }
-        all.forEach(Way.Try::giveUp);
+        all.forEach(FrontEndTransport.Attempt::cancel);
         double sum = Arrays.stream(more).sum();
         double squares = Arrays.stream(more).mapToDouble(n -> (double) n * n).sum();
         Arrays.sort(more);
@@ -195,24 +195,24 @@
     }
 
     /** First parts of 500 a second, with or without one reader beside them that takes a part a second. */
-    private Histogram manyFirst(String to, boolean crawl) throws InterruptedException {
-        Way.Try slow = !crawl ? null : ask(to, 0, 1_000_000, 1024, 0, part -> LockSupport.parkNanos(1_000_000_000L), end -> { });
-        Histogram times = firstParts(to, 500, 4000);
+    private Histogram measureBesideSlowReader(String to, boolean crawl) throws InterruptedException {
+        FrontEndTransport.Attempt slow = !crawl ? null : openStream(to, 0, 1_000_000, 1024, 0, part -> LockSupport.parkNanos(1_000_000_000L), end -> { });
+        Histogram times = measureFirstParts(to, 500, 4000);
         if (slow != null) {
-            slow.giveUp();
+            slow.cancel();
         }
         return times;
     }
 
     /** Memory of the front end without and with so many streams open, each with a part every two seconds. */
-    private void held(String to, Process frontEnd, int open) throws InterruptedException {
-        long before = memory(frontEnd);
+    private void measureOpenStreams(String to, Process frontEnd, int open) throws InterruptedException {
+        long before = residentMb(frontEnd);
         AtomicInteger begun = new AtomicInteger();
         AtomicInteger ended = new AtomicInteger();
         long start = System.nanoTime();
         for (int i = 0; i < open; i++) {
             boolean[] first = new boolean[1];
-            ask(to, i, 1000, 64, 2000, part -> {
+            openStream(to, i, 1000, 64, 2000, part -> {
                 if (!first[0]) {
                     first[0] = true;
                     begun.incrementAndGet();
@@ -227,14 +227,14 @@
             Thread.sleep(10);
         }
         double took = (System.nanoTime() - start) / 1e9;
-        Histogram beside = firstParts(to, 100, 5000);
-        long with = memory(frontEnd);
+        Histogram beside = measureFirstParts(to, 100, 5000);
+        long with = residentMb(frontEnd);
         out.println(String.format("open at once               %d of %d streams after %.1f s, %d ended; %d MB resident before, %d with: "
                 + "%.1f KB each", begun.get(), open, took, ended.get(), before, with, (with - before) * 1024.0 / Math.max(1, begun.get())));
-        say("first part beside them", beside);
+        printLatencies("first part beside them", beside);
     }
 
-    private static long memory(Process process) {
+    private static long residentMb(Process process) {
         try {
             return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream().filter(l -> l.startsWith("VmRSS"))
                     .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1024).findFirst().orElse(0);
@@ -243,7 +243,7 @@
         }
     }
 
-    private List<String> command(ObjectNode shared, int roster) throws IOException {
+    private List<String> writeFrontEndCommand(ObjectNode shared, int roster) throws IOException {
         Path file = folder.resolve("key");
         Files.deleteIfExists(file);
         Files.createFile(file, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
--- a/rehearsal/src/main/java/gradereach/rehearsal/AlertWatch.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
@@ -1,9 +1,9 @@
 package gradereach.rehearsal;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gradereach.alerts.RuleFile;
-import gradereach.standins.prometheus.Receiver;
-import gradereach.standins.prometheus.RuleRunner;
+import gradereach.alerts.AlertRuleFile;
+import gradereach.standins.prometheus.RemoteWriteServer;
+import gradereach.standins.prometheus.RuleEvaluator;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.ArrayList;
@@ -18,33 +18,33 @@
  * Beside a rehearsal: a receiver that every front end pushes to, and the shipped rules evaluated over it while the day is played.
  * A minute of the rules lasts a second, so that a day of a minute is an hour of theirs.
  */
-public final class AlertWatch implements AutoCloseable {
-    private static final double MINUTE = 1000;
-    private static final long LOOKBACK = (long) (5 * MINUTE);
+public final class AlertMonitor implements AutoCloseable {
+    private static final double RULE_MINUTE_MILLIS = 1000;
+    private static final long LOOKBACK_MILLIS = (long) (5 * RULE_MINUTE_MILLIS);
 
-    private record Happened(String what, long at) { }
+    private record ScriptEvent(String kind, long timeMillis) { }
 
-    private final Receiver receiver = new Receiver();
-    private final RuleRunner rules;
+    private final RemoteWriteServer receiver = new RemoteWriteServer();
+    private final RuleEvaluator rules;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(work -> {
         Thread made = new Thread(work, "rules");
         made.setDaemon(true);
         return made;
     });
-    private final List<Happened> events = new ArrayList<>();
+    private final List<ScriptEvent> events = new ArrayList<>();
     private long startedAt;
 
-    public AlertWatch(JsonNode day) throws IOException {
+    public AlertMonitor(JsonNode day) throws IOException {
         Map<String, Double> objectives = new LinkedHashMap<>();
         double loads = 0;
         for (JsonNode group : day.path("model_groups")) {
-            objectives.put(group.path("name").asText(), group.path("objective").asDouble(RuleFile.OBJECTIVE));
+            objectives.put(group.path("name").asText(), group.path("objective").asDouble(AlertRuleFile.DEFAULT_OBJECTIVE));
         }
         for (JsonNode model : day.path("models")) {
             loads = Math.max(loads, model.path("load_ms").asDouble(100));
         }
-        rules = new RuleRunner(new RuleFile(objectives, RuleFile.SLOW_LOADS * loads, MINUTE, "docs/alerts.md").text(), receiver.store,
-                LOOKBACK);
+        rules = new RuleEvaluator(new AlertRuleFile(objectives, AlertRuleFile.SLOW_LOAD_FACTOR * loads, RULE_MINUTE_MILLIS, "docs/alerts.md").toYaml(), receiver.store,
+                LOOKBACK_MILLIS);
     }
 
     String url() {
@@ -52,32 +52,32 @@
     }
 
     /** Front ends are up: alerts count from here. */
-    synchronized void begin() {
+    synchronized void start() {
         startedAt = System.currentTimeMillis();
-        timer.scheduleAtFixedRate(() -> rules.evaluate(System.currentTimeMillis()), rules.interval(), rules.interval(),
+        timer.scheduleAtFixedRate(() -> rules.evaluate(System.currentTimeMillis()), rules.intervalMillis(), rules.intervalMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
     /** The day is over: what stops from here on is no trouble. */
-    void end() {
+    void stop() {
         timer.shutdownNow();
     }
 
-    synchronized void happened(String what) {
-        events.add(new Happened(what, System.currentTimeMillis()));
+    synchronized void recordEvent(String what) {
+        events.add(new ScriptEvent(what, System.currentTimeMillis()));
     }
 
     public synchronized void print(PrintStream out) {
         out.println("alerts (a minute of the rules is a second here): " + (rules.fired().isEmpty() ? "none" : ""));
-        for (RuleRunner.Fired fired : rules.fired()) {
-            Happened last = null;
-            for (Happened event : events) {
-                last = event.at <= fired.at() ? event : last;
+        for (RuleEvaluator.FiredAlert fired : rules.fired()) {
+            ScriptEvent last = null;
+            for (ScriptEvent event : events) {
+                last = event.timeMillis <= fired.firedAt() ? event : last;
             }
-            out.println(String.format("  %-28s %-60s at %5.1f s%s", fired.alert(), fired.labels(), (fired.at() - startedAt) / 1e3,
-                    last == null ? "" : String.format(", %.1f s after %s", (fired.at() - last.at) / 1e3, last.what)));
+            out.println(String.format("  %-28s %-60s at %5.1f s%s", fired.alert(), fired.labels(), (fired.firedAt() - startedAt) / 1e3,
+                    last == null ? "" : String.format(", %.1f s after %s", (fired.firedAt() - last.timeMillis) / 1e3, last.kind)));
         }
-        out.println("  " + receiver.store.seriesCount() + " series, " + receiver.requests() + " writes, " + receiver.accepted() + " samples");
+        out.println("  " + receiver.store.seriesCount() + " series, " + receiver.requestCount() + " writes, " + receiver.acceptedSamples() + " samples");
     }
 
     @Override
--- a/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.MappingIterator;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gradereach.standins.Lags;
+import gradereach.standins.LagIntervals;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -24,16 +24,16 @@
      * Figures of the rules in milliseconds; {@code span} 0 for no ration. {@code sharedMemory} where front ends know of
      * each other's messages and keep them over a restart.
      */
-    public record Figures(double answerSlack, double drainGrace, double free, double share, double span,
-            double dedupWindow, boolean sharedMemory) { }
+    public record RuleParameters(double answerSlackMillis, double drainGraceMillis, double freeLoadOrders, double loadOrdersPerRequest, double loadOrderWindowMillis,
+            double dedupWindowMillis, boolean sharedMemory) { }
 
     /** One rule's verdict; {@code shown} are ids that show a breach. */
-    public record Verdict(int rule, String name, boolean kept, long looked, List<String> shown) {
+    public record RuleResult(int rule, String name, boolean passed, long checked, List<String> violations) {
         @Override
         public String toString() {
-            return "rule " + rule + " " + (kept ? "kept  " : "BROKEN") + " " + name + " (" + looked + " looked at)"
-                    + (shown.isEmpty() ? "" : ": " + String.join(", ", shown.subList(0, Math.min(5, shown.size())))
-                    + (shown.size() > 5 ? " and " + (shown.size() - 5) + " more" : ""));
+            return "rule " + rule + " " + (passed ? "kept  " : "BROKEN") + " " + name + " (" + checked + " looked at)"
+                    + (violations.isEmpty() ? "" : ": " + String.join(", ", violations.subList(0, Math.min(5, violations.size())))
+                    + (violations.size() > 5 ? " and " + (violations.size() - 5) + " more" : ""));
         }
     }
 
@@ -42,145 +42,145 @@
      *
      * @param undecided why the day cannot tell all that it is to tell; empty where it can
      */
-    public record Findings(List<Verdict> verdicts, Map<String, Long> counts, List<String> undecided) {
+    public record AuditReport(List<RuleResult> results, Map<String, Long> counts, List<String> inconclusiveReasons) {
         /** No rule was broken, and the day was such that it would have shown. */
-        public boolean kept() {
-            return decided() && verdicts.stream().allMatch(Verdict::kept);
+        public boolean passed() {
+            return conclusive() && results.stream().allMatch(RuleResult::passed);
         }
 
         /** Whether it counts: it shows a breach, or nothing stood in the way of seeing one. */
-        public boolean decided() {
-            return undecided.isEmpty() || !verdicts.stream().allMatch(Verdict::kept);
+        public boolean conclusive() {
+            return inconclusiveReasons.isEmpty() || !results.stream().allMatch(RuleResult::passed);
         }
     }
 
-    private record Asked(String mark, int n, String fe, String group, double t, double budget, boolean async,
+    private record AuditedRequest(String message, int attempt, String frontEnd, String group, double time, double budgetMillis, boolean async,
             boolean forged) { }
 
-    private record Heard(double t, String what, boolean signed, int digest, boolean neverSent) { }
+    private record ClientOutcome(double time, String outcome, boolean signed, int digest, boolean neverSent) { }
 
-    private record Seen(double t, String ex, String fe, String mark, String forward) { }
+    private record ExecutorEvent(double time, String executor, String frontEnd, String subject, String forward) { }
 
-    private record Word(double t, boolean ready) { }
+    private record ReportedState(double time, boolean ready) { }
 
     /** What a transcript's clock and a busy machine's threads are off by, milliseconds. */
-    private static final double CLOCKS = 50;
+    private static final double CLOCK_TOLERANCE_MILLIS = 50;
     /** An order may wait for a connection as long as the connect time-out before it arrives. */
-    private static final double LINK = 250;
+    private static final double CONNECT_TIMEOUT_MILLIS = 250;
 
-    private final Figures figures;
-    private final Map<String, String> repeatOf;
-    private final Map<String, Double> sloOf;
-    private final Map<String, Asked> asks = new HashMap<>();
-    private final Map<String, Heard> heard = new HashMap<>();
-    private final Map<String, Double> begun = new HashMap<>();
-    private final Map<String, List<Asked>> byMark = new HashMap<>();
-    private final List<Seen> arrived = new ArrayList<>();
-    private final Map<String, Seen> arrivedAs = new HashMap<>();
-    private final Map<String, List<Seen>> ran = new HashMap<>();
-    private final Map<String, TreeMap<Double, Word>> told = new HashMap<>();
-    private final Map<String, List<Seen>> orders = new HashMap<>();
-    private final Map<String, List<Double>> kills = new HashMap<>();
-    private final Map<String, List<Double>> asksAt = new HashMap<>();
-    private final Map<String, Double> webhooks = new HashMap<>();
+    private final RuleParameters parameters;
+    private final Map<String, String> repeatByGroup;
+    private final Map<String, Double> sloMillisByGroup;
+    private final Map<String, AuditedRequest> requests = new HashMap<>();
+    private final Map<String, ClientOutcome> outcomes = new HashMap<>();
+    private final Map<String, Double> firstPartTimes = new HashMap<>();
+    private final Map<String, List<AuditedRequest>> requestsByMessage = new HashMap<>();
+    private final List<ExecutorEvent> arrivals = new ArrayList<>();
+    private final Map<String, ExecutorEvent> arrivalsByForward = new HashMap<>();
+    private final Map<String, List<ExecutorEvent>> executions = new HashMap<>();
+    private final Map<String, TreeMap<Double, ReportedState>> reportedStates = new HashMap<>();
+    private final Map<String, List<ExecutorEvent>> loadOrders = new HashMap<>();
+    private final Map<String, List<Double>> killTimes = new HashMap<>();
+    private final Map<String, List<Double>> requestTimes = new HashMap<>();
+    private final Map<String, Double> webhookTimes = new HashMap<>();
     private final Map<String, Set<Integer>> webhookBodies = new HashMap<>();
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Set<String> fell = new LinkedHashSet<>();
-    private final List<String> undecided = new ArrayList<>();
-    private final Lags clientLags = new Lags();
-    private final Lags standInLags = new Lags();
-    private double last;
+    private final Set<String> collapsedExecutors = new LinkedHashSet<>();
+    private final List<String> inconclusiveReasons = new ArrayList<>();
+    private final LagIntervals clientLags = new LagIntervals();
+    private final LagIntervals standInLags = new LagIntervals();
+    private double lastEventTime;
 
     /** @param repeatOf retriable, deduped or non-retriable, by model group; {@code sloOf} in milliseconds */
-    public Auditor(Figures figures, Map<String, String> repeatOf, Map<String, Double> sloOf) {
-        this.figures = figures;
-        this.repeatOf = repeatOf;
-        this.sloOf = sloOf;
+    public Auditor(RuleParameters figures, Map<String, String> repeatOf, Map<String, Double> sloOf) {
+        this.parameters = figures;
+        this.repeatByGroup = repeatOf;
+        this.sloMillisByGroup = sloOf;
     }
 
-    public void read(Path transcript) throws IOException {
+    public void readTranscript(Path transcript) throws IOException {
         try (MappingIterator<JsonNode> lines = new ObjectMapper().readerFor(JsonNode.class)
                 .readValues(transcript.toFile())) {
             while (lines.hasNextValue()) {
-                line(lines.nextValue());
+                addEvent(lines.nextValue());
             }
         }
     }
 
-    void line(JsonNode l) {
+    void addEvent(JsonNode l) {
         double t = l.path("t").asDouble();
-        last = Math.max(last, t);
+        lastEventTime = Math.max(lastEventTime, t);
         String mark = l.path("mark").asText();
         String fe = l.path("fe").asText();
         String ex = l.path("ex").asText();
         String event = l.path("ev").asText();
         switch (event) {
             case "asked" -> {
-                Asked asked = new Asked(mark, l.path("n").asInt(), fe, l.path("group").asText(), t,
+                AuditedRequest asked = new AuditedRequest(mark, l.path("n").asInt(), fe, l.path("group").asText(), t,
                         l.path("budget").asDouble(), l.path("async").asBoolean(), l.path("forged").asBoolean());
-                asks.put(mark + "@" + asked.n, asked);
-                byMark.computeIfAbsent(mark, m -> new ArrayList<>()).add(asked);
-                asksAt.computeIfAbsent(fe, f -> new ArrayList<>()).add(t);
+                requests.put(mark + "@" + asked.attempt, asked);
+                requestsByMessage.computeIfAbsent(mark, m -> new ArrayList<>()).add(asked);
+                requestTimes.computeIfAbsent(fe, f -> new ArrayList<>()).add(t);
             }
             // An answer in parts is an answer from its first part on.
-            case "begun" -> begun.put(mark + "@" + l.path("n").asInt(), t);
+            case "begun" -> firstPartTimes.put(mark + "@" + l.path("n").asInt(), t);
             case "heard" -> {
                 String what = l.path("what").asText();
-                heard.put(mark + "@" + l.path("n").asInt(), new Heard(t, what, l.path("signed").asBoolean(),
+                outcomes.put(mark + "@" + l.path("n").asInt(), new ClientOutcome(t, what, l.path("signed").asBoolean(),
                         l.path("digest").asInt(), l.path("never_sent").asBoolean()));
                 counts.merge("heard " + what, 1L, Long::sum);
             }
             case "arrived" -> {
-                Seen seen = new Seen(t, ex, fe, mark, l.path("fwd").asText());
-                arrived.add(seen);
-                arrivedAs.put(seen.forward, seen);
+                ExecutorEvent seen = new ExecutorEvent(t, ex, fe, mark, l.path("fwd").asText());
+                arrivals.add(seen);
+                arrivalsByForward.put(seen.forward, seen);
             }
-            case "ran" -> ran.computeIfAbsent(mark, m -> new ArrayList<>())
-                    .add(new Seen(t, ex, "", mark, l.path("fwd").asText()));
-            case "told" -> told.computeIfAbsent(fe + " " + ex, k -> new TreeMap<>())
-                    .put(t, new Word(t, l.path("ready").asBoolean()));
+            case "ran" -> executions.computeIfAbsent(mark, m -> new ArrayList<>())
+                    .add(new ExecutorEvent(t, ex, "", mark, l.path("fwd").asText()));
+            case "told" -> reportedStates.computeIfAbsent(fe + " " + ex, k -> new TreeMap<>())
+                    .put(t, new ReportedState(t, l.path("ready").asBoolean()));
             case "order" -> {
                 if (l.path("copies").asInt() > 0) {
-                    orders.computeIfAbsent(fe, f -> new ArrayList<>())
-                            .add(new Seen(t, ex, fe, l.path("model").asText(), ""));
+                    loadOrders.computeIfAbsent(fe, f -> new ArrayList<>())
+                            .add(new ExecutorEvent(t, ex, fe, l.path("model").asText(), ""));
                 }
             }
-            case "killed" -> kills.computeIfAbsent(fe, f -> new ArrayList<>()).add(t);
-            case "fell" -> fell.add(ex);
+            case "killed" -> killTimes.computeIfAbsent(fe, f -> new ArrayList<>()).add(t);
+            case "fell" -> collapsedExecutors.add(ex);
             case "lag" -> (l.path("of").asText().equals("clients") ? clientLags : standInLags)
                     .add(l.path("from").asDouble(), t);
-            case "cut-short" -> undecided.add(l.path("what").asText());
+            case "cut-short" -> inconclusiveReasons.add(l.path("what").asText());
             case "webhook" -> {
                 String id = l.path("id").asText();
                 // One after which a repeat is harmless has an id of its own; either is the answer to its message.
-                webhooks.merge(id.replaceFirst("\\.(shed|failed)-[0-9a-f]+$", ".answer"), t, Math::min);
+                webhookTimes.merge(id.replaceFirst("\\.(shed|failed)-[0-9a-f]+$", ".answer"), t, Math::min);
                 webhookBodies.computeIfAbsent(id, i -> new HashSet<>()).add(l.path("body").asText().hashCode());
             }
             default -> { }
         }
     }
 
-    public Findings judge() {
-        counts.put("asked", (long) asks.size());
-        counts.put("forwards arrived", (long) arrived.size());
-        counts.put("load orders", orders.values().stream().mapToLong(List::size).sum());
-        counts.put("ran", ran.values().stream().mapToLong(List::size).sum());
-        counts.put("within the SLO time", withinSlo());
-        counts.put("clients late by at most, ms", Math.round(clientLags.longest()));
-        counts.put("stand-ins late by at most, ms", Math.round(standInLags.longest()));
-        List<Verdict> verdicts = List.of(answered(), effects(), drains(),
-                new Verdict(4, "no cold executor pushed over", fell.isEmpty(), told.size(), List.copyOf(fell)), rationed());
-        return new Findings(verdicts, counts, List.copyOf(undecided));
+    public AuditReport evaluate() {
+        counts.put("asked", (long) requests.size());
+        counts.put("forwards arrived", (long) arrivals.size());
+        counts.put("load orders", loadOrders.values().stream().mapToLong(List::size).sum());
+        counts.put("ran", executions.values().stream().mapToLong(List::size).sum());
+        counts.put("within the SLO time", countWithinSlo());
+        counts.put("clients late by at most, ms", Math.round(clientLags.longestMillis()));
+        counts.put("stand-ins late by at most, ms", Math.round(standInLags.longestMillis()));
+        List<RuleResult> verdicts = List.of(checkAnswers(), checkSingleExecution(), checkDrains(),
+                new RuleResult(4, "no cold executor pushed over", collapsedExecutors.isEmpty(), reportedStates.size(), List.copyOf(collapsedExecutors)), checkLoadOrderBudget());
+        return new AuditReport(verdicts, counts, List.copyOf(inconclusiveReasons));
     }
 
     /** First tries and their repeats as one: returned within the SLO time from the first asking. */
-    private long withinSlo() {
+    private long countWithinSlo() {
         long count = 0;
-        for (List<Asked> tries : byMark.values()) {
-            double first = tries.stream().mapToDouble(Asked::t).min().orElse(0);
-            for (Asked ask : tries) {
-                Heard end = heard.get(ask.mark + "@" + ask.n);
-                if (end != null && end.what.equals("returned") && end.t - first <= sloOf.getOrDefault(ask.group, 0d)) {
+        for (List<AuditedRequest> tries : requestsByMessage.values()) {
+            double first = tries.stream().mapToDouble(AuditedRequest::time).min().orElse(0);
+            for (AuditedRequest ask : tries) {
+                ClientOutcome end = outcomes.get(ask.message + "@" + ask.attempt);
+                if (end != null && end.outcome.equals("returned") && end.time - first <= sloMillisByGroup.getOrDefault(ask.group, 0d)) {
                     count++;
                     break;
                 }
@@ -190,35 +190,35 @@
     }
 
     private boolean killedBetween(String fe, double from, double to) {
-        return kills.getOrDefault(fe, List.of()).stream().anyMatch(t -> t >= from - CLOCKS && t <= to + CLOCKS);
+        return killTimes.getOrDefault(fe, List.of()).stream().anyMatch(t -> t >= from - CLOCK_TOLERANCE_MILLIS && t <= to + CLOCK_TOLERANCE_MILLIS);
     }
 
-    private Verdict answered() {
+    private RuleResult checkAnswers() {
         List<String> shown = new ArrayList<>();
-        for (Map.Entry<String, Asked> entry : asks.entrySet()) {
-            Asked ask = entry.getValue();
-            Heard end = heard.get(entry.getKey());
-            double by = ask.t + ask.budget + figures.answerSlack + CLOCKS;
-            boolean killed = killedBetween(ask.fe, ask.t, by);
+        for (Map.Entry<String, AuditedRequest> entry : requests.entrySet()) {
+            AuditedRequest ask = entry.getValue();
+            ClientOutcome end = outcomes.get(entry.getKey());
+            double by = ask.time + ask.budgetMillis + parameters.answerSlackMillis + CLOCK_TOLERANCE_MILLIS;
+            boolean killed = killedBetween(ask.frontEnd, ask.time, by);
             String why = null;
             if (end == null) {
-                why = last > by && !killed ? "no answer" : null;
+                why = lastEventTime > by && !killed ? "no answer" : null;
             } else {
-                switch (end.what) {
-                    case "left" -> why = killed ? null : later("no answer", entry.getKey(), clientLags, end.t, by);
+                switch (end.outcome) {
+                    case "left" -> why = killed ? null : violationIfLate("no answer", entry.getKey(), clientLags, end.time, by);
                     // A connection that died with its process is written to until its client has seen that.
-                    case "lost" -> why = end.neverSent || killed || killedBetween(ask.fe, ask.t - UNSEEN, by) ? null : "connection lost";
+                    case "lost" -> why = end.neverSent || killed || killedBetween(ask.frontEnd, ask.time - UNNOTICED_CLOSE_MILLIS, by) ? null : "connection lost";
                     case "refused" -> why = ask.forged ? null : "refused";
                     case "accepted" -> {
-                        Double delivered = webhooks.get(ask.mark.substring(ask.mark.indexOf('/') + 1) + ".answer");
+                        Double delivered = webhookTimes.get(ask.message.substring(ask.message.indexOf('/') + 1) + ".answer");
                         // A promise outlives the process where there is a ledger; only its time does not.
-                        boolean excused = killed && !(figures.sharedMemory && delivered == null && last > by + AFTER);
-                        why = excused || last < by + DELIVERY ? null : delivered == null ? "no webhook"
-                                : delivered > by + DELIVERY && !killed ? "late webhook" : null;
+                        boolean excused = killed && !(parameters.sharedMemory && delivered == null && lastEventTime > by + DELIVERY_AFTER_RESTART_MILLIS);
+                        why = excused || lastEventTime < by + WEBHOOK_DELIVERY_MILLIS ? null : delivered == null ? "no webhook"
+                                : delivered > by + WEBHOOK_DELIVERY_MILLIS && !killed ? "late webhook" : null;
                     }
                     default -> {
-                        String late = killed ? null : later("answered " + Math.round(end.t - ask.t - ask.budget) + " ms late",
-                                entry.getKey(), clientLags, begun.getOrDefault(entry.getKey(), end.t), by);
+                        String late = killed ? null : violationIfLate("answered " + Math.round(end.time - ask.time - ask.budgetMillis) + " ms late",
+                                entry.getKey(), clientLags, firstPartTimes.getOrDefault(entry.getKey(), end.time), by);
                         why = ask.forged ? "a forged message was answered" : late != null ? late
                                 : !end.signed ? "answer not signed" : null;
                     }
@@ -228,19 +228,19 @@
                 shown.add(entry.getKey() + " " + why);
             }
         }
-        for (Seen seen : arrived) {
+        for (ExecutorEvent seen : arrivals) {
             boolean asked = false;
             double lastUntil = Double.NEGATIVE_INFINITY;
-            for (Asked ask : byMark.getOrDefault(seen.mark, List.of())) {
-                Heard end = heard.get(ask.mark + "@" + ask.n);
-                double until = end == null || end.what.equals("lost") || end.what.equals("accepted")
-                        ? ask.t + ask.budget : end.t;
-                asked |= !ask.forged && seen.t >= ask.t - CLOCKS && seen.t <= until + CLOCKS;
-                if (!ask.forged && seen.t >= ask.t - CLOCKS) {
-                    lastUntil = Math.max(lastUntil, until + CLOCKS);
+            for (AuditedRequest ask : requestsByMessage.getOrDefault(seen.subject, List.of())) {
+                ClientOutcome end = outcomes.get(ask.message + "@" + ask.attempt);
+                double until = end == null || end.outcome.equals("lost") || end.outcome.equals("accepted")
+                        ? ask.time + ask.budgetMillis : end.time;
+                asked |= !ask.forged && seen.time >= ask.time - CLOCK_TOLERANCE_MILLIS && seen.time <= until + CLOCK_TOLERANCE_MILLIS;
+                if (!ask.forged && seen.time >= ask.time - CLOCK_TOLERANCE_MILLIS) {
+                    lastUntil = Math.max(lastUntil, until + CLOCK_TOLERANCE_MILLIS);
                 }
             }
-            String why = asked ? null : later("sent while nobody waited", seen.forward, standInLags, seen.t, lastUntil);
+            String why = asked ? null : violationIfLate("sent while nobody waited", seen.forward, standInLags, seen.time, lastUntil);
             if (why != null) {
                 shown.add(seen.forward + " " + why);
             }
@@ -250,70 +250,70 @@
                 shown.add(id + " has " + bodies.size() + " different answers");
             }
         });
-        return new Verdict(1, "every inference gets one final answer in time, nothing is sent after it",
-                shown.isEmpty(), asks.size(), shown);
+        return new RuleResult(1, "every inference gets one final answer in time, nothing is sent after it",
+                shown.isEmpty(), requests.size(), shown);
     }
 
     /**
      * {@code what} where something dated {@code time} came after {@code bound}; null where it did not, and where it may not
      * have, since who dated it was late: then the day cannot tell.
      */
-    private String later(String what, String whose, Lags lags, double time, double bound) {
+    private String violationIfLate(String what, String whose, LagIntervals lags, double time, double bound) {
         if (time <= bound) {
             return null;
         }
-        if (lags.earliest(time) <= bound) {
-            undecided.add(whose + " " + what + ", by clocks that were read late");
+        if (lags.earliestArrival(time) <= bound) {
+            inconclusiveReasons.add(whose + " " + what + ", by clocks that were read late");
             return null;
         }
         return what;
     }
 
-    private static final double UNSEEN = 500;
-    private static final double AFTER = 15_000; // a restart, a second delivery by the schedule, and some
-    private static final double DELIVERY = 2000; // a webhook goes out after the answer is known; a busy machine's pace
+    private static final double UNNOTICED_CLOSE_MILLIS = 500;
+    private static final double DELIVERY_AFTER_RESTART_MILLIS = 15_000; // a restart, a second delivery by the schedule, and some
+    private static final double WEBHOOK_DELIVERY_MILLIS = 2000; // a webhook goes out after the answer is known; a busy machine's pace
 
-    private Verdict effects() {
+    private RuleResult checkSingleExecution() {
         List<String> shown = new ArrayList<>();
-        for (Map.Entry<String, List<Seen>> entry : ran.entrySet()) {
-            List<Asked> tries = byMark.getOrDefault(entry.getKey(), List.of());
-            String repeat = tries.isEmpty() ? "retriable" : repeatOf.getOrDefault(tries.get(0).group, "retriable");
-            List<Seen> runs = entry.getValue();
+        for (Map.Entry<String, List<ExecutorEvent>> entry : executions.entrySet()) {
+            List<AuditedRequest> tries = requestsByMessage.getOrDefault(entry.getKey(), List.of());
+            String repeat = tries.isEmpty() ? "retriable" : repeatByGroup.getOrDefault(tries.get(0).group, "retriable");
+            List<ExecutorEvent> runs = entry.getValue();
             if (!repeat.equals("retriable") && runs.size() > 1) {
                 shown.add(entry.getKey() + " ran " + runs.size() + " times");
             }
-            for (Asked ask : tries) {
-                Heard end = heard.get(ask.mark + "@" + ask.n);
+            for (AuditedRequest ask : tries) {
+                ClientOutcome end = outcomes.get(ask.message + "@" + ask.attempt);
                 // A shed says that a repeat is harmless: false where it ran, but for those whose repeats are harmless.
-                if (repeat.equals("non-retriable") && end != null && end.what.equals("shed")
-                        && runs.stream().anyMatch(run -> sentBy(ask, end, tries, run.forward))) {
-                    shown.add(ask.mark + " ran and was shed");
+                if (repeat.equals("non-retriable") && end != null && end.outcome.equals("shed")
+                        && runs.stream().anyMatch(run -> belongsToAttempt(ask, end, tries, run.forward))) {
+                    shown.add(ask.message + " ran and was shed");
                 }
             }
         }
         Map<String, Double> firstSeen = new HashMap<>();
-        for (Seen seen : arrived) {
-            List<Asked> tries = byMark.getOrDefault(seen.mark, List.of());
-            if (!tries.isEmpty() && "deduped".equals(repeatOf.get(tries.get(0).group))) {
-                double first = firstSeen.merge(seen.mark, seen.t, Math::min);
-                if (ran.containsKey(seen.mark) && seen.t > first + figures.dedupWindow + CLOCKS) {
+        for (ExecutorEvent seen : arrivals) {
+            List<AuditedRequest> tries = requestsByMessage.getOrDefault(seen.subject, List.of());
+            if (!tries.isEmpty() && "deduped".equals(repeatByGroup.get(tries.get(0).group))) {
+                double first = firstSeen.merge(seen.subject, seen.time, Math::min);
+                if (executions.containsKey(seen.subject) && seen.time > first + parameters.dedupWindowMillis + CLOCK_TOLERANCE_MILLIS) {
                     shown.add(seen.forward + " sent after the window");
                 }
             }
         }
-        byMark.forEach((mark, tries) -> {
-            boolean careful = !"retriable".equals(repeatOf.get(tries.get(0).group));
-            boolean shared = figures.sharedMemory && careful;
-            boolean returned = tries.stream().anyMatch(ask -> heard.containsKey(mark + "@" + ask.n)
-                    && heard.get(mark + "@" + ask.n).what.equals("returned"));
-            if (returned && careful && !ran.containsKey(mark)) {
+        requestsByMessage.forEach((mark, tries) -> {
+            boolean careful = !"retriable".equals(repeatByGroup.get(tries.get(0).group));
+            boolean shared = parameters.sharedMemory && careful;
+            boolean returned = tries.stream().anyMatch(ask -> outcomes.containsKey(mark + "@" + ask.attempt)
+                    && outcomes.get(mark + "@" + ask.attempt).outcome.equals("returned"));
+            if (returned && careful && !executions.containsKey(mark)) {
                 shown.add(mark + " was returned and never ran");
             }
             Set<Integer> answers = new HashSet<>();
-            for (Asked ask : tries) {
-                Heard end = heard.get(mark + "@" + ask.n);
-                if (end != null && end.what.equals("returned") && (shared || ask.fe.equals(
-                        tries.get(0).fe) && kills.getOrDefault(ask.fe, List.of()).isEmpty())) {
+            for (AuditedRequest ask : tries) {
+                ClientOutcome end = outcomes.get(mark + "@" + ask.attempt);
+                if (end != null && end.outcome.equals("returned") && (shared || ask.frontEnd.equals(
+                        tries.get(0).frontEnd) && killTimes.getOrDefault(ask.frontEnd, List.of()).isEmpty())) {
                     answers.add(end.digest);
                 }
             }
@@ -321,81 +321,81 @@
                 shown.add(mark + " got " + answers.size() + " different answers");
             }
         });
-        return new Verdict(2, "no effect happens twice", shown.isEmpty(), ran.size(), shown);
+        return new RuleResult(2, "no effect happens twice", shown.isEmpty(), executions.size(), shown);
     }
 
     /** Whether a forward belongs to this try: from its front end, before it was answered and was tried there again. */
-    private boolean sentBy(Asked ask, Heard end, List<Asked> tries, String forward) {
-        Seen came = arrivedAs.get(forward);
-        if (came == null || !came.fe.equals(ask.fe) || came.t < ask.t || came.t > end.t + CLOCKS) {
+    private boolean belongsToAttempt(AuditedRequest ask, ClientOutcome end, List<AuditedRequest> tries, String forward) {
+        ExecutorEvent came = arrivalsByForward.get(forward);
+        if (came == null || !came.frontEnd.equals(ask.frontEnd) || came.time < ask.time || came.time > end.time + CLOCK_TOLERANCE_MILLIS) {
             return false;
         }
-        return tries.stream().noneMatch(later -> later.n != ask.n && later.fe.equals(ask.fe) && later.t >= end.t
-                && later.t <= came.t);
+        return tries.stream().noneMatch(later -> later.attempt != ask.attempt && later.frontEnd.equals(ask.frontEnd) && later.time >= end.time
+                && later.time <= came.time);
     }
 
-    private Verdict drains() {
+    private RuleResult checkDrains() {
         List<String> shown = new ArrayList<>();
         long looked = 0;
-        List<Seen> sent = new ArrayList<>(arrived);
-        orders.values().forEach(sent::addAll);
-        for (Seen seen : sent) {
-            TreeMap<Double, Word> words = told.get(seen.fe + " " + seen.ex);
+        List<ExecutorEvent> sent = new ArrayList<>(arrivals);
+        loadOrders.values().forEach(sent::addAll);
+        for (ExecutorEvent seen : sent) {
+            TreeMap<Double, ReportedState> words = reportedStates.get(seen.frontEnd + " " + seen.executor);
             if (words == null) {
                 continue;
             }
             looked++;
-            Map.Entry<Double, Word> now = words.floorEntry(seen.t);
+            Map.Entry<Double, ReportedState> now = words.floorEntry(seen.time);
             if (now == null || now.getValue().ready) {
                 continue;
             }
             // Told not ready at that time; several such words in a row count from the first.
             double since = now.getKey();
-            for (Map.Entry<Double, Word> before = words.lowerEntry(since); before != null
+            for (Map.Entry<Double, ReportedState> before = words.lowerEntry(since); before != null
                     && !before.getValue().ready; before = words.lowerEntry(since)) {
                 since = before.getKey();
             }
-            String why = later("to " + seen.ex + " " + Math.round(seen.t - since) + " ms after",
-                    seen.forward.isEmpty() ? "order for " + seen.mark : seen.forward, standInLags, seen.t,
-                    since + figures.drainGrace + CLOCKS);
+            String why = violationIfLate("to " + seen.executor + " " + Math.round(seen.time - since) + " ms after",
+                    seen.forward.isEmpty() ? "order for " + seen.subject : seen.forward, standInLags, seen.time,
+                    since + parameters.drainGraceMillis + CLOCK_TOLERANCE_MILLIS);
             if (why != null) {
-                shown.add((seen.forward.isEmpty() ? "order for " + seen.mark : seen.forward) + " " + why);
+                shown.add((seen.forward.isEmpty() ? "order for " + seen.subject : seen.forward) + " " + why);
             }
         }
-        return new Verdict(3, "nothing new to what drains or is gone", shown.isEmpty(), looked, shown);
+        return new RuleResult(3, "nothing new to what drains or is gone", shown.isEmpty(), looked, shown);
     }
 
-    private Verdict rationed() {
+    private RuleResult checkLoadOrderBudget() {
         List<String> shown = new ArrayList<>();
         long looked = 0;
-        if (figures.span > 0) {
-            for (Map.Entry<String, List<Seen>> entry : orders.entrySet()) {
-                List<Seen> own = new ArrayList<>(entry.getValue());
-                own.sort((a, b) -> Double.compare(a.t, b.t));
-                double[] taken = asksAt.getOrDefault(entry.getKey(), List.of()).stream().mapToDouble(t -> t).sorted()
+        if (parameters.loadOrderWindowMillis > 0) {
+            for (Map.Entry<String, List<ExecutorEvent>> entry : loadOrders.entrySet()) {
+                List<ExecutorEvent> own = new ArrayList<>(entry.getValue());
+                own.sort((a, b) -> Double.compare(a.time, b.time));
+                double[] taken = requestTimes.getOrDefault(entry.getKey(), List.of()).stream().mapToDouble(t -> t).sorted()
                         .toArray();
                 int from = 0;
                 int low = 0;
                 int high = 0;
                 for (int i = 0; i < own.size(); i++) {
-                    double t = own.get(i).t;
-                    while (own.get(from).t < t - figures.span + LINK) {
+                    double t = own.get(i).time;
+                    while (own.get(from).time < t - parameters.loadOrderWindowMillis + CONNECT_TIMEOUT_MILLIS) {
                         from++;
                     }
                     while (high < taken.length && taken[high] <= t) {
                         high++;
                     }
-                    while (low < taken.length && taken[low] < t - figures.span - CLOCKS) {
+                    while (low < taken.length && taken[low] < t - parameters.loadOrderWindowMillis - CLOCK_TOLERANCE_MILLIS) {
                         low++;
                     }
                     looked++;
-                    double most = figures.free + figures.share * (high - low);
-                    if (i - from + 1 > most && !killedBetween(entry.getKey(), t - figures.span, t)) {
+                    double most = parameters.freeLoadOrders + parameters.loadOrdersPerRequest * (high - low);
+                    if (i - from + 1 > most && !killedBetween(entry.getKey(), t - parameters.loadOrderWindowMillis, t)) {
                         shown.add(entry.getKey() + " ordered " + (i - from + 1) + " where " + most + " were allowed");
                     }
                 }
             }
         }
-        return new Verdict(5, "load orders keep within the ration", shown.isEmpty(), looked, shown);
+        return new RuleResult(5, "load orders keep within the ration", shown.isEmpty(), looked, shown);
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
@@ -11,14 +11,14 @@
  * this process is ended by a signal, all of them end and no other is started.
  */
 public final class ChildProcesses implements AutoCloseable {
-    private final long endsWithinMillis;
-    private final Thread shutdownHook = new Thread(this::kill, "child processes end");
+    private final long terminationTimeoutMillis;
+    private final Thread shutdownHook = new Thread(this::killAll, "child processes end");
     private final Set<Process> running = new LinkedHashSet<>();
     private boolean closed;
 
     /** @param endsWithinMillis how long a process may take to end after SIGTERM, before it is killed */
     public ChildProcesses(long endsWithinMillis) {
-        this.endsWithinMillis = endsWithinMillis;
+        this.terminationTimeoutMillis = endsWithinMillis;
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
@@ -29,36 +29,36 @@
         }
         Process process = command.start();
         running.add(process);
-        process.onExit().thenRun(() -> forget(process));
+        process.onExit().thenRun(() -> remove(process));
         return process;
     }
 
-    private synchronized void forget(Process process) {
+    private synchronized void remove(Process process) {
         running.remove(process);
     }
 
-    private synchronized List<Process> end() {
+    private synchronized List<Process> stopStarting() {
         closed = true;
         return List.copyOf(running);
     }
 
-    private void kill() {
-        end().forEach(Process::destroyForcibly);
+    private void killAll() {
+        stopStarting().forEach(Process::destroyForcibly);
     }
 
     /** Ends all of them: by SIGTERM, and what is still there after its time by SIGKILL. */
     @Override
     public void close() {
-        List<Process> left = end();
+        List<Process> left = stopStarting();
         left.forEach(Process::destroy);
         try {
             for (Process process : left) {
-                process.waitFor(endsWithinMillis, TimeUnit.MILLISECONDS);
+                process.waitFor(terminationTimeoutMillis, TimeUnit.MILLISECONDS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        kill();
+        killAll();
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
--- a/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
@@ -1,10 +1,10 @@
 package gradereach.rehearsal;
 
-import gradereach.desk.Flight;
-import gradereach.desk.Links;
+import gradereach.desk.InFlightForward;
+import gradereach.desk.ExecutorTransport;
 import gradereach.ledger.disk.Disk;
 import gradereach.plan.Deployment;
-import gradereach.serve.Between;
+import gradereach.serve.FaultInjection;
 import gradereach.serve.FrontEndProcess;
 import gradereach.serve.Gateway;
 import java.io.IOException;
@@ -24,16 +24,16 @@
  */
 public final class FaultyFrontEnd {
     /** The exit code of a process that was killed. */
-    static final int KILLED = 137;
+    static final int KILLED_EXIT_CODE = 137;
 
     private static String[] fault;
-    private static volatile long fullUntil;
+    private static volatile long fullUntilNanos;
 
     private FaultyFrontEnd() { }
 
     public static void main(String[] args) throws Exception {
         fault = args[0].split(":");
-        Between between = new Between(UnaryOperator.identity(), FaultyFrontEnd::links, disk());
+        FaultInjection between = new FaultInjection(UnaryOperator.identity(), FaultyFrontEnd::wrapTransport, createDisk());
         if (args.length > 2) {
             System.exit(FrontEndProcess.run(Path.of(args[2]), between, System.out, System.err));
         }
@@ -42,21 +42,21 @@
         Thread.sleep(Long.MAX_VALUE); // ended from outside, or by its fault
     }
 
-    private static boolean is(String step, int number, String when) {
+    private static boolean faultMatches(String step, int number, String when) {
         return fault[0].equals(step) && Integer.parseInt(fault[1]) == number && fault[2].equals(when);
     }
 
     private static void crashAt(String step, int number, String when) {
-        if (is(step, number, when)) {
-            Runtime.getRuntime().halt(KILLED);
+        if (faultMatches(step, number, when)) {
+            Runtime.getRuntime().halt(KILLED_EXIT_CODE);
         }
     }
 
-    private static Links links(Links real) {
+    private static ExecutorTransport wrapTransport(ExecutorTransport real) {
         AtomicInteger forwards = new AtomicInteger();
-        return (Links) Proxy.newProxyInstance(Links.class.getClassLoader(), new Class<?>[] {Links.class},
+        return (ExecutorTransport) Proxy.newProxyInstance(ExecutorTransport.class.getClassLoader(), new Class<?>[] {ExecutorTransport.class},
                 (proxy, called, args) -> {
-                    boolean forward = args[0] instanceof Flight && called.getName().equals("forward");
+                    boolean forward = args[0] instanceof InFlightForward && called.getName().equals("forward");
                     int number = forward ? forwards.incrementAndGet() : 0;
                     crashAt("forward", number, "before");
                     try {
@@ -64,7 +64,7 @@
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
-                    if (is("forward", number, "after")) {
+                    if (faultMatches("forward", number, "after")) {
                         Thread.sleep(100); // it leaves by another thread
                         crashAt("forward", number, "after");
                     }
@@ -72,14 +72,14 @@
                 });
     }
 
-    private static Disk disk() {
+    private static Disk createDisk() {
         AtomicInteger writes = new AtomicInteger();
         AtomicInteger forces = new AtomicInteger();
         return new Disk() {
             @Override
             public Appender create(Path file) throws IOException {
                 throwIfFull();
-                Appender real = REAL.create(file);
+                Appender real = FILE_SYSTEM.create(file);
                 return new Appender() {
                     private boolean begun;
                     private boolean settled;
@@ -93,11 +93,11 @@
                         }
                         int number = writes.incrementAndGet();
                         if (number == 1 && fault[0].equals("full")) {
-                            fullUntil = System.nanoTime() + Long.parseLong(fault[1]) * 1_000_000;
+                            fullUntilNanos = System.nanoTime() + Long.parseLong(fault[1]) * 1_000_000;
                         }
                         throwIfFull();
                         crashAt("write", number, "before");
-                        if (is("write", number, "torn")) {
+                        if (faultMatches("write", number, "torn")) {
                             real.write(bytes.duplicate().limit(bytes.position() + bytes.remaining() / 2));
                             crashAt("write", number, "torn");
                         }
@@ -135,18 +135,18 @@
             }
 
             @Override
-            public long room(Path folder) throws IOException {
-                return full() ? 0 : REAL.room(folder);
+            public long usableSpace(Path folder) throws IOException {
+                return isFull() ? 0 : FILE_SYSTEM.usableSpace(folder);
             }
         };
     }
 
-    private static boolean full() {
-        return fullUntil - System.nanoTime() > 0;
+    private static boolean isFull() {
+        return fullUntilNanos - System.nanoTime() > 0;
     }
 
     private static void throwIfFull() throws IOException {
-        if (full()) {
+        if (isFull()) {
             throw new IOException("No space left on device");
         }
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
@@ -24,11 +24,11 @@
      * @param work milliseconds that the executor is to take
      */
     static ModelInferRequest grpc(String model, double budget, double work) {
-        return ModelInferRequest.newBuilder().setModelName(model).putParameters("work_ms", number(work))
-                .putParameters("gradereach-budget-ms", number(budget)).build();
+        return ModelInferRequest.newBuilder().setModelName(model).putParameters("work_ms", doubleParameter(work))
+                .putParameters("gradereach-budget-ms", doubleParameter(budget)).build();
     }
 
-    private static InferParameter number(double value) {
+    private static InferParameter doubleParameter(double value) {
         return InferParameter.newBuilder().setDoubleParam(value).build();
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
@@ -38,17 +38,17 @@
 /** Plays a scripted day: stand-ins and front ends as processes of their own, clients here, then the auditor. */
 public final class Rehearsal {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long FRONT_ENDS_SECONDS = 20; // to answer what they hold
-    private static final long STAND_INS_SECONDS = 10;
-    private static final long LAST_EVENTS_SECONDS = 5;
+    private static final long FRONT_END_STOP_SECONDS = 20; // to answer what they hold
+    private static final long STAND_IN_STOP_SECONDS = 10;
+    private static final long EVENT_STOP_SECONDS = 5;
     /** A day lasts until its events have come to their end, the start of a front end included: 30 s at most. */
-    private static final double LONGEST_EVENT_MILLIS = 30_000;
+    private static final double MAX_EVENT_MILLIS = 30_000;
 
     /** A script that cannot be played; the message names the place. */
-    public static final class BadScript extends Exception {
+    public static final class InvalidScriptException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadScript(String what) {
+        InvalidScriptException(String what) {
             super(what);
         }
     }
@@ -57,21 +57,21 @@
     private final Path folder;
     private final List<String> frontEndCommand;
     private final PrintStream out;
-    private final HttpClient client = HttpClient.newHttpClient();
-    private final ChildProcesses standInProcesses = new ChildProcesses(TimeUnit.SECONDS.toMillis(STAND_INS_SECONDS));
-    private final ChildProcesses frontEnds = new ChildProcesses(TimeUnit.SECONDS.toMillis(FRONT_ENDS_SECONDS));
+    private final HttpClient httpClient = HttpClient.newHttpClient();
+    private final ChildProcesses standInProcesses = new ChildProcesses(TimeUnit.SECONDS.toMillis(STAND_IN_STOP_SECONDS));
+    private final ChildProcesses frontEnds = new ChildProcesses(TimeUnit.SECONDS.toMillis(FRONT_END_STOP_SECONDS));
     /** By number; one that was killed stands here until its next process serves. */
-    private final List<Process> serving = new ArrayList<>();
-    private final EventsUnderWay underWay = new EventsUnderWay();
-    private double longestEvent = LONGEST_EVENT_MILLIS;
+    private final List<Process> frontEndProcesses = new ArrayList<>();
+    private final RunningEvents runningEvents = new RunningEvents();
+    private double maxEventMillis = MAX_EVENT_MILLIS;
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<InetSocketAddress> grpcAddresses = new ArrayList<>();
-    private final List<WebhookKey> keys = new ArrayList<>();
+    private final List<WebhookKey> customerKeys = new ArrayList<>();
     /** With peers: the fronts' ports, then the peers'. They name each other, so they must be known before. */
     private final List<Integer> ports = new ArrayList<>();
     private Transcript transcript;
     /** Null where nobody watches. */
-    private AlertWatch alerts;
+    private AlertMonitor alertMonitor;
 
     /** @param frontEndCommand starts a front end when a deployment file is added to it */
     public Rehearsal(JsonNode day, Path folder, List<String> frontEndCommand, PrintStream out) {
@@ -82,27 +82,27 @@
     }
 
     /** Has every front end push to this watch. */
-    public Rehearsal watchedBy(AlertWatch watch) {
-        alerts = watch;
+    public Rehearsal withAlertMonitor(AlertMonitor watch) {
+        alertMonitor = watch;
         return this;
     }
 
     /** Has the day wait so long for events that are under way at its end. */
-    Rehearsal waitingForEvents(double millis) {
-        longestEvent = millis;
+    Rehearsal withMaxEventMillis(double millis) {
+        maxEventMillis = millis;
         return this;
     }
 
     /** A day shipped with the program by its name, or a file; checked against the schema. */
-    public static JsonNode script(String nameOrFile) throws BadScript {
-        JsonNode day = raw(nameOrFile);
+    public static JsonNode loadScript(String nameOrFile) throws InvalidScriptException {
+        JsonNode day = readScript(nameOrFile);
         Set<String> like = new HashSet<>();
         while (day.has("like")) {
             String base = day.path("like").asText();
             if (!like.add(base)) {
-                throw new BadScript(nameOrFile + ": /like: " + base + " is like itself");
+                throw new InvalidScriptException(nameOrFile + ": /like: " + base + " is like itself");
             }
-            day = merged(raw(base), ((ObjectNode) day.deepCopy()).without("like"));
+            day = merge(readScript(base), ((ObjectNode) day.deepCopy()).without("like"));
         }
         try (InputStream schema = Rehearsal.class.getResourceAsStream("day.schema.json")) {
             StringBuilder errors = new StringBuilder();
@@ -110,7 +110,7 @@
                     .validate(day).forEach(e -> errors.append(errors.length() == 0 ? "" : "\n").append(nameOrFile)
                             .append(": ").append(e.getInstanceLocation()).append(": ").append(e.getMessage()));
             if (errors.length() > 0) {
-                throw new BadScript(errors.toString());
+                throw new InvalidScriptException(errors.toString());
             }
         } catch (IOException e) {
             throw new IllegalStateException("schema not in the jar", e);
@@ -118,21 +118,21 @@
         return day;
     }
 
-    private static JsonNode raw(String nameOrFile) throws BadScript {
+    private static JsonNode readScript(String nameOrFile) throws InvalidScriptException {
         try (InputStream shipped = Rehearsal.class.getResourceAsStream(nameOrFile + ".json")) {
             return shipped != null ? JSON.readTree(shipped) : JSON.readTree(Path.of(nameOrFile).toFile());
         } catch (IOException e) {
-            throw new BadScript(nameOrFile + ": no shipped day and no readable JSON file: " + e.getMessage());
+            throw new InvalidScriptException(nameOrFile + ": no shipped day and no readable JSON file: " + e.getMessage());
         }
     }
 
     /** A day that is like another but for what it says itself: objects by member, all else as a whole. */
-    private static JsonNode merged(JsonNode like, JsonNode own) {
+    private static JsonNode merge(JsonNode like, JsonNode own) {
         ObjectNode day = like.deepCopy();
         own.properties().forEach(field -> {
             JsonNode there = day.path(field.getKey());
             boolean both = there.isObject() && field.getValue().isObject();
-            day.set(field.getKey(), both ? merged(there, field.getValue()) : field.getValue());
+            day.set(field.getKey(), both ? merge(there, field.getValue()) : field.getValue());
         });
         return day;
     }
@@ -147,15 +147,15 @@
                 System.getProperty("java.class.path"), mainClass);
     }
 
-    public Auditor.Findings run() throws IOException, InterruptedException {
+    public Auditor.AuditReport run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        forgetLedgers();
+        deleteLedgers();
         SecureRandom chance = new SecureRandom();
         for (int i = 0; i < day.path("customers").size(); i++) {
-            keys.add(WebhookKey.parse(WebhookKey.newSecret(chance)));
+            customerKeys.add(WebhookKey.parse(WebhookKey.newSecret(chance)));
         }
         transcript = new Transcript(folder.resolve("clients.jsonl"));
-        Process standIns = standIns();
+        Process standIns = startStandIns();
         ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
         try (BufferedReader said = standIns.inputReader(StandardCharsets.UTF_8)) {
             String[] words = String.valueOf(said.readLine()).split(" ");
@@ -173,43 +173,43 @@
             }
             for (int i = 0; i < count; i++) {
                 Files.write(folder.resolve("fe-" + i + ".json"), JSON.writerWithDefaultPrettyPrinter()
-                        .writeValueAsBytes(deployment(i, count, roster, control, ports.isEmpty() ? 0 : ports.get(i))));
+                        .writeValueAsBytes(createDeployment(i, count, roster, control, ports.isEmpty() ? 0 : ports.get(i))));
                 startFrontEnd(i);
             }
-            try (Crowd crowd = new Crowd(day, addresses, grpcAddresses, keys, transcript)) {
+            try (ScriptedClients crowd = new ScriptedClients(day, addresses, grpcAddresses, customerKeys, transcript)) {
                 crowd.warmUp();
-                if (alerts != null) {
-                    alerts.begin();
+                if (alertMonitor != null) {
+                    alertMonitor.start();
                 }
                 for (JsonNode event : day.path("events")) {
-                    timer.schedule(() -> event(event, crowd, control, timer), event.path("at_ms").asLong(),
+                    timer.schedule(() -> playEvent(event, crowd, control, timer), event.path("at_ms").asLong(),
                             TimeUnit.MILLISECONDS);
                 }
-                crowd.run(day.path("length_ms").asDouble(), longestEvent, underWay::quietFor);
-                if (alerts != null) {
-                    alerts.end();
+                crowd.run(day.path("length_ms").asDouble(), maxEventMillis, runningEvents::millisSinceLastEnd);
+                if (alertMonitor != null) {
+                    alertMonitor.stop();
                 }
             }
             Thread.sleep(day.path("clients").path("async").asDouble(0) > 0 ? 1500 : 200);
         } finally {
-            for (String event : underWay.list()) {
+            for (String event : runningEvents.descriptions()) {
                 transcript.write("cut-short", "what", "not at its end when the day was: " + event);
             }
             timer.shutdownNow();
             frontEnds.close();
-            timer.awaitTermination(LAST_EVENTS_SECONDS, TimeUnit.SECONDS);
+            timer.awaitTermination(EVENT_STOP_SECONDS, TimeUnit.SECONDS);
             standIns.getOutputStream().close();
-            standIns.waitFor(STAND_INS_SECONDS, TimeUnit.SECONDS);
+            standIns.waitFor(STAND_IN_STOP_SECONDS, TimeUnit.SECONDS);
             standInProcesses.close();
             transcript.close();
         }
-        Auditor auditor = auditor();
-        auditor.read(folder.resolve("clients.jsonl"));
-        auditor.read(folder.resolve("stand-ins.jsonl"));
-        return auditor.judge();
+        Auditor auditor = createAuditor();
+        auditor.readTranscript(folder.resolve("clients.jsonl"));
+        auditor.readTranscript(folder.resolve("stand-ins.jsonl"));
+        return auditor.evaluate();
     }
 
-    private Auditor auditor() {
+    private Auditor createAuditor() {
         Map<String, String> repeatOf = new HashMap<>();
         Map<String, Double> sloOf = new HashMap<>();
         double window = 0;
@@ -219,12 +219,12 @@
             window = Math.max(window, group.path("dedup_window_ms").asDouble(0));
         }
         JsonNode ration = day.path("rules").path("load_ration");
-        return new Auditor(new Auditor.Figures(day.path("rules").path("answer_slack_ms").asDouble(10),
+        return new Auditor(new Auditor.RuleParameters(day.path("rules").path("answer_slack_ms").asDouble(10),
                 day.path("drain_grace_ms").asDouble(500), ration.path("free").asDouble(0),
                 ration.path("share").asDouble(0), ration.path("span_ms").asDouble(0), window, day.path("peers").asBoolean()), repeatOf, sloOf);
     }
 
-    private Process standIns() throws IOException {
+    private Process startStandIns() throws IOException {
         ObjectNode fleet = JSON.createObjectNode();
         fleet.setAll((ObjectNode) day.path("fleet").deepCopy());
         fleet.set("models", day.path("models"));
@@ -237,7 +237,7 @@
         return standInProcesses.start(new ProcessBuilder(command).redirectError(folder.resolve("stand-ins.log").toFile()));
     }
 
-    private ObjectNode deployment(int me, int count, int roster, int control, int port) {
+    private ObjectNode createDeployment(int me, int count, int roster, int control, int port) {
         ObjectNode plan = JSON.createObjectNode();
         plan.put("name", "fe-" + me).put("listen", "127.0.0.1:" + port);
         ObjectNode tier = plan.putObject("tier").put("me", me).put("front_ends", count);
@@ -248,7 +248,7 @@
         }
         plan.putObject("roster").put("server", "http://127.0.0.1:" + roster);
         ArrayNode customers = plan.putArray("customers");
-        for (int i = 0; i < keys.size(); i++) {
+        for (int i = 0; i < customerKeys.size(); i++) {
             JsonNode told = day.path("customers").path(i);
             ObjectNode customer = customers.addObject().put("name", told.path("name").asText());
             if (told.has("quota_per_second")) {
@@ -260,8 +260,8 @@
         if (day.path("clients").path("grpc").asDouble(0) > 0) {
             plan.putObject("grpc").put("listen", "127.0.0.1:0");
         }
-        if (alerts != null) {
-            plan.putObject("metrics").putObject("remote_write").put("url", alerts.url()).put("interval_ms", 250);
+        if (alertMonitor != null) {
+            plan.putObject("metrics").putObject("remote_write").put("url", alertMonitor.url()).put("interval_ms", 250);
         }
         if (day.path("ledger").asBoolean()) {
             plan.putObject("ledger").put("folder", "fe-" + me + ".ledger");
@@ -284,8 +284,8 @@
     }
 
     private void writeKeys() throws IOException {
-        for (int c = 0; c < keys.size(); c++) {
-            writeKey("customer-" + c + ".key", keys.get(c).secretText());
+        for (int c = 0; c < customerKeys.size(); c++) {
+            writeKey("customer-" + c + ".key", customerKeys.get(c).secretText());
         }
         writeKey("peers.key", WebhookKey.newSecret(new SecureRandom()));
     }
@@ -299,27 +299,27 @@
 
     /** Ports below those that systems give to outgoing connections (Linux: from 32768). */
     private static final int FIRST_PORT = 20_000;
-    private static final int PORTS = 12_000;
-    private static final int PORT_TRIES = 100;
+    private static final int PORT_COUNT = 12_000;
+    private static final int PORT_ATTEMPTS = 100;
 
     /**
      * A port on which a process of this rehearsal will listen in a moment. Of those that the system gives itself any
      * connection of the machine could take it until then.
      */
     private static int freePort() throws IOException {
-        for (int i = 0; i < PORT_TRIES; i++) {
-            int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
+        for (int i = 0; i < PORT_ATTEMPTS; i++) {
+            int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
             try (ServerSocket socket = new ServerSocket(port, 1, java.net.InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (BindException taken) {
                 // another one is tried
             }
         }
-        throw new IOException("no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORTS - 1));
+        throw new IOException("no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1));
     }
 
     /** A day begins without a past, also in a folder that has been used. */
-    private void forgetLedgers() throws IOException {
+    private void deleteLedgers() throws IOException {
         try (var files = Files.walk(folder)) {
             for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 if (folder.relativize(file).toString().matches("fe-\\d+\\.ledger(/.*)?")) {
@@ -344,16 +344,16 @@
             throw new IOException("front end did not start: see " + folder.resolve("fe-" + i + ".log"));
         }
         String[] words = line.split(" ");
-        InetSocketAddress at = address(words[1]);
-        InetSocketAddress grpc = line.contains(" grpc ") ? address(words[words.length - 1]) : null;
+        InetSocketAddress at = parseAddress(words[1]);
+        InetSocketAddress grpc = line.contains(" grpc ") ? parseAddress(words[words.length - 1]) : null;
         Thread drain = new Thread(() -> said.lines().forEach(l -> { }), "front-end-output");
         drain.setDaemon(true);
         drain.start();
         synchronized (this) {
-            if (i < serving.size()) {
-                serving.set(i, made);
+            if (i < frontEndProcesses.size()) {
+                frontEndProcesses.set(i, made);
             } else {
-                serving.add(made);
+                frontEndProcesses.add(made);
                 addresses.add(at);
                 if (grpc != null) {
                     grpcAddresses.add(grpc);
@@ -362,34 +362,34 @@
         }
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         return new InetSocketAddress("127.0.0.1", Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)));
     }
 
     /** The whole process stands still, or goes on. What it could not do meanwhile is not held against it. */
-    private void signal(int fe, String what) throws IOException, InterruptedException {
+    private void signalFrontEnd(int fe, String what) throws IOException, InterruptedException {
         transcript.write("killed", "fe", "fe-" + fe, "signal", what);
-        new ProcessBuilder("kill", "-" + what, Long.toString(serving.get(fe).pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + what, Long.toString(frontEndProcesses.get(fe).pid())).start().waitFor();
     }
 
-    private void event(JsonNode event, Crowd crowd, int control, ScheduledExecutorService timer) {
+    private void playEvent(JsonNode event, ScriptedClients crowd, int control, ScheduledExecutorService timer) {
         String kind = event.path("kind").asText();
         long length = event.path("for_ms").asLong(1000);
-        if (alerts != null) {
-            alerts.happened(kind);
+        if (alertMonitor != null) {
+            alertMonitor.recordEvent(kind);
         }
-        underWay.begins(event);
+        runningEvents.eventStarted(event);
         out.println(String.format("%6.1f s  %s %s", event.path("at_ms").asDouble() / 1000, kind,
                 event.toString().replaceAll(".*\"kind\":\"[^\"]*\",?", "").replace("}", "").replace("\"", "")));
         try {
             switch (kind) {
                 case "burst" -> {
-                    crowd.burst(event.path("size").asDouble(2));
-                    timer.schedule(() -> crowd.burst(1), length, TimeUnit.MILLISECONDS);
+                    crowd.setRateMultiplier(event.path("size").asDouble(2));
+                    timer.schedule(() -> crowd.setRateMultiplier(1), length, TimeUnit.MILLISECONDS);
                 }
                 case "customer_burst" -> {
-                    crowd.burstOf(event.path("customer").asInt(0), event.path("size").asDouble(4));
-                    timer.schedule(() -> crowd.burstOf(-1, 1), length, TimeUnit.MILLISECONDS);
+                    crowd.setCustomerMultiplier(event.path("customer").asInt(0), event.path("size").asDouble(4));
+                    timer.schedule(() -> crowd.setCustomerMultiplier(-1, 1), length, TimeUnit.MILLISECONDS);
                 }
                 case "kill_front_end" -> {
                     int fe = event.path("fe").asInt(0);
@@ -402,7 +402,7 @@
                     }
                     Files.write(file, JSON.writeValueAsBytes(plan));
                     transcript.write("killed", "fe", "fe-" + fe);
-                    serving.get(fe).destroyForcibly().waitFor();
+                    frontEndProcesses.get(fe).destroyForcibly().waitFor();
                     transcript.write("killed", "fe", "fe-" + fe);
                     Thread.sleep(length);
                     startFrontEnd(fe);
@@ -410,12 +410,12 @@
                 }
                 case "stall_front_end" -> {
                     int fe = event.path("fe").asInt(0);
-                    signal(fe, "STOP");
+                    signalFrontEnd(fe, "STOP");
                     Thread.sleep(length);
-                    signal(fe, "CONT");
+                    signalFrontEnd(fe, "CONT");
                 }
                 default -> {
-                    HttpResponse<Void> answer = client.send(HttpRequest.newBuilder(
+                    HttpResponse<Void> answer = httpClient.send(HttpRequest.newBuilder(
                             URI.create("http://127.0.0.1:" + control + "/fault"))
                             .POST(HttpRequest.BodyPublishers.ofString(event.toString())).build(),
                             HttpResponse.BodyHandlers.discarding());
@@ -428,7 +428,7 @@
             out.println("event failed: " + e.getMessage());
             transcript.write("event-failed", "kind", kind);
         } finally {
-            underWay.ended(event);
+            runningEvents.eventEnded(event);
         }
     }
 }
--- /dev/null
+++ b/rehearsal/src/main/java/gradereach/rehearsal/RunningEvents.java
@@ -0,0 +1,29 @@
+package gradereach.rehearsal;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Which of a day's events have begun and not ended. Any thread. */
+final class RunningEvents {
+    private final List<JsonNode> running = new ArrayList<>();
+    private long lastEndNanos = System.nanoTime();
+
+    synchronized void eventStarted(JsonNode event) {
+        running.add(event);
+    }
+
+    synchronized void eventEnded(JsonNode event) {
+        running.remove(event);
+        lastEndNanos = System.nanoTime();
+    }
+
+    /** Milliseconds since the last event ended, 0 while one is under way. */
+    synchronized double millisSinceLastEnd() {
+        return running.isEmpty() ? (System.nanoTime() - lastEndNanos) / 1e6 : 0;
+    }
+
+    synchronized List<String> descriptions() {
+        return running.stream().map(JsonNode::toString).toList();
+    }
+}
--- a/rehearsal/src/main/java/gradereach/rehearsal/Crowd.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import gradereach.client.Inference;
-import gradereach.client.Way;
+import gradereach.client.FrontEndTransport;
 import gradereach.counts.Counts;
-import gradereach.http2.Exchange.End;
-import gradereach.http2.Http2Pool;
+import gradereach.http2.ExchangeListener.ExchangeResult;
+import gradereach.http2.Http2ConnectionPool;
 import gradereach.protocol.inference.ModelInferRequest;
-import gradereach.standins.LagWatch;
+import gradereach.standins.EventLoopLagMonitor;
 import gradereach.standins.Transcript;
 import gradereach.webhook.KeyRing;
 import gradereach.webhook.WebhookKey;
@@ -30,58 +30,58 @@
  * Scripted clients: ask at a rate that does not wait for answers, give up on their own time, repeat as their kind
  * does, and write down what they asked and heard. One thread decides; answers come from the I/O threads.
  */
-final class Crowd implements AutoCloseable {
+final class ScriptedClients implements AutoCloseable {
     /** Numbers of tries that are no repeats: the same message played again, and copies of it sent at once. */
-    private static final int REPLAY = 100;
-    private static final int SAME = 1000;
+    private static final int REPLAY_ATTEMPT = 100;
+    private static final int DUPLICATE_ATTEMPT = 1000;
 
     private record Customer(String name, WebhookKey key, double share) { }
 
-    private record Kind(String group, String repeat, boolean streamed, double timeout, double share, String[] models,
-            double[] upTo, double work) { }
+    private record InferenceKind(String group, String repeat, boolean streamed, double timeoutMillis, double share, String[] models,
+            double[] cumulativeWeights, double workMillis) { }
 
     /** Requests of one kind that each front end refuses before the day. */
-    private static final int WARM_UPS = 50;
-    private static final double WARM_UP_BUDGET = 1000;
-    private static final double WARM_UP_MILLIS = 3000;
+    private static final int WARM_UP_REQUESTS = 50;
+    private static final double WARM_UP_BUDGET_MILLIS = 1000;
+    private static final double WARM_UP_TIMEOUT_MILLIS = 3000;
     /** What an event leaves behind is asked of as well. */
-    private static final double AFTER_EVENTS_MILLIS = 500;
+    private static final double QUIET_PERIOD_MILLIS = 500;
     /** Above every budget of the days, and what a client waits after it. */
-    private static final double LAST_ENDS_MILLIS = 15_000;
+    private static final double FINAL_ANSWERS_TIMEOUT_MILLIS = 15_000;
 
     private final Transcript transcript;
-    private final Transcript warmUps = Transcript.discarded();
+    private final Transcript warmUpTranscript = Transcript.discarded();
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final Http2Pool[] fronts;
+    private final Http2ConnectionPool[] frontEndPools;
     /** Of their gRPC listeners; empty where there are none. */
-    private final List<InetSocketAddress> grpcFronts;
+    private final List<InetSocketAddress> grpcAddresses;
     /** By customer; the library repeats nothing. */
-    private final List<Way> byGrpc = new ArrayList<>();
+    private final List<FrontEndTransport> grpcClients = new ArrayList<>();
     private final List<Customer> customers = new ArrayList<>();
-    private final List<Kind> kinds = new ArrayList<>();
-    private final JsonNode habits;
-    private final Random chance;
-    private final AtomicInteger open = new AtomicInteger();
+    private final List<InferenceKind> kinds = new ArrayList<>();
+    private final JsonNode clientSettings;
+    private final Random random;
+    private final AtomicInteger openRequests = new AtomicInteger();
     private final String run;
-    private int asked;
-    private volatile double rateTimes = 1;
-    private volatile int loud = -1;
-    private volatile double louder = 1;
+    private int requestCount;
+    private volatile double rateMultiplier = 1;
+    private volatile int burstCustomer = -1;
+    private volatile double customerMultiplier = 1;
 
-    Crowd(JsonNode day, List<InetSocketAddress> addresses, List<InetSocketAddress> grpcFronts, List<WebhookKey> keys,
+    ScriptedClients(JsonNode day, List<InetSocketAddress> addresses, List<InetSocketAddress> grpcFronts, List<WebhookKey> keys,
             Transcript transcript) {
-        this.grpcFronts = grpcFronts;
+        this.grpcAddresses = grpcFronts;
         this.transcript = transcript;
-        habits = day.path("clients");
-        chance = new Random(day.path("seed").asLong(1));
-        run = Long.toHexString(chance.nextLong() >>> 40);
+        clientSettings = day.path("clients");
+        random = new Random(day.path("seed").asLong(1));
+        run = Long.toHexString(random.nextLong() >>> 40);
         for (int i = 0; i < day.path("customers").size(); i++) {
             JsonNode c = day.path("customers").path(i);
-            byGrpc.add(Way.grpc(keys.get(i), loops));
+            grpcClients.add(FrontEndTransport.grpc(keys.get(i), loops));
             customers.add(new Customer(c.path("name").asText(), keys.get(i), c.path("share").asDouble(1)));
         }
         for (JsonNode g : day.path("model_groups")) {
-            JsonNode habit = habits.path("groups").path(g.path("name").asText());
+            JsonNode habit = clientSettings.path("groups").path(g.path("name").asText());
             int count = habit.path("models").asInt(10);
             String[] models = new String[count];
             double[] upTo = new double[count];
@@ -91,15 +91,15 @@
                 sum += 1 / Math.pow(i + 1, habit.path("zipf").asDouble(1.1));
                 upTo[i] = sum;
             }
-            kinds.add(new Kind(g.path("name").asText(), g.path("repeat").asText(),
+            kinds.add(new InferenceKind(g.path("name").asText(), g.path("repeat").asText(),
                     g.path("streamed").asBoolean(false), g.path("route_timeout_ms").asDouble(), habit.path("share").asDouble(1), models, upTo,
                     habit.path("work_ms").asDouble(20)));
         }
         Counts counts = new Counts();
-        fronts = new Http2Pool[addresses.size()];
-        for (int i = 0; i < fronts.length; i++) {
-            fronts[i] = new Http2Pool(addresses.get(i), loops.next(), NioSocketChannel.class,
-                    new Http2Pool.Bounds(8, 500, 500, 10_000, 1 << 20, 1 << 20), new Http2Pool.Tally(counts, "crowd"),
+        frontEndPools = new Http2ConnectionPool[addresses.size()];
+        for (int i = 0; i < frontEndPools.length; i++) {
+            frontEndPools[i] = new Http2ConnectionPool(addresses.get(i), loops.next(), NioSocketChannel.class,
+                    new Http2ConnectionPool.Limits(8, 500, 500, 10_000, 1 << 20, 1 << 20), new Http2ConnectionPool.Metrics(counts, "crowd"),
                     () -> System.nanoTime() / 1e6);
         }
     }
@@ -109,9 +109,9 @@
      * very path of the day's requests: a first call prepared 188 ms late, on two cores, counted as a late answer.
      */
     void warmUp() {
-        for (int front = 0; front < fronts.length; front++) {
+        for (int front = 0; front < frontEndPools.length; front++) {
             warmUp(front, false, false);
-            if (!grpcFronts.isEmpty()) {
+            if (!grpcAddresses.isEmpty()) {
                 warmUp(front, true, false);
                 warmUp(front, true, true);
             }
@@ -119,36 +119,36 @@
     }
 
     private void warmUp(int front, boolean grpc, boolean streamed) {
-        Kind unknown = new Kind("warm-up", "non-retriable", streamed, WARM_UP_BUDGET, 0, new String[] {"warm-up"},
+        InferenceKind unknown = new InferenceKind("warm-up", "non-retriable", streamed, WARM_UP_BUDGET_MILLIS, 0, new String[] {"warm-up"},
                 new double[] {1}, 1);
-        for (int i = 0; i < WARM_UPS; i++) {
-            byte[] body = InferenceMessages.webhook(unknown.models[0], WARM_UP_BUDGET, 1);
-            Ask ask = new Ask(customers.get(i % customers.size()), unknown, "warm-up-" + i, body, WARM_UP_BUDGET, front,
-                    warmUps);
+        for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+            byte[] body = InferenceMessages.webhook(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
+            ScriptedRequest ask = new ScriptedRequest(customers.get(i % customers.size()), unknown, "warm-up-" + i, body, WARM_UP_BUDGET_MILLIS, front,
+                    warmUpTranscript);
             ask.grpc = grpc;
-            ask.message = InferenceMessages.grpc(unknown.models[0], WARM_UP_BUDGET, 1);
+            ask.grpcMessage = InferenceMessages.grpc(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
             ask.send(0);
         }
-        awaitEnds(WARM_UP_MILLIS);
+        awaitAnswers(WARM_UP_TIMEOUT_MILLIS);
     }
 
     /** Until all that was asked is at an end, or {@code millis} are over. */
-    private void awaitEnds(double millis) {
+    private void awaitAnswers(double millis) {
         double until = System.nanoTime() / 1e6 + millis;
-        while (open.get() > 0 && System.nanoTime() / 1e6 < until) {
+        while (openRequests.get() > 0 && System.nanoTime() / 1e6 < until) {
             LockSupport.parkNanos(5_000_000);
         }
     }
 
     /** Rate times {@code size}, for a burst. */
-    void burst(double size) {
-        rateTimes = size;
+    void setRateMultiplier(double size) {
+        rateMultiplier = size;
     }
 
     /** One customer sends that many times its share. */
-    void burstOf(int customer, double size) {
-        loud = customer;
-        louder = size;
+    void setCustomerMultiplier(int customer, double size) {
+        burstCustomer = customer;
+        customerMultiplier = size;
     }
 
     /**
@@ -158,29 +158,29 @@
      * @param quietFor milliseconds since the last event ended, 0 while one is under way
      */
     void run(double millis, double longest, DoubleSupplier quietFor) {
-        LagWatch.watch(loops, "clients", transcript);
+        EventLoopLagMonitor.watch(loops, "clients", transcript);
         double start = System.nanoTime() / 1e6;
         double next = start;
-        while (next < start + millis || next < start + millis + longest && quietFor.getAsDouble() < AFTER_EVENTS_MILLIS) {
+        while (next < start + millis || next < start + millis + longest && quietFor.getAsDouble() < QUIET_PERIOD_MILLIS) {
             double now = System.nanoTime() / 1e6;
             if (next > now) {
                 LockSupport.parkNanos((long) ((next - now) * 1e6));
                 continue;
             }
-            ask();
-            next += -Math.log(1 - chance.nextDouble()) * 1000 / (habits.path("rate").asDouble(100) * rateTimes);
+            sendNext();
+            next += -Math.log(1 - random.nextDouble()) * 1000 / (clientSettings.path("rate").asDouble(100) * rateMultiplier);
         }
-        awaitEnds(LAST_ENDS_MILLIS);
+        awaitAnswers(FINAL_ANSWERS_TIMEOUT_MILLIS);
     }
 
     private int drawCustomer() {
         double sum = 0;
         for (int i = 0; i < customers.size(); i++) {
-            sum += customers.get(i).share * (i == loud ? louder : 1);
+            sum += customers.get(i).share * (i == burstCustomer ? customerMultiplier : 1);
         }
-        double at = chance.nextDouble() * sum;
+        double at = random.nextDouble() * sum;
         for (int i = 0; i < customers.size(); i++) {
-            at -= customers.get(i).share * (i == loud ? louder : 1);
+            at -= customers.get(i).share * (i == burstCustomer ? customerMultiplier : 1);
             if (at < 0) {
                 return i;
             }
@@ -188,10 +188,10 @@
         return customers.size() - 1;
     }
 
-    private Kind drawKind() {
-        double sum = kinds.stream().mapToDouble(Kind::share).sum();
-        double at = chance.nextDouble() * sum;
-        for (Kind kind : kinds) {
+    private InferenceKind drawKind() {
+        double sum = kinds.stream().mapToDouble(InferenceKind::share).sum();
+        double at = random.nextDouble() * sum;
+        for (InferenceKind kind : kinds) {
             at -= kind.share;
             if (at < 0) {
                 return kind;
@@ -200,63 +200,63 @@
         return kinds.get(kinds.size() - 1);
     }
 
-    private void ask() {
+    private void sendNext() {
         Customer customer = customers.get(drawCustomer());
-        Kind kind = drawKind();
-        double draw = chance.nextDouble() * kind.upTo[kind.upTo.length - 1];
+        InferenceKind kind = drawKind();
+        double draw = random.nextDouble() * kind.cumulativeWeights[kind.cumulativeWeights.length - 1];
         int model = 0;
-        while (kind.upTo[model] < draw) {
+        while (kind.cumulativeWeights[model] < draw) {
             model++;
         }
-        double work = kind.work * (0.5 + chance.nextDouble());
-        double budget = kind.timeout * (0.5 + 0.5 * chance.nextDouble());
+        double work = kind.workMillis * (0.5 + random.nextDouble());
+        double budget = kind.timeoutMillis * (0.5 + 0.5 * random.nextDouble());
         byte[] body = InferenceMessages.webhook(kind.models[model], budget, work);
-        Ask ask = new Ask(customer, kind, "m-" + run + "-" + asked, body, Math.round(budget),
-                asked++ % fronts.length, transcript);
-        double lot = chance.nextDouble();
-        double forged = habits.path("forged").asDouble(0);
-        double replayed = habits.path("replayed").asDouble(0);
-        double leaving = habits.path("leaving").asDouble(0);
+        ScriptedRequest ask = new ScriptedRequest(customer, kind, "m-" + run + "-" + requestCount, body, Math.round(budget),
+                requestCount++ % frontEndPools.length, transcript);
+        double lot = random.nextDouble();
+        double forged = clientSettings.path("forged").asDouble(0);
+        double replayed = clientSettings.path("replayed").asDouble(0);
+        double leaving = clientSettings.path("leaving").asDouble(0);
         ask.forged = lot < forged;
-        ask.replays = lot >= forged && lot < forged + replayed;
-        ask.leavesAfter = lot > 1 - leaving ? budget * chance.nextDouble() : -1;
-        ask.async = !ask.replays && ask.leavesAfter < 0 && chance.nextDouble() < habits.path("async").asDouble(0);
-        ask.grpc = !ask.forged && !ask.async && !grpcFronts.isEmpty() && chance.nextDouble() < habits.path("grpc").asDouble(0);
+        ask.replayed = lot >= forged && lot < forged + replayed;
+        ask.cancelAfterMillis = lot > 1 - leaving ? budget * random.nextDouble() : -1;
+        ask.async = !ask.replayed && ask.cancelAfterMillis < 0 && random.nextDouble() < clientSettings.path("async").asDouble(0);
+        ask.grpc = !ask.forged && !ask.async && !grpcAddresses.isEmpty() && random.nextDouble() < clientSettings.path("grpc").asDouble(0);
         if (ask.grpc) {
-            ask.message = InferenceMessages.grpc(kind.models[model], Math.round(budget), work);
+            ask.grpcMessage = InferenceMessages.grpc(kind.models[model], Math.round(budget), work);
         }
         ask.send(0);
-        for (int i = 1; i < habits.path("copies").asInt(1); i++) {
-            int n = SAME + i;
-            ask.sendIn(n, chance.nextInt(300));
+        for (int i = 1; i < clientSettings.path("copies").asInt(1); i++) {
+            int n = DUPLICATE_ATTEMPT + i;
+            ask.sendAfter(n, random.nextInt(300));
         }
     }
 
     /** One message of one client, over its repeats. */
-    private final class Ask {
+    private final class ScriptedRequest {
         final Customer customer;
-        final Kind kind;
+        final InferenceKind kind;
         final String id;
         final byte[] body;
         final double budget;
-        final int first;
+        final int firstFrontEnd;
         final Transcript transcript;
         boolean forged;
-        boolean replays;
+        boolean replayed;
         boolean async;
         boolean grpc;
-        ModelInferRequest message;
-        double leavesAfter = -1;
-        private volatile int went;
+        ModelInferRequest grpcMessage;
+        double cancelAfterMillis = -1;
+        private volatile int lastFrontEnd;
 
-        Ask(Customer customer, Kind kind, String id, byte[] body, double budget, int first,
+        ScriptedRequest(Customer customer, InferenceKind kind, String id, byte[] body, double budget, int first,
                 Transcript transcript) {
             this.customer = customer;
             this.kind = kind;
             this.id = id;
             this.body = body;
             this.budget = budget;
-            this.first = first;
+            this.firstFrontEnd = first;
             this.transcript = transcript;
         }
 
@@ -264,140 +264,140 @@
          * A replayed message comes where the message went last: what another front end can know of it is shared only by claims.
          * Found by a bad day: a first try that never left, its repeat elsewhere, and the replay where nobody had heard of it.
          */
-        private int front(int n) {
-            if (n != REPLAY) {
-                went = (first + n) % fronts.length;
+        private int selectFrontEnd(int n) {
+            if (n != REPLAY_ATTEMPT) {
+                lastFrontEnd = (firstFrontEnd + n) % frontEndPools.length;
             }
-            return went;
+            return lastFrontEnd;
         }
 
         /** What is still to be sent is open: the day is not over before. */
-        void sendIn(int n, long wait) {
-            open.incrementAndGet();
+        void sendAfter(int n, long wait) {
+            openRequests.incrementAndGet();
             loops.schedule(() -> {
                 send(n);
-                open.decrementAndGet();
+                openRequests.decrementAndGet();
             }, wait, TimeUnit.MILLISECONDS);
         }
 
         private void send(int n) {
             if (grpc) {
-                call(n);
+                sendGrpc(n);
             } else {
-                post(n);
+                sendWebhook(n);
             }
         }
 
         /** By gRPC, one try, in parts where the model answers so. */
-        private void call(int n) {
-            int front = front(n);
-            InetSocketAddress to = grpcFronts.get(front);
-            open.incrementAndGet();
+        private void sendGrpc(int n) {
+            int front = selectFrontEnd(n);
+            InetSocketAddress to = grpcAddresses.get(front);
+            openRequests.incrementAndGet();
             transcript.write("asked", "mark", customer.name + "/" + id, "n", n, "fe", "fe-" + front, "group", kind.group,
                     "budget", budget, "async", false, "forged", false, "grpc", true);
             boolean[] left = new boolean[1];
             int[] digest = {1};
-            Inference inference = new Inference(id, message.getModelName(), message);
+            Inference inference = new Inference(id, grpcMessage.getModelName(), grpcMessage);
             Consumer<Object> parts = part -> {
                 if (digest[0] == 1) {
                     transcript.write("begun", "mark", customer.name + "/" + id, "n", n);
                 }
                 digest[0] = 31 * digest[0] + part.hashCode();
             };
-            Consumer<gradereach.client.End> then = end -> {
-                open.decrementAndGet();
-                boolean neverSent = end.kind() == gradereach.client.End.Kind.NEVER_SENT;
+            Consumer<gradereach.client.AttemptOutcome> then = end -> {
+                openRequests.decrementAndGet();
+                boolean neverSent = end.kind() == gradereach.client.AttemptOutcome.Kind.NEVER_SENT;
                 String what = left[0] ? "left" : neverSent ? "lost" : end.kind().name().toLowerCase();
-                transcript.write("heard", "mark", customer.name + "/" + id, "n", n, "what", what, "end", String.valueOf(end.why()),
+                transcript.write("heard", "mark", customer.name + "/" + id, "n", n, "what", what, "end", String.valueOf(end.detail()),
                         "signed", true, "digest", kind.streamed ? digest[0] : String.valueOf(end.answer()).hashCode(), "never_sent",
                         neverSent, "grpc", true);
-                boolean again = what.equals("shed") || neverSent || end.harmless() && what.equals("failed")
+                boolean again = what.equals("shed") || neverSent || end.retrySafe() && what.equals("failed")
                         || what.equals("lost") && kind.repeat.equals("retriable");
-                repeat(n, again, end.pause());
+                retry(n, again, end.retryAfterMillis());
             };
-            Way way = byGrpc.get(customers.indexOf(customer));
+            FrontEndTransport way = grpcClients.get(customers.indexOf(customer));
             String address = to.getHostString() + ":" + to.getPort();
             // As by webhook: closed well after its time, so that a late answer is heard.
-            Way.Try sent = kind.streamed ? way.stream(address, inference, budget + 1000, parts, then)
+            FrontEndTransport.Attempt sent = kind.streamed ? way.stream(address, inference, budget + 1000, parts, then)
                     : way.send(address, inference, budget + 1000, then);
-            replayAndLeave(n, () -> {
+            scheduleReplayAndCancel(n, () -> {
                 left[0] = true;
-                sent.giveUp();
+                sent.cancel();
             });
         }
 
-        private void post(int n) {
-            int front = front(n);
+        private void sendWebhook(int n) {
+            int front = selectFrontEnd(n);
             long at = System.currentTimeMillis() / 1000;
             String signature = "v1," + customer.key.sign(forged ? id + "x" : id, at, body);
-            open.incrementAndGet();
+            openRequests.incrementAndGet();
             double t = Transcript.now();
             transcript.writeAt(t, "asked", "mark", customer.name + "/" + id, "n", n, "fe", "fe-" + front, "group",
                     kind.group, "budget", budget, "async", async, "forged", forged);
             String[] headers = {"content-type", "application/json", "webhook-id", id, "webhook-timestamp",
                 Long.toString(at), "webhook-signature", signature, "prefer", async ? "respond-async" : "wait=60"};
-            Http2Pool.Request[] request = new Http2Pool.Request[1];
-            request[0] = fronts[front].send("POST", "/v1/inferences", body, (end, status, head, content) -> {
-                open.decrementAndGet();
+            Http2ConnectionPool.Request[] request = new Http2ConnectionPool.Request[1];
+            request[0] = frontEndPools[front].send("POST", "/v1/inferences", body, (end, status, head, content) -> {
+                openRequests.decrementAndGet();
                 String text = content == null ? "" : new String(content, StandardCharsets.UTF_8);
-                String what = end == End.GIVEN_UP ? "left" : end != End.ANSWERED ? "lost"
+                String what = end == ExchangeResult.GIVEN_UP ? "left" : end != ExchangeResult.ANSWERED ? "lost"
                         : status == 200 ? "returned" : status == 202 ? "accepted"
                         : text.contains("\"outcome\":\"shed\"") ? "shed"
                         : text.contains("\"outcome\":\"failed\"") ? "failed" : "refused";
-                boolean signed = end == End.ANSWERED && checked(head, content);
+                boolean signed = end == ExchangeResult.ANSWERED && signatureValid(head, content);
                 transcript.write("heard", "mark", customer.name + "/" + id, "n", n, "what", what, "status", status,
                         "end", end.name(), "signed", signed, "digest", java.util.Arrays.hashCode(content),
-                        "never_sent", end == End.NOT_CONNECTED || end == End.NOT_WRITTEN || end == End.REFUSED
-                                || end == End.ABOVE_GOAWAY);
-                after(n, what, end, head == null ? null : head.get("retry-after"), text);
+                        "never_sent", end == ExchangeResult.NOT_CONNECTED || end == ExchangeResult.NOT_WRITTEN || end == ExchangeResult.REFUSED
+                                || end == ExchangeResult.ABOVE_GOAWAY);
+                retryAfterAnswer(n, what, end, head == null ? null : head.get("retry-after"), text);
             }, headers);
-            replayAndLeave(n, () -> request[0].giveUp());
+            scheduleReplayAndCancel(n, () -> request[0].cancel());
         }
 
-        private void replayAndLeave(int n, Runnable leave) {
-            if (replays && n == 0) {
-                sendIn(REPLAY, chance(400));
+        private void scheduleReplayAndCancel(int n, Runnable leave) {
+            if (replayed && n == 0) {
+                sendAfter(REPLAY_ATTEMPT, randomBelow(400));
             }
             // A client's own clock: it closes what is not answered well after its time, or when it has had enough.
-            if (leavesAfter >= 0 || !grpc) {
-                loops.schedule(leave, (long) (leavesAfter >= 0 ? leavesAfter : budget + 1000), TimeUnit.MILLISECONDS);
+            if (cancelAfterMillis >= 0 || !grpc) {
+                loops.schedule(leave, (long) (cancelAfterMillis >= 0 ? cancelAfterMillis : budget + 1000), TimeUnit.MILLISECONDS);
             }
         }
 
-        private long chance(int bound) {
+        private long randomBelow(int bound) {
             return java.util.concurrent.ThreadLocalRandom.current().nextInt(bound);
         }
 
-        private boolean checked(io.netty.handler.codec.http2.Http2Headers head, byte[] content) {
+        private boolean signatureValid(io.netty.handler.codec.http2.Http2Headers head, byte[] content) {
             KeyRing ring = new KeyRing(List.of(List.of(customer.key)));
-            return ring.judge(String.valueOf(head.get("webhook-id")), String.valueOf(head.get("webhook-timestamp")),
+            return ring.verify(String.valueOf(head.get("webhook-id")), String.valueOf(head.get("webhook-timestamp")),
                     String.valueOf(head.get("webhook-signature")), content, System.currentTimeMillis() / 1000, 0)
-                    .refusal() == null;
+                    .rejection() == null;
         }
 
         /** Repeats as the users' clients do: what is harmless, and what never left. */
-        private void after(int n, String what, End end, CharSequence pause, String text) {
-            boolean neverSent = end == End.NOT_CONNECTED || end == End.NOT_WRITTEN || end == End.REFUSED
-                    || end == End.ABOVE_GOAWAY;
+        private void retryAfterAnswer(int n, String what, ExchangeResult end, CharSequence pause, String text) {
+            boolean neverSent = end == ExchangeResult.NOT_CONNECTED || end == ExchangeResult.NOT_WRITTEN || end == ExchangeResult.REFUSED
+                    || end == ExchangeResult.ABOVE_GOAWAY;
             boolean again = what.equals("shed") || neverSent
                     || text.contains("\"repeat_harmless\":true") && what.equals("failed")
                     || what.equals("lost") && kind.repeat.equals("retriable");
-            repeat(n, again, pause == null ? 0 : 1000.0 * Integer.parseInt(pause.toString()));
+            retry(n, again, pause == null ? 0 : 1000.0 * Integer.parseInt(pause.toString()));
         }
 
-        private void repeat(int n, boolean again, double pause) {
-            if (forged || n >= habits.path("repeats").asInt(2) || !again || async) {
+        private void retry(int n, boolean again, double pause) {
+            if (forged || n >= clientSettings.path("repeats").asInt(2) || !again || async) {
                 return;
             }
-            boolean heeds = habits.path("heeds_pause").asDouble(0.5) > Math.abs(id.hashCode() % 100) / 100.0;
+            boolean heeds = clientSettings.path("heeds_pause").asDouble(0.5) > Math.abs(id.hashCode() % 100) / 100.0;
             long wait = heeds ? (long) pause : 0;
-            sendIn(n + 1, wait);
+            sendAfter(n + 1, wait);
         }
     }
 
     @Override
     public void close() {
-        byGrpc.forEach(Way::close);
+        grpcClients.forEach(FrontEndTransport::close);
         loops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndProcess.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndProcess.java
@@ -26,16 +26,16 @@
     /** Where it listens. */
     public final InetSocketAddress address;
     private final List<String> log = new ArrayList<>();
-    private final Path config;
-    private final Path counts;
+    private final Path configFile;
+    private final Path faultCountsFile;
     private final Process process;
-    private volatile boolean told;
+    private volatile boolean stopRequested;
 
     /** A front end that did not come to serve; the message ends with what it printed. */
-    public static final class NotReady extends Exception {
+    public static final class NotReadyException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NotReady(String why) {
+        NotReadyException(String why) {
             super(why);
         }
     }
@@ -49,35 +49,35 @@
      * @param shim makes its system calls fail as {@code faults} say
      */
     public FrontEndProcess(ChildProcesses processes, List<String> command, Path config, String json, FaultShim shim, List<SystemFault> faults, long seed)
-            throws IOException, InterruptedException, NotReady {
-        this.config = Files.writeString(config, json);
-        counts = Path.of(config + ".faults");
+            throws IOException, InterruptedException, NotReadyException {
+        this.configFile = Files.writeString(config, json);
+        faultCountsFile = Path.of(config + ".faults");
         ProcessBuilder start = new ProcessBuilder(command).redirectErrorStream(true);
         start.environment().put("EDGE_CONFIG", config.toString());
-        shim.load(start, faults, seed, counts); // without a fault as well: it records the connections
+        shim.preload(start, faults, seed, faultCountsFile); // without a fault as well: it records the connections
         process = processes.start(start);
         CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
-        Thread reader = new Thread(() -> read(listening), "log of " + config.getFileName());
+        Thread reader = new Thread(() -> readOutput(listening), "log of " + config.getFileName());
         reader.setDaemon(true);
         reader.start();
         address = awaitReady(listening);
     }
 
-    private InetSocketAddress awaitReady(CompletableFuture<InetSocketAddress> listening) throws InterruptedException, NotReady {
+    private InetSocketAddress awaitReady(CompletableFuture<InetSocketAddress> listening) throws InterruptedException, NotReadyException {
         try {
             return listening.get(READY_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             process.destroyForcibly();
             throw e;
         } catch (ExecutionException e) {
-            throw new NotReady(e.getCause().getMessage());
+            throw new NotReadyException(e.getCause().getMessage());
         } catch (TimeoutException e) {
             process.destroyForcibly();
-            throw new NotReady("not ready within " + READY_SECONDS + " s: " + lastLines());
+            throw new NotReadyException("not ready within " + READY_SECONDS + " s: " + lastLines());
         }
     }
 
-    private void read(CompletableFuture<InetSocketAddress> listening) {
+    private void readOutput(CompletableFuture<InetSocketAddress> listening) {
         try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 synchronized (log) {
@@ -109,39 +109,39 @@
 
     /** Another configuration takes the place of the old one, and SIGHUP tells it. */
     public void reconfigure(String json) throws IOException, InterruptedException {
-        Files.writeString(config, json);
-        signal("HUP");
+        Files.writeString(configFile, json);
+        sendSignal("HUP");
     }
 
     /** Sends a signal, by its name without SIG. */
-    public void signal(String name) throws IOException, InterruptedException {
-        told |= name.equals("TERM") || name.equals("KILL");
+    public void sendSignal(String name) throws IOException, InterruptedException {
+        stopRequested |= name.equals("TERM") || name.equals("KILL");
         new ProcessBuilder("kill", "-" + name, process.pid() + "").start().waitFor();
     }
 
     /** Whether it ends within so long. */
-    public boolean ended(long millis) throws InterruptedException {
+    public boolean awaitExit(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
     /** Null, or how it ended though nobody had told it to. */
-    public String crash() {
-        return told || process.isAlive() ? null : "exit code " + process.exitValue() + ": " + lastLines();
+    public String crashReport() {
+        return stopRequested || process.isAlive() ? null : "exit code " + process.exitValue() + ": " + lastLines();
     }
 
     /** How often each of its faults was met. */
-    public long[] met(List<SystemFault> faults) throws IOException {
-        return FaultShim.met(counts, faults);
+    public long[] faultCounts(List<SystemFault> faults) throws IOException {
+        return FaultShim.faultCounts(faultCountsFile, faults);
     }
 
     /** What became of its connections. */
     public List<ConnectionEvent> connectionEvents() throws IOException {
-        return FaultShim.connectionEvents(counts);
+        return FaultShim.connectionEvents(faultCountsFile);
     }
 
     @Override
     public void close() {
-        told = true;
+        stopRequested = true;
         process.destroyForcibly();
     }
 }
