--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
@@ -5,9 +5,9 @@
 import gradereach.standins.faults.SystemFault;
 import gradereach.standins.frames.ChangelogServer;
 import gradereach.standins.frames.ColdStartCheck;
-import gradereach.standins.frames.FrontEndRecord;
+import gradereach.standins.frames.FrontEndConnectionLog;
 import gradereach.standins.frames.Outage;
-import gradereach.standins.frames.PeerLoops;
+import gradereach.standins.frames.PeerEventLoops;
 import gradereach.standins.frames.RequestAuditor;
 import gradereach.standins.frames.RequestClient;
 import java.io.IOException;
@@ -32,50 +32,50 @@
  * what takes time is carried out on threads of its own.
  */
 public final class Soak implements AutoCloseable {
-    private static final int CLIENTS_EACH = 6;
-    private static final double DRAIN_GRACE = 500;
+    private static final int CLIENTS_PER_FRONT_END = 6;
+    private static final double DRAIN_GRACE_MILLIS = 500;
     /** The configuration's rule 4; the work is the mean of the executors' draws. */
-    private static final ColdStartCheck.Figures COLD_START = new ColdStartCheck.Figures(0.2, 17_000, 3, 3000, 24.5);
+    private static final ColdStartCheck.ColdStartParameters COLD_START_PARAMETERS = new ColdStartCheck.ColdStartParameters(0.2, 17_000, 3, 3000, 24.5);
     /** Of the configuration's classes. */
-    private static final long LONGEST_DEADLINE = 1500;
+    private static final long MAX_DEADLINE_MILLIS = 1500;
     /** A front end may be killed so long after SIGTERM, beyond the longest deadline. */
-    private static final long KILLED_AFTER = 700;
-    private static final long LAST_ANSWERS_MILLIS = 2500;
-    private static final long DOWN_MILLIS = 800;
-    private static final int SHORTEST_PAUSE = 200;
-    private static final int PAUSE_SPREAD = 1500;
-    private static final int CHANGELOGS = 2;
+    private static final long TERMINATION_GRACE_MILLIS = 700;
+    private static final long FINAL_ANSWERS_WAIT_MILLIS = 2500;
+    private static final long DOWNTIME_MILLIS = 800;
+    private static final int MIN_PAUSE_MILLIS = 200;
+    private static final int PAUSE_RANGE_MILLIS = 1500;
+    private static final int CHANGELOG_COUNT = 2;
     /** An outage takes 15 s at most, the start of a front end 30 s. */
-    private static final int LONGEST_SCRIPT_SECONDS = 60;
+    private static final int MAX_TASK_SECONDS = 60;
 
-    private static final Trouble[] EVENTS = {Trouble.OUTAGE, Trouble.DRAIN, Trouble.DRAIN, Trouble.TAKEOVER, Trouble.TAKEOVER,
-        Trouble.STANDSTILL, Trouble.TERMINATION, Trouble.KILL, Trouble.RELOAD, Trouble.CROWD, Trouble.BAD_ANSWERS, Trouble.LATE_PROBES,
-        Trouble.LATE_PROBES, Trouble.UNREAD, Trouble.RESET};
+    private static final SoakFault[] INJECTED_FAULTS = {SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.DRAIN, SoakFault.TAKEOVER, SoakFault.TAKEOVER,
+        SoakFault.STANDSTILL, SoakFault.TERMINATION, SoakFault.KILL, SoakFault.RELOAD, SoakFault.CROWD, SoakFault.BAD_ANSWERS, SoakFault.LATE_PROBES,
+        SoakFault.LATE_PROBES, SoakFault.UNREAD, SoakFault.RESET};
 
     private final SoakPlan plan;
     private final Path folder;
-    private final Random chance;
+    private final Random random;
     private final FaultShim shim;
-    private final PeerLoops loops = new PeerLoops();
-    private final RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE, loops.lags(), COLD_START);
+    private final PeerEventLoops loops = new PeerEventLoops();
+    private final RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE_MILLIS, loops.lagIntervals(), COLD_START_PARAMETERS);
     private final ChangelogServer changelog;
-    private final List<Node> nodes = Collections.synchronizedList(new ArrayList<>());
+    private final List<SoakFrontEnd> servingFrontEnds = Collections.synchronizedList(new ArrayList<>());
     /** Front ends that a trouble of theirs is under way at: no second one begins there. */
-    private final Set<Node> busy = ConcurrentHashMap.newKeySet();
-    private final List<Node> all = Collections.synchronizedList(new ArrayList<>());
+    private final Set<SoakFrontEnd> busyFrontEnds = ConcurrentHashMap.newKeySet();
+    private final List<SoakFrontEnd> allFrontEnds = Collections.synchronizedList(new ArrayList<>());
     private final List<String> crashes = Collections.synchronizedList(new ArrayList<>());
-    private final Map<Trouble, Long> played = new EnumMap<>(Trouble.class);
+    private final Map<SoakFault, Long> faultCounts = new EnumMap<>(SoakFault.class);
     /** Killed at once where the soak is ended by a signal; what it ends itself has no time to lose. */
     private final ChildProcesses processes = new ChildProcesses(0);
     private final List<String> history = Collections.synchronizedList(new ArrayList<>());
-    private final Scripts scripts = new Scripts(crashes::add);
-    private final ExecutorTroubles executors;
-    private volatile boolean out;
-    private final List<Span> outages = Collections.synchronizedList(new ArrayList<>());
-    private int started;
+    private final BackgroundTasks tasks = new BackgroundTasks(crashes::add);
+    private final ExecutorFaults executorFaults;
+    private volatile boolean changelogUnavailable;
+    private final List<TimeRange> outages = Collections.synchronizedList(new ArrayList<>());
+    private int startedCount;
 
-    private record Span(double from, double to) {
-        boolean holds(double time) {
+    private record TimeRange(double from, double to) {
+        boolean contains(double time) {
             return from <= time && time < to;
         }
     }
@@ -84,222 +84,222 @@
     public Soak(SoakPlan plan, Path folder) throws IOException, InterruptedException {
         this.plan = plan;
         this.folder = folder;
-        chance = new Random(plan.seed());
+        random = new Random(plan.seed());
         shim = FaultShim.compile(folder);
-        changelog = new ChangelogServer(loops, CHANGELOGS);
-        executors = new ExecutorTroubles(loops, auditor, changelog, scripts, history);
+        changelog = new ChangelogServer(loops, CHANGELOG_COUNT);
+        executorFaults = new ExecutorFaults(loops, auditor, changelog, tasks, history);
     }
 
     /** Plays it to its end. */
     public SoakReport run() throws IOException, InterruptedException {
-        executors.begin(chance);
-        for (int i = 0; i < plan.nodes(); i++) {
-            begin(draw());
+        executorFaults.startExecutors(random);
+        for (int i = 0; i < plan.frontEndCount(); i++) {
+            startFrontEnd(drawStartParameters());
         }
         double from = loops.now();
         double until = from + TimeUnit.SECONDS.toMillis(plan.seconds());
         while (loops.now() < until) {
-            Thread.sleep(SHORTEST_PAUSE + chance.nextInt(PAUSE_SPREAD));
-            play(EVENTS[chance.nextInt(EVENTS.length)], new Random(chance.nextLong()));
+            Thread.sleep(MIN_PAUSE_MILLIS + random.nextInt(PAUSE_RANGE_MILLIS));
+            inject(INJECTED_FAULTS[random.nextInt(INJECTED_FAULTS.length)], new Random(random.nextLong()));
         }
-        if (!scripts.ended(LONGEST_SCRIPT_SECONDS)) {
+        if (!tasks.awaitCompletion(MAX_TASK_SECONDS)) {
             crashes.add("the soak itself: what it began did not come to its end");
         }
-        return end(from);
+        return finish(from);
     }
 
-    private SoakReport end(double from) throws IOException, InterruptedException {
+    private SoakReport finish(double from) throws IOException, InterruptedException {
         double asked = loops.now();
-        all.forEach(node -> node.clients().forEach(RequestClient::end));
-        Thread.sleep(LAST_ANSWERS_MILLIS);
-        for (Node node : all) {
-            String crash = node.process().crash();
+        allFrontEnds.forEach(node -> node.clients().forEach(RequestClient::stop));
+        Thread.sleep(FINAL_ANSWERS_WAIT_MILLIS);
+        for (SoakFrontEnd node : allFrontEnds) {
+            String crash = node.process().crashReport();
             if (crash != null) {
                 crashes.add(crash);
             }
-            countFaults(node);
-            auditor.recorded(node.process().address, new FrontEndRecord(node.process().connectionEvents(), loops, changelog.ports(),
-                    changelog.asked()));
+            addFaultCounts(node);
+            auditor.addConnectionLog(node.process().address, new FrontEndConnectionLog(node.process().connectionEvents(), loops, changelog.ports(),
+                    changelog.resyncRequests()));
         }
-        double served = auditor.served(time -> time >= from && time < asked && !inOutage(time));
+        double served = auditor.successRate(time -> time >= from && time < asked && !inOutage(time));
         List<RequestAuditor.Finding> findings = auditor.findings(asked);
-        return new SoakReport(auditor.requests(), served, auditor.served(this::inOutage), findings, auditor.undecided(), auditor.allowed(),
-                List.copyOf(crashes), new TreeMap<>(played), systemFaults(), loops.longestLag(), auditor.coldStarts.highest(),
-                executors.misses(), List.copyOf(history));
+        return new SoakReport(auditor.requests(), served, auditor.successRate(this::inOutage), findings, auditor.inconclusive(), auditor.allowanceCounts(),
+                List.copyOf(crashes), new TreeMap<>(faultCounts), systemFaults(), loops.longestLagMillis(), auditor.coldStartCheck.highestLoadRatio(),
+                executorFaults.misses(), List.copyOf(history));
     }
 
     private boolean inOutage(double time) {
-        return outages.stream().anyMatch(outage -> outage.holds(time));
+        return outages.stream().anyMatch(outage -> outage.contains(time));
     }
 
     private Map<String, String> systemFaults() {
         Map<String, String> faults = new TreeMap<>();
-        all.forEach(node -> faults.put(node.process().address.toString(), node.faults().toString()));
+        allFrontEnds.forEach(node -> faults.put(node.process().address.toString(), node.faults().toString()));
         return faults;
     }
 
-    private void countFaults(Node node) throws IOException {
-        long[] met = node.process().met(node.allFaults());
+    private void addFaultCounts(SoakFrontEnd node) throws IOException {
+        long[] met = node.process().faultCounts(node.allFaults());
         int i = 0;
-        for (Map.Entry<Trouble, List<SystemFault>> faults : node.faults().entrySet()) {
+        for (Map.Entry<SoakFault, List<SystemFault>> faults : node.faults().entrySet()) {
             for (int j = 0; j < faults.getValue().size(); j++) {
-                played.merge(faults.getKey(), met[i++], Long::sum);
+                faultCounts.merge(faults.getKey(), met[i++], Long::sum);
             }
         }
     }
 
     /** What a front end is started with. */
-    private record Draw(int number, long seed, Map<Trouble, List<SystemFault>> faults) { }
+    private record StartParameters(int number, long seed, Map<SoakFault, List<SystemFault>> faults) { }
 
-    private Draw draw() {
-        Random own = new Random(chance.nextLong());
-        Map<Trouble, List<SystemFault>> faults = new LinkedHashMap<>();
-        for (Trouble trouble : Trouble.values()) {
+    private StartParameters drawStartParameters() {
+        Random own = new Random(random.nextLong());
+        Map<SoakFault, List<SystemFault>> faults = new LinkedHashMap<>();
+        for (SoakFault trouble : SoakFault.values()) {
             boolean meets = own.nextBoolean();
             List<SystemFault> drawn = trouble.systemFaults(new Random(own.nextLong()));
-            if (meets && plan.troubles().contains(trouble) && !drawn.isEmpty()) {
+            if (meets && plan.faults().contains(trouble) && !drawn.isEmpty()) {
                 faults.put(trouble, drawn);
             }
         }
-        return new Draw(started++, own.nextLong(), faults);
+        return new StartParameters(startedCount++, own.nextLong(), faults);
     }
 
-    private void begin(Draw draw) throws IOException, InterruptedException {
+    private void startFrontEnd(StartParameters draw) throws IOException, InterruptedException {
         String name = "n" + draw.number;
         List<SystemFault> faults = draw.faults.values().stream().flatMap(List::stream).toList();
         FrontEndProcess process;
         try {
-            process = new FrontEndProcess(processes, plan.command(), folder.resolve(name + ".json"), config(name, 0), shim, faults, draw.seed);
-        } catch (FrontEndProcess.NotReady e) {
+            process = new FrontEndProcess(processes, plan.frontEndCommand(), folder.resolve(name + ".json"), renderConfig(name, 0), shim, faults, draw.seed);
+        } catch (FrontEndProcess.NotReadyException e) {
             crashes.add(name + " under " + draw.faults + ": " + e.getMessage());
             return;
         }
-        auditor.listens(process.address);
+        auditor.frontEndListening(process.address);
         List<RequestClient> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS_EACH && !out; i++) {
+        for (int i = 0; i < CLIENTS_PER_FRONT_END && !changelogUnavailable; i++) {
             RequestClient client = new RequestClient(loops, auditor, process.address, draw.seed + i);
             clients.add(client);
             client.start();
         }
-        Node node = new Node(process, clients, draw.faults);
-        nodes.add(node);
-        all.add(node);
+        SoakFrontEnd node = new SoakFrontEnd(process, clients, draw.faults);
+        servingFrontEnds.add(node);
+        allFrontEnds.add(node);
     }
 
-    private String config(String name, int whichChangelog) throws IOException {
+    private String renderConfig(String name, int whichChangelog) throws IOException {
         try (InputStream template = Soak.class.getResourceAsStream("front-end.json.template")) {
             return new String(template.readAllBytes(), StandardCharsets.UTF_8).replace("@NAME@", name)
-                    .replace("@CHANGELOG@", changelog.addresses.get(whichChangelog)).replace("@KNOWN@", changelog.known());
+                    .replace("@CHANGELOG@", changelog.addresses.get(whichChangelog)).replace("@KNOWN@", changelog.readableEvents());
         }
     }
 
-    private void play(Trouble event, Random own) {
-        if (!plan.troubles().contains(event)) {
+    private void inject(SoakFault event, Random own) {
+        if (!plan.faults().contains(event)) {
             return;
         }
         if (switch (event) {
-            case OUTAGE -> outage(own);
-            case STANDSTILL -> standStill(own);
+            case OUTAGE -> startOutage(own);
+            case STANDSTILL -> suspend(own);
             case TERMINATION -> terminate();
             case KILL -> kill();
             case RELOAD -> reload(own);
-            case CROWD -> crowd(own);
-            default -> executors.play(event, own);
+            case CROWD -> openSilentConnections(own);
+            default -> executorFaults.inject(event, own);
         }) {
-            played.merge(event, 1L, Long::sum);
+            faultCounts.merge(event, 1L, Long::sum);
         }
     }
 
-    private boolean outage(Random own) {
-        if (out) {
+    private boolean startOutage(Random own) {
+        if (changelogUnavailable) {
             return false;
         }
         Outage kind = Outage.values()[own.nextInt(Outage.values().length)];
         long lasts = 3000 + own.nextInt(12_000);
-        out = true;
-        scripts.begin(() -> {
+        changelogUnavailable = true;
+        tasks.start(() -> {
             double from = loops.now();
-            changelog.begin(kind);
+            changelog.startOutage(kind);
             Thread.sleep(lasts);
-            changelog.restore();
-            outages.add(new Span(from, loops.now()));
+            changelog.endOutage();
+            outages.add(new TimeRange(from, loops.now()));
             history.add(Math.round(from) + " change log " + kind + " until " + Math.round(loops.now()));
-            out = false;
+            changelogUnavailable = false;
         });
         return true;
     }
 
     /** One that nothing else happens to at the moment; null where there is none. */
-    private Node take(Random own) {
-        List<Node> free = new ArrayList<>(nodes);
-        free.removeAll(busy);
+    private SoakFrontEnd reserveFrontEnd(Random own) {
+        List<SoakFrontEnd> free = new ArrayList<>(servingFrontEnds);
+        free.removeAll(busyFrontEnds);
         if (free.isEmpty()) {
             return null;
         }
-        Node node = free.get(own.nextInt(free.size()));
-        busy.add(node);
+        SoakFrontEnd node = free.get(own.nextInt(free.size()));
+        busyFrontEnds.add(node);
         return node;
     }
 
-    private boolean standStill(Random own) {
-        Node node = take(own);
+    private boolean suspend(Random own) {
+        SoakFrontEnd node = reserveFrontEnd(own);
         if (node == null) {
             return false;
         }
         long lasts = 300 + own.nextInt(4000);
-        scripts.begin(() -> {
+        tasks.start(() -> {
             double from = loops.now();
-            node.process().signal("STOP");
+            node.process().sendSignal("STOP");
             Thread.sleep(lasts);
-            node.process().signal("CONT");
-            auditor.stoodStill(node.process().address, from, loops.now());
-            Thread.sleep(DOWN_MILLIS);
-            busy.remove(node);
+            node.process().sendSignal("CONT");
+            auditor.frontEndStalled(node.process().address, from, loops.now());
+            Thread.sleep(DOWNTIME_MILLIS);
+            busyFrontEnds.remove(node);
         });
         return true;
     }
 
     /** Clients go on on open connections until it ends or is killed. */
     private boolean terminate() {
-        Node node = take(chance);
+        SoakFrontEnd node = reserveFrontEnd(random);
         if (node == null) {
             return false;
         }
-        Draw next = draw();
-        nodes.remove(node);
-        scripts.begin(() -> {
-            long killedAfter = LONGEST_DEADLINE + KILLED_AFTER;
+        StartParameters next = drawStartParameters();
+        servingFrontEnds.remove(node);
+        tasks.start(() -> {
+            long killedAfter = MAX_DEADLINE_MILLIS + TERMINATION_GRACE_MILLIS;
             node.clients().forEach(client -> client.retire(killedAfter));
-            node.process().signal("TERM");
-            node.process().ended(killedAfter);
+            node.process().sendSignal("TERM");
+            node.process().awaitExit(killedAfter);
             node.process().close();
         });
-        scripts.begin(() -> begin(next));
+        tasks.start(() -> startFrontEnd(next));
         return true;
     }
 
     private boolean kill() {
-        Node node = take(chance);
+        SoakFrontEnd node = reserveFrontEnd(random);
         if (node == null) {
             return false;
         }
-        Draw next = draw();
-        nodes.remove(node);
-        scripts.begin(() -> {
-            node.process().signal("KILL");
-            boolean exited = node.process().ended(DOWN_MILLIS);
-            auditor.killed(node.process().address, loops.now());
+        StartParameters next = drawStartParameters();
+        servingFrontEnds.remove(node);
+        tasks.start(() -> {
+            node.process().sendSignal("KILL");
+            boolean exited = node.process().awaitExit(DOWNTIME_MILLIS);
+            auditor.frontEndKilled(node.process().address, loops.now());
             if (exited) {
-                auditor.exited(node.process().address, loops.now());
+                auditor.frontEndExited(node.process().address, loops.now());
             }
-            node.clients().forEach(RequestClient::end);
-            begin(next);
+            node.clients().forEach(RequestClient::stop);
+            startFrontEnd(next);
         });
         return true;
     }
 
     private boolean reload(Random own) {
-        Node node = take(own);
+        SoakFrontEnd node = reserveFrontEnd(own);
         if (node == null) {
             return false;
         }
@@ -308,32 +308,32 @@
         for (int i = 0; i < times; i++) {
             pauses.add(own.nextInt(120));
         }
-        scripts.begin(() -> {
+        tasks.start(() -> {
             for (int i = 0; i < times; i++) {
-                changelog.moved();
-                node.process().reconfigure(config("n", (i + 1) % CHANGELOGS));
+                changelog.recordAddressChange();
+                node.process().reconfigure(renderConfig("n", (i + 1) % CHANGELOG_COUNT));
                 Thread.sleep(pauses.get(i));
             }
-            Thread.sleep(DOWN_MILLIS);
-            busy.remove(node);
+            Thread.sleep(DOWNTIME_MILLIS);
+            busyFrontEnds.remove(node);
         });
         return true;
     }
 
-    private boolean crowd(Random own) {
-        Node node = take(own);
+    private boolean openSilentConnections(Random own) {
+        SoakFrontEnd node = reserveFrontEnd(own);
         if (node == null) {
             return false;
         }
-        busy.remove(node);
-        RequestClient.silentCrowd(loops, node.process().address, 20 + own.nextInt(250), 300 + own.nextInt(2000));
+        busyFrontEnds.remove(node);
+        RequestClient.openSilentConnections(loops, node.process().address, 20 + own.nextInt(250), 300 + own.nextInt(2000));
         return true;
     }
 
     /** What the front ends printed, by name. */
     public Map<String, List<String>> logs() {
         Map<String, List<String>> logs = new LinkedHashMap<>();
-        for (Node node : new HashSet<>(all)) {
+        for (SoakFrontEnd node : new HashSet<>(allFrontEnds)) {
             logs.put(node.process().address.toString(), node.process().log());
         }
         return logs;
@@ -341,8 +341,8 @@
 
     @Override
     public void close() {
-        scripts.cutShort();
-        all.forEach(node -> node.process().close());
+        tasks.cancelAll();
+        allFrontEnds.forEach(node -> node.process().close());
         processes.close();
         loops.close();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Trouble.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFault.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 
 /** A kind of trouble that a soak may play; each can be left out, so that a failing seed is cut down. */
-public enum Trouble {
+public enum SoakFault {
     /** The change log is out of reach for some seconds. */
     OUTAGE,
     /** An executor drains, ends and starts anew. */
@@ -46,11 +46,11 @@
     WALL_CLOCK;
 
     /** Beyond the life of every process of a soak. */
-    private static final long FOR_EVER = 1_000_000_000;
-    private static final long HOUR = 3_600_000;
+    private static final long UNLIMITED_MILLIS = 1_000_000_000;
+    private static final long HOUR_MILLIS = 3_600_000;
     /** A process fails within its first seconds, or later. */
-    private static final int LATEST_BEGIN = 8000;
-    private static final int LONGEST_BURST = 3000;
+    private static final int MAX_START_MILLIS = 8000;
+    private static final int MAX_BURST_MILLIS = 3000;
 
     private static final Errno[] ACCEPT_ERRORS = {Errno.ECONNABORTED, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM};
     private static final Errno[] SOCKET_ERRORS = {Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM};
@@ -60,34 +60,34 @@
 
     /** What a front end's system calls meet by it during one life; nothing where this trouble comes from elsewhere. */
     List<SystemFault> systemFaults(Random chance) {
-        long from = chance.nextInt(LATEST_BEGIN);
-        long burst = from + 500 + chance.nextInt(LONGEST_BURST);
+        long from = chance.nextInt(MAX_START_MILLIS);
+        long burst = from + 500 + chance.nextInt(MAX_BURST_MILLIS);
         return switch (this) {
-            case ACCEPT -> List.of(SystemFault.error(FaultyCall.ACCEPT, one(ACCEPT_ERRORS, chance), 0.3, 0, burst),
-                    SystemFault.error(FaultyCall.ACCEPT, one(ACCEPT_ERRORS, chance), 0.03, 0, FOR_EVER));
-            case CONNECT -> List.of(SystemFault.error(FaultyCall.SOCKET, one(SOCKET_ERRORS, chance), 0.3, from, burst),
-                    SystemFault.error(FaultyCall.SOCKET, one(SOCKET_ERRORS, chance), 0.05, 0, FOR_EVER),
-                    SystemFault.error(FaultyCall.CONNECT, one(CONNECT_ERRORS, chance), 0.5, from, burst),
-                    SystemFault.error(FaultyCall.CONNECT, one(CONNECT_ERRORS, chance), 0.05, 0, FOR_EVER));
-            case SHORT_TRANSFERS -> List.of(SystemFault.shortTransfer(FaultyCall.READ, 0.3, 0, FOR_EVER),
-                    SystemFault.shortTransfer(FaultyCall.WRITE, 0.3, 0, FOR_EVER));
-            case INTERRUPTED_WAITS -> List.of(SystemFault.error(FaultyCall.WAIT, Errno.EINTR, 0.1, 0, FOR_EVER));
+            case ACCEPT -> List.of(SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, chance), 0.3, 0, burst),
+                    SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, chance), 0.03, 0, UNLIMITED_MILLIS));
+            case CONNECT -> List.of(SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, chance), 0.3, from, burst),
+                    SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, chance), 0.05, 0, UNLIMITED_MILLIS),
+                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, chance), 0.5, from, burst),
+                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, chance), 0.05, 0, UNLIMITED_MILLIS));
+            case SHORT_TRANSFERS -> List.of(SystemFault.shortTransfer(FaultyCall.READ, 0.3, 0, UNLIMITED_MILLIS),
+                    SystemFault.shortTransfer(FaultyCall.WRITE, 0.3, 0, UNLIMITED_MILLIS));
+            case INTERRUPTED_WAITS -> List.of(SystemFault.error(FaultyCall.WAIT, Errno.EINTR, 0.1, 0, UNLIMITED_MILLIS));
             case BROKEN_CONNECTIONS -> List.of(
-                    SystemFault.error(FaultyCall.READ_CONNECTED, one(TRANSFER_ERRORS, chance), 0.002, 0, FOR_EVER),
-                    SystemFault.error(FaultyCall.WRITE_CONNECTED, one(TRANSFER_ERRORS, chance), 0.002, 0, FOR_EVER),
-                    SystemFault.error(FaultyCall.WRITE_CONNECTED, one(TRANSFER_ERRORS, chance), 0.1, from, burst));
-            case WALL_CLOCK -> List.of(SystemFault.clockStep(step(chance), from, burst),
-                    SystemFault.clockStep(step(chance), burst + chance.nextInt(LATEST_BEGIN), FOR_EVER));
+                    SystemFault.error(FaultyCall.READ_CONNECTED, randomErrno(TRANSFER_ERRORS, chance), 0.002, 0, UNLIMITED_MILLIS),
+                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, chance), 0.002, 0, UNLIMITED_MILLIS),
+                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, chance), 0.1, from, burst));
+            case WALL_CLOCK -> List.of(SystemFault.clockStep(randomClockStepMillis(chance), from, burst),
+                    SystemFault.clockStep(randomClockStepMillis(chance), burst + chance.nextInt(MAX_START_MILLIS), UNLIMITED_MILLIS));
             default -> List.of();
         };
     }
 
-    private static Errno one(Errno[] errors, Random chance) {
+    private static Errno randomErrno(Errno[] errors, Random chance) {
         return errors[chance.nextInt(errors.length)];
     }
 
-    private static long step(Random chance) {
-        long size = chance.nextBoolean() ? HOUR : 1000 + chance.nextInt(20_000);
+    private static long randomClockStepMillis(Random chance) {
+        long size = chance.nextBoolean() ? HOUR_MILLIS : 1000 + chance.nextInt(20_000);
         return chance.nextBoolean() ? size : -size;
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Node.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFrontEnd.java
@@ -10,7 +10,7 @@
  *
  * @param faults by trouble, in the order in which the process was given them
  */
-record Node(FrontEndProcess process, List<RequestClient> clients, Map<Trouble, List<SystemFault>> faults) {
+record SoakFrontEnd(FrontEndProcess process, List<RequestClient> clients, Map<SoakFault, List<SystemFault>> faults) {
     List<SystemFault> allFaults() {
         return faults.values().stream().flatMap(List::stream).toList();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakPlan.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakPlan.java
@@ -12,4 +12,4 @@
  * @param troubles what it may play
  * @param command starts a front end; EDGE_CONFIG names its configuration
  */
-public record SoakPlan(long seed, int seconds, int nodes, Set<Trouble> troubles, List<String> command) { }
+public record SoakPlan(long seed, int seconds, int frontEndCount, Set<SoakFault> faults, List<String> frontEndCommand) { }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
@@ -24,34 +24,34 @@
  * @param misses requests that came to a new process for what it had not loaded, by what was told of it
  * @param history when executors drained, were taken over or answered late, and when the change log was out of reach
  */
-public record SoakReport(int requests, double served, double servedInOutages, List<Finding> breaches, List<Finding> undecided,
-        Map<Allowance, Integer> allowed, List<String> crashes, Map<Trouble, Long> played, Map<String, String> systemFaults, double peersLate,
-        double coldLoad, Map<String, Integer> misses, List<String> history) {
-    private static final int SHOWN_OF_A_KIND = 5;
+public record SoakReport(int requests, double successRate, double outageSuccessRate, List<Finding> violations, List<Finding> inconclusive,
+        Map<Allowance, Integer> excused, List<String> crashes, Map<SoakFault, Long> faultCounts, Map<String, String> systemFaults, double peerLagMillis,
+        double coldStartLoad, Map<String, Integer> misses, List<String> history) {
+    private static final int MAX_SHOWN_PER_KIND = 5;
 
     /** Whether all rules were kept as far as can be told, all can be told, and no front end crashed. */
-    public boolean kept() {
-        return decided() && breaches.isEmpty() && crashes.isEmpty();
+    public boolean passed() {
+        return conclusive() && violations.isEmpty() && crashes.isEmpty();
     }
 
     /** Whether it counts: it shows a fault, or nothing stood in the way of seeing one. */
-    public boolean decided() {
-        return undecided.isEmpty() || !breaches.isEmpty() || !crashes.isEmpty();
+    public boolean conclusive() {
+        return inconclusive.isEmpty() || !violations.isEmpty() || !crashes.isEmpty();
     }
 
     /** One line, and one for each of the first breaches of a kind. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder("%d requests, served %.3f, in outages %.3f, %d breaches %s, %d undecided, allowed %s, %d crashes, cold load %.2f, misses %s, peers late by %.0f ms; played %s".formatted(
-                requests, served, servedInOutages, breaches.size(), breaches.stream().collect(Collectors.groupingBy(Finding::breach,
-                        TreeMap::new, Collectors.counting())), undecided.size(), allowed, crashes.size(), coldLoad, misses, peersLate, played));
+                requests, successRate, outageSuccessRate, violations.size(), violations.stream().collect(Collectors.groupingBy(Finding::violation,
+                        TreeMap::new, Collectors.counting())), inconclusive.size(), excused, crashes.size(), coldStartLoad, misses, peerLagMillis, faultCounts));
         crashes.forEach(crash -> text.append("\n  crash: ").append(crash));
-        breaches.stream().collect(Collectors.groupingBy(Finding::breach, TreeMap::new, Collectors.toList()))
-                .forEach((breach, found) -> found.stream().limit(SHOWN_OF_A_KIND)
-                        .forEach(finding -> text.append("\n  ").append(breach).append(' ').append(finding.what())));
-        undecided.stream().limit(SHOWN_OF_A_KIND).forEach(finding -> text.append("\n  not decided, the peers were late: ")
-                .append(finding.breach()).append(' ').append(finding.what()));
-        if (!kept()) {
+        violations.stream().collect(Collectors.groupingBy(Finding::violation, TreeMap::new, Collectors.toList()))
+                .forEach((breach, found) -> found.stream().limit(MAX_SHOWN_PER_KIND)
+                        .forEach(finding -> text.append("\n  ").append(breach).append(' ').append(finding.description())));
+        inconclusive.stream().limit(MAX_SHOWN_PER_KIND).forEach(finding -> text.append("\n  not decided, the peers were late: ")
+                .append(finding.violation()).append(' ').append(finding.description()));
+        if (!passed()) {
             history.forEach(event -> text.append("\n  at ").append(event));
             systemFaults.forEach((frontEnd, faults) -> text.append("\n  system calls of ").append(frontEnd).append(": ")
                     .append(faults));
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Takeover.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Takeover.java
@@ -10,9 +10,9 @@
  * @param pause between two events that tell of it
  * @param seed of the new one's draws
  */
-record Takeover(Telling telling, long stalls, long lingers, long pause, long seed) {
+record Takeover(Announcement telling, long stalls, long lingers, long pause, long seed) {
     /** What the change log tells of it, and in which order. */
-    enum Telling {
+    enum Announcement {
         /** The old one has gone, then the new one is ready. */
         GONE_FIRST,
         /** One event: the new one is ready, the old one has gone. */
@@ -27,16 +27,16 @@
         SAME_ID
     }
 
-    private static final int LONGEST_STALL = 400;
-    private static final int SHORTEST_LINGER = 500;
-    private static final int LINGER_SPREAD = 2000;
-    private static final int SHORTEST_PAUSE = 500;
-    private static final int PAUSE_SPREAD = 8000;
+    private static final int MAX_STALL_MILLIS = 400;
+    private static final int MIN_LINGER_MILLIS = 500;
+    private static final int LINGER_RANGE_MILLIS = 2000;
+    private static final int MIN_GAP_MILLIS = 500;
+    private static final int GAP_RANGE_MILLIS = 8000;
 
     static Takeover draw(Random own) {
-        Telling telling = Telling.values()[own.nextInt(Telling.values().length)];
-        long stalls = own.nextInt(LONGEST_STALL);
-        long lingers = own.nextBoolean() ? 0 : SHORTEST_LINGER + own.nextInt(LINGER_SPREAD);
-        return new Takeover(telling, stalls, lingers, SHORTEST_PAUSE + own.nextInt(PAUSE_SPREAD), own.nextLong());
+        Announcement telling = Announcement.values()[own.nextInt(Announcement.values().length)];
+        long stalls = own.nextInt(MAX_STALL_MILLIS);
+        long lingers = own.nextBoolean() ? 0 : MIN_LINGER_MILLIS + own.nextInt(LINGER_RANGE_MILLIS);
+        return new Takeover(telling, stalls, lingers, MIN_GAP_MILLIS + own.nextInt(GAP_RANGE_MILLIS), own.nextLong());
     }
 }
--- a/rehearsal/src/test/java/gradereach/rehearsal/AuditorTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/AuditorTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gradereach.rehearsal.Auditor.Findings;
+import gradereach.rehearsal.Auditor.AuditReport;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,8 +31,8 @@
             9000 end
             """;
 
-    private static Findings judge(String text) throws Exception {
-        Auditor auditor = new Auditor(new Auditor.Figures(10, 500, 1, 0.5, 5000, 1000, false),
+    private static AuditReport evaluate(String text) throws Exception {
+        Auditor auditor = new Auditor(new Auditor.RuleParameters(10, 500, 1, 0.5, 5000, 1000, false),
                 Map.of("look", "retriable", "mark", "deduped", "book", "non-retriable"),
                 Map.of("look", 400d, "mark", 400d, "book", 400d));
         for (String line : text.strip().split("\n")) {
@@ -43,9 +43,9 @@
                 boolean bare = pair[1].matches("-?\\d+|true|false");
                 json.append(",\"").append(pair[0]).append("\":").append(bare ? pair[1] : "\"" + pair[1] + "\"");
             }
-            auditor.line(new ObjectMapper().readTree(json + "}"));
+            auditor.addEvent(new ObjectMapper().readTree(json + "}"));
         }
-        return auditor.judge();
+        return auditor.evaluate();
     }
 
     /** Guards against a breach that is none, and against a pass that is none, where those who date what they see were late. */
@@ -63,10 +63,10 @@
         "9000 end | 1705 lag of=clients from=1540;1045 ran ex=e1 fwd=a#1 mark=y/a;9000 end | true | false",
         "9000 end | 8000 cut-short what=restart;9000 end | false | false",
     })
-    void whatIsDatedLateIsNotDecided(String gone, String comes, boolean decided, boolean kept) throws Exception {
-        Findings found = judge(GOOD.replaceFirst(gone, comes).replace(";", "\n"));
-        assertEquals(decided, found.decided(), found.toString());
-        assertEquals(kept, found.kept(), found.toString());
+    void lateTimestampsAreInconclusive(String gone, String comes, boolean decided, boolean kept) throws Exception {
+        AuditReport found = evaluate(GOOD.replaceFirst(gone, comes).replace(";", "\n"));
+        assertEquals(decided, found.conclusive(), found.toString());
+        assertEquals(kept, found.passed(), found.toString());
     }
 
     @ParameterizedTest
@@ -95,13 +95,13 @@
         "9000 end | 5000 fell ex=e1;9000 end | 4 | e1",
         "2020 arrived | 2012 order ex=e1 fe=f0 model=m copies=1;2013 order ex=e1 fe=f0 model=m copies=1;2014 order ex=e1 fe=f0 model=m copies=0;2020 arrived | 5 | f0 ordered 3 where 2.0 were allowed",
     })
-    void aPlantedBreachIsFound(String gone, String comes, int rule, String shows) throws Exception {
+    void plantedViolationIsDetected(String gone, String comes, int rule, String shows) throws Exception {
         String text = gone == null ? GOOD : GOOD.replaceFirst(gone, comes == null ? "1 nothing" : comes).replace(";", "\n");
-        Findings found = judge(text);
-        for (Auditor.Verdict verdict : found.verdicts()) {
-            assertEquals(verdict.rule() != rule, verdict.kept(), verdict.toString());
-            assertTrue(verdict.rule() != rule || verdict.shown().contains(shows), verdict.toString());
+        AuditReport found = evaluate(text);
+        for (Auditor.RuleResult verdict : found.results()) {
+            assertEquals(verdict.rule() != rule, verdict.passed(), verdict.toString());
+            assertTrue(verdict.rule() != rule || verdict.violations().contains(shows), verdict.toString());
         }
-        assertEquals(List.of(1, 2, 3, 4, 5), found.verdicts().stream().map(Auditor.Verdict::rule).toList());
+        assertEquals(List.of(1, 2, 3, 4, 5), found.results().stream().map(Auditor.RuleResult::rule).toList());
     }
 }
--- a/rehearsal/src/test/java/gradereach/rehearsal/FrontEndChild.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/FrontEndTestProcess.java
@@ -21,19 +21,19 @@
 import java.util.concurrent.TimeUnit;
 
 /** A front end with one fault as a process of its own, and a client that asks it. */
-final class FrontEndChild {
+final class FrontEndTestProcess {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
-    private static final long ALWAYS = 1_000_000; // milliseconds
-    private static final int SHED = 503;
+    private static final long ALWAYS_MILLIS = 1_000_000; // milliseconds
+    private static final int SHED_STATUS = 503;
     /** In which every front end is ready after its start, by the operators' terms. */
-    private static final long READY_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long READY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     final Process process;
     private final long startedAt = System.nanoTime();
     private final URI address;
     private final WebhookKey key;
-    private final long clockAhead;
+    private final long clockAheadMillis;
 
     /**
      * Listens when this returns.
@@ -41,10 +41,10 @@
      * @param processes to be ended with the test: this one is among them whatever becomes of its start
      * @param clockAhead milliseconds by which its wall clock is ahead; its client goes by that clock as well
      */
-    FrontEndChild(Path at, ObjectNode plan, String fault, WebhookKey key, List<Process> processes, long clockAhead)
+    FrontEndTestProcess(Path at, ObjectNode plan, String fault, WebhookKey key, List<Process> processes, long clockAhead)
             throws IOException, InterruptedException {
         this.key = key;
-        this.clockAhead = clockAhead;
+        this.clockAheadMillis = clockAhead;
         Files.createDirectories(at);
         Path file = Files.write(Files.createTempFile(at, "fe", ".json"), JSON.writeValueAsBytes(plan));
         List<String> command = new ArrayList<>(
@@ -54,7 +54,7 @@
         ProcessBuilder start = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.appendTo(at.resolve("log").toFile()));
         if (clockAhead != 0) {
-            FaultShim.compile(at).load(start, List.of(SystemFault.clockStep(clockAhead, 0, ALWAYS)), 1, Files.createTempFile(at, "faults", ""));
+            FaultShim.compile(at).preload(start, List.of(SystemFault.clockStep(clockAhead, 0, ALWAYS_MILLIS)), 1, Files.createTempFile(at, "faults", ""));
         }
         process = start.start();
         processes.add(process);
@@ -65,12 +65,12 @@
     }
 
     /** Null where the connection broke. */
-    HttpResponse<String> ask(String id, String model, boolean async) throws InterruptedException {
-        return ask(id, model, async, (System.currentTimeMillis() + clockAhead) / 1000);
+    HttpResponse<String> send(String id, String model, boolean async) throws InterruptedException {
+        return send(id, model, async, (System.currentTimeMillis() + clockAheadMillis) / 1000);
     }
 
     /** @param signedAt its signed timestamp, Unix seconds */
-    HttpResponse<String> ask(String id, String model, boolean async, long signedAt) throws InterruptedException {
+    HttpResponse<String> send(String id, String model, boolean async, long signedAt) throws InterruptedException {
         byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
                 + "\",\"input\":{\"inputs\":[]}}}").getBytes(StandardCharsets.UTF_8);
         HttpRequest request = HttpRequest.newBuilder(address).version(HttpClient.Version.HTTP_1_1)
@@ -90,21 +90,21 @@
      * Asks until it is not shed any more, which a front end that has just started may do until it is ready. Nothing of what is
      * shed has left, so that each time its client must be told that a repeat is harmless. Null where the connection broke.
      */
-    HttpResponse<String> askUntilTaken(String id, String model) throws InterruptedException {
-        HttpResponse<String> answer = ask(id, model, false);
-        while (answer != null && answer.statusCode() == SHED) {
+    HttpResponse<String> sendUntilNotShed(String id, String model) throws InterruptedException {
+        HttpResponse<String> answer = send(id, model, false);
+        while (answer != null && answer.statusCode() == SHED_STATUS) {
             assertTrue(answer.body().contains("\"repeat_harmless\":true"), id + " was shed, and its client told " + answer.body());
-            assertTrue(System.nanoTime() - startedAt < READY_WITHIN_NANOS, id + " is shed by a front end that should be ready");
-            answer = ask(id, model, false);
+            assertTrue(System.nanoTime() - startedAt < READY_TIMEOUT_NANOS, id + " is shed by a front end that should be ready");
+            answer = send(id, model, false);
         }
         return answer;
     }
 
     /** Asks until it is told what came of it. */
-    HttpResponse<String> askOn(String id, String model) throws InterruptedException {
+    HttpResponse<String> sendUntilReturned(String id, String model) throws InterruptedException {
         HttpResponse<String> answer;
         do {
-            answer = ask(id, model, false);
+            answer = send(id, model, false);
         } while (answer == null || answer.statusCode() != 200);
         return answer;
     }
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
@@ -25,7 +25,7 @@
         play(Path.of(args[0]));
     }
 
-    private static Auditor.Findings play(Path folder) throws Exception {
+    private static Auditor.AuditReport play(Path folder) throws Exception {
         Path command = folder.resolve("front-end.sh");
         Files.writeString(command, """
                 #!/bin/sh
@@ -36,18 +36,18 @@
                 mv %1$s/starting.tmp %1$s/starting
                 exec sleep 60
                 """.formatted(folder, String.join(" ", Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"))));
-        ObjectNode day = (ObjectNode) Rehearsal.script("quick").deepCopy();
+        ObjectNode day = (ObjectNode) Rehearsal.loadScript("quick").deepCopy();
         day.put("length_ms", 1500).put("front_ends", 1);
         day.putArray("events").addObject().put("at_ms", 300).put("kind", "kill_front_end").put("fe", 0).put("for_ms", 100);
         return new Rehearsal(day, folder.resolve("play"), List.of("sh", command.toString()),
-                new PrintStream(PrintStream.nullOutputStream())).waitingForEvents(500).run();
+                new PrintStream(PrintStream.nullOutputStream())).withMaxEventMillis(500).run();
     }
 
-    private ProcessHandle starting() throws Exception {
+    private ProcessHandle startingProcess() throws Exception {
         return ProcessHandle.of(Long.parseLong(Files.readString(folder.resolve("starting")).strip())).orElse(null);
     }
 
-    private static boolean ends(ProcessHandle process) throws Exception {
+    private static boolean awaitExit(ProcessHandle process) throws Exception {
         for (int i = 0; i < 500 && process != null && process.isAlive(); i++) {
             Thread.sleep(10);
         }
@@ -55,8 +55,8 @@
     }
 
     @AfterEach
-    void leaveNothingRunning() throws Exception {
-        ProcessHandle process = Files.exists(folder.resolve("starting")) ? starting() : null;
+    void killStartingProcess() throws Exception {
+        ProcessHandle process = Files.exists(folder.resolve("starting")) ? startingProcess() : null;
         if (process != null) {
             process.destroyForcibly();
         }
@@ -64,15 +64,15 @@
 
     /** Guards against front ends that go on for ever beside every later play, and against a day that hides it was cut short. */
     @Test
-    void aFrontEndThatIsStillStartingEndsWithTheDayAndTheDayIsVoid() throws Exception {
-        Auditor.Findings found = play(folder);
-        assertTrue(ends(starting()));
-        assertFalse(found.decided(), found.toString());
+    void startingFrontEndStopsWithRehearsalAndReportIsInconclusive() throws Exception {
+        Auditor.AuditReport found = play(folder);
+        assertTrue(awaitExit(startingProcess()));
+        assertFalse(found.conclusive(), found.toString());
     }
 
     /** The same where the rehearsal is ended by a signal at that moment. */
     @Test
-    void aFrontEndThatIsStillStartingEndsWithARehearsalThatIsEnded() throws Exception {
+    void startingFrontEndStopsWhenRehearsalIsTerminated() throws Exception {
         Process rehearsal = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 RehearsalEndTest.class.getName(), folder.toString()).redirectErrorStream(true)
@@ -83,7 +83,7 @@
             }
             rehearsal.destroy();
             assertTrue(rehearsal.waitFor(60, TimeUnit.SECONDS));
-            assertTrue(ends(starting()));
+            assertTrue(awaitExit(startingProcess()));
         } finally {
             rehearsal.destroyForcibly();
         }
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
@@ -7,7 +7,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gradereach.rehearsal.Auditor.Findings;
+import gradereach.rehearsal.Auditor.AuditReport;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -26,77 +26,77 @@
     @TempDir
     private Path folder;
 
-    private Findings play(JsonNode day, List<String> frontEnd) throws Exception {
+    private AuditReport play(JsonNode day, List<String> frontEnd) throws Exception {
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        Findings found = new Rehearsal(day, folder, frontEnd, new PrintStream(said)).run();
+        AuditReport found = new Rehearsal(day, folder, frontEnd, new PrintStream(said)).run();
         assertFalse(said.toString().contains("event failed"), said.toString());
         return found;
     }
 
     @Test
-    void theShortDayKeepsAllRules() throws Exception {
-        Findings found = play(Rehearsal.script("short-day"), Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
-        assertTrue(found.kept(), found.verdicts().toString());
+    void shortDayPassesAllRules() throws Exception {
+        AuditReport found = play(Rehearsal.loadScript("short-day"), Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
+        assertTrue(found.passed(), found.results().toString());
         assertTrue(found.counts().get("heard returned") > 300, found.counts().toString());
     }
 
     /** The users' test: each reservation sent ten times over front ends that are killed; each runs once. */
     @Test
     void reservationsSentTenTimesThroughKillsRunOnce() throws Exception {
-        ObjectNode day = (ObjectNode) Rehearsal.script("reservations").deepCopy();
+        ObjectNode day = (ObjectNode) Rehearsal.loadScript("reservations").deepCopy();
         day.put("length_ms", 8000);
         ((ObjectNode) day.path("clients")).put("rate", 25);
         var events = day.putArray("events");
         for (int i = 0; i < 2; i++) {
             events.addObject().put("at_ms", 2000 + 3000 * i).put("kind", "kill_front_end").put("fe", i).put("for_ms", 300);
         }
-        Findings found = play(day, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
-        assertTrue(found.kept(), found.verdicts().toString());
+        AuditReport found = play(day, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
+        assertTrue(found.passed(), found.results().toString());
         assertTrue(found.counts().get("ran") > 100, found.counts().toString());
         assertTrue(found.counts().get("heard returned") > 4 * found.counts().get("ran"), found.counts().toString());
     }
 
     /** The same without claims and ledgers must be found out: the auditor can see a reservation that runs twice. */
     @Test
-    void withoutClaimsTheyRunTwice() throws Exception {
-        ObjectNode day = (ObjectNode) Rehearsal.script("reservations").deepCopy();
+    void doubleExecutionWithoutClaimsIsDetected() throws Exception {
+        ObjectNode day = (ObjectNode) Rehearsal.loadScript("reservations").deepCopy();
         day.put("length_ms", 2000).put("peers", false).put("ledger", false);
         day.putArray("events");
         ((ObjectNode) day.path("clients")).put("rate", 10);
-        assertFalse(play(day, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess")).verdicts().get(1).kept());
+        assertFalse(play(day, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess")).results().get(1).passed());
     }
 
     /** A gateway that breaks a rule is found out from what passed on the sockets. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5})
-    void aFrontEndThatBreaksARuleIsFoundOut(int rule) throws Exception {
-        ObjectNode day = (ObjectNode) Rehearsal.script("short-day").deepCopy();
+    void ruleViolationIsDetected(int rule) throws Exception {
+        ObjectNode day = (ObjectNode) Rehearsal.loadScript("short-day").deepCopy();
         day.put("length_ms", 4500);
         var events = day.putArray("events");
         events.addObject().put("at_ms", 1000).put("kind", "drain").put("part", 0.7).put("for_ms", 400).put("drain_ms", 2400);
         ((ObjectNode) day.path("clients")).put("rate", 60);
         List<String> command = new ArrayList<>(Rehearsal.javaCommand("gradereach.rehearsal.BreachingFrontEnd"));
         command.add(Integer.toString(rule));
-        Findings found = play(day, command);
-        assertFalse(found.verdicts().get(rule - 1).kept(), found.verdicts().toString());
+        AuditReport found = play(day, command);
+        assertFalse(found.results().get(rule - 1).passed(), found.results().toString());
     }
 
     @Test
-    void everyShippedScriptIsGoodAndABadOneIsNamed() throws Exception {
+    void shippedScriptsAreValidAndInvalidScriptIsNamed() throws Exception {
         List<Path> scripts;
         try (var found = Files.walk(Path.of(Rehearsal.class.getResource("bad-day.json").toURI()).getParent())) {
             scripts = found.filter(f -> f.toString().endsWith(".json") && !f.toString().endsWith("schema.json")).toList();
         }
         for (Path script : scripts) {
-            Rehearsal.script(script.toString());
+            Rehearsal.loadScript(script.toString());
         }
         assertTrue(scripts.size() >= 20);
         Path bad = folder.resolve("bad.json");
         Files.writeString(bad, Files.readString(scripts.stream()
                 .filter(f -> f.endsWith("quiet-day.json")).findFirst().orElseThrow()).replace("\"front_ends\"", "\"front_end\""));
-        String says = assertThrows(Rehearsal.BadScript.class, () -> Rehearsal.script(bad.toString())).getMessage();
+        String says = assertThrows(Rehearsal.InvalidScriptException.class, () -> Rehearsal.loadScript(bad.toString())).getMessage();
         assertTrue(says.contains("front_end"), says);
-        assertEquals(true, assertThrows(Rehearsal.BadScript.class, () -> Rehearsal.script("none")).getMessage()
+        assertEquals(true, assertThrows(Rehearsal.InvalidScriptException.class, () -> Rehearsal.loadScript("none")).getMessage()
                 .startsWith("none: "));
     }
 }
--- a/rehearsal/src/test/java/gradereach/rehearsal/ReservationSite.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/ReservationTestbed.java
@@ -19,15 +19,15 @@
 import java.util.Map;
 
 /** Front ends as processes, one or some that keep each other's claims, before stand-ins that count what runs. */
-final class ReservationSite implements AutoCloseable {
+final class ReservationTestbed implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String GROUPS = """
+    private static final String MODELS = """
             {"model_groups": [
               {"name": "look", "repeat": "retriable", "slo_ms": 1000, "route_timeout_ms": 10000},
               {"name": "book", "repeat": "non-retriable", "slo_ms": 1000, "route_timeout_ms": 10000}],
              "models": [{"name": "look-*", "group": "look", "lanes": 8, "load_ms": 10},
               {"name": "book-*", "group": "book", "lanes": 8, "load_ms": 10}]}""";
-    private static final String TRANSCRIPT = "t.jsonl";
+    private static final String TRANSCRIPT_FILE = "t.jsonl";
 
     final StandInFleet fleet;
     private final Path folder;
@@ -35,11 +35,11 @@
     private final List<Process> processes = Collections.synchronizedList(new ArrayList<>());
 
     /** @param folder gets the transcript */
-    ReservationSite(Path folder) throws IOException, InterruptedException {
+    ReservationTestbed(Path folder) throws IOException, InterruptedException {
         this.folder = folder;
-        ObjectNode told = (ObjectNode) JSON.readTree(GROUPS);
+        ObjectNode told = (ObjectNode) JSON.readTree(MODELS);
         told.put("executors", 2).put("work_ms", 5);
-        fleet = new StandInFleet(told, folder.resolve(TRANSCRIPT));
+        fleet = new StandInFleet(told, folder.resolve(TRANSCRIPT_FILE));
     }
 
     /**
@@ -49,14 +49,14 @@
      * @param me its number
      * @param ports of the fronts, then of the peers; none for a front end without peers
      */
-    ObjectNode plan(Path at, int me, List<Integer> ports) throws IOException {
-        ObjectNode plan = ((ObjectNode) JSON.readTree(GROUPS)).put("name", "fe-" + me)
+    ObjectNode createDeployment(Path at, int me, List<Integer> ports) throws IOException {
+        ObjectNode plan = ((ObjectNode) JSON.readTree(MODELS)).put("name", "fe-" + me)
                 .put("listen", "127.0.0.1:" + (ports.isEmpty() ? 0 : ports.get(me)));
         plan.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
         plan.putArray("customers").addObject().put("name", "yard")
                 .put("answers_to", "http://127.0.0.1:" + fleet.controlPort() + "/answers")
                 .putArray("keys").addObject().put("inline", key.secretText());
-        plan.putObject("ledger").put("folder", ledger(at, me).toString());
+        plan.putObject("ledger").put("folder", ledgerFolder(at, me).toString());
         plan.putObject("executors").put("outcomes_kept_ms", 60_000);
         if (!ports.isEmpty()) {
             int count = ports.size() / 2;
@@ -71,13 +71,13 @@
         return plan;
     }
 
-    static Path ledger(Path at, int frontEnd) {
+    static Path ledgerFolder(Path at, int frontEnd) {
         return at.resolve("fe-" + frontEnd + ".ledger");
     }
 
     /** @param clockAhead milliseconds by which its wall clock is ahead */
-    FrontEndChild front(Path at, ObjectNode plan, String fault, long clockAhead) throws IOException, InterruptedException {
-        return new FrontEndChild(at, plan, fault, key, processes, clockAhead);
+    FrontEndTestProcess startFrontEnd(Path at, ObjectNode plan, String fault, long clockAhead) throws IOException, InterruptedException {
+        return new FrontEndTestProcess(at, plan, fault, key, processes, clockAhead);
     }
 
     static List<Integer> freePorts(int count) throws IOException {
@@ -94,9 +94,9 @@
     }
 
     /** Events of the stand-ins by what they are about. */
-    Map<String, List<JsonNode>> transcript(String event, String about) throws IOException {
+    Map<String, List<JsonNode>> transcriptEvents(String event, String about) throws IOException {
         Map<String, List<JsonNode>> found = new HashMap<>();
-        for (String line : Files.readAllLines(folder.resolve(TRANSCRIPT))) {
+        for (String line : Files.readAllLines(folder.resolve(TRANSCRIPT_FILE))) {
             JsonNode node = JSON.readTree(line);
             if (node.path("ev").asText().equals(event)) {
                 found.computeIfAbsent(node.path(about).asText(), k -> new ArrayList<>()).add(node);
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndProcessTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndProcessTest.java
@@ -21,7 +21,7 @@
 
     /** Guards against a soak that ends while one of its front ends starts, and leaves that one running. */
     @Test
-    void aStartThatIsInterruptedLeavesNoProcess() throws Exception {
+    void interruptedStartLeavesNoProcess() throws Exception {
         Path starting = folder.resolve("starting");
         ChildProcesses processes = new ChildProcesses(0);
         FaultShim shim = FaultShim.compile(folder);
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
@@ -8,7 +8,7 @@
 import gradereach.standins.frames.ChangelogServer;
 import gradereach.standins.frames.FrameExecutor;
 import gradereach.standins.frames.Outage;
-import gradereach.standins.frames.PeerLoops;
+import gradereach.standins.frames.PeerEventLoops;
 import gradereach.standins.frames.RequestAuditor;
 import gradereach.standins.frames.RequestClient;
 import java.io.IOException;
@@ -30,15 +30,15 @@
 class HeldProbesTest {
     private static final int EXECUTORS = 3;
     private static final int CLIENTS = 6;
-    private static final double DRAIN_GRACE = 500;
-    private static final long SERVES_FIRST_MILLIS = 3000;
+    private static final double DRAIN_GRACE_MILLIS = 500;
+    private static final long INITIAL_SERVICE_MILLIS = 3000;
     /** Executors are probed every second at least. */
-    private static final long PROBED_ONCE_MILLIS = 1500;
+    private static final long FIRST_PROBE_WAIT_MILLIS = 1500;
     /** The break may be seen before the drain. */
-    private static final long DRAINS_AFTER_MILLIS = 50;
+    private static final long DRAIN_DELAY_MILLIS = 50;
     /** Beyond the protocol's 2 s after a break, the grace, and the answer to the last probe. */
-    private static final long GOES_ON_MILLIS = 5000;
-    private static final long LAST_ANSWERS_MILLIS = 2500;
+    private static final long SERVICE_AFTER_DRAIN_MILLIS = 5000;
+    private static final long FINAL_ANSWERS_WAIT_MILLIS = 2500;
 
     @TempDir
     private Path folder;
@@ -46,52 +46,52 @@
     private String config(ChangelogServer changelog) throws IOException {
         try (InputStream template = Soak.class.getResourceAsStream("front-end.json.template")) {
             return new String(template.readAllBytes(), StandardCharsets.UTF_8).replace("@NAME@", "n0")
-                    .replace("@CHANGELOG@", changelog.addresses.get(0)).replace("@KNOWN@", changelog.known());
+                    .replace("@CHANGELOG@", changelog.addresses.get(0)).replace("@KNOWN@", changelog.readableEvents());
         }
     }
 
-    private static List<FrameExecutor> executors(PeerLoops loops, RequestAuditor auditor, ChangelogServer changelog)
+    private static List<FrameExecutor> executors(PeerEventLoops loops, RequestAuditor auditor, ChangelogServer changelog)
             throws InterruptedException {
         List<FrameExecutor> executors = new ArrayList<>();
         List<String> listed = new ArrayList<>();
         for (int i = 0; i < EXECUTORS; i++) {
             FrameExecutor executor = new FrameExecutor(loops, auditor, "s-" + i, i);
             executors.add(executor);
-            listed.add(ChangelogServer.instance(executor.instance, executor.address, "ready"));
+            listed.add(ChangelogServer.instanceJson(executor.instanceId, executor.address, "ready"));
         }
-        changelog.tell(String.join(",", listed), true);
+        changelog.publish(String.join(",", listed), true);
         return executors;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1200, 2500, 3100, 4000})
-    void anAnswerThatIsLateLetsNothingGo(long heldMillis) throws Exception {
-        try (PeerLoops loops = new PeerLoops(); ChildProcesses processes = new ChildProcesses(0)) {
-            RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE, loops.lags());
+    void lateProbeAnswerReleasesNoRequest(long heldMillis) throws Exception {
+        try (PeerEventLoops loops = new PeerEventLoops(); ChildProcesses processes = new ChildProcesses(0)) {
+            RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE_MILLIS, loops.lagIntervals());
             ChangelogServer changelog = new ChangelogServer(loops);
             List<FrameExecutor> executors = executors(loops, auditor, changelog);
-            FrontEndProcess frontEnd = new FrontEndProcess(processes, SoakTest.command(), folder.resolve("n0.json"), config(changelog),
+            FrontEndProcess frontEnd = new FrontEndProcess(processes, SoakTest.frontEndCommand(), folder.resolve("n0.json"), config(changelog),
                     FaultShim.compile(folder), List.of(), 1);
             List<RequestClient> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(new RequestClient(loops, auditor, frontEnd.address, i));
             }
             clients.forEach(RequestClient::start);
-            Thread.sleep(SERVES_FIRST_MILLIS);
-            executors.forEach(executor -> executor.holdProbes(heldMillis));
-            Thread.sleep(PROBED_ONCE_MILLIS);
-            changelog.begin(Outage.BROKEN_OFF);
-            Thread.sleep(DRAINS_AFTER_MILLIS);
+            Thread.sleep(INITIAL_SERVICE_MILLIS);
+            executors.forEach(executor -> executor.setProbeDelay(heldMillis));
+            Thread.sleep(FIRST_PROBE_WAIT_MILLIS);
+            changelog.startOutage(Outage.BROKEN_OFF);
+            Thread.sleep(DRAIN_DELAY_MILLIS);
             FrameExecutor drains = executors.get(1);
-            drains.drain();
-            auditor.drains(drains.instance, changelog.toldAt(loops.now()));
-            Thread.sleep(GOES_ON_MILLIS);
-            clients.forEach(RequestClient::end);
+            drains.startDraining();
+            auditor.executorDraining(drains.instanceId, changelog.deliveredAt(loops.now()));
+            Thread.sleep(SERVICE_AFTER_DRAIN_MILLIS);
+            clients.forEach(RequestClient::stop);
             double asked = loops.now();
-            Thread.sleep(LAST_ANSWERS_MILLIS);
+            Thread.sleep(FINAL_ANSWERS_WAIT_MILLIS);
             frontEnd.close();
             assertEquals(List.of(), auditor.findings(asked));
-            assertTrue(auditor.served(time -> true) > 0, "nothing was served");
+            assertTrue(auditor.successRate(time -> true) > 0, "nothing was served");
         }
     }
 }
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
@@ -23,12 +23,12 @@
     private static final int SECONDS = 30;
     private static final int FRONT_ENDS = 3;
     /** Serving goes on through an outage: at least so much of what is served otherwise. */
-    private static final double SERVED_SHARE = 0.85;
+    private static final double MIN_OUTAGE_SUCCESS_SHARE = 0.85;
 
     @TempDir
     private Path folder;
 
-    static List<String> command() throws IOException {
+    static List<String> frontEndCommand() throws IOException {
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         for (String option : Files.readAllLines(OPTIONS)) {
             if (option.startsWith("-X") || option.startsWith("-D")) {
@@ -40,8 +40,8 @@
         return command;
     }
 
-    private SoakReport play(long seed, Set<Trouble> troubles) throws Exception {
-        try (Soak soak = new Soak(new SoakPlan(seed, SECONDS, FRONT_ENDS, troubles, command()), folder)) {
+    private SoakReport play(long seed, Set<SoakFault> troubles) throws Exception {
+        try (Soak soak = new Soak(new SoakPlan(seed, SECONDS, FRONT_ENDS, troubles, frontEndCommand()), folder)) {
             SoakReport report = soak.run();
             System.out.println("seed " + seed + ": " + report);
             return report;
@@ -50,16 +50,16 @@
 
     @Test
     void noRuleIsBrokenUnderAnyTrouble() throws Exception {
-        SoakReport report = play(1, EnumSet.allOf(Trouble.class));
-        assertTrue(report.kept(), report::toString);
+        SoakReport report = play(1, EnumSet.allOf(SoakFault.class));
+        assertTrue(report.passed(), report::toString);
     }
 
     /** Incident 1c4c95: executors drain unheard. Serving goes on meanwhile. */
     @Test
-    void serviceGoesOnWhileTheChangelogIsOutOfReach() throws Exception {
-        SoakReport report = play(2, EnumSet.of(Trouble.OUTAGE, Trouble.DRAIN, Trouble.STANDSTILL, Trouble.TERMINATION,
-                Trouble.RESET));
-        assertTrue(report.kept(), report::toString);
-        assertTrue(report.servedInOutages() >= SERVED_SHARE * report.served(), report::toString);
+    void servesWhileChangelogIsUnavailable() throws Exception {
+        SoakReport report = play(2, EnumSet.of(SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.STANDSTILL, SoakFault.TERMINATION,
+                SoakFault.RESET));
+        assertTrue(report.passed(), report::toString);
+        assertTrue(report.outageSuccessRate() >= MIN_OUTAGE_SUCCESS_SHARE * report.successRate(), report::toString);
     }
 }
--- a/signing/src/main/java/gradereach/webhook/CallSignature.java
+++ b/signing/src/main/java/gradereach/webhook/CallSignature.java
@@ -24,7 +24,7 @@
     private CallSignature() { }
 
     /** The message as it is signed and goes on: nothing of the signature in it. */
-    public static ModelInferRequest bare(ModelInferRequest request) {
+    public static ModelInferRequest withoutSignature(ModelInferRequest request) {
         if (!request.containsParameters(ID) && !request.containsParameters(TIMESTAMP)
                 && !request.containsParameters(SIGNATURE)) {
             return request;
@@ -48,7 +48,7 @@
     }
 
     /** What is signed in the place of a webhook's body; {@code method} as in {@code inference.Service/Method}. */
-    public static byte[] signed(String method, byte[] digest) {
+    public static byte[] signedContent(String method, byte[] digest) {
         return (method + '\n' + HexFormat.of().formatHex(digest)).getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/signing/src/main/java/gradereach/webhook/Ed25519Keys.java
+++ b/signing/src/main/java/gradereach/webhook/Ed25519Keys.java
@@ -11,7 +11,7 @@
 
     private Ed25519Keys() { }
 
-    static byte[] publicHalf(byte[] seed) {
+    static byte[] publicKey(byte[] seed) {
         byte[] half = new byte[SIZE];
         Ed25519.generatePublicKey(seed, 0, half, 0);
         return half;
@@ -23,12 +23,12 @@
         return signature;
     }
 
-    static boolean signed(byte[] signature, byte[] publicHalf, byte[] message) {
+    static boolean verify(byte[] signature, byte[] publicHalf, byte[] message) {
         return signature.length == Ed25519.SIGNATURE_SIZE
                 && Ed25519.verify(signature, 0, publicHalf, 0, message, 0, message.length);
     }
 
-    static boolean proper(byte[] publicHalf) {
+    static boolean isValidPublicKey(byte[] publicHalf) {
         return Ed25519.validatePublicKeyFull(publicHalf, 0);
     }
 }
--- a/signing/src/main/java/gradereach/webhook/WebhookKey.java
+++ b/signing/src/main/java/gradereach/webhook/WebhookKey.java
@@ -25,16 +25,16 @@
 
     private final SecretKeySpec secret;
     private final byte[] seed;
-    private final byte[] publicHalf;
-    private final long from;
-    private final long until;
+    private final byte[] publicKey;
+    private final long validFrom;
+    private final long validUntil;
 
     private WebhookKey(SecretKeySpec secret, byte[] seed, byte[] publicHalf, long from, long until) {
         this.secret = secret;
         this.seed = seed;
-        this.publicHalf = publicHalf;
-        this.from = from;
-        this.until = until;
+        this.publicKey = publicHalf;
+        this.validFrom = from;
+        this.validUntil = until;
     }
 
     private WebhookKey(SecretKeySpec secret, byte[] seed, byte[] publicHalf) {
@@ -42,12 +42,12 @@
     }
 
     /** The same key, good from one Unix second up to another: for rotation, where old and new overlap. */
-    public WebhookKey between(long fromSecond, long untilSecond) {
-        return new WebhookKey(secret, seed, publicHalf, fromSecond, untilSecond);
+    public WebhookKey validBetween(long fromSecond, long untilSecond) {
+        return new WebhookKey(secret, seed, publicKey, fromSecond, untilSecond);
     }
 
-    public boolean goodAt(long unixSecond) {
-        return unixSecond >= from && unixSecond < until;
+    public boolean isValidAt(long unixSecond) {
+        return unixSecond >= validFrom && unixSecond < validUntil;
     }
 
     /**
@@ -59,7 +59,7 @@
         String word = text.strip();
         int mark = word.indexOf('_');
         String kind = mark < 0 ? "" : word.substring(0, mark);
-        need(kind.equals("whsec") || kind.equals("whpk") || kind.equals("whsk"),
+        require(kind.equals("whsec") || kind.equals("whpk") || kind.equals("whsk"),
                 "key has none of the prefixes whsec_, whpk_, whsk_");
         byte[] raw;
         try {
@@ -69,26 +69,26 @@
         }
         switch (kind) {
             case "whsec" -> {
-                need(raw.length >= 24 && raw.length <= 64, "whsec_ key holds " + raw.length + " bytes, not 24 to 64");
+                require(raw.length >= 24 && raw.length <= 64, "whsec_ key holds " + raw.length + " bytes, not 24 to 64");
                 return new WebhookKey(new SecretKeySpec(raw, "HmacSHA256"), null, null);
             }
             case "whpk" -> {
-                need(raw.length == Ed25519Keys.SIZE, "whpk_ key holds " + raw.length + " bytes, not 32");
-                need(Ed25519Keys.proper(raw), "whpk_ key is no point that a key can be");
+                require(raw.length == Ed25519Keys.SIZE, "whpk_ key holds " + raw.length + " bytes, not 32");
+                require(Ed25519Keys.isValidPublicKey(raw), "whpk_ key is no point that a key can be");
                 return new WebhookKey(null, null, raw);
             }
             default -> {
-                need(raw.length == 32 || raw.length == 64, "whsk_ key holds " + raw.length + " bytes, not 32 or 64");
+                require(raw.length == 32 || raw.length == 64, "whsk_ key holds " + raw.length + " bytes, not 32 or 64");
                 byte[] seed = Arrays.copyOf(raw, 32);
-                byte[] half = Ed25519Keys.publicHalf(seed);
-                need(raw.length == 32 || Arrays.equals(half, Arrays.copyOfRange(raw, 32, 64)),
+                byte[] half = Ed25519Keys.publicKey(seed);
+                require(raw.length == 32 || Arrays.equals(half, Arrays.copyOfRange(raw, 32, 64)),
                         "whsk_ key's second half is not the public part of its first");
                 return new WebhookKey(null, seed, half);
             }
         }
     }
 
-    private static void need(boolean holds, String otherwise) {
+    private static void require(boolean holds, String otherwise) {
         if (!holds) {
             throw new IllegalArgumentException(otherwise);
         }
@@ -106,13 +106,13 @@
         byte[] seed = new byte[32];
         chance.nextBytes(seed);
         byte[] raw = Arrays.copyOf(seed, 64);
-        System.arraycopy(Ed25519Keys.publicHalf(seed), 0, raw, 32, 32);
+        System.arraycopy(Ed25519Keys.publicKey(seed), 0, raw, 32, 32);
         return "whsk_" + Base64.getEncoder().encodeToString(raw);
     }
 
     /** The {@code whpk_} form of this key's public half; null for a shared secret, which has none. */
-    public String publicPart() {
-        return publicHalf == null ? null : "whpk_" + Base64.getEncoder().encodeToString(publicHalf);
+    public String publicKeyText() {
+        return publicKey == null ? null : "whpk_" + Base64.getEncoder().encodeToString(publicKey);
     }
 
     /** A shared secret in its {@code whsec_} form, for handing it on; null for other keys. */
@@ -132,14 +132,14 @@
     /** The signature of {@code id.timestamp.body}, base64, without its scheme. */
     public String sign(String id, long timestamp, byte[] body) {
         byte[] signature = secret != null ? hmac(id, timestamp, body)
-                : Ed25519Keys.sign(seed, publicHalf, whole(id, timestamp, body));
+                : Ed25519Keys.sign(seed, publicKey, signedContent(id, timestamp, body));
         return Base64.getEncoder().encodeToString(signature);
     }
 
     /** Whether {@code signature} (raw bytes) is this key's; in constant time where the key is secret. */
-    public boolean signed(byte[] signature, String id, long timestamp, byte[] body) {
+    public boolean verify(byte[] signature, String id, long timestamp, byte[] body) {
         return secret != null ? MessageDigest.isEqual(hmac(id, timestamp, body), signature)
-                : Ed25519Keys.signed(signature, publicHalf, whole(id, timestamp, body));
+                : Ed25519Keys.verify(signature, publicKey, signedContent(id, timestamp, body));
     }
 
     private byte[] hmac(String id, long timestamp, byte[] body) {
@@ -149,18 +149,18 @@
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
-        mac.update(head(id, timestamp));
+        mac.update(signedPrefix(id, timestamp));
         return mac.doFinal(body);
     }
 
-    private static byte[] whole(String id, long timestamp, byte[] body) {
-        byte[] head = head(id, timestamp);
+    private static byte[] signedContent(String id, long timestamp, byte[] body) {
+        byte[] head = signedPrefix(id, timestamp);
         byte[] whole = Arrays.copyOf(head, head.length + body.length);
         System.arraycopy(body, 0, whole, head.length, body.length);
         return whole;
     }
 
-    private static byte[] head(String id, long timestamp) {
+    private static byte[] signedPrefix(String id, long timestamp) {
         return (id + "." + timestamp + ".").getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/signing/src/test/java/gradereach/webhook/KeyRingTest.java
+++ b/signing/src/test/java/gradereach/webhook/KeyRingTest.java
@@ -18,25 +18,25 @@
     private static final byte[] BODY = "{\"test\": 2432232314}".getBytes(StandardCharsets.UTF_8);
     private static final long NOW = 1614265330;
     private final WebhookKey secret = WebhookKey.parse("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
-    private final WebhookKey older = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
-    private final WebhookKey pair = WebhookKey.parse(WebhookKey.newPrivate(new SecureRandom()));
-    private final WebhookKey half = WebhookKey.parse(pair.publicPart());
-    private final KeyRing ring = new KeyRing(List.of(List.of(older, secret), List.of(half)));
+    private final WebhookKey olderSecret = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
+    private final WebhookKey keyPair = WebhookKey.parse(WebhookKey.newPrivate(new SecureRandom()));
+    private final WebhookKey publicKey = WebhookKey.parse(keyPair.publicKeyText());
+    private final KeyRing ring = new KeyRing(List.of(List.of(olderSecret, secret), List.of(publicKey)));
 
     /** The example of the specification, section "Signature scheme". */
     @Test
-    void theSpecificationsExampleIsSignedAsItSays() {
+    void signsTheExampleOfTheSpecification() {
         assertEquals("g0hM9SsE+OTPJTGt/tmIKtSyZlE3uFJELVlNIOLJ1OE=",
                 secret.sign("msg_p5jXN8AQM9LWM0D4loKWxJek", NOW, BODY));
     }
 
     /** RFC 8032, 7.1, test 1: the public half that belongs to a seed. */
     @Test
-    void aSeedHasThePublicHalfOfTheRfc() {
+    void derivesThePublicKeyOfTheRfcExample() {
         byte[] seed = HexFormat.of().parseHex("9d61b19deffd5a60ba844af492ec2cc44449c5697b326919703bac031cae7f60");
         byte[] half = HexFormat.of().parseHex("d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a");
         assertEquals("whpk_" + Base64.getEncoder().encodeToString(half),
-                WebhookKey.parse("whsk_" + Base64.getEncoder().encodeToString(seed)).publicPart());
+                WebhookKey.parse("whsk_" + Base64.getEncoder().encodeToString(seed)).publicKeyText());
     }
 
     @ParameterizedTest
@@ -47,13 +47,13 @@
         "hmac-as-v1a, -1, NOT_SIGNED", "not-base64, -1, NO_SIGNATURE", "empty, -1, NO_SIGNATURE",
         "unknown-scheme, -1, NO_SIGNATURE", "ninth-of-nine, -1, NOT_SIGNED",
     })
-    void aMessageIsWhoseKeySignedIt(String what, int customer, Refusal refusal) {
+    void messageBelongsToTheCustomerWhoseKeySignedIt(String what, int customer, SignatureRejection refusal) {
         String good = secret.sign("m1", NOW, BODY);
         String header = switch (what) {
             case "good" -> "v1," + good;
             case "good-other-scheme-first" -> "v2,abc v1a,AAAA v1," + good;
-            case "rotated" -> KeyRing.header(List.of(secret, older), "m1", NOW, BODY);
-            case "ed25519" -> "v1a," + pair.sign("m1", NOW, BODY);
+            case "rotated" -> KeyRing.signatureHeader(List.of(secret, olderSecret), "m1", NOW, BODY);
+            case "ed25519" -> "v1a," + keyPair.sign("m1", NOW, BODY);
             case "other-body" -> "v1," + secret.sign("m1", NOW, new byte[0]);
             case "other-id" -> "v1," + secret.sign("m2", NOW, BODY);
             case "other-time" -> "v1," + secret.sign("m1", NOW + 1, BODY);
@@ -63,9 +63,9 @@
             case "ninth-of-nine" -> "v1,AAAA ".repeat(8) + "v1," + good;
             default -> "v9," + good;
         };
-        assertEquals(new KeyRing.Verdict(customer, refusal),
-                ring.judge("m1", Long.toString(NOW), header, BODY, NOW, -1));
-        assertEquals(customer, ring.judge("m1", Long.toString(NOW), header, BODY, NOW, 1).customer());
+        assertEquals(new KeyRing.VerificationResult(customer, refusal),
+                ring.verify("m1", Long.toString(NOW), header, BODY, NOW, -1));
+        assertEquals(customer, ring.verify("m1", Long.toString(NOW), header, BODY, NOW, 1).customer());
     }
 
     @ParameterizedTest
@@ -75,30 +75,30 @@
         "m1, -5, 0, NO_TIMESTAMP", "m1, 99999999999999, 0, NO_TIMESTAMP", "m1, null, 0, NO_TIMESTAMP",
         "'', 1614265330, 0, NO_ID", "'a b', 1614265330, 0, NO_ID", "null, 1614265330, 0, NO_ID",
     }, nullValues = "null")
-    void idAndTimeAreJudgedBeforeAnyKeyIsTried(String id, String timestamp, long later, Refusal refusal) {
+    void idAndTimestampAreCheckedBeforeSignatures(String id, String timestamp, long later, SignatureRejection refusal) {
         String header = "v1," + secret.sign(id == null ? "" : id, NOW, BODY);
-        assertEquals(refusal, ring.judge(id, timestamp, header, BODY, NOW + later, 0).refusal());
-        assertEquals(Refusal.NO_ID, ring.judge("x".repeat(129), timestamp, header, BODY, NOW, 0).refusal());
+        assertEquals(refusal, ring.verify(id, timestamp, header, BODY, NOW + later, 0).rejection());
+        assertEquals(SignatureRejection.NO_ID, ring.verify("x".repeat(129), timestamp, header, BODY, NOW, 0).rejection());
     }
 
     /** Old until 100, new from 50: at every second a message signed by all that is good is believed, and no key alone after its time. */
     @ParameterizedTest
     @CsvSource({"49, true, false, 1", "50, true, true, 2", "99, true, true, 2", "100, false, true, 1"})
-    void rotationHasNoGap(long now, boolean old, boolean fresh, int signatures) {
-        List<WebhookKey> keys = List.of(older.between(Long.MIN_VALUE, 100), secret.between(50, Long.MAX_VALUE));
+    void keyRotationHasNoGap(long now, boolean old, boolean fresh, int signatures) {
+        List<WebhookKey> keys = List.of(olderSecret.validBetween(Long.MIN_VALUE, 100), secret.validBetween(50, Long.MAX_VALUE));
         KeyRing rotating = new KeyRing(List.of(keys));
         String time = Long.toString(now);
-        assertEquals(old, rotating.judge("m", time, "v1," + older.sign("m", now, BODY), BODY, now, 0).refusal() == null);
-        assertEquals(fresh, rotating.judge("m", time, "v1," + secret.sign("m", now, BODY), BODY, now, 0).refusal() == null);
-        String header = KeyRing.header(keys, "m", now, BODY);
+        assertEquals(old, rotating.verify("m", time, "v1," + olderSecret.sign("m", now, BODY), BODY, now, 0).rejection() == null);
+        assertEquals(fresh, rotating.verify("m", time, "v1," + secret.sign("m", now, BODY), BODY, now, 0).rejection() == null);
+        String header = KeyRing.signatureHeader(keys, "m", now, BODY);
         assertEquals(signatures, header.split(" ").length);
-        assertEquals(null, rotating.judge("m", time, header, BODY, now, 0).refusal());
+        assertEquals(null, rotating.verify("m", time, header, BODY, now, 0).rejection());
     }
 
     @ParameterizedTest
     @CsvSource({"whsec_AAAA, 24 to 64", "whpk_AAAA, not 32", "whsk_AAAA, not 32 or 64", "AAAA, prefixes",
         "whsec_???, base64"})
-    void aBadKeyIsNamedButNeverQuoted(String text, String says) {
+    void parseErrorNeverQuotesTheKey(String text, String says) {
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> WebhookKey.parse(text));
         assertTrue(e.getMessage().contains(says), e.getMessage());
         assertFalse(e.getMessage().contains("AAAA"));
--- a/standins/src/main/java/gradereach/standins/ForwardOutcomes.java
+++ b/standins/src/main/java/gradereach/standins/ForwardOutcomes.java
@@ -14,78 +14,78 @@
  * stays true whenever the forward is delivered. Questions and forwards may come on different threads.
  */
 final class ForwardOutcomes {
-    private static final long KEPT = 60_000; // milliseconds after its end
-    private static final int MOST_FENCES = 100_000;
+    private static final long RETENTION_MILLIS = 60_000; // milliseconds after its end
+    private static final int MAX_FENCES = 100_000;
 
     /**
      * 200 with its answer, 202 while it runs, 404 for one that this process has not seen.
      *
      * @param fenced it is refused from now on
      */
-    record Found(int status, String output, boolean fenced) { }
+    record ForwardLookup(int status, String output, boolean fenced) { }
 
     private final EventLoop loop;
     private final long upSince;
-    private final int mostFences;
+    private final int maxFences;
     /** Tells this process from any other: 15 digits, so that two do not meet. */
-    private final long process = new SecureRandom().nextLong(1_000_000_000_000_000L);
+    private final long processId = new SecureRandom().nextLong(1_000_000_000_000_000L);
     /** Empty while they run, then their answers. */
     private final Map<String, String> outputs = new HashMap<>();
     /** Never taken out again: a forward may be delivered at any time. */
-    private final Set<String> fences = new HashSet<>();
+    private final Set<String> fencedForwards = new HashSet<>();
 
     /** @param upSince Unix milliseconds by the clock of the executor's machine */
     ForwardOutcomes(EventLoop loop, double upSince) {
-        this(loop, upSince, MOST_FENCES);
+        this(loop, upSince, MAX_FENCES);
     }
 
     /** @param mostFences once there are so many, no other forward is fenced, and none is said to be */
     ForwardOutcomes(EventLoop loop, double upSince, int mostFences) {
         this.loop = loop;
         this.upSince = (long) upSince;
-        this.mostFences = mostFences;
+        this.maxFences = mostFences;
     }
 
     long upSince() {
         return upSince;
     }
 
-    long process() {
-        return process;
+    long processId() {
+        return processId;
     }
 
     /** False for one that is fenced: it must not run. */
-    synchronized boolean begin(String forward) {
-        if (fences.contains(forward)) {
+    synchronized boolean tryStart(String forward) {
+        if (fencedForwards.contains(forward)) {
             return false;
         }
         outputs.put(forward, "");
         return true;
     }
 
-    synchronized void finished(String forward, String output) {
+    synchronized void complete(String forward, String output) {
         outputs.put(forward, output);
-        loop.schedule(() -> forget(forward), KEPT, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> remove(forward), RETENTION_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** It was refused, or is forgotten. */
-    synchronized void forget(String forward) {
+    synchronized void remove(String forward) {
         outputs.remove(forward);
     }
 
     /** What became of a forward; one that has not been seen is fenced, if there is room. */
-    synchronized Found find(String forward) {
+    synchronized ForwardLookup findOrFence(String forward) {
         String output = outputs.get(forward);
         if (output == null) {
-            return new Found(404, "{}", fence(forward));
+            return new ForwardLookup(404, "{}", tryFence(forward));
         }
-        return output.isEmpty() ? new Found(202, "{}", false) : new Found(200, output, false);
+        return output.isEmpty() ? new ForwardLookup(202, "{}", false) : new ForwardLookup(200, output, false);
     }
 
-    private boolean fence(String forward) {
-        if (fences.size() < mostFences) {
-            fences.add(forward);
+    private boolean tryFence(String forward) {
+        if (fencedForwards.size() < maxFences) {
+            fencedForwards.add(forward);
         }
-        return fences.contains(forward);
+        return fencedForwards.contains(forward);
     }
 }
--- a/standins/src/main/java/gradereach/standins/Lags.java
+++ b/standins/src/main/java/gradereach/standins/LagIntervals.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Times during which threads that date what they see did nothing: what they dated then may have come before. Any thread. */
-public final class Lags {
+public final class LagIntervals {
     private record Lag(double from, double until) { }
 
     private final List<Lag> lags = new ArrayList<>();
@@ -15,7 +15,7 @@
     }
 
     /** The earliest time at which what is dated {@code time} may have come. */
-    public synchronized double earliest(double time) {
+    public synchronized double earliestArrival(double time) {
         double earliest = time;
         for (Lag lag : lags) {
             if (lag.from < time && time <= lag.until) {
@@ -26,7 +26,7 @@
     }
 
     /** The longest of them, milliseconds. */
-    public synchronized double longest() {
+    public synchronized double longestMillis() {
         return lags.stream().mapToDouble(lag -> lag.until - lag.from).max().orElse(0);
     }
 }
--- a/standins/src/main/java/gradereach/standins/ReservedPort.java
+++ b/standins/src/main/java/gradereach/standins/ReservedPort.java
@@ -16,23 +16,23 @@
 
 /** A port on loopback that stays reserved while nothing listens there: no outgoing connection is given it meanwhile. */
 final class ReservedPort implements AutoCloseable {
-    private static final int TRIES = 400;
-    private static final long TRIED_AGAIN = 5; // milliseconds
+    private static final int MAX_BIND_ATTEMPTS = 400;
+    private static final long BIND_RETRY_MILLIS = 5; // milliseconds
 
     /** Bound and never connected: whoever binds with SO_REUSEADDR as well may listen at the same port. */
-    private final Socket holder = new Socket();
+    private final Socket reservingSocket = new Socket();
 
     ReservedPort() {
         try {
-            holder.setReuseAddress(true);
-            holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            reservingSocket.setReuseAddress(true);
+            reservingSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     int number() {
-        return holder.getLocalPort();
+        return reservingSocket.getLocalPort();
     }
 
     /**
@@ -44,8 +44,8 @@
         ServerBootstrap listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).childHandler(forConnections);
         ChannelFuture bound = listener.bind(address).await();
-        for (int tries = 1; bound.cause() instanceof BindException && tries < TRIES; tries++) {
-            Thread.sleep(TRIED_AGAIN);
+        for (int tries = 1; bound.cause() instanceof BindException && tries < MAX_BIND_ATTEMPTS; tries++) {
+            Thread.sleep(BIND_RETRY_MILLIS);
             bound = listener.bind(address).await();
         }
         return bound.sync().channel();
@@ -54,7 +54,7 @@
     @Override
     public void close() {
         try {
-            holder.close();
+            reservingSocket.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/standins/src/main/java/gradereach/standins/RosterServer.java
+++ b/standins/src/main/java/gradereach/standins/RosterServer.java
@@ -23,7 +23,7 @@
 final class RosterServer implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private record Watcher(String agent, BlockingQueue<ObjectNode> events) { }
+    private record Watcher(String frontEnd, BlockingQueue<ObjectNode> events) { }
 
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
@@ -36,15 +36,15 @@
     private final CopyOnWriteArrayList<Watcher> watchers = new CopyOnWriteArrayList<>();
     private long version = 1;
     /** Open watches end, and whatever is asked is answered 503. */
-    volatile boolean away;
+    volatile boolean unavailable;
     /** Each executor has a uid, which the next one at its address does not have. */
-    volatile boolean tellsUids;
+    volatile boolean includeUids;
 
     RosterServer(Transcript transcript) throws IOException {
         this.transcript = transcript;
         server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 64);
         server.setExecutor(threads);
-        server.createContext("/apis/discovery.k8s.io/v1/endpointslices", this::serve);
+        server.createContext("/apis/discovery.k8s.io/v1/endpointslices", this::handleRequest);
         server.start();
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** {@code state}: ready, draining or gone. */
-    synchronized void put(StandInExecutor ex, String state) {
+    synchronized void publish(StandInExecutor ex, String state) {
         String name = ex.instance();
         ObjectNode slice = JSON.createObjectNode();
         ObjectNode meta = slice.putObject("metadata").put("name", name).put("namespace", "rehearsal")
@@ -70,7 +70,7 @@
         endpoint.putObject("conditions").put("ready", state.equals("ready")).put("serving", true)
                 .put("terminating", state.equals("draining"));
         endpoint.put("zone", ex.zone);
-        if (tellsUids) {
+        if (includeUids) {
             endpoint.putObject("targetRef").put("uid", name);
         }
         boolean known = slices.containsKey(name);
@@ -88,9 +88,9 @@
         watchers.forEach(w -> w.events.add(event));
     }
 
-    private void serve(HttpExchange ask) throws IOException {
+    private void handleRequest(HttpExchange ask) throws IOException {
         String agent = String.valueOf(ask.getRequestHeaders().getFirst("user-agent")).replace("gradereach/", "");
-        if (away) {
+        if (unavailable) {
             ask.sendResponseHeaders(503, -1);
             ask.close();
             return;
@@ -104,7 +104,7 @@
                 ArrayNode items = all.putArray("items");
                 slices.values().forEach(items::add);
                 list = JSON.writeValueAsBytes(all);
-                slices.values().forEach(slice -> told(agent, "ADDED", slice));
+                slices.values().forEach(slice -> recordTold(agent, "ADDED", slice));
             }
             ask.sendResponseHeaders(200, list.length);
             ask.getResponseBody().write(list);
@@ -124,12 +124,12 @@
         ask.sendResponseHeaders(200, 0);
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds(ask.getRequestURI().getQuery()));
         try (OutputStream out = ask.getResponseBody()) {
-            while (!away && System.nanoTime() < end) {
+            while (!unavailable && System.nanoTime() < end) {
                 ObjectNode event = watcher.events.poll(200, TimeUnit.MILLISECONDS);
                 if (event == null) {
                     out.write('\n');
                 } else {
-                    told(agent, event.path("type").asText(), (ObjectNode) event.path("object"));
+                    recordTold(agent, event.path("type").asText(), (ObjectNode) event.path("object"));
                     out.write((event + "\n").getBytes(StandardCharsets.UTF_8));
                 }
                 out.flush();
@@ -143,12 +143,12 @@
 
     /** How long a watch is asked to last. */
     private static long timeoutSeconds(String query) {
-        return query.contains("timeoutSeconds=") ? Long.parseLong(query.replaceAll(".*timeoutSeconds=(\\d+).*", "$1")) : LONGEST_WATCH;
+        return query.contains("timeoutSeconds=") ? Long.parseLong(query.replaceAll(".*timeoutSeconds=(\\d+).*", "$1")) : DEFAULT_WATCH_SECONDS;
     }
 
-    private static final long LONGEST_WATCH = 1800; // seconds; where no time is asked for
+    private static final long DEFAULT_WATCH_SECONDS = 1800; // seconds; where no time is asked for
 
-    private void told(String agent, String type, ObjectNode slice) {
+    private void recordTold(String agent, String type, ObjectNode slice) {
         if (!slice.has("ports")) {
             return;
         }
--- a/standins/src/main/java/gradereach/standins/SmallFleet.java
+++ b/standins/src/main/java/gradereach/standins/SmallFleet.java
@@ -14,16 +14,16 @@
 /** A few stand-ins in this very process, and the deployment file that fits them: for tests on loopback. */
 public final class SmallFleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private final Path transcript;
+    private final Path transcriptFile;
     private final StandInFleet fleet;
 
     /** Models {@code look-*} are retriable, {@code book-*} non-retriable, {@code tell-*} and {@code sign-*} the same in parts; each loads in 20 ms and works for 5. */
     public SmallFleet(Path folder, int executors) throws IOException, InterruptedException {
-        transcript = folder.resolve("t.jsonl");
-        fleet = new StandInFleet(models().put("executors", executors).put("work_ms", 5), transcript);
+        transcriptFile = folder.resolve("t.jsonl");
+        fleet = new StandInFleet(modelConfig().put("executors", executors).put("work_ms", 5), transcriptFile);
     }
 
-    private static ObjectNode models() throws JsonProcessingException {
+    private static ObjectNode modelConfig() throws JsonProcessingException {
         return (ObjectNode) JSON.readTree("""
                 {"model_groups": [
                   {"name": "look", "repeat": "retriable", "slo_ms": 400, "route_timeout_ms": 8000},
@@ -37,8 +37,8 @@
     }
 
     /** For a front end of that name, with one customer, {@code yard}, whose key is {@code secret}. */
-    public ObjectNode plan(String name, String secret) throws JsonProcessingException {
-        ObjectNode plan = models().put("name", name).put("listen", "127.0.0.1:0");
+    public ObjectNode createDeployment(String name, String secret) throws JsonProcessingException {
+        ObjectNode plan = modelConfig().put("name", name).put("listen", "127.0.0.1:0");
         plan.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
         plan.putArray("customers").addObject().put("name", "yard")
                 .put("answers_to", "http://127.0.0.1:" + fleet.controlPort() + "/answers")
@@ -47,8 +47,8 @@
     }
 
     /** One fault, as the control port takes it. */
-    public void apply(JsonNode fault) throws InterruptedException {
-        fleet.apply(fault);
+    public void injectFault(JsonNode fault) throws InterruptedException {
+        fleet.injectFault(fault);
     }
 
     /** Of the executors, in their order. */
@@ -61,10 +61,10 @@
     }
 
     /** Ends the stand-ins and tells how often each inference ran, by {@code customer/id}. */
-    public Map<String, Integer> runs() throws IOException {
+    public Map<String, Integer> closeAndCountRuns() throws IOException {
         fleet.close();
         Map<String, Integer> runs = new HashMap<>();
-        for (String line : Files.readAllLines(transcript)) {
+        for (String line : Files.readAllLines(transcriptFile)) {
             JsonNode event = JSON.readTree(line);
             if (event.path("ev").asText().equals("ran")) {
                 runs.merge(event.path("mark").asText(), 1, Integer::sum);
--- a/standins/src/main/java/gradereach/standins/StandInExecutor.java
+++ b/standins/src/main/java/gradereach/standins/StandInExecutor.java
@@ -40,54 +40,54 @@
 
     /** What goes wrong here; set by the control port. */
     static final class Faults {
-        volatile String fullFor;
-        volatile String unanswered;
-        volatile boolean refuses;
-        volatile String resets;
+        volatile String fullForCustomer;
+        volatile String unansweredGroup;
+        volatile boolean refuseConnections;
+        volatile String resetPoint;
         /** It is not ready for new work, and the roster does not say so; what comes all the same it takes. */
-        volatile boolean drainsUnheard;
+        volatile boolean unannouncedDrain;
         /** Its process runs what comes and answers none of it; a new process does. */
-        volatile boolean answersLost;
+        volatile boolean dropAnswers;
         /** Milliseconds by which the clock of its machine is ahead, as a process starts there. */
-        volatile double clockAhead;
+        volatile double clockAheadMillis;
         /** What that clock shows at every start of a process, Unix milliseconds; NaN where it goes on. */
-        volatile double shownAtStart = Double.NaN;
+        volatile double clockAtStart = Double.NaN;
     }
 
     final String zone;
     final Faults faults = new Faults();
     private final EventLoop loop;
-    private final Machine.Kind kind;
-    private final Store store;
-    private final Function<String, Machine.Spec> specs;
+    private final SimulatedMachine.MachineConfig machineConfig;
+    private final SimulatedModelStore modelStore;
+    private final Function<String, SimulatedMachine.ModelSpec> modelSpecs;
     private final Transcript transcript;
     /** Marks of deduped inferences that ran somewhere in the fleet, with their answers. */
-    private final Map<String, byte[]> seen;
-    private final ChannelGroup open;
+    private final Map<String, byte[]> dedupAnswers;
+    private final ChannelGroup openConnections;
     private Channel listener;
-    private ReservedPort port = new ReservedPort();
-    private volatile Machine machine;
+    private ReservedPort reservedPort = new ReservedPort();
+    private volatile SimulatedMachine machine;
     /** Discovery's name for it, from its first address. */
     private volatile String instance;
     /** Of the present process. */
-    private volatile ForwardOutcomes outcomes;
+    private volatile ForwardOutcomes forwardOutcomes;
     volatile double startedAt;
-    volatile boolean up;
+    volatile boolean running;
 
-    StandInExecutor(String zone, EventLoop loop, Machine.Kind kind, Store store, Function<String, Machine.Spec> specs,
+    StandInExecutor(String zone, EventLoop loop, SimulatedMachine.MachineConfig kind, SimulatedModelStore store, Function<String, SimulatedMachine.ModelSpec> specs,
             Transcript transcript, Map<String, byte[]> seen) {
         this.zone = zone;
         this.loop = loop;
-        this.kind = kind;
-        this.store = store;
-        this.specs = specs;
+        this.machineConfig = kind;
+        this.modelStore = store;
+        this.modelSpecs = specs;
         this.transcript = transcript;
-        this.seen = seen;
-        open = new DefaultChannelGroup(loop);
+        this.dedupAnswers = seen;
+        openConnections = new DefaultChannelGroup(loop);
     }
 
     String address() {
-        return "127.0.0.1:" + port.number();
+        return "127.0.0.1:" + reservedPort.number();
     }
 
     String instance() {
@@ -95,37 +95,37 @@
     }
 
     void start(boolean cold) throws InterruptedException {
-        machine = new Machine(loop, kind, store, cold, word -> {
+        machine = new SimulatedMachine(loop, machineConfig, modelStore, cold, word -> {
             transcript.write(word, "ex", address());
-            loop.execute(this::down);
+            loop.execute(this::kill);
         });
         startedAt = cold ? Transcript.now() : 0;
-        boolean goesOn = Double.isNaN(faults.shownAtStart);
-        outcomes = new ForwardOutcomes(loop, goesOn ? Transcript.now() + faults.clockAhead : faults.shownAtStart);
-        faults.answersLost = false;
+        boolean goesOn = Double.isNaN(faults.clockAtStart);
+        forwardOutcomes = new ForwardOutcomes(loop, goesOn ? Transcript.now() + faults.clockAheadMillis : faults.clockAtStart);
+        faults.dropAnswers = false;
         listen();
         instance = instance == null ? "ex-" + address().replace(':', '-').replace('.', '-') : instance;
-        up = true;
+        running = true;
         transcript.write("start", "ex", address(), "cold", cold, "zone", zone);
     }
 
     private void listen() throws InterruptedException {
-        listener = port.listen(loop, new ChannelInitializer<Channel>() {
+        listener = reservedPort.listen(loop, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-                if (faults.refuses) {
+                if (faults.refuseConnections) {
                     ch.config().setOption(io.netty.channel.ChannelOption.SO_LINGER, 0);
                     ch.close();
                     return;
                 }
-                open.add(ch);
+                openConnections.add(ch);
                 ch.pipeline().addLast(Http2FrameCodecBuilder.forServer().initialSettings(
                         Http2Settings.defaultSettings().maxConcurrentStreams(1000)).build());
                 ch.pipeline().addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel stream) {
                         stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true),
-                                new HttpObjectAggregator(16 << 20), new Handler());
+                                new HttpObjectAggregator(16 << 20), new InferenceStreamHandler());
                     }
                 }));
             }
@@ -134,74 +134,74 @@
 
     /** What comes on the connections that are open now waits unread until {@link #readConnections}. */
     void stopReadingConnections() {
-        open.forEach(connection -> connection.config().setAutoRead(false));
+        openConnections.forEach(connection -> connection.config().setAutoRead(false));
     }
 
     /** What came meanwhile is read, also where its sender has ended since. */
-    void readConnections() {
-        open.forEach(connection -> connection.config().setAutoRead(true));
+    void resumeReadingConnections() {
+        openConnections.forEach(connection -> connection.config().setAutoRead(true));
     }
 
     /** The process as it is, with all that it holds, at the address of one that has ended. */
-    void takeOver(StandInExecutor ended) throws InterruptedException {
-        down();
+    void takeOverAddress(StandInExecutor ended) throws InterruptedException {
+        kill();
         listener.closeFuture().sync();
         ended.listener.closeFuture().sync();
-        ReservedPort own = port;
-        port = ended.port;
-        ended.port = own;
+        ReservedPort own = reservedPort;
+        reservedPort = ended.reservedPort;
+        ended.reservedPort = own;
         listen();
-        up = true;
+        running = true;
         transcript.write("start", "ex", address(), "cold", false, "zone", zone);
     }
 
     /** Ends at once, as a killed process does. */
-    void down() {
-        up = false;
+    void kill() {
+        running = false;
         listener.close();
-        open.close();
+        openConnections.close();
         transcript.write("down", "ex", address());
     }
 
     /** For good: its address is free for anybody. */
     void close() {
-        if (up) {
-            down();
+        if (running) {
+            kill();
         }
-        port.close();
+        reservedPort.close();
     }
 
-    void onMachine(java.util.function.Consumer<Machine> change) {
+    void runOnMachine(java.util.function.Consumer<SimulatedMachine> change) {
         loop.execute(() -> {
             change.accept(machine);
-            machine.step();
+            machine.completeFinishedJobs();
         });
     }
 
-    private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class InferenceStreamHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private String forward = "";
-        private String mark = "";
+        private String dedupKey = "";
         private boolean grpc;
         /** How an answer in parts flows; null for a whole one. */
-        private PartsAnswer parts;
-        private Machine at;
-        private ForwardOutcomes known;
+        private StreamedAnswer streamedAnswer;
+        private SimulatedMachine servingMachine;
+        private ForwardOutcomes servingOutcomes;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) throws IOException {
-            at = machine;
-            known = outcomes;
+            servingMachine = machine;
+            servingOutcomes = forwardOutcomes;
             String path = request.uri();
             String agent = request.headers().get("user-agent", "").replace("gradereach/", "");
             if (path.startsWith("/v2/outcomes/")) {
-                outcome(ctx, URLDecoder.decode(path.substring(13), StandardCharsets.UTF_8));
+                answerInquiry(ctx, URLDecoder.decode(path.substring(13), StandardCharsets.UTF_8));
             } else if (path.equals("/v2/health/ready")) {
-                answer(ctx, faults.drainsUnheard ? 503 : 200, "{}", null);
+                respond(ctx, faults.unannouncedDrain ? 503 : 200, "{}", null);
             } else if (path.startsWith("/v2/repository/models/")) {
-                order(ctx, path, request, agent);
+                handleLoadOrder(ctx, path, request, agent);
             } else if (path.startsWith("/v2/models/") && path.endsWith("/infer")) {
                 JsonNode input = JSON.readTree(ByteBufUtil.getBytes(request.content()));
-                infer(ctx, name(path, 11, 6), input.path("parameters").path("work_ms").asDouble(Double.NaN), request, agent);
+                handleInference(ctx, modelName(path, 11, 6), input.path("parameters").path("work_ms").asDouble(Double.NaN), request, agent);
             } else if (path.startsWith("/inference.GRPCInferenceService/Model")) {
                 grpc = true;
                 // One message behind its flag and length.
@@ -209,155 +209,155 @@
                         ByteBufUtil.getBytes(request.content(), 5, request.content().readableBytes() - 5));
                 InferParameter work = message.getParametersMap().get("work_ms");
                 if (path.endsWith("/ModelStreamInfer")) {
-                    parts = new PartsAnswer(message, number(message, "parts", 4), number(message, "part_bytes", 32),
-                            number(message, "part_ms", 5), loop, faults, transcript);
+                    streamedAnswer = new StreamedAnswer(message, intParameter(message, "parts", 4), intParameter(message, "part_bytes", 32),
+                            intParameter(message, "part_ms", 5), loop, faults, transcript);
                 }
-                infer(ctx, message.getModelName(), work == null ? Double.NaN : work.hasDoubleParam() ? work.getDoubleParam()
+                handleInference(ctx, message.getModelName(), work == null ? Double.NaN : work.hasDoubleParam() ? work.getDoubleParam()
                         : work.getInt64Param(), request, agent);
             } else {
-                answer(ctx, 404, "{\"error\":\"no such path\"}", null);
+                respond(ctx, 404, "{\"error\":\"no such path\"}", null);
             }
         }
 
         /** What became of a forward: finished (200, its answer), running (202), never seen by this process (404). */
-        private void outcome(ChannelHandlerContext ctx, String of) {
-            ForwardOutcomes.Found found = known.find(of);
+        private void answerInquiry(ChannelHandlerContext ctx, String of) {
+            ForwardOutcomes.ForwardLookup found = servingOutcomes.findOrFence(of);
             transcript.write("asked-about", "ex", address(), "fwd", of, "finished", found.status() == 200);
-            FullHttpResponse response = response(found.status(), found.output());
-            response.headers().set("executor-up-since", known.upSince()).set("executor-process", known.process())
+            FullHttpResponse response = jsonResponse(found.status(), found.output());
+            response.headers().set("executor-up-since", servingOutcomes.upSince()).set("executor-process", servingOutcomes.processId())
                     .set("forward-fenced", found.fenced() ? "yes" : "no");
             ctx.writeAndFlush(response);
         }
 
-        private String name(String path, int from, int tail) {
+        private String modelName(String path, int from, int tail) {
             return URLDecoder.decode(path.substring(from, path.length() - tail), StandardCharsets.UTF_8);
         }
 
-        private void order(ChannelHandlerContext ctx, String path, FullHttpRequest request, String agent)
+        private void handleLoadOrder(ChannelHandlerContext ctx, String path, FullHttpRequest request, String agent)
                 throws IOException {
             boolean unload = path.endsWith("/unload");
-            Machine.Spec spec = specs.apply(name(path, 22, unload ? 7 : 5));
+            SimulatedMachine.ModelSpec spec = modelSpecs.apply(modelName(path, 22, unload ? 7 : 5));
             if (spec == null) {
-                answer(ctx, 404, "{\"error\":\"unknown model\"}", null);
+                respond(ctx, 404, "{\"error\":\"unknown model\"}", null);
                 return;
             }
             if (unload) {
                 transcript.write("unload", "ex", address(), "fe", agent, "model", spec.name());
-                at.unloadIdle(spec.name());
-                answer(ctx, 200, "{}", null);
+                servingMachine.unloadIdle(spec.name());
+                respond(ctx, 200, "{}", null);
                 return;
             }
             JsonNode body = JSON.readTree(ByteBufUtil.getBytes(request.content()));
             int copies = body.path("parameters").path("copies").asInt(1);
             transcript.write("order", "ex", address(), "fe", agent, "model", spec.name(), "copies", copies);
-            at.hold(spec, copies, (status, standing) -> answer(ctx, status, "{}", standing));
+            servingMachine.ensureLoaded(spec, copies, (status, standing) -> respond(ctx, status, "{}", standing));
         }
 
-        private void infer(ChannelHandlerContext ctx, String model, double asked, FullHttpRequest request, String agent)
+        private void handleInference(ChannelHandlerContext ctx, String model, double asked, FullHttpRequest request, String agent)
                 throws IOException {
             forward = request.headers().get("x-request-id", "");
-            mark = request.headers().get("idempotency-key", "");
-            Machine.Spec spec = specs.apply(model);
-            transcript.write("arrived", "ex", address(), "fe", agent, "fwd", forward, "mark", mark, "model", model);
-            String customer = mark.substring(0, Math.max(0, mark.indexOf('/')));
-            if ("before".equals(faults.resets)) {
-                reset(ctx);
+            dedupKey = request.headers().get("idempotency-key", "");
+            SimulatedMachine.ModelSpec spec = modelSpecs.apply(model);
+            transcript.write("arrived", "ex", address(), "fe", agent, "fwd", forward, "mark", dedupKey, "model", model);
+            String customer = dedupKey.substring(0, Math.max(0, dedupKey.indexOf('/')));
+            if ("before".equals(faults.resetPoint)) {
+                resetStream(ctx);
                 return;
             }
-            if (spec == null || customer.equals(faults.fullFor)) {
-                refuse(ctx, spec == null ? 404 : 503, false);
+            if (spec == null || customer.equals(faults.fullForCustomer)) {
+                reject(ctx, spec == null ? 404 : 503, false);
                 return;
             }
-            if (spec.group().equals(faults.unanswered)) {
+            if (spec.group().equals(faults.unansweredGroup)) {
                 return;
             }
-            double work = Double.isNaN(asked) ? spec.work() : asked;
-            boolean deduped = spec.repeat().equals("deduped");
-            byte[] before = deduped ? seen.get(mark) : null;
-            if (before != null && parts == null) {
-                transcript.write("dropped", "ex", address(), "fwd", forward, "mark", mark);
-                ctx.writeAndFlush(grpc ? message(model, work) : response(200, new String(before, StandardCharsets.UTF_8)));
+            double work = Double.isNaN(asked) ? spec.workMillis() : asked;
+            boolean deduped = spec.retrySafety().equals("deduped");
+            byte[] before = deduped ? dedupAnswers.get(dedupKey) : null;
+            if (before != null && streamedAnswer == null) {
+                transcript.write("dropped", "ex", address(), "fwd", forward, "mark", dedupKey);
+                ctx.writeAndFlush(grpc ? grpcInferResponse(model, work) : jsonResponse(200, new String(before, StandardCharsets.UTF_8)));
                 return;
             }
             String output = "{\"model_name\":" + JSON.writeValueAsString(model) + ",\"outputs\":[{\"name\":\"out\","
                     + "\"shape\":[1],\"datatype\":\"FP32\",\"data\":[" + work + "]}]}";
-            if (!known.begin(forward)) {
-                refuse(ctx, 409, false);
+            if (!servingOutcomes.tryStart(forward)) {
+                reject(ctx, 409, false);
                 return;
             }
-            at.work(spec, work, new Machine.JobEnd() {
+            servingMachine.submit(spec, work, new SimulatedMachine.JobListener() {
                 @Override
-                public void ran(String warmth, int crowd) {
-                    if (!up || machine != at) {
+                public void onCompleted(String warmth, int crowd) {
+                    if (!running || machine != servingMachine) {
                         return; // it died with the process
                     }
-                    known.finished(forward, output);
-                    if (deduped && seen.putIfAbsent(mark, output.getBytes(StandardCharsets.UTF_8)) != null) {
-                        transcript.write("dropped", "ex", address(), "fwd", forward, "mark", mark);
+                    servingOutcomes.complete(forward, output);
+                    if (deduped && dedupAnswers.putIfAbsent(dedupKey, output.getBytes(StandardCharsets.UTF_8)) != null) {
+                        transcript.write("dropped", "ex", address(), "fwd", forward, "mark", dedupKey);
                     } else {
-                        transcript.write("ran", "ex", address(), "fwd", forward, "mark", mark, "model", model);
+                        transcript.write("ran", "ex", address(), "fwd", forward, "mark", dedupKey, "model", model);
                     }
-                    if (faults.answersLost) {
+                    if (faults.dropAnswers) {
                         return;
                     }
-                    if ("after".equals(faults.resets)) {
-                        reset(ctx);
+                    if ("after".equals(faults.resetPoint)) {
+                        resetStream(ctx);
                         return;
                     }
-                    if (parts != null) {
-                        parts.begin(ctx, new PartsAnswer.Origin(address(), forward, at, () -> up && machine == at), warmth, crowd);
+                    if (streamedAnswer != null) {
+                        streamedAnswer.start(ctx, new StreamedAnswer.AnswerSource(address(), forward, servingMachine, () -> running && machine == servingMachine), warmth, crowd);
                         return;
                     }
-                    FullHttpResponse response = grpc ? message(model, work) : response(200, output);
+                    FullHttpResponse response = grpc ? grpcInferResponse(model, work) : jsonResponse(200, output);
                     response.headers().set("model-warmth", warmth);
                     response.headers().set("model-crowd", crowd);
                     ctx.writeAndFlush(response);
                 }
 
                 @Override
-                public void missed(boolean loadFailed) {
-                    known.forget(forward);
-                    refuse(ctx, 404, loadFailed);
+                public void onModelUnavailable(boolean loadFailed) {
+                    servingOutcomes.remove(forward);
+                    reject(ctx, 404, loadFailed);
                 }
 
                 @Override
-                public void full() {
-                    known.forget(forward);
-                    refuse(ctx, 503, false);
+                public void onQueueFull() {
+                    servingOutcomes.remove(forward);
+                    reject(ctx, 503, false);
                 }
             });
-            if ("within".equals(faults.resets)) {
-                reset(ctx); // the work goes on
+            if ("within".equals(faults.resetPoint)) {
+                resetStream(ctx); // the work goes on
             }
         }
 
-        private int number(ModelInferRequest in, String name, int otherwise) {
+        private int intParameter(ModelInferRequest in, String name, int otherwise) {
             InferParameter told = in.getParametersMap().get(name);
             return told == null ? otherwise : (int) Math.max(told.getInt64Param(), told.getDoubleParam());
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (parts != null) {
-                parts.writabilityChanged(ctx);
+            if (streamedAnswer != null) {
+                streamedAnswer.writabilityChanged(ctx);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-            if (parts != null) {
-                parts.left();
+            if (streamedAnswer != null) {
+                streamedAnswer.connectionClosed();
             }
             super.channelInactive(ctx);
         }
 
-        private void reset(ChannelHandlerContext ctx) {
-            PartsAnswer.reset(ctx, transcript, address(), forward);
+        private void resetStream(ChannelHandlerContext ctx) {
+            StreamedAnswer.reset(ctx, transcript, address(), forward);
         }
 
-        private void refuse(ChannelHandlerContext ctx, int status, boolean loadFailed) {
-            transcript.write("refused", "ex", address(), "fwd", forward, "mark", mark, "status", status);
-            FullHttpResponse response = grpc ? ended(grpcStatus(status), new byte[0]) : response(status, "{\"error\":\"not begun\"}");
+        private void reject(ChannelHandlerContext ctx, int status, boolean loadFailed) {
+            transcript.write("refused", "ex", address(), "fwd", forward, "mark", dedupKey, "status", status);
+            FullHttpResponse response = grpc ? grpcResponse(grpcStatus(status), new byte[0]) : jsonResponse(status, "{\"error\":\"not begun\"}");
             response.headers().set("inference-begun", "no");
             if (loadFailed) {
                 response.headers().set("model-warmth", "load-failed");
@@ -374,39 +374,39 @@
             };
         }
 
-        private void answer(ChannelHandlerContext ctx, int status, String body, Integer copies) {
-            if (!up || machine != at) {
+        private void respond(ChannelHandlerContext ctx, int status, String body, Integer copies) {
+            if (!running || machine != servingMachine) {
                 return;
             }
-            FullHttpResponse response = response(status, body);
+            FullHttpResponse response = jsonResponse(status, body);
             if (copies != null) {
                 response.headers().set("model-copies", copies);
             }
             ctx.writeAndFlush(response);
         }
 
-        private FullHttpResponse message(String model, double work) {
+        private FullHttpResponse grpcInferResponse(String model, double work) {
             ModelInferResponse.Builder of = ModelInferResponse.newBuilder().setModelName(model);
             of.addOutputsBuilder().setName("out").setDatatype("FP32").addShape(1).getContentsBuilder().addFp32Contents((float) work);
             byte[] message = of.build().toByteArray();
-            return ended(0, java.nio.ByteBuffer.allocate(5 + message.length).put((byte) 0).putInt(message.length).put(message).array());
+            return grpcResponse(0, java.nio.ByteBuffer.allocate(5 + message.length).put((byte) 0).putInt(message.length).put(message).array());
         }
 
         /** With {@code status} in the trailers, as gRPC has it. */
-        private FullHttpResponse ended(int status, byte[] framed) {
+        private FullHttpResponse grpcResponse(int status, byte[] framed) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
                     Unpooled.wrappedBuffer(framed));
             response.headers().set("content-type", "application/grpc");
-            response.trailingHeaders().set("grpc-status", status).set("endpoint-load-metrics", at.report());
+            response.trailingHeaders().set("grpc-status", status).set("endpoint-load-metrics", servingMachine.loadReport());
             return response;
         }
 
-        private FullHttpResponse response(int status, String body) {
+        private FullHttpResponse jsonResponse(int status, String body) {
             byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
             response.headers().set("content-type", "application/json").setInt("content-length", bytes.length)
-                    .set("endpoint-load-metrics", at.report());
+                    .set("endpoint-load-metrics", servingMachine.loadReport());
             return response;
         }
 
@@ -416,7 +416,7 @@
         }
     }
 
-    static Map<String, byte[]> memory() {
+    static Map<String, byte[]> newDedupStore() {
         return new ConcurrentHashMap<>();
     }
 }
--- a/standins/src/main/java/gradereach/standins/StandInFleet.java
+++ b/standins/src/main/java/gradereach/standins/StandInFleet.java
@@ -28,77 +28,77 @@
 public final class StandInFleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2, work -> {
         Thread made = new Thread(work, "fleet");
         made.setDaemon(true);
         return made;
     });
     private final Transcript transcript;
-    private final Store store;
+    private final SimulatedModelStore modelStore;
     private final RosterServer roster;
-    private final HttpServer control;
-    private final Machine.Kind kind;
-    private final Map<String, Machine.Spec> exact = new HashMap<>();
-    private final List<Machine.Spec> families = new ArrayList<>();
-    private final Map<String, Machine.Spec> found = new ConcurrentHashMap<>();
-    private final Map<String, byte[]> seen = StandInExecutor.memory();
+    private final HttpServer controlServer;
+    private final SimulatedMachine.MachineConfig machineConfig;
+    private final Map<String, SimulatedMachine.ModelSpec> modelsByName = new HashMap<>();
+    private final List<SimulatedMachine.ModelSpec> modelPatterns = new ArrayList<>();
+    private final Map<String, SimulatedMachine.ModelSpec> resolvedModels = new ConcurrentHashMap<>();
+    private final Map<String, byte[]> dedupAnswers = StandInExecutor.newDedupStore();
     private final List<StandInExecutor> executors = new ArrayList<>();
-    private final double noticeMs;
+    private final double noticeMillis;
 
     /** {@code fleet}: see docs/rehearsal.md; {@code models} and {@code model_groups} as in a deployment file. */
     public StandInFleet(JsonNode fleet, Path transcriptFile) throws IOException, InterruptedException {
         transcript = new Transcript(transcriptFile);
         JsonNode m = fleet.path("machine");
-        kind = new Machine.Kind(m.path("cores").asDouble(4), m.path("memory_mb").asDouble(4000),
+        machineConfig = new SimulatedMachine.MachineConfig(m.path("cores").asDouble(4), m.path("memory_mb").asDouble(4000),
                 m.path("queue").asInt(64), m.path("loads_at_once").asInt(4), m.path("keeps_idle_ms").asDouble(10_000),
                 m.path("start_share").asDouble(0.2), m.path("warm_within_ms").asDouble(0),
                 m.path("fall_multiple").asDouble(0), m.path("fall_ms").asDouble(3000));
-        store = new Store(fleet.path("store").path("at_full_pace").asInt(8), fleet.path("store").path("most").asInt(40));
-        noticeMs = fleet.path("notice_ms").asDouble(0);
+        modelStore = new SimulatedModelStore(fleet.path("store").path("at_full_pace").asInt(8), fleet.path("store").path("most").asInt(40));
+        noticeMillis = fleet.path("notice_ms").asDouble(0);
         Map<String, String> repeats = new HashMap<>();
         fleet.path("model_groups").forEach(g -> repeats.put(g.path("name").asText(), g.path("repeat").asText()));
         for (JsonNode model : fleet.path("models")) {
-            Machine.Spec spec = new Machine.Spec(model.path("name").asText(), model.path("group").asText(),
+            SimulatedMachine.ModelSpec spec = new SimulatedMachine.ModelSpec(model.path("name").asText(), model.path("group").asText(),
                     repeats.getOrDefault(model.path("group").asText(), "retriable"),
                     model.path("memory_mb").asDouble(100), model.path("lanes").asInt(1),
                     model.path("load_ms").asDouble(100), fleet.path("work_ms").asDouble(20));
             if (spec.name().endsWith("*")) {
-                families.add(spec);
+                modelPatterns.add(spec);
             } else {
-                exact.put(spec.name(), spec);
+                modelsByName.put(spec.name(), spec);
             }
         }
         roster = new RosterServer(transcript);
-        roster.tellsUids = fleet.path("uids").asBoolean(false);
+        roster.includeUids = fleet.path("uids").asBoolean(false);
         JsonNode zones = fleet.path("zones");
         int count = fleet.path("executors").asInt(4);
         int listed = fleet.path("listed").asInt(count);
         for (int i = 0; i < count; i++) {
             StandInExecutor ex = new StandInExecutor(zones.isEmpty() ? "" : zones.path(i % zones.size()).asText(),
-                    loops.next(), kind, store, this::spec, transcript, seen);
-            ex.faults.clockAhead = fleet.path("clock_ahead_ms").asDouble(0);
-            ex.faults.shownAtStart = fleet.path("shown_at_start_ms").asDouble(Double.NaN);
+                    eventLoops.next(), machineConfig, modelStore, this::findModel, transcript, dedupAnswers);
+            ex.faults.clockAheadMillis = fleet.path("clock_ahead_ms").asDouble(0);
+            ex.faults.clockAtStart = fleet.path("shown_at_start_ms").asDouble(Double.NaN);
             ex.start(false);
             executors.add(ex);
             if (i < listed) {
-                roster.put(ex, "ready");
+                roster.publish(ex, "ready");
             }
         }
-        control = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 16);
-        control.createContext("/fault", this::fault);
-        control.createContext("/answers", this::receive);
-        control.start();
-        LagWatch.watch(loops, "stand-ins", transcript);
+        controlServer = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 16);
+        controlServer.createContext("/fault", this::handleFaultRequest);
+        controlServer.createContext("/answers", this::receiveWebhook);
+        controlServer.start();
+        EventLoopLagMonitor.watch(eventLoops, "stand-ins", transcript);
         timer.scheduleWithFixedDelay(transcript::flush, 100, 100, TimeUnit.MILLISECONDS);
     }
 
-    private Machine.Spec spec(String name) {
-        Machine.Spec known = exact.get(name);
-        return known != null ? known : found.computeIfAbsent(name, n -> {
-            for (Machine.Spec f : families) {
+    private SimulatedMachine.ModelSpec findModel(String name) {
+        SimulatedMachine.ModelSpec known = modelsByName.get(name);
+        return known != null ? known : resolvedModels.computeIfAbsent(name, n -> {
+            for (SimulatedMachine.ModelSpec f : modelPatterns) {
                 if (n.startsWith(f.name().substring(0, f.name().length() - 1))) {
-                    return new Machine.Spec(n, f.group(), f.repeat(), f.memory(), f.lanes(), f.loadTime(), f.work());
+                    return new SimulatedMachine.ModelSpec(n, f.group(), f.retrySafety(), f.memoryMb(), f.lanes(), f.loadMillis(), f.workMillis());
                 }
             }
             return null;
@@ -111,7 +111,7 @@
 
     /** Takes faults at {@code /fault} and answers by webhook at {@code /answers}. */
     public int controlPort() {
-        return control.getAddress().getPort();
+        return controlServer.getAddress().getPort();
     }
 
     public List<String> addresses() {
@@ -119,11 +119,11 @@
     }
 
     /** What the transcript has of the next such event in which {@code name} has {@code value}. */
-    public CompletableFuture<Map<String, Object>> next(String event, String name, Object value) {
-        return transcript.next(event, name, value);
+    public CompletableFuture<Map<String, Object>> nextEvent(String event, String name, Object value) {
+        return transcript.nextEvent(event, name, value);
     }
 
-    private void receive(HttpExchange ask) throws IOException {
+    private void receiveWebhook(HttpExchange ask) throws IOException {
         byte[] body = ask.getRequestBody().readAllBytes();
         transcript.write("webhook", "id", String.valueOf(ask.getRequestHeaders().getFirst("webhook-id")), "signature",
                 String.valueOf(ask.getRequestHeaders().getFirst("webhook-signature")), "timestamp",
@@ -133,10 +133,10 @@
         ask.close();
     }
 
-    private void fault(HttpExchange ask) throws IOException {
+    private void handleFaultRequest(HttpExchange ask) throws IOException {
         int status = 200;
         try {
-            apply(JSON.readTree(ask.getRequestBody()));
+            injectFault(JSON.readTree(ask.getRequestBody()));
         } catch (IOException | IllegalArgumentException | InterruptedException e) {
             status = 400;
         }
@@ -148,7 +148,7 @@
      * Brings about one fault: {@code kind}, {@code part} of the executors (or one {@code ex} by number),
      * {@code for_ms}, {@code size}.
      */
-    public void apply(JsonNode fault) throws InterruptedException {
+    public void injectFault(JsonNode fault) throws InterruptedException {
         String what = fault.path("kind").asText();
         long length = fault.path("for_ms").asLong(1000);
         double size = fault.path("size").asDouble(5);
@@ -161,46 +161,46 @@
         List<StandInExecutor> hit = executors.subList(first, first + count);
         switch (what) {
             case "store_slow" -> {
-                store.slower = size;
-                later(length, () -> store.slower = 1);
+                modelStore.slowdown = size;
+                schedule(length, () -> modelStore.slowdown = 1);
             }
-            case "flush" -> hit.forEach(ex -> ex.onMachine(m -> m.flush(fault.path("models").asDouble(1))));
+            case "flush" -> hit.forEach(ex -> ex.runOnMachine(m -> m.flush(fault.path("models").asDouble(1))));
             case "slow" -> {
-                hit.forEach(ex -> ex.onMachine(m -> m.slower = size));
-                later(length, () -> hit.forEach(ex -> ex.onMachine(m -> m.slower = 1)));
+                hit.forEach(ex -> ex.runOnMachine(m -> m.slowdown = size));
+                schedule(length, () -> hit.forEach(ex -> ex.runOnMachine(m -> m.slowdown = 1)));
             }
-            case "stall" -> hit.forEach(ex -> ex.onMachine(m -> m.stalledUntil = Machine.now() + length));
+            case "stall" -> hit.forEach(ex -> ex.runOnMachine(m -> m.stalledUntil = SimulatedMachine.now() + length));
             case "full_for" -> {
-                hit.forEach(ex -> ex.faults.fullFor = fault.path("customer").asText());
-                later(length, () -> hit.forEach(ex -> ex.faults.fullFor = null));
+                hit.forEach(ex -> ex.faults.fullForCustomer = fault.path("customer").asText());
+                schedule(length, () -> hit.forEach(ex -> ex.faults.fullForCustomer = null));
             }
             case "unanswered" -> {
-                hit.forEach(ex -> ex.faults.unanswered = fault.path("group").asText());
-                later(length, () -> hit.forEach(ex -> ex.faults.unanswered = null));
+                hit.forEach(ex -> ex.faults.unansweredGroup = fault.path("group").asText());
+                schedule(length, () -> hit.forEach(ex -> ex.faults.unansweredGroup = null));
             }
             case "refuse" -> {
-                hit.forEach(ex -> ex.faults.refuses = true);
-                later(length, () -> hit.forEach(ex -> ex.faults.refuses = false));
+                hit.forEach(ex -> ex.faults.refuseConnections = true);
+                schedule(length, () -> hit.forEach(ex -> ex.faults.refuseConnections = false));
             }
             case "reset_before", "reset_within", "reset_after", "reset_head", "reset_part", "reset_status" -> {
-                hit.forEach(ex -> ex.faults.resets = what.substring(6));
-                later(length, () -> hit.forEach(ex -> ex.faults.resets = null));
+                hit.forEach(ex -> ex.faults.resetPoint = what.substring(6));
+                schedule(length, () -> hit.forEach(ex -> ex.faults.resetPoint = null));
             }
             case "drain_unheard" -> {
-                hit.forEach(ex -> ex.faults.drainsUnheard = true);
-                later(length, () -> hit.forEach(ex -> ex.faults.drainsUnheard = false));
+                hit.forEach(ex -> ex.faults.unannouncedDrain = true);
+                schedule(length, () -> hit.forEach(ex -> ex.faults.unannouncedDrain = false));
             }
             case "answers_lost" -> {
-                hit.forEach(ex -> ex.faults.answersLost = true);
-                later(length, () -> hit.forEach(ex -> ex.faults.answersLost = false));
+                hit.forEach(ex -> ex.faults.dropAnswers = true);
+                schedule(length, () -> hit.forEach(ex -> ex.faults.dropAnswers = false));
             }
             case "unread" -> hit.forEach(StandInExecutor::stopReadingConnections);
-            case "read_on" -> hit.forEach(StandInExecutor::readConnections);
-            case "clock" -> hit.forEach(ex -> ex.faults.clockAhead = size);
-            case "taken_over" -> takeOver(hit.get(0), executors.get(fault.path("by").asInt()));
+            case "read_on" -> hit.forEach(StandInExecutor::resumeReadingConnections);
+            case "clock" -> hit.forEach(ex -> ex.faults.clockAheadMillis = size);
+            case "taken_over" -> takeOverAddress(hit.get(0), executors.get(fault.path("by").asInt()));
             case "roster_away" -> {
-                roster.away = true;
-                later(length, () -> roster.away = false);
+                roster.unavailable = true;
+                schedule(length, () -> roster.unavailable = false);
             }
             case "crash" -> hit.forEach(ex -> crash(ex, length));
             case "drain" -> {
@@ -208,9 +208,9 @@
                 long gap = length / Math.max(1, hit.size());
                 for (int i = 0; i < hit.size(); i++) {
                     StandInExecutor ex = hit.get(i);
-                    later(i * gap, () -> {
-                        roster.put(ex, "draining");
-                        later(fault.path("drain_ms").asLong(1500), () -> crash(ex, 200));
+                    schedule(i * gap, () -> {
+                        roster.publish(ex, "draining");
+                        schedule(fault.path("drain_ms").asLong(1500), () -> crash(ex, 200));
                     });
                 }
             }
@@ -219,16 +219,16 @@
     }
 
     private void crash(StandInExecutor ex, long length) {
-        ex.down();
-        later((long) noticeMs, () -> {
-            if (!ex.up) {
-                roster.put(ex, "gone");
+        ex.kill();
+        schedule((long) noticeMillis, () -> {
+            if (!ex.running) {
+                roster.publish(ex, "gone");
             }
         });
-        later(length + (long) noticeMs + 50, () -> {
+        schedule(length + (long) noticeMillis + 50, () -> {
             try {
                 ex.start(true);
-                roster.put(ex, "ready");
+                roster.publish(ex, "ready");
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -236,15 +236,15 @@
     }
 
     /** One executor dies, and another, with all that it holds, goes on at its address. */
-    private void takeOver(StandInExecutor ended, StandInExecutor by) throws InterruptedException {
-        ended.down();
-        roster.put(ended, "gone");
-        roster.put(by, "gone");
-        by.takeOver(ended);
-        roster.put(by, "ready");
+    private void takeOverAddress(StandInExecutor ended, StandInExecutor by) throws InterruptedException {
+        ended.kill();
+        roster.publish(ended, "gone");
+        roster.publish(by, "gone");
+        by.takeOverAddress(ended);
+        roster.publish(by, "ready");
     }
 
-    private void later(long in, Runnable what) {
+    private void schedule(long in, Runnable what) {
         timer.schedule(() -> {
             try {
                 what.run();
@@ -256,11 +256,11 @@
 
     @Override
     public void close() throws IOException {
-        control.stop(0);
+        controlServer.stop(0);
         roster.close();
         timer.shutdownNow();
         executors.forEach(StandInExecutor::close);
-        loops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
+        eventLoops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
         transcript.close();
     }
 }
--- a/standins/src/main/java/gradereach/standins/StandInWarmUp.java
+++ b/standins/src/main/java/gradereach/standins/StandInWarmUp.java
@@ -34,9 +34,9 @@
  */
 final class StandInWarmUp {
     private static final int ROUNDS = 40;
-    private static final long LONGEST_MILLIS = 5000;
-    private static final String INPUT = "{\"inputs\":[],\"parameters\":{\"work_ms\":0.1}}";
-    private static final String FLEET = """
+    private static final long MAX_WAIT_MILLIS = 5000;
+    private static final String INPUT_JSON = "{\"inputs\":[],\"parameters\":{\"work_ms\":0.1}}";
+    private static final String FLEET_JSON = """
             {"executors": 1, "model_groups": [{"name": "r", "repeat": "retriable"}, {"name": "d", "repeat": "deduped"}],
              "models": [{"name": "r-*", "group": "r", "load_ms": 1}, {"name": "d-*", "group": "d", "load_ms": 1}]}""";
 
@@ -45,10 +45,10 @@
     static void run() throws IOException, InterruptedException {
         Path transcript = Files.createTempFile("warm-up", ".jsonl");
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (StandInFleet fleet = new StandInFleet(new ObjectMapper().readTree(FLEET), transcript)) {
+        try (StandInFleet fleet = new StandInFleet(new ObjectMapper().readTree(FLEET_JSON), transcript)) {
             Channel connection = connect(loops, fleet.addresses().get(0));
             for (int i = 0; i < ROUNDS; i++) {
-                askAll(connection, i);
+                sendAll(connection, i);
             }
             connection.close();
         } finally {
@@ -68,27 +68,27 @@
         }).connect("127.0.0.1", port).sync().channel();
     }
 
-    private static void askAll(Channel connection, int round) throws InterruptedException {
-        byte[] json = INPUT.getBytes(StandardCharsets.UTF_8);
+    private static void sendAll(Channel connection, int round) throws InterruptedException {
+        byte[] json = INPUT_JSON.getBytes(StandardCharsets.UTF_8);
         byte[] none = "{}".getBytes(StandardCharsets.UTF_8);
         byte[] grpc = ModelInferRequest.newBuilder().setModelName("r-0").build().toByteArray();
         byte[] framed = ByteBuffer.allocate(5 + grpc.length).put((byte) 0).putInt(grpc.length).put(grpc).array();
-        List<Ask> asks = List.of(new Ask("/v2/health/ready", none), new Ask("/v2/outcomes/warm-up-" + round, none),
-                new Ask("/v2/repository/models/r-0/load", none), new Ask("/v2/repository/models/d-0/load", none),
-                new Ask("/v2/models/r-0/infer", json), new Ask("/v2/models/d-0/infer", json),
-                new Ask("/v2/models/unknown/infer", json), new Ask("/v2/repository/models/r-0/unload", none),
-                new Ask("/inference.GRPCInferenceService/ModelInfer", framed),
-                new Ask("/inference.GRPCInferenceService/ModelStreamInfer", framed));
+        List<WarmUpRequest> asks = List.of(new WarmUpRequest("/v2/health/ready", none), new WarmUpRequest("/v2/outcomes/warm-up-" + round, none),
+                new WarmUpRequest("/v2/repository/models/r-0/load", none), new WarmUpRequest("/v2/repository/models/d-0/load", none),
+                new WarmUpRequest("/v2/models/r-0/infer", json), new WarmUpRequest("/v2/models/d-0/infer", json),
+                new WarmUpRequest("/v2/models/unknown/infer", json), new WarmUpRequest("/v2/repository/models/r-0/unload", none),
+                new WarmUpRequest("/inference.GRPCInferenceService/ModelInfer", framed),
+                new WarmUpRequest("/inference.GRPCInferenceService/ModelStreamInfer", framed));
         CountDownLatch ends = new CountDownLatch(asks.size());
-        for (Ask ask : asks) {
+        for (WarmUpRequest ask : asks) {
             send(connection, ask, "warm-up-" + round, ends);
         }
-        ends.await(LONGEST_MILLIS, TimeUnit.MILLISECONDS);
+        ends.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private record Ask(String path, byte[] body) { }
+    private record WarmUpRequest(String path, byte[] body) { }
 
-    private static void send(Channel connection, Ask ask, String id, CountDownLatch ends) throws InterruptedException {
+    private static void send(Channel connection, WarmUpRequest ask, String id, CountDownLatch ends) throws InterruptedException {
         Channel stream = new Http2StreamChannelBootstrap(connection).handler(new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
--- a/standins/src/main/java/gradereach/standins/PartsAnswer.java
+++ b/standins/src/main/java/gradereach/standins/StreamedAnswer.java
@@ -18,101 +18,101 @@
 import java.util.function.BooleanSupplier;
 
 /** A streamed answer: so many parts, one every so many milliseconds, no faster than they are taken. */
-final class PartsAnswer {
+final class StreamedAnswer {
     /** Whose answer it is; {@code lives} while that process does. */
-    record Origin(String address, String forward, Machine machine, BooleanSupplier lives) { }
+    record AnswerSource(String address, String forward, SimulatedMachine machine, BooleanSupplier isAlive) { }
 
-    private final ModelInferRequest of;
-    private final int count;
-    private final int bytes;
-    private final int every;
+    private final ModelInferRequest request;
+    private final int partCount;
+    private final int partBytes;
+    private final int intervalMillis;
     private final EventLoop loop;
     private final StandInExecutor.Faults faults;
     private final Transcript transcript;
     /** Null before it begins. */
-    private Origin origin;
-    private int sent;
-    private boolean waits;
-    private boolean over;
+    private AnswerSource source;
+    private int partsSent;
+    private boolean waitingForWritable;
+    private boolean finished;
 
-    PartsAnswer(ModelInferRequest of, int count, int bytes, int every, EventLoop loop, StandInExecutor.Faults faults,
+    StreamedAnswer(ModelInferRequest of, int count, int bytes, int every, EventLoop loop, StandInExecutor.Faults faults,
             Transcript transcript) {
-        this.of = of;
-        this.count = count;
-        this.bytes = bytes;
-        this.every = every;
+        this.request = of;
+        this.partCount = count;
+        this.partBytes = bytes;
+        this.intervalMillis = every;
         this.loop = loop;
         this.faults = faults;
         this.transcript = transcript;
     }
 
-    void begin(ChannelHandlerContext ctx, Origin from, String warmth, int crowd) {
-        origin = from;
+    void start(ChannelHandlerContext ctx, AnswerSource from, String warmth, int crowd) {
+        source = from;
         DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         head.headers().set("content-type", "application/grpc").set("model-warmth", warmth).set("model-crowd", crowd);
         ctx.writeAndFlush(head);
-        if ("head".equals(faults.resets)) {
-            over = true;
-            reset(ctx, transcript, origin.address(), origin.forward());
+        if ("head".equals(faults.resetPoint)) {
+            finished = true;
+            reset(ctx, transcript, source.address(), source.forward());
             return;
         }
-        next(ctx);
+        sendNextPart(ctx);
     }
 
-    private void next(ChannelHandlerContext ctx) {
-        if (over || !origin.lives().getAsBoolean()) {
+    private void sendNextPart(ChannelHandlerContext ctx) {
+        if (finished || !source.isAlive().getAsBoolean()) {
             return;
         }
-        if (sent == count) {
-            over = true;
+        if (partsSent == partCount) {
+            finished = true;
             DefaultLastHttpContent end = new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER);
-            end.trailingHeaders().set("grpc-status", "status".equals(faults.resets) ? 13 : 0)
-                    .set("endpoint-load-metrics", origin.machine().report());
-            transcript.write("stream-ended", "ex", origin.address(), "fwd", origin.forward(), "parts", sent);
+            end.trailingHeaders().set("grpc-status", "status".equals(faults.resetPoint) ? 13 : 0)
+                    .set("endpoint-load-metrics", source.machine().loadReport());
+            transcript.write("stream-ended", "ex", source.address(), "fwd", source.forward(), "parts", partsSent);
             ctx.writeAndFlush(end);
             return;
         }
         ModelStreamInferResponse.Builder part = ModelStreamInferResponse.newBuilder();
-        part.getInferResponseBuilder().setModelName(of.getModelName()).addOutputsBuilder().setName("out")
+        part.getInferResponseBuilder().setModelName(request.getModelName()).addOutputsBuilder().setName("out")
                 .setDatatype("BYTES").addShape(1).getContentsBuilder()
-                .addBytesContents(ByteString.copyFromUtf8("x".repeat(bytes)));
+                .addBytesContents(ByteString.copyFromUtf8("x".repeat(partBytes)));
         byte[] message = part.build().toByteArray();
         ByteBuf framed = Unpooled.buffer(5 + message.length).writeByte(0).writeInt(message.length).writeBytes(message);
-        if ("part".equals(faults.resets) && sent > 0) {
-            over = true;
+        if ("part".equals(faults.resetPoint) && partsSent > 0) {
+            finished = true;
             ctx.writeAndFlush(new DefaultHttpContent(framed.slice(0, 5 + message.length / 2)));
-            reset(ctx, transcript, origin.address(), origin.forward());
+            reset(ctx, transcript, source.address(), source.forward());
             return;
         }
-        sent++;
+        partsSent++;
         ctx.writeAndFlush(new DefaultHttpContent(framed));
-        if (every > 0) {
-            loop.schedule(() -> onward(ctx), every, TimeUnit.MILLISECONDS);
+        if (intervalMillis > 0) {
+            loop.schedule(() -> continueIfWritable(ctx), intervalMillis, TimeUnit.MILLISECONDS);
         } else {
-            loop.execute(() -> onward(ctx));
+            loop.execute(() -> continueIfWritable(ctx));
         }
     }
 
-    private void onward(ChannelHandlerContext ctx) {
+    private void continueIfWritable(ChannelHandlerContext ctx) {
         if (ctx.channel().isWritable()) {
-            next(ctx);
+            sendNextPart(ctx);
         } else {
-            waits = true;
+            waitingForWritable = true;
         }
     }
 
     void writabilityChanged(ChannelHandlerContext ctx) {
-        if (waits && ctx.channel().isWritable()) {
-            waits = false;
-            next(ctx);
+        if (waitingForWritable && ctx.channel().isWritable()) {
+            waitingForWritable = false;
+            sendNextPart(ctx);
         }
     }
 
     /** Its connection is gone. */
-    void left() {
-        if (origin != null && !over) {
-            over = true;
-            transcript.write("stream-left", "ex", origin.address(), "fwd", origin.forward(), "parts", sent);
+    void connectionClosed() {
+        if (source != null && !finished) {
+            finished = true;
+            transcript.write("stream-left", "ex", source.address(), "fwd", source.forward(), "parts", partsSent);
         }
     }
 
--- a/standins/src/main/java/gradereach/standins/Transcript.java
+++ b/standins/src/main/java/gradereach/standins/Transcript.java
@@ -18,18 +18,18 @@
 /** What passed, as JSON lines: {@code t} in Unix milliseconds with fractions, {@code ev}, then pairs. */
 public final class Transcript implements Closeable {
     /** Somebody who waits for an event. */
-    private record Awaited(String event, String name, Object value, CompletableFuture<Map<String, Object>> then) { }
+    private record EventWaiter(String event, String name, Object value, CompletableFuture<Map<String, Object>> result) { }
 
-    private final JsonGenerator out;
-    private final List<Awaited> awaited = new ArrayList<>();
+    private final JsonGenerator generator;
+    private final List<EventWaiter> waiters = new ArrayList<>();
 
     public Transcript(Path file) throws IOException {
         this(Files.newBufferedWriter(file));
     }
 
     private Transcript(Writer writer) throws IOException {
-        out = new JsonFactory().createGenerator(writer);
-        out.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
+        generator = new JsonFactory().createGenerator(writer);
+        generator.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
     }
 
     /** One that keeps nothing, for what passes before a day begins. */
@@ -48,10 +48,10 @@
     }
 
     /** The pairs of the next such event in which {@code name} has {@code value}. */
-    public synchronized CompletableFuture<Map<String, Object>> next(String event, String name, Object value) {
-        Awaited made = new Awaited(event, name, value, new CompletableFuture<>());
-        awaited.add(made);
-        return made.then;
+    public synchronized CompletableFuture<Map<String, Object>> nextEvent(String event, String name, Object value) {
+        EventWaiter made = new EventWaiter(event, name, value, new CompletableFuture<>());
+        waiters.add(made);
+        return made.result;
     }
 
     public void write(String event, Object... pairs) {
@@ -60,32 +60,32 @@
 
     public synchronized void writeAt(double t, String event, Object... pairs) {
         try {
-            out.writeStartObject();
-            out.writeNumberField("t", Math.round(t * 1000) / 1000d);
-            out.writeStringField("ev", event);
+            generator.writeStartObject();
+            generator.writeNumberField("t", Math.round(t * 1000) / 1000d);
+            generator.writeStringField("ev", event);
             for (int i = 0; i < pairs.length; i += 2) {
-                out.writeObjectField((String) pairs[i], pairs[i + 1]);
+                generator.writeObjectField((String) pairs[i], pairs[i + 1]);
             }
-            out.writeEndObject();
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        if (!awaited.isEmpty()) {
-            tell(event, pairs);
+        if (!waiters.isEmpty()) {
+            completeWaiters(event, pairs);
         }
     }
 
-    private void tell(String event, Object[] pairs) {
+    private void completeWaiters(String event, Object[] pairs) {
         Map<String, Object> told = new HashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
             told.put((String) pairs[i], pairs[i + 1]);
         }
-        awaited.removeIf(one -> one.event.equals(event) && one.value.equals(told.get(one.name)) && one.then.complete(told));
+        waiters.removeIf(one -> one.event.equals(event) && one.value.equals(told.get(one.name)) && one.result.complete(told));
     }
 
     public synchronized void flush() {
         try {
-            out.flush();
+            generator.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -93,6 +93,6 @@
 
     @Override
     public synchronized void close() throws IOException {
-        out.close();
+        generator.close();
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/ConnectionEvent.java
+++ b/standins/src/main/java/gradereach/standins/faults/ConnectionEvent.java
@@ -8,7 +8,7 @@
  * @param unread bytes that the system still held for it
  * @param detail of a broken one the number of the error, of a write that was held up for how many milliseconds; else 0
  */
-public record ConnectionEvent(Kind kind, long nanos, int localPort, int remotePort, long received, int unread, int detail) {
+public record ConnectionEvent(Kind kind, long nanoTime, int localPort, int remotePort, long bytesReceived, int bytesUnread, int detail) {
     /** What happened; in the shim's order, from 1. */
     public enum Kind {
         /** The process has begun to connect. */
--- a/standins/src/main/java/gradereach/standins/faults/ConnectionRecords.java
+++ b/standins/src/main/java/gradereach/standins/faults/ConnectionRecords.java
@@ -11,7 +11,7 @@
 
 /** The file in which {@link FaultShim} records a process's connections; the layout is that of the shim's source. */
 final class ConnectionRecords {
-    private static final int HEAD_BYTES = 8;
+    private static final int HEADER_BYTES = 8;
     private static final int RECORD_BYTES = 32;
     private static final int PORT_MASK = 0xffff;
 
@@ -27,7 +27,7 @@
             return List.of();
         }
         ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file)).order(ByteOrder.nativeOrder());
-        if (bytes.remaining() < HEAD_BYTES) {
+        if (bytes.remaining() < HEADER_BYTES) {
             return List.of();
         }
         long count = bytes.getLong();
@@ -36,7 +36,7 @@
         }
         List<ConnectionEvent> events = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            ConnectionEvent event = event(bytes);
+            ConnectionEvent event = readEvent(bytes);
             if (event != null) {
                 events.add(event);
             }
@@ -45,7 +45,7 @@
     }
 
     /** Null for one that was not written to its end, as by a process that was killed. */
-    private static ConnectionEvent event(ByteBuffer bytes) {
+    private static ConnectionEvent readEvent(ByteBuffer bytes) {
         long nanos = bytes.getLong();
         long received = bytes.getLong();
         int unread = bytes.getInt();
--- a/standins/src/main/java/gradereach/standins/faults/FaultShim.java
+++ b/standins/src/main/java/gradereach/standins/faults/FaultShim.java
@@ -49,25 +49,25 @@
      *
      * @param counts a file in which each fault is counted as it is met; one beside it records the process's connections
      */
-    public void load(ProcessBuilder process, List<SystemFault> faults, long seed, Path counts) {
+    public void preload(ProcessBuilder process, List<SystemFault> faults, long seed, Path counts) {
         process.environment().put("LD_PRELOAD", library.toString());
-        process.environment().put("GRADEREACH_FAULTS", faults.stream().map(SystemFault::rule).collect(Collectors.joining(";")));
+        process.environment().put("GRADEREACH_FAULTS", faults.stream().map(SystemFault::toRule).collect(Collectors.joining(";")));
         process.environment().put("GRADEREACH_FAULT_SEED", Long.toUnsignedString(seed));
         process.environment().put("GRADEREACH_FAULT_COUNTS", counts.toAbsolutePath().toString());
-        process.environment().put("GRADEREACH_FAULT_CONNECTIONS", connections(counts).toAbsolutePath().toString());
+        process.environment().put("GRADEREACH_FAULT_CONNECTIONS", connectionsFile(counts).toAbsolutePath().toString());
     }
 
-    private static Path connections(Path counts) {
+    private static Path connectionsFile(Path counts) {
         return counts.resolveSibling(counts.getFileName() + ".connections");
     }
 
     /** What became of the connections of the process that counts its faults there; none where it has not begun. */
     public static List<ConnectionEvent> connectionEvents(Path counts) throws IOException {
-        return ConnectionRecords.read(connections(counts));
+        return ConnectionRecords.read(connectionsFile(counts));
     }
 
     /** How often each of these faults was met, in their order; zeros where the process has not begun. */
-    public static long[] met(Path counts, List<SystemFault> faults) throws IOException {
+    public static long[] faultCounts(Path counts, List<SystemFault> faults) throws IOException {
         long[] met = new long[faults.size()];
         if (Files.exists(counts)) {
             ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(counts)).order(ByteOrder.nativeOrder());
--- a/standins/src/main/java/gradereach/standins/faults/FaultyCall.java
+++ b/standins/src/main/java/gradereach/standins/faults/FaultyCall.java
@@ -22,9 +22,9 @@
     /** Readings of the wall clock. */
     CLOCK("clock");
 
-    final String name;
+    final String ruleName;
 
     FaultyCall(String name) {
-        this.name = name;
+        this.ruleName = name;
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/SystemFault.java
+++ b/standins/src/main/java/gradereach/standins/faults/SystemFault.java
@@ -33,7 +33,7 @@
         return new SystemFault(FaultyCall.CLOCK, Long.toString(stepMillis), 1, fromMillis, toMillis);
     }
 
-    String rule() {
-        return call.name + ":" + effect + ":" + rate + ":" + fromMillis + ":" + toMillis;
+    String toRule() {
+        return call.ruleName + ":" + effect + ":" + rate + ":" + fromMillis + ":" + toMillis;
     }
 }
--- a/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
@@ -17,47 +17,47 @@
 /** An executor that answers most requests, in its own time. What arrives is told to the auditor as it arrives. */
 public final class FrameExecutor {
     /** So long after its draining began an executor still takes requests in: the bench's do for 0.4 to 0.75 s. */
-    private static final double TURNS_AWAY_AFTER = 600;
-    private static final double RESUMING = 50; // milliseconds within which a socket's backlog is read
-    private static final int SHORTEST_WORK = 5;
-    private static final int WORK_SPREAD = 40;
-    private static final int SHORTEST_LATENESS = 600;
-    private static final int LATENESS_SPREAD = 1000;
+    private static final double REJECT_AFTER_DRAIN_MILLIS = 600;
+    private static final double BACKLOG_READ_MILLIS = 50; // milliseconds within which a socket's backlog is read
+    private static final int MIN_WORK_MILLIS = 5;
+    private static final int WORK_RANGE_MILLIS = 40;
+    private static final int MIN_DELAY_MILLIS = 600;
+    private static final int DELAY_RANGE_MILLIS = 1000;
     /** One of so many late answers comes twice, the second copy within so long of the first. */
-    private static final int SECOND_COPIES = 4;
-    private static final int SECOND_COPY_SPREAD = 300;
-    private static final int SHORTEST_LOAD = 20;
-    private static final int LOAD_SPREAD = 40;
+    private static final int DUPLICATE_ONE_IN = 4;
+    private static final int DUPLICATE_DELAY_RANGE_MILLIS = 300;
+    private static final int MIN_LOAD_MILLIS = 20;
+    private static final int LOAD_RANGE_MILLIS = 40;
 
     /** Its id in the list. */
-    public final String instance;
+    public final String instanceId;
     /** Its name for the auditor: of two processes under one id each has its own. */
-    public final String process;
+    public final String processName;
     public final String address;
     /** The share of requests that meet a fault: silence, a closed connection, a spoilt or a doubled answer. */
-    public volatile double faults;
-    private final PeerLoops loops;
+    public volatile double faultRate;
+    private final PeerEventLoops loops;
     private final RequestAuditor auditor;
-    private final Random chance;
-    private volatile double drainsSince = Double.POSITIVE_INFINITY;
-    private volatile long probesHeldMillis;
-    private volatile double probesLateUntil = Double.NEGATIVE_INFINITY;
-    private volatile double answersLateUntil = Double.NEGATIVE_INFINITY;
-    private volatile boolean ended;
-    private final AtomicInteger misses = new AtomicInteger();
+    private final Random random;
+    private volatile double drainingSince = Double.POSITIVE_INFINITY;
+    private volatile long probeDelayMillis;
+    private volatile double probeDelaysUntil = Double.NEGATIVE_INFINITY;
+    private volatile double answerDelaysUntil = Double.NEGATIVE_INFINITY;
+    private volatile boolean terminated;
+    private final AtomicInteger missCount = new AtomicInteger();
     private final PeerListener listener;
     /** From when on a copy of each function that was ordered stands, where the process began with none; null where all do. */
-    private final Map<String, Double> standsFrom;
+    private final Map<String, Double> copyReadyAt;
 
     /** Listens on a port of its own; everything is loaded there. */
-    public FrameExecutor(PeerLoops loops, RequestAuditor auditor, String instance, long seed) throws InterruptedException {
+    public FrameExecutor(PeerEventLoops loops, RequestAuditor auditor, String instance, long seed) throws InterruptedException {
         this.loops = loops;
         this.auditor = auditor;
-        this.instance = instance;
-        process = instance;
-        chance = new Random(seed);
-        standsFrom = null;
-        listener = new PeerListener(loops, this::session);
+        this.instanceId = instance;
+        processName = instance;
+        random = new Random(seed);
+        copyReadyAt = null;
+        listener = new PeerListener(loops, this::createSession);
         address = listener.address();
     }
 
@@ -65,36 +65,36 @@
     private FrameExecutor(FrameExecutor before, String instance, long seed) throws InterruptedException {
         loops = before.loops;
         auditor = before.auditor;
-        this.instance = instance;
-        process = instance.equals(before.instance) ? before.process + "'" : instance;
-        chance = new Random(seed);
-        standsFrom = new ConcurrentHashMap<>();
-        listener = new PeerListener(loops, before.listener.port(), this::session);
+        this.instanceId = instance;
+        processName = instance.equals(before.instanceId) ? before.processName + "'" : instance;
+        random = new Random(seed);
+        copyReadyAt = new ConcurrentHashMap<>();
+        listener = new PeerListener(loops, before.listener.port(), this::createSession);
         address = listener.address();
     }
 
-    private Session session(Channel connection) {
-        return new Session(PeerLoops.remotePort(connection));
+    private Session createSession(Channel connection) {
+        return new Session(PeerEventLoops.remotePort(connection));
     }
 
     /** From now on it says so to probes, and a while later it turns requests away; it stays up. */
-    public void drain() {
-        drainsSince = loops.now();
+    public void startDraining() {
+        drainingSince = loops.now();
     }
 
-    private boolean drains() {
-        return loops.now() >= drainsSince;
+    private boolean isDraining() {
+        return loops.now() >= drainingSince;
     }
 
     /** Its process has ended: connections are reset, new ones refused. */
     public void stop() throws InterruptedException {
         listener.stop();
-        end();
+        terminate();
     }
 
-    private void end() {
-        ended = true;
-        resetAll();
+    private void terminate() {
+        terminated = true;
+        resetConnections();
     }
 
     /**
@@ -103,139 +103,139 @@
      * @param next its id
      * @param lingers for how long the connections to the old process stay: until then it takes nothing new, and answers what it had
      */
-    public FrameExecutor replacedBy(String next, long seed, long lingers) throws InterruptedException {
+    public FrameExecutor replaceWith(String next, long seed, long lingers) throws InterruptedException {
         listener.stop();
         if (lingers == 0) {
-            end();
+            terminate();
         } else {
-            drain();
-            loops.next().schedule(this::end, lingers, TimeUnit.MILLISECONDS);
+            startDraining();
+            loops.next().schedule(this::terminate, lingers, TimeUnit.MILLISECONDS);
         }
         return new FrameExecutor(this, next, seed);
     }
 
     /** A new process at the same address. */
-    public void startAgain() throws InterruptedException {
-        ended = false;
-        drainsSince = Double.POSITIVE_INFINITY;
-        listener.startAgain();
+    public void restart() throws InterruptedException {
+        terminated = false;
+        drainingSince = Double.POSITIVE_INFINITY;
+        listener.restart();
     }
 
     /** Reads nothing for so long: what front ends write piles up. */
-    public void stopReading(long millis) {
+    public void pauseReading(long millis) {
         for (Channel connection : listener.connections()) {
-            connection.eventLoop().execute(() -> connection.pipeline().get(Session.class).stopReading(connection, millis));
+            connection.eventLoop().execute(() -> connection.pipeline().get(Session.class).pauseReading(connection, millis));
         }
     }
 
     /** For so long it answers probes and questions late, some of them twice, with what held when they came. */
-    public void answerProbesLate(long millis) {
-        probesLateUntil = loops.now() + millis;
+    public void delayProbeAnswersFor(long millis) {
+        probeDelaysUntil = loops.now() + millis;
     }
 
     /** From now on it answers every probe so much later, with what held when it came. */
-    public void holdProbes(long millis) {
-        probesHeldMillis = millis;
+    public void setProbeDelay(long millis) {
+        probeDelayMillis = millis;
     }
 
     /** Requests that came for what is not loaded. */
-    public int misses() {
-        return misses.get();
+    public int missCount() {
+        return missCount.get();
     }
 
     /** For so long it is late with its answers to requests. */
-    public void answerLate(long millis) {
-        answersLateUntil = loops.now() + millis;
+    public void delayAnswersFor(long millis) {
+        answerDelaysUntil = loops.now() + millis;
     }
 
     /** Resets every connection. */
-    public void resetAll() {
+    public void resetConnections() {
         for (Channel connection : listener.connections()) {
             connection.config().setOption(ChannelOption.SO_LINGER, 0);
             connection.close();
         }
     }
 
-    private synchronized void request(Channel to, Frames.Command asked, double arrivedAt, RequestAuditor.Sender sender) {
+    private synchronized void handleRequest(Channel to, Frames.Command asked, double arrivedAt, RequestAuditor.Sender sender) {
         String name = "%016x".formatted(asked.id());
-        auditor.attempt(process, name, arrivedAt, asked.number("patience", 0), sender);
-        auditor.weighs(process, arrivedAt, loops.now(), sender);
-        if (loops.now() > drainsSince + TURNS_AWAY_AFTER) {
+        auditor.attemptReceived(processName, name, arrivedAt, asked.numberField("patience", 0), sender);
+        auditor.countForColdStart(processName, arrivedAt, loops.now(), sender);
+        if (loops.now() > drainingSince + REJECT_AFTER_DRAIN_MILLIS) {
             to.writeAndFlush(Frames.of(Frames.FULL, asked.id(), ""));
             return;
         }
-        if (!wasOrdered(asked.text("asset"))) {
-            misses.incrementAndGet();
+        if (!isLoadedOrLoading(asked.textField("asset"))) {
+            missCount.incrementAndGet();
             to.writeAndFlush(Frames.of(Frames.MISSING, asked.id(), ""));
             return;
         }
-        auditor.taken(process, name);
-        double draw = chance.nextDouble();
-        long late = loops.now() < answersLateUntil ? SHORTEST_LATENESS + chance.nextInt(LATENESS_SPREAD) : 0;
-        long millis = late + untilStands(asked.text("asset")) + SHORTEST_WORK + chance.nextInt(WORK_SPREAD);
-        if (draw < faults / 3) {
+        auditor.attemptAccepted(processName, name);
+        double draw = random.nextDouble();
+        long late = loops.now() < answerDelaysUntil ? MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS) : 0;
+        long millis = late + millisUntilReady(asked.textField("asset")) + MIN_WORK_MILLIS + random.nextInt(WORK_RANGE_MILLIS);
+        if (draw < faultRate / 3) {
             return; // silent
         }
-        if (draw < faults / 2) {
+        if (draw < faultRate / 2) {
             to.eventLoop().schedule(() -> to.close(), millis, TimeUnit.MILLISECONDS);
             return;
         }
-        boolean spoilt = draw < faults * 2 / 3;
-        boolean twice = draw > 1 - faults / 3;
-        to.eventLoop().schedule(() -> answer(to, asked, spoilt, twice), millis, TimeUnit.MILLISECONDS);
+        boolean spoilt = draw < faultRate * 2 / 3;
+        boolean twice = draw > 1 - faultRate / 3;
+        to.eventLoop().schedule(() -> sendAnswer(to, asked, spoilt, twice), millis, TimeUnit.MILLISECONDS);
     }
 
-    private boolean wasOrdered(String function) {
-        return standsFrom == null || standsFrom.containsKey(function);
+    private boolean isLoadedOrLoading(String function) {
+        return copyReadyAt == null || copyReadyAt.containsKey(function);
     }
 
     /** Milliseconds until a copy stands that was ordered. */
-    private long untilStands(String function) {
-        return standsFrom == null ? 0 : Math.max(0, Math.round(standsFrom.get(function) - loops.now()));
+    private long millisUntilReady(String function) {
+        return copyReadyAt == null ? 0 : Math.max(0, Math.round(copyReadyAt.get(function) - loops.now()));
     }
 
     private void load(String function) {
-        if (standsFrom != null) {
-            standsFrom.putIfAbsent(function, loops.now() + SHORTEST_LOAD + chance.nextInt(LOAD_SPREAD));
+        if (copyReadyAt != null) {
+            copyReadyAt.putIfAbsent(function, loops.now() + MIN_LOAD_MILLIS + random.nextInt(LOAD_RANGE_MILLIS));
         }
     }
 
     private void unload(String function) {
-        if (standsFrom != null) {
-            standsFrom.remove(function);
+        if (copyReadyAt != null) {
+            copyReadyAt.remove(function);
         }
     }
 
     /** Answers a probe, or a question about copies: what is said holds now, and may be said later. */
-    private void tell(Channel to, ByteBuf said, ProbeHistory.Probe probe) {
-        if (probesHeldMillis > 0) {
-            to.eventLoop().schedule(() -> say(to, said, probe), probesHeldMillis, TimeUnit.MILLISECONDS);
+    private void sendProbeAnswer(Channel to, ByteBuf said, ProbeHistory.Probe probe) {
+        if (probeDelayMillis > 0) {
+            to.eventLoop().schedule(() -> writeProbeAnswer(to, said, probe), probeDelayMillis, TimeUnit.MILLISECONDS);
             return;
         }
-        if (loops.now() >= probesLateUntil) {
-            say(to, said, probe);
+        if (loops.now() >= probeDelaysUntil) {
+            writeProbeAnswer(to, said, probe);
             return;
         }
-        long late = SHORTEST_LATENESS + chance.nextInt(LATENESS_SPREAD);
-        if (chance.nextInt(SECOND_COPIES) == 0) {
+        long late = MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS);
+        if (random.nextInt(DUPLICATE_ONE_IN) == 0) {
             ByteBuf copy = said.copy();
-            to.eventLoop().schedule(() -> say(to, copy, probe), late + chance.nextInt(SECOND_COPY_SPREAD), TimeUnit.MILLISECONDS);
+            to.eventLoop().schedule(() -> writeProbeAnswer(to, copy, probe), late + random.nextInt(DUPLICATE_DELAY_RANGE_MILLIS), TimeUnit.MILLISECONDS);
         }
-        to.eventLoop().schedule(() -> say(to, said, probe), late, TimeUnit.MILLISECONDS);
+        to.eventLoop().schedule(() -> writeProbeAnswer(to, said, probe), late, TimeUnit.MILLISECONDS);
     }
 
-    private void say(Channel to, ByteBuf said, ProbeHistory.Probe probe) {
-        auditor.probes.answered(probe, loops.now());
+    private void writeProbeAnswer(Channel to, ByteBuf said, ProbeHistory.Probe probe) {
+        auditor.probeHistory.recordAnswer(probe, loops.now());
         to.writeAndFlush(said);
     }
 
-    private void answer(Channel to, Frames.Command asked, boolean spoilt, boolean twice) {
-        String made = instance + " made " + new String(asked.body(), StandardCharsets.US_ASCII);
-        byte[] frame = Frames.bytes(Frames.RETURNED, asked.id(), "n2=ready", made.getBytes(StandardCharsets.US_ASCII));
+    private void sendAnswer(Channel to, Frames.Command asked, boolean spoilt, boolean twice) {
+        String made = instanceId + " made " + new String(asked.body(), StandardCharsets.US_ASCII);
+        byte[] frame = Frames.encode(Frames.RETURNED, asked.id(), "n2=ready", made.getBytes(StandardCharsets.US_ASCII));
         if (spoilt) {
             frame[frame.length - 5] ^= 1;
         }
-        auditor.made("%016x".formatted(asked.id()), made);
+        auditor.executorAnswered("%016x".formatted(asked.id()), made);
         to.writeAndFlush(Unpooled.wrappedBuffer(frame));
         if (twice) {
             to.writeAndFlush(Unpooled.wrappedBuffer(frame));
@@ -245,23 +245,23 @@
     /** Commands of one connection. */
     private final class Session extends ByteToMessageDecoder {
         /** When it stopped reading, and when it read first after that: what it reads then may have lain in its socket since. */
-        private double stoppedAt = Double.NaN;
-        private double readAgainAt = Double.NaN;
-        private int stops;
+        private double readingPausedAt = Double.NaN;
+        private double readingResumedAt = Double.NaN;
+        private int activePauses;
         private final RequestAuditor.Sender sender;
 
         private Session(int port) {
             sender = new RequestAuditor.Sender(port);
         }
 
-        private void stopReading(Channel connection, long millis) {
-            stoppedAt = stops > 0 ? stoppedAt : loops.now();
-            readAgainAt = Double.NaN;
-            stops++;
+        private void pauseReading(Channel connection, long millis) {
+            readingPausedAt = activePauses > 0 ? readingPausedAt : loops.now();
+            readingResumedAt = Double.NaN;
+            activePauses++;
             connection.config().setAutoRead(false);
             connection.eventLoop().schedule(() -> {
-                if (--stops == 0) {
-                    readAgainAt = Double.NaN;
+                if (--activePauses == 0) {
+                    readingResumedAt = Double.NaN;
                     connection.config().setAutoRead(true);
                 }
             }, millis, TimeUnit.MILLISECONDS);
@@ -269,55 +269,55 @@
 
         private double arrivedAt() {
             double now = loops.now();
-            if (Double.isNaN(stoppedAt) || stops > 0) {
+            if (Double.isNaN(readingPausedAt) || activePauses > 0) {
                 return now; // what is still read while it stops came before
             }
-            readAgainAt = Double.isNaN(readAgainAt) ? now : readAgainAt;
-            return now - readAgainAt <= RESUMING ? stoppedAt : now;
+            readingResumedAt = Double.isNaN(readingResumedAt) ? now : readingResumedAt;
+            return now - readingResumedAt <= BACKLOG_READ_MILLIS ? readingPausedAt : now;
         }
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-            if (ended) {
+            if (terminated) {
                 in.skipBytes(in.readableBytes());
                 ctx.close(); // the process that had accepted it is no more
                 return;
             }
             Frames.Command command = Frames.read(in);
             if (command != null) {
-                obey(ctx, command);
+                handleCommand(ctx, command);
                 out.add(command); // tells the decoder to go on; nothing beyond this handler hears it
             }
         }
 
-        private void obey(ChannelHandlerContext ctx, Frames.Command command) {
+        private void handleCommand(ChannelHandlerContext ctx, Frames.Command command) {
             switch (command.code()) {
-                case Frames.REQUEST -> request(ctx.channel(), command, arrivedAt(), sender);
-                case Frames.REPORT -> report(ctx.channel(), command);
-                case Frames.HOLD -> hold(ctx.channel(), command);
+                case Frames.REQUEST -> handleRequest(ctx.channel(), command, arrivedAt(), sender);
+                case Frames.REPORT -> handleProbe(ctx.channel(), command);
+                case Frames.HOLD -> handleLoadOrder(ctx.channel(), command);
                 case Frames.UNLOAD -> unload("%016x".formatted(command.id()));
                 default -> { }
             }
         }
 
-        private void report(Channel to, Frames.Command command) {
-            boolean drains = drains();
-            ProbeHistory.Probe probe = auditor.probes.asked(process, sender, loops.now(), drains ? "draining" : "ready");
-            tell(to, drains ? Frames.of(Frames.DRAINING, command.id(), "") : Frames.of(Frames.READY, command.id(), "l=q:0;rif:1"), probe);
+        private void handleProbe(Channel to, Frames.Command command) {
+            boolean drains = isDraining();
+            ProbeHistory.Probe probe = auditor.probeHistory.recordProbe(processName, sender, loops.now(), drains ? "draining" : "ready");
+            sendProbeAnswer(to, drains ? Frames.of(Frames.DRAINING, command.id(), "") : Frames.of(Frames.READY, command.id(), "l=q:0;rif:1"), probe);
         }
 
-        private void hold(Channel to, Frames.Command command) {
-            String function = command.text("asset");
-            if (command.number("n", 0) == 0) {
-                boolean there = wasOrdered(function) && untilStands(function) == 0;
-                tell(to, Frames.of(Frames.RETURNED, command.id(), there ? "n=1" : "n=0"),
-                        auditor.probes.asked(process, sender, loops.now(), there ? "copies" : "no copy"));
+        private void handleLoadOrder(Channel to, Frames.Command command) {
+            String function = command.textField("asset");
+            if (command.numberField("n", 0) == 0) {
+                boolean there = isLoadedOrLoading(function) && millisUntilReady(function) == 0;
+                sendProbeAnswer(to, Frames.of(Frames.RETURNED, command.id(), there ? "n=1" : "n=0"),
+                        auditor.probeHistory.recordProbe(processName, sender, loops.now(), there ? "copies" : "no copy"));
                 return;
             }
-            auditor.ordered(process, arrivedAt(), sender);
+            auditor.loadOrderReceived(processName, arrivedAt(), sender);
             load(function);
             ByteBuf stands = Frames.of(Frames.RETURNED, command.id(), "n=1");
-            long millis = untilStands(function);
+            long millis = millisUntilReady(function);
             if (millis == 0) {
                 to.writeAndFlush(stands);
             } else {
--- a/standins/src/main/java/gradereach/standins/frames/Frames.java
+++ b/standins/src/main/java/gradereach/standins/frames/Frames.java
@@ -18,23 +18,23 @@
     static final int READY = 103;
     static final int DRAINING = 104;
 
-    private static final int MARK = 108;
-    private static final int HEAD = 16;
-    private static final int CHECK = 4;
-    private static final int LENGTH_OF_FIELDS_AT = 2;
-    private static final int LENGTH_OF_BODY_AT = 4;
-    private static final int ID_AT = 8;
+    private static final int MAGIC = 108;
+    private static final int HEADER_BYTES = 16;
+    private static final int CHECKSUM_BYTES = 4;
+    private static final int FIELDS_LENGTH_OFFSET = 2;
+    private static final int BODY_LENGTH_OFFSET = 4;
+    private static final int ID_OFFSET = 8;
 
     /** One that was read. */
     record Command(int code, long id, String fields, byte[] body) {
         /** A number among the fields, {@code otherwise} where it is not there. */
-        double number(String name, double otherwise) {
-            String value = text(name);
+        double numberField(String name, double otherwise) {
+            String value = textField(name);
             return value == null ? otherwise : Double.parseDouble(value);
         }
 
         /** The value of a field, null where it is not there. */
-        String text(String name) {
+        String textField(String name) {
             for (String field : fields.split(",")) {
                 if (field.startsWith(name + "=")) {
                     return field.substring(name.length() + 1);
@@ -49,32 +49,32 @@
     /** The next one, or null while it is not whole; front ends' check sums are not looked at. */
     static Command read(ByteBuf in) {
         int at = in.readerIndex();
-        if (in.readableBytes() < HEAD) {
+        if (in.readableBytes() < HEADER_BYTES) {
             return null;
         }
-        int fields = in.getUnsignedShort(at + LENGTH_OF_FIELDS_AT);
-        int length = in.getInt(at + LENGTH_OF_BODY_AT);
-        if (in.readableBytes() < HEAD + fields + length + CHECK) {
+        int fields = in.getUnsignedShort(at + FIELDS_LENGTH_OFFSET);
+        int length = in.getInt(at + BODY_LENGTH_OFFSET);
+        if (in.readableBytes() < HEADER_BYTES + fields + length + CHECKSUM_BYTES) {
             return null;
         }
         byte[] body = new byte[length];
-        in.getBytes(at + HEAD + fields, body);
-        Command command = new Command(in.getUnsignedByte(at + 1), in.getLong(at + ID_AT),
-                in.toString(at + HEAD, fields, StandardCharsets.US_ASCII), body);
-        in.skipBytes(HEAD + fields + length + CHECK);
+        in.getBytes(at + HEADER_BYTES + fields, body);
+        Command command = new Command(in.getUnsignedByte(at + 1), in.getLong(at + ID_OFFSET),
+                in.toString(at + HEADER_BYTES, fields, StandardCharsets.US_ASCII), body);
+        in.skipBytes(HEADER_BYTES + fields + length + CHECKSUM_BYTES);
         return command;
     }
 
     static ByteBuf of(int code, long id, String fields) {
-        return Unpooled.wrappedBuffer(bytes(code, id, fields, new byte[0]));
+        return Unpooled.wrappedBuffer(encode(code, id, fields, new byte[0]));
     }
 
-    static byte[] bytes(int code, long id, String fields, byte[] body) {
+    static byte[] encode(int code, long id, String fields, byte[] body) {
         byte[] head = fields.getBytes(StandardCharsets.US_ASCII);
         CRC32 check = new CRC32();
         check.update(head);
         check.update(body);
-        return ByteBuffer.allocate(HEAD + head.length + body.length + CHECK).put((byte) MARK).put((byte) code)
+        return ByteBuffer.allocate(HEADER_BYTES + head.length + body.length + CHECKSUM_BYTES).put((byte) MAGIC).put((byte) code)
                 .putShort((short) head.length).putInt(body.length).putLong(id).put(head).put(body)
                 .putInt((int) check.getValue()).array();
     }
--- a/standins/src/main/java/gradereach/standins/frames/PeerLoops.java
+++ b/standins/src/main/java/gradereach/standins/frames/PeerEventLoops.java
@@ -1,6 +1,6 @@
 package gradereach.standins.frames;
 
-import gradereach.standins.Lags;
+import gradereach.standins.LagIntervals;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -17,29 +17,29 @@
 import java.util.concurrent.TimeUnit;
 
 /** The threads and the one clock of all scripted peers of a run. */
-public final class PeerLoops implements AutoCloseable {
+public final class PeerEventLoops implements AutoCloseable {
     private static final int THREADS = 2;
     private static final long SHUTDOWN_MILLIS = 500;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final long TICK_NANOS = 5_000_000;
     /** Below those that Linux gives to outgoing connections (from 32768). */
     private static final int FIRST_PORT = 20_000;
-    private static final int PORTS = 12_000;
-    private static final int PORT_TRIES = 100;
-    private static final long PORT_PAUSE_MILLIS = 10;
+    private static final int PORT_COUNT = 12_000;
+    private static final int MAX_PORT_ATTEMPTS = 100;
+    private static final long PORT_RETRY_MILLIS = 10;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
-    private final long zero = System.nanoTime();
-    private final Lags lags = new Lags();
+    private final long startNanos = System.nanoTime();
+    private final LagIntervals lagIntervals = new LagIntervals();
 
     /** Starts the threads, and watches how late they come to their work. */
-    public PeerLoops() {
+    public PeerEventLoops() {
         for (EventExecutor loop : group) {
             long[] last = {System.nanoTime()};
             loop.scheduleAtFixedRate(() -> {
                 long now = System.nanoTime();
                 if (now - last[0] > 2 * TICK_NANOS) {
-                    lags.add(timeOf(last[0]), timeOf(now));
+                    lagIntervals.add(toMillis(last[0]), toMillis(now));
                 }
                 last[0] = now;
             }, TICK_NANOS, TICK_NANOS, TimeUnit.NANOSECONDS);
@@ -49,23 +49,23 @@
     /**
      * The longest time by which the peers were late themselves, milliseconds: what they tell the auditor is wrong by as much.
      */
-    public double longestLag() {
-        return lags.longest();
+    public double longestLagMillis() {
+        return lagIntervals.longestMillis();
     }
 
     /** When they were late. */
-    public Lags lags() {
-        return lags;
+    public LagIntervals lagIntervals() {
+        return lagIntervals;
     }
 
     /** Milliseconds on the monotonic clock, from the begin of the run. */
     public double now() {
-        return timeOf(System.nanoTime());
+        return toMillis(System.nanoTime());
     }
 
     /** The same of a reading of {@link System#nanoTime}, also of another process of this machine. */
-    double timeOf(long nanoTime) {
-        return (nanoTime - zero) / NANOS_PER_MILLI;
+    double toMillis(long nanoTime) {
+        return (nanoTime - startNanos) / NANOS_PER_MILLI;
     }
 
     EventLoopGroup group() {
@@ -83,9 +83,9 @@
     Channel listen(ChannelHandler connections) throws InterruptedException {
         for (int i = 0;; i++) {
             try {
-                return listen(FIRST_PORT + ThreadLocalRandom.current().nextInt(PORTS), connections);
+                return listen(FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT), connections);
             } catch (Exception e) {
-                if (!(e instanceof BindException) || i == PORT_TRIES) {
+                if (!(e instanceof BindException) || i == MAX_PORT_ATTEMPTS) {
                     throw e;
                 }
             }
@@ -93,15 +93,15 @@
     }
 
     /** The same on a port that another peer has just left: it is free when its loop has been through once. */
-    Channel listenAfter(int port, ChannelHandler connections) throws InterruptedException {
+    Channel listenWithRetry(int port, ChannelHandler connections) throws InterruptedException {
         for (int i = 0;; i++) {
             try {
                 return listen(port, connections);
             } catch (Exception e) {
-                if (!(e instanceof BindException) || i == PORT_TRIES) {
+                if (!(e instanceof BindException) || i == MAX_PORT_ATTEMPTS) {
                     throw e;
                 }
-                Thread.sleep(PORT_PAUSE_MILLIS);
+                Thread.sleep(PORT_RETRY_MILLIS);
             }
         }
     }
--- a/standins/src/main/java/gradereach/standins/frames/PeerListener.java
+++ b/standins/src/main/java/gradereach/standins/frames/PeerListener.java
@@ -9,8 +9,8 @@
 
 /** Where a scripted peer is reached, and the connections that are open there. It may stop, and listen again at the same port. */
 final class PeerListener {
-    private final PeerLoops loops;
-    private final Function<Channel, ChannelHandler> sessions;
+    private final PeerEventLoops loops;
+    private final Function<Channel, ChannelHandler> handlerFactory;
     private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
     private Channel listener;
 
@@ -19,36 +19,36 @@
      *
      * @param sessions makes the handler of a connection
      */
-    PeerListener(PeerLoops loops, Function<Channel, ChannelHandler> sessions) throws InterruptedException {
+    PeerListener(PeerEventLoops loops, Function<Channel, ChannelHandler> sessions) throws InterruptedException {
         this.loops = loops;
-        this.sessions = sessions;
-        listener = loops.listen(accepted());
+        this.handlerFactory = sessions;
+        listener = loops.listen(connectionInitializer());
     }
 
     /** Listens on a port that another has just left. */
-    PeerListener(PeerLoops loops, int port, Function<Channel, ChannelHandler> sessions) throws InterruptedException {
+    PeerListener(PeerEventLoops loops, int port, Function<Channel, ChannelHandler> sessions) throws InterruptedException {
         this.loops = loops;
-        this.sessions = sessions;
-        listener = loops.listenAfter(port, accepted());
+        this.handlerFactory = sessions;
+        listener = loops.listenWithRetry(port, connectionInitializer());
     }
 
-    private ChannelHandler accepted() {
+    private ChannelHandler connectionInitializer() {
         return new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel connection) {
                 connections.add(connection);
                 connection.closeFuture().addListener(end -> connections.remove(connection));
-                connection.pipeline().addLast(sessions.apply(connection));
+                connection.pipeline().addLast(handlerFactory.apply(connection));
             }
         };
     }
 
     String address() {
-        return PeerLoops.address(listener);
+        return PeerEventLoops.address(listener);
     }
 
     int port() {
-        return PeerLoops.port(listener);
+        return PeerEventLoops.port(listener);
     }
 
     /** Those that are open now. */
@@ -61,7 +61,7 @@
         listener.close().sync();
     }
 
-    void startAgain() throws InterruptedException {
-        listener = loops.listen(port(), accepted());
+    void restart() throws InterruptedException {
+        listener = loops.listen(port(), connectionInitializer());
     }
 }
