--- a/standins/src/main/java/gradereach/standins/frames/ProbeHistory.java
+++ b/standins/src/main/java/gradereach/standins/frames/ProbeHistory.java
@@ -9,44 +9,44 @@
 /** Probes and questions that came to executors and how they were answered: shown beside a send past the grace, and judged by nobody. */
 final class ProbeHistory {
     /** So long before a send its executor's probes may have to do with it, milliseconds. */
-    private static final double SHOWN_BEFORE = 3000;
+    private static final double SHOWN_BEFORE_MILLIS = 3000;
 
     private final Map<String, List<Probe>> probes = new HashMap<>();
 
     /** One probe, and when its answer and further copies of it were written. */
     static final class Probe {
         private final RequestAuditor.Sender sender;
-        private final double askedAt;
-        private final String said;
+        private final double receivedAt;
+        private final String reply;
         private final List<Double> answeredAt = new ArrayList<>(1);
 
         private Probe(RequestAuditor.Sender sender, double askedAt, String said) {
             this.sender = sender;
-            this.askedAt = askedAt;
-            this.said = said;
+            this.receivedAt = askedAt;
+            this.reply = said;
         }
 
-        private String before(double at) {
-            return "asked " + Math.round(askedAt - at) + " answered " + said + " "
+        private String describeRelativeTo(double at) {
+            return "asked " + Math.round(receivedAt - at) + " answered " + reply + " "
                     + answeredAt.stream().map(time -> Math.round(time - at) + "").toList();
         }
     }
 
     /** One has come, and {@code said} is what holds now and is said later. */
-    synchronized Probe asked(String executor, RequestAuditor.Sender sender, double at, String said) {
+    synchronized Probe recordProbe(String executor, RequestAuditor.Sender sender, double at, String said) {
         Probe probe = new Probe(sender, at, said);
         probes.computeIfAbsent(executor, name -> new ArrayList<>()).add(probe);
         return probe;
     }
 
-    synchronized void answered(Probe probe, double at) {
+    synchronized void recordAnswer(Probe probe, double at) {
         probe.answeredAt.add(at);
     }
 
     /** Those of the sender's front end shortly before, with times counted from {@code at}. */
-    synchronized String shown(String executor, RequestAuditor.Sender sender, double at) {
+    synchronized String describe(String executor, RequestAuditor.Sender sender, double at) {
         return probes.getOrDefault(executor, List.of()).stream()
-                .filter(probe -> probe.sender.isOf(sender) && probe.askedAt <= at && probe.askedAt > at - SHOWN_BEFORE)
-                .map(probe -> probe.before(at)).collect(Collectors.joining(", ", "; its probes, by ms from then: ", ""));
+                .filter(probe -> probe.sender.isSameFrontEnd(sender) && probe.receivedAt <= at && probe.receivedAt > at - SHOWN_BEFORE_MILLIS)
+                .map(probe -> probe.describeRelativeTo(at)).collect(Collectors.joining(", ", "; its probes, by ms from then: ", ""));
     }
 }
--- a/standins/src/main/java/gradereach/standins/frames/RequestClient.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestClient.java
@@ -18,66 +18,66 @@
 
 /** A client of one front end that asks again and again, on one connection for as long as that is there. */
 public final class RequestClient {
-    private static final AtomicLong IDS = new AtomicLong();
+    private static final AtomicLong LAST_ID = new AtomicLong();
     private static final int MODELS = 6;
-    private static final int SHORTEST_BUDGET = 200;
-    private static final int BUDGET_SPREAD = 1300;
-    private static final int LONG_BODY = 8000;
-    private static final int SHORT_BODY = 10;
+    private static final int MIN_BUDGET_MILLIS = 200;
+    private static final int BUDGET_RANGE_MILLIS = 1300;
+    private static final int LONG_BODY_LENGTH = 8000;
+    private static final int SHORT_BODY_LENGTH = 10;
     /** One of so many asks with a long body. */
-    private static final int LONG_BODIES = 4;
+    private static final int LONG_BODY_ONE_IN = 4;
     /** One of so many leaves before its time is up; the others wait beyond it. */
-    private static final int LEAVING = 8;
-    private static final int WAITS_BEYOND = 600;
+    private static final int CANCEL_ONE_IN = 8;
+    private static final int WAIT_AFTER_BUDGET_MILLIS = 600;
     /** After a front end was told to stop new connections keep coming for a while. */
-    private static final double CONNECTS_ON = 300;
+    private static final double CONNECT_AFTER_RETIRE_MILLIS = 300;
 
-    private final PeerLoops loops;
+    private final PeerEventLoops loops;
     private final RequestAuditor auditor;
     private final InetSocketAddress frontEnd;
-    private final Random chance;
-    private volatile double noConnectionsAfter = Double.POSITIVE_INFINITY;
-    private volatile double noRequestsAfter = Double.POSITIVE_INFINITY;
+    private final Random random;
+    private volatile double connectUntil = Double.POSITIVE_INFINITY;
+    private volatile double requestUntil = Double.POSITIVE_INFINITY;
 
     /** Asks nothing before {@link #start}. */
-    public RequestClient(PeerLoops loops, RequestAuditor auditor, InetSocketAddress frontEnd, long seed) {
+    public RequestClient(PeerEventLoops loops, RequestAuditor auditor, InetSocketAddress frontEnd, long seed) {
         this.loops = loops;
         this.auditor = auditor;
         this.frontEnd = frontEnd;
-        chance = new Random(seed);
+        random = new Random(seed);
     }
 
     /** Its front end was told to stop: it makes no new connection after a while, and asks no more after so long. */
     public void retire(double asksOnMillis) {
-        noConnectionsAfter = loops.now() + CONNECTS_ON;
-        noRequestsAfter = loops.now() + asksOnMillis;
+        connectUntil = loops.now() + CONNECT_AFTER_RETIRE_MILLIS;
+        requestUntil = loops.now() + asksOnMillis;
     }
 
     /** It asks nothing more. */
-    public void end() {
-        noConnectionsAfter = Double.NEGATIVE_INFINITY;
-        noRequestsAfter = Double.NEGATIVE_INFINITY;
+    public void stop() {
+        connectUntil = Double.NEGATIVE_INFINITY;
+        requestUntil = Double.NEGATIVE_INFINITY;
     }
 
-    private boolean asks() {
-        return loops.now() < noRequestsAfter;
+    private boolean maySendRequests() {
+        return loops.now() < requestUntil;
     }
 
     /** Connects, and asks from then on. */
     public void start() {
-        if (loops.now() < noConnectionsAfter) {
+        if (loops.now() < connectUntil) {
             new Bootstrap().group(loops.group()).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                    .handler(new Conversation()).connect(frontEnd);
+                    .handler(new ClientConnectionHandler()).connect(frontEnd);
         }
     }
 
-    private void startLater() {
-        loops.next().schedule(this::start, 20 + chance.nextInt(50), TimeUnit.MILLISECONDS);
+    private void scheduleReconnect() {
+        loops.next().schedule(this::start, 20 + random.nextInt(50), TimeUnit.MILLISECONDS);
     }
 
     /** So many connect at once, say nothing, and leave after so long. */
-    public static void silentCrowd(PeerLoops loops, InetSocketAddress frontEnd, int size, long millis) {
-        Bootstrap connects = new Bootstrap().group(loops.group()).channel(NioSocketChannel.class).handler(new Silent());
+    public static void openSilentConnections(PeerEventLoops loops, InetSocketAddress frontEnd, int size, long millis) {
+        Bootstrap connects = new Bootstrap().group(loops.group()).channel(NioSocketChannel.class).handler(new SilentHandler());
         for (int i = 0; i < size; i++) {
             Channel connection = connects.connect(frontEnd).channel();
             connection.eventLoop().schedule(() -> connection.close(), millis, TimeUnit.MILLISECONDS);
@@ -85,7 +85,7 @@
     }
 
     @ChannelHandler.Sharable
-    private static final class Silent extends ChannelInboundHandlerAdapter {
+    private static final class SilentHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
@@ -93,81 +93,81 @@
     }
 
     /** One connection. */
-    private final class Conversation extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class ClientConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
         /** Of the request that waits for its answer; null where none does. */
-        private String id;
-        private final StringBuilder heard = new StringBuilder();
-        private int port;
+        private String pendingId;
+        private final StringBuilder received = new StringBuilder();
+        private int localPort;
         /** Bytes of all requests but the latest, and of all. */
-        private long writtenBefore;
-        private long written;
+        private long bytesWrittenBefore;
+        private long bytesWritten;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            port = ((InetSocketAddress) ctx.channel().localAddress()).getPort();
-            ask(ctx);
+            localPort = ((InetSocketAddress) ctx.channel().localAddress()).getPort();
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            if (!asks() || !ctx.channel().isActive()) {
+        private void sendRequest(ChannelHandlerContext ctx) {
+            if (!maySendRequests() || !ctx.channel().isActive()) {
                 ctx.close(); // where it had ended meanwhile, nothing would be sent: that is no request
                 return;
             }
-            String now = "%016x".formatted(IDS.incrementAndGet());
-            id = now;
-            heard.setLength(0);
-            int budget = SHORTEST_BUDGET + chance.nextInt(BUDGET_SPREAD);
-            String body = "for " + now + "x".repeat(chance.nextInt(LONG_BODIES) == 0 ? LONG_BODY : SHORT_BODY);
-            boolean repeatable = chance.nextBoolean();
-            auditor.asked(now, frontEnd, loops.now(), budget, repeatable);
-            ByteBuf request = Unpooled.copiedBuffer("POST /v1/" + "%016x".formatted(chance.nextInt(MODELS) + 1)
+            String now = "%016x".formatted(LAST_ID.incrementAndGet());
+            pendingId = now;
+            received.setLength(0);
+            int budget = MIN_BUDGET_MILLIS + random.nextInt(BUDGET_RANGE_MILLIS);
+            String body = "for " + now + "x".repeat(random.nextInt(LONG_BODY_ONE_IN) == 0 ? LONG_BODY_LENGTH : SHORT_BODY_LENGTH);
+            boolean repeatable = random.nextBoolean();
+            auditor.requestSent(now, frontEnd, loops.now(), budget, repeatable);
+            ByteBuf request = Unpooled.copiedBuffer("POST /v1/" + "%016x".formatted(random.nextInt(MODELS) + 1)
                     + "/fire HTTP/1.1\r\nHost: app.svc\r\nX-Class: " + (repeatable ? "look" : "book") + "\r\nRequest-Id: " + now
                     + "\r\nBudget-Ms: " + budget + "\r\nAccount: yard\r\nX-Attrs: memory_mb:10;lanes:2;load_ms:20\r\nContent-Length: "
                     + body.length() + "\r\n\r\n" + body, StandardCharsets.US_ASCII);
-            writtenBefore = written;
-            written += request.readableBytes();
+            bytesWrittenBefore = bytesWritten;
+            bytesWritten += request.readableBytes();
             ctx.writeAndFlush(request);
-            long patience = chance.nextInt(LEAVING) == 0 ? chance.nextInt(budget) : budget + WAITS_BEYOND;
-            ctx.executor().schedule(() -> leave(ctx, now), patience, TimeUnit.MILLISECONDS);
+            long patience = random.nextInt(CANCEL_ONE_IN) == 0 ? random.nextInt(budget) : budget + WAIT_AFTER_BUDGET_MILLIS;
+            ctx.executor().schedule(() -> cancel(ctx, now), patience, TimeUnit.MILLISECONDS);
         }
 
-        private void leave(ChannelHandlerContext ctx, String asked) {
-            if (asked.equals(id)) {
-                id = null;
-                auditor.left(asked, loops.now());
+        private void cancel(ChannelHandlerContext ctx, String asked) {
+            if (asked.equals(pendingId)) {
+                pendingId = null;
+                auditor.requestCancelled(asked, loops.now());
                 ctx.close();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-            heard.append(bytes.toString(StandardCharsets.ISO_8859_1));
-            int end = heard.indexOf("\r\n\r\n");
-            if (end < 0 || id == null) {
+            received.append(bytes.toString(StandardCharsets.ISO_8859_1));
+            int end = received.indexOf("\r\n\r\n");
+            if (end < 0 || pendingId == null) {
                 return;
             }
-            String head = heard.substring(0, end).toLowerCase();
+            String head = received.substring(0, end).toLowerCase();
             int length = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
-            if (heard.length() < end + 4 + length) {
+            if (received.length() < end + 4 + length) {
                 return;
             }
-            auditor.answered(id, Integer.parseInt(head.substring(9, 12)), heard.substring(end + 4, end + 4 + length),
+            auditor.answerReceived(pendingId, Integer.parseInt(head.substring(9, 12)), received.substring(end + 4, end + 4 + length),
                     loops.now());
-            id = null;
+            pendingId = null;
             if (head.contains("connection: close")) {
                 ctx.close();
             } else {
-                ctx.executor().schedule(() -> ask(ctx), 10 + chance.nextInt(60), TimeUnit.MILLISECONDS);
+                ctx.executor().schedule(() -> sendRequest(ctx), 10 + random.nextInt(60), TimeUnit.MILLISECONDS);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (id != null) {
-                auditor.connectionEnded(id, loops.now(), port, writtenBefore);
-                id = null;
+            if (pendingId != null) {
+                auditor.connectionEnded(pendingId, loops.now(), localPort, bytesWrittenBefore);
+                pendingId = null;
             }
-            startLater();
+            scheduleReconnect();
         }
 
         @Override
--- a/standins/src/main/java/gradereach/standins/prometheus/Expression.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/Expression.java
@@ -28,13 +28,13 @@
     }
 
     private interface Node {
-        Value at(SampleStore store, long now);
+        Value evaluate(SampleStore store, long now);
     }
 
-    private record Range(String name, List<String[]> matchers, long millis) {
-        Map<Map<String, String>, List<SampleStore.Sample>> in(SampleStore store, long now, long back) {
+    private record RangeSelector(String name, List<String[]> matchers, long rangeMillis) {
+        Map<Map<String, String>, List<SampleStore.Sample>> samples(SampleStore store, long now, long back) {
             Map<Map<String, String>, List<SampleStore.Sample>> all = new HashMap<>();
-            store.between(name, now - back, now).forEach((labels, samples) -> {
+            store.samplesBetween(name, now - back, now).forEach((labels, samples) -> {
                 for (String[] matcher : matchers) {
                     boolean same = labels.getOrDefault(matcher[0], "").equals(matcher[2]);
                     if (same != matcher[1].equals("=")) {
@@ -49,9 +49,9 @@
 
     private final String text;
     private final List<String> tokens = new ArrayList<>();
-    private final List<Integer> places = new ArrayList<>();
-    private final long lookback;
-    private int next;
+    private final List<Integer> positions = new ArrayList<>();
+    private final long lookbackMillis;
+    private int nextToken;
     private final Node root;
 
     /**
@@ -60,7 +60,7 @@
      */
     public Expression(String text, long lookback) {
         this.text = text;
-        this.lookback = lookback;
+        this.lookbackMillis = lookback;
         Matcher matcher = TOKEN.matcher(text);
         int at = 0;
         while (at < text.length() && !text.substring(at).isBlank()) {
@@ -68,50 +68,50 @@
                 throw new IllegalArgumentException("at " + at + " of " + text + ": not understood");
             }
             tokens.add(matcher.group(1));
-            places.add(matcher.start(1));
+            positions.add(matcher.start(1));
             at = matcher.end();
         }
         root = conjunction();
-        if (next < tokens.size()) {
+        if (nextToken < tokens.size()) {
             throw unexpected();
         }
     }
 
-    public Map<Map<String, String>, Double> at(SampleStore store, long now) {
-        Value value = root.at(store, now);
+    public Map<Map<String, String>, Double> evaluate(SampleStore store, long now) {
+        Value value = root.evaluate(store, now);
         return value.vector != null ? value.vector : Map.of(Map.of(), value.scalar);
     }
 
     private IllegalArgumentException unexpected() {
-        return new IllegalArgumentException("at " + (next < places.size() ? places.get(next) : text.length()) + " of " + text
-                + ": " + (next < tokens.size() ? tokens.get(next) : "its end") + " not expected");
+        return new IllegalArgumentException("at " + (nextToken < positions.size() ? positions.get(nextToken) : text.length()) + " of " + text
+                + ": " + (nextToken < tokens.size() ? tokens.get(nextToken) : "its end") + " not expected");
     }
 
-    private boolean take(String token) {
-        boolean is = next < tokens.size() && tokens.get(next).equals(token);
-        next += is ? 1 : 0;
+    private boolean accept(String token) {
+        boolean is = nextToken < tokens.size() && tokens.get(nextToken).equals(token);
+        nextToken += is ? 1 : 0;
         return is;
     }
 
-    private void need(String token) {
-        if (!take(token)) {
+    private void expect(String token) {
+        if (!accept(token)) {
             throw unexpected();
         }
     }
 
     private Node conjunction() {
         Node left = comparison();
-        while (take("and")) {
-            Set<String> on = take("on") ? names() : null;
+        while (accept("and")) {
+            Set<String> on = accept("on") ? labelNames() : null;
             Node one = left;
             Node other = comparison();
             left = (store, now) -> {
-                Value a = one.at(store, now);
+                Value a = one.evaluate(store, now);
                 Set<Map<String, String>> there = new java.util.HashSet<>();
-                other.at(store, now).vector.keySet().forEach(labels -> there.add(only(labels, on)));
+                other.evaluate(store, now).vector.keySet().forEach(labels -> there.add(retainLabels(labels, on)));
                 Map<Map<String, String>, Double> both = new LinkedHashMap<>();
                 a.vector.forEach((labels, value) -> {
-                    if (there.contains(only(labels, on))) {
+                    if (there.contains(retainLabels(labels, on))) {
                         both.put(labels, value);
                     }
                 });
@@ -121,7 +121,7 @@
         return left;
     }
 
-    private static Map<String, String> only(Map<String, String> labels, Set<String> names) {
+    private static Map<String, String> retainLabels(Map<String, String> labels, Set<String> names) {
         if (names == null) {
             return labels;
         }
@@ -132,8 +132,8 @@
 
     private Node comparison() {
         Node left = sum();
-        while (next < tokens.size() && Set.of(">", "<", ">=", "<=", "==", "!=").contains(tokens.get(next))) {
-            String operator = tokens.get(next++);
+        while (nextToken < tokens.size() && Set.of(">", "<", ">=", "<=", "==", "!=").contains(tokens.get(nextToken))) {
+            String operator = tokens.get(nextToken++);
             left = binary(left, sum(), operator);
         }
         return left;
@@ -141,26 +141,26 @@
 
     private Node sum() {
         Node left = product();
-        while (next < tokens.size() && Set.of("+", "-").contains(tokens.get(next))) {
-            String operator = tokens.get(next++);
+        while (nextToken < tokens.size() && Set.of("+", "-").contains(tokens.get(nextToken))) {
+            String operator = tokens.get(nextToken++);
             left = binary(left, product(), operator);
         }
         return left;
     }
 
     private Node product() {
-        Node left = atom();
-        while (next < tokens.size() && Set.of("*", "/").contains(tokens.get(next))) {
-            String operator = tokens.get(next++);
-            left = binary(left, atom(), operator);
+        Node left = primary();
+        while (nextToken < tokens.size() && Set.of("*", "/").contains(tokens.get(nextToken))) {
+            String operator = tokens.get(nextToken++);
+            left = binary(left, primary(), operator);
         }
         return left;
     }
 
     private static Node binary(Node left, Node right, String operator) {
         return (store, now) -> {
-            Value a = left.at(store, now);
-            Value b = right.at(store, now);
+            Value a = left.evaluate(store, now);
+            Value b = right.evaluate(store, now);
             if (a.scalar != null && b.scalar != null) {
                 return Value.of(apply(operator, a.scalar, b.scalar));
             }
@@ -198,28 +198,28 @@
         };
     }
 
-    private Set<String> names() {
+    private Set<String> labelNames() {
         Set<String> names = new TreeSet<>();
-        need("(");
-        while (!take(")")) {
-            names.add(tokens.get(next++));
-            take(",");
+        expect("(");
+        while (!accept(")")) {
+            names.add(tokens.get(nextToken++));
+            accept(",");
         }
         return names;
     }
 
-    private Node atom() {
-        if (next >= tokens.size()) {
+    private Node primary() {
+        if (nextToken >= tokens.size()) {
             throw unexpected();
         }
-        if (take("(")) {
+        if (accept("(")) {
             Node inner = conjunction();
-            need(")");
+            expect(")");
             return inner;
         }
-        String word = tokens.get(next);
+        String word = tokens.get(nextToken);
         if (word.matches("[0-9.].*") && !word.matches(".*[a-z]$")) {
-            next++;
+            nextToken++;
             double number = Double.parseDouble(word);
             return (store, now) -> Value.of(number);
         }
@@ -231,66 +231,66 @@
             case "rate", "increase" -> function(word);
             case "absent" -> absent();
             default -> {
-                Range range = selector();
-                if (range.millis > 0) {
+                RangeSelector range = selector();
+                if (range.rangeMillis > 0) {
                     throw unexpected();
                 }
-                yield (store, now) -> instant(range, store, now);
+                yield (store, now) -> instantValue(range, store, now);
             }
         };
     }
 
-    private Value instant(Range range, SampleStore store, long now) {
+    private Value instantValue(RangeSelector range, SampleStore store, long now) {
         Map<Map<String, String>, Double> values = new LinkedHashMap<>();
-        range.in(store, now, lookback).forEach((labels, samples) -> {
+        range.samples(store, now, lookbackMillis).forEach((labels, samples) -> {
             SampleStore.Sample last = samples.get(samples.size() - 1);
             if (!last.stale()) {
-                values.put(unnamed(labels), last.value());
+                values.put(withoutName(labels), last.value());
             }
         });
         return new Value(values, null);
     }
 
-    private static Map<String, String> unnamed(Map<String, String> labels) {
+    private static Map<String, String> withoutName(Map<String, String> labels) {
         Map<String, String> rest = new TreeMap<>(labels);
         rest.remove("__name__");
         return rest;
     }
 
     private Node aggregation(String how) {
-        next++;
-        Set<String> by = take("by") ? names() : Set.of();
-        need("(");
+        nextToken++;
+        Set<String> by = accept("by") ? labelNames() : Set.of();
+        expect("(");
         Node inner = conjunction();
-        need(")");
+        expect(")");
         return (store, now) -> {
             Map<Map<String, String>, Double> groups = new LinkedHashMap<>();
-            inner.at(store, now).vector.forEach((labels, value) -> groups.merge(only(labels, by), value,
+            inner.evaluate(store, now).vector.forEach((labels, value) -> groups.merge(retainLabels(labels, by), value,
                     how.equals("sum") ? Double::sum : Math::max));
             return new Value(groups, null);
         };
     }
 
     private Node absent() {
-        next++;
-        need("(");
+        nextToken++;
+        expect("(");
         Node inner = conjunction();
-        need(")");
-        return (store, now) -> new Value(inner.at(store, now).vector.isEmpty() ? Map.of(Map.of(), 1.0) : Map.of(), null);
+        expect(")");
+        return (store, now) -> new Value(inner.evaluate(store, now).vector.isEmpty() ? Map.of(Map.of(), 1.0) : Map.of(), null);
     }
 
     /** {@code rate} and {@code increase}: counter resets are added up, and the ends extrapolated as the documentation has it. */
     private Node function(String name) {
-        next++;
-        need("(");
-        Range range = selector();
-        if (range.millis == 0) {
+        nextToken++;
+        expect("(");
+        RangeSelector range = selector();
+        if (range.rangeMillis == 0) {
             throw unexpected();
         }
-        need(")");
+        expect(")");
         return (store, now) -> {
             Map<Map<String, String>, Double> values = new LinkedHashMap<>();
-            range.in(store, now, range.millis).forEach((labels, all) -> {
+            range.samples(store, now, range.rangeMillis).forEach((labels, all) -> {
                 List<SampleStore.Sample> samples = all.stream().filter(s -> !s.stale()).toList();
                 if (samples.size() < 2) {
                     return;
@@ -302,49 +302,49 @@
                 }
                 SampleStore.Sample first = samples.get(0);
                 SampleStore.Sample last = samples.get(samples.size() - 1);
-                double covered = last.at() - first.at();
+                double covered = last.timestamp() - first.timestamp();
                 double mean = covered / (samples.size() - 1);
-                double before = first.at() - (now - range.millis);
-                double after = now - last.at();
+                double before = first.timestamp() - (now - range.rangeMillis);
+                double after = now - last.timestamp();
                 // A counter cannot have been below zero: it did not begin before it would have been.
                 before = rise > 0 && first.value() >= 0 ? Math.min(before, covered * first.value() / rise) : before;
                 double whole = covered + (before < mean * 1.1 ? before : mean / 2) + (after < mean * 1.1 ? after : mean / 2);
                 double increase = rise * whole / covered;
-                values.put(unnamed(labels), name.equals("rate") ? increase / (range.millis / 1000.0) : increase);
+                values.put(withoutName(labels), name.equals("rate") ? increase / (range.rangeMillis / 1000.0) : increase);
             });
             return new Value(values, null);
         };
     }
 
-    private Range selector() {
-        String name = tokens.get(next++);
-        if (!name.matches("[a-zA-Z_:].*") || next < tokens.size() && tokens.get(next).equals("(")) {
-            next--;
+    private RangeSelector selector() {
+        String name = tokens.get(nextToken++);
+        if (!name.matches("[a-zA-Z_:].*") || nextToken < tokens.size() && tokens.get(nextToken).equals("(")) {
+            nextToken--;
             throw unexpected();
         }
         List<String[]> matchers = new ArrayList<>();
-        if (take("{")) {
-            while (!take("}")) {
-                String label = tokens.get(next++);
-                String how = tokens.get(next++);
+        if (accept("{")) {
+            while (!accept("}")) {
+                String label = tokens.get(nextToken++);
+                String how = tokens.get(nextToken++);
                 if (!how.equals("=") && !how.equals("!=")) {
-                    next--;
+                    nextToken--;
                     throw unexpected();
                 }
-                matchers.add(new String[] {label, how, tokens.get(next++).replace("\"", "")});
-                take(",");
+                matchers.add(new String[] {label, how, tokens.get(nextToken++).replace("\"", "")});
+                accept(",");
             }
         }
         long millis = 0;
-        if (take("[")) {
-            millis = duration(tokens.get(next++));
-            need("]");
+        if (accept("[")) {
+            millis = parseDurationMillis(tokens.get(nextToken++));
+            expect("]");
         }
-        return new Range(name, matchers, millis);
+        return new RangeSelector(name, matchers, millis);
     }
 
     /** Milliseconds of a duration of one unit. */
-    public static long duration(String text) {
+    public static long parseDurationMillis(String text) {
         Matcher matcher = Pattern.compile("([0-9]+)(ms|s|m|h)").matcher(text);
         if (!matcher.matches()) {
             throw new IllegalArgumentException(text + ": no duration");
--- a/standins/src/main/java/gradereach/standins/prometheus/Receiver.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RemoteWriteServer.java
@@ -24,7 +24,7 @@
  * {@code 429} (with Retry-After), {@code 400-one} (refuses the series of one name and takes the rest), {@code only-one} (415 for
  * 2.0), {@code reset} (ends the connection without an answer), {@code 500}.
  */
-public final class Receiver implements AutoCloseable {
+public final class RemoteWriteServer implements AutoCloseable {
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread made = new Thread(work, "receiver");
@@ -33,20 +33,20 @@
     });
     public final SampleStore store = new SampleStore();
     public volatile String fault = "";
-    public volatile long delay = 30_000;
-    public volatile String refusedName = "";
+    public volatile long delayMillis = 30_000;
+    public volatile String rejectedName = "";
     public volatile int retryAfterSeconds = 1;
-    private final AtomicInteger requests = new AtomicInteger();
-    private final List<long[]> arrivals = new ArrayList<>();
-    private long bytes;
-    private long accepted;
-    private long ones;
-    private long twos;
+    private final AtomicInteger requestCount = new AtomicInteger();
+    private final List<long[]> arrivalTimes = new ArrayList<>();
+    private long acceptedBytes;
+    private long acceptedSamples;
+    private long version1Requests;
+    private long version2Requests;
 
-    public Receiver() throws IOException {
+    public RemoteWriteServer() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
         server.setExecutor(threads);
-        server.createContext("/api/v1/write", this::write);
+        server.createContext("/api/v1/write", this::handleWrite);
         server.start();
     }
 
@@ -54,17 +54,17 @@
         return "http://127.0.0.1:" + server.getAddress().getPort() + "/api/v1/write";
     }
 
-    private void write(HttpExchange ask) throws IOException {
-        int number = requests.incrementAndGet();
+    private void handleWrite(HttpExchange ask) throws IOException {
+        int number = requestCount.incrementAndGet();
         byte[] body = ask.getRequestBody().readAllBytes();
         synchronized (this) {
-            arrivals.add(new long[] {System.nanoTime() / 1_000_000, body.length});
+            arrivalTimes.add(new long[] {System.nanoTime() / 1_000_000, body.length});
         }
         String now = fault;
         boolean two = ask.getRequestHeaders().getFirst("Content-Type").contains("io.prometheus.write.v2.Request");
         if (now.equals("hang")) {
             try {
-                Thread.sleep(delay);
+                Thread.sleep(delayMillis);
             } catch (InterruptedException e) {
                 ask.close();
                 return;
@@ -88,31 +88,31 @@
             status = 415;
         }
         if (status == 204) {
-            int refused = two ? takeTwo(ask, body) : takeOne(body);
+            int refused = two ? storeVersion2(ask, body) : storeVersion1(body);
             status = refused > 0 ? 400 : 204;
             synchronized (this) {
-                bytes += body.length;
-                ones += two ? 0 : 1;
-                twos += two ? 1 : 0;
+                acceptedBytes += body.length;
+                version1Requests += two ? 0 : 1;
+                version2Requests += two ? 1 : 0;
             }
         }
         ask.sendResponseHeaders(status, -1);
         ask.close();
     }
 
-    private int takeOne(byte[] body) throws IOException {
+    private int storeVersion1(byte[] body) throws IOException {
         int refused = 0;
         for (TimeSeries series : WriteRequest.parseFrom(Snappy.uncompress(body)).getTimeseriesList()) {
             Map<String, String> labels = new TreeMap<>();
             series.getLabelsList().forEach(label -> labels.put(label.getName(), label.getValue()));
             for (var sample : series.getSamplesList()) {
-                refused += keep(labels, sample.getTimestamp(), sample.getValue()) ? 0 : 1;
+                refused += addSample(labels, sample.getTimestamp(), sample.getValue()) ? 0 : 1;
             }
         }
         return refused;
     }
 
-    private int takeTwo(HttpExchange ask, byte[] body) throws IOException {
+    private int storeVersion2(HttpExchange ask, byte[] body) throws IOException {
         Request request = Request.parseFrom(Snappy.uncompress(body));
         int samples = 0;
         int histograms = 0;
@@ -123,7 +123,7 @@
                 labels.put(request.getSymbols(series.getLabelsRefs(i)), request.getSymbols(series.getLabelsRefs(i + 1)));
             }
             for (var sample : series.getSamplesList()) {
-                boolean kept = keep(labels, sample.getTimestamp(), sample.getValue());
+                boolean kept = addSample(labels, sample.getTimestamp(), sample.getValue());
                 samples += kept ? 1 : 0;
                 refused += kept ? 0 : 1;
             }
@@ -135,7 +135,7 @@
                     last += delta;
                     sum += last;
                 }
-                boolean kept = sum == histogram.getCountInt() && keep(labels, histogram.getTimestamp(), histogram.getCountInt());
+                boolean kept = sum == histogram.getCountInt() && addSample(labels, histogram.getTimestamp(), histogram.getCountInt());
                 histograms += kept ? 1 : 0;
                 refused += kept ? 0 : 1;
             }
@@ -146,36 +146,36 @@
         return refused;
     }
 
-    private boolean keep(Map<String, String> labels, long at, double value) {
-        if (fault.equals("400-one") && refusedName.equals(labels.get("__name__")) || !store.add(labels, at, value)) {
+    private boolean addSample(Map<String, String> labels, long at, double value) {
+        if (fault.equals("400-one") && rejectedName.equals(labels.get("__name__")) || !store.add(labels, at, value)) {
             return false;
         }
         synchronized (this) {
-            accepted++;
+            acceptedSamples++;
         }
         return true;
     }
 
-    public int requests() {
-        return requests.get();
+    public int requestCount() {
+        return requestCount.get();
     }
 
-    public synchronized long accepted() {
-        return accepted;
+    public synchronized long acceptedSamples() {
+        return acceptedSamples;
     }
 
-    public synchronized long bytes() {
-        return bytes;
+    public synchronized long acceptedBytes() {
+        return acceptedBytes;
     }
 
     /** Requests taken in version 1.0, and in 2.0. */
-    public synchronized long[] versions() {
-        return new long[] {ones, twos};
+    public synchronized long[] requestsByVersion() {
+        return new long[] {version1Requests, version2Requests};
     }
 
     /** When each request came, in milliseconds of the machine's own clock. */
-    public synchronized long[] arrivals() {
-        return arrivals.stream().mapToLong(a -> a[0]).toArray();
+    public synchronized long[] arrivalTimes() {
+        return arrivalTimes.stream().mapToLong(a -> a[0]).toArray();
     }
 
     @Override
--- a/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
@@ -11,7 +11,7 @@
     /** The value that ends a series. */
     static final long STALE = 0x7ff0000000000002L;
 
-    record Sample(long at, double value) {
+    record Sample(long timestamp, double value) {
         boolean stale() {
             return Double.doubleToRawLongBits(value) == STALE;
         }
@@ -19,8 +19,8 @@
 
     private final Map<Map<String, String>, List<Sample>> series = new HashMap<>();
     private final Map<String, List<Map<String, String>>> byName = new HashMap<>();
-    private long samples;
-    private long outOfOrder;
+    private long sampleCount;
+    private long outOfOrderCount;
 
     /** False where it is older than what its series has: a receiver would refuse it. One more of the same time and value is none. */
     public synchronized boolean add(Map<String, String> labels, long at, double value) {
@@ -29,28 +29,28 @@
             byName.computeIfAbsent(k.get("__name__"), n -> new ArrayList<>()).add(k);
             return new ArrayList<>();
         });
-        if (!own.isEmpty() && own.get(own.size() - 1).at >= at) {
+        if (!own.isEmpty() && own.get(own.size() - 1).timestamp >= at) {
             Sample last = own.get(own.size() - 1);
-            boolean again = last.at == at && Double.doubleToRawLongBits(last.value) == Double.doubleToRawLongBits(value);
-            outOfOrder += again ? 0 : 1;
+            boolean again = last.timestamp == at && Double.doubleToRawLongBits(last.value) == Double.doubleToRawLongBits(value);
+            outOfOrderCount += again ? 0 : 1;
             return again;
         }
         own.add(new Sample(at, value));
-        samples++;
+        sampleCount++;
         return true;
     }
 
     /** Series of that name whose samples lie in (from, to], with those samples. */
-    synchronized Map<Map<String, String>, List<Sample>> between(String name, long from, long to) {
+    synchronized Map<Map<String, String>, List<Sample>> samplesBetween(String name, long from, long to) {
         Map<Map<String, String>, List<Sample>> found = new HashMap<>();
         for (Map<String, String> labels : byName.getOrDefault(name, List.of())) {
             List<Sample> all = series.get(labels);
             int end = all.size();
-            while (end > 0 && all.get(end - 1).at > to) {
+            while (end > 0 && all.get(end - 1).timestamp > to) {
                 end--;
             }
             int begin = end;
-            while (begin > 0 && all.get(begin - 1).at > from) {
+            while (begin > 0 && all.get(begin - 1).timestamp > from) {
                 begin--;
             }
             if (begin < end) {
@@ -60,12 +60,12 @@
         return found;
     }
 
-    public synchronized long samples() {
-        return samples;
+    public synchronized long sampleCount() {
+        return sampleCount;
     }
 
-    public synchronized long outOfOrder() {
-        return outOfOrder;
+    public synchronized long outOfOrderCount() {
+        return outOfOrderCount;
     }
 
     public synchronized int seriesCount() {
@@ -73,7 +73,7 @@
     }
 
     /** The last value of the one series with that name and these labels among others; NaN without one. */
-    public synchronized double last(String name, String... labels) {
+    public synchronized double lastValue(String name, String... labels) {
         for (Map<String, String> key : byName.getOrDefault(name, List.of())) {
             boolean fits = true;
             for (int i = 0; i < labels.length; i += 2) {
@@ -88,7 +88,7 @@
     }
 
     /** How many series have ended by a stale marker. */
-    public synchronized long ended() {
+    public synchronized long endedSeriesCount() {
         return series.values().stream().filter(all -> all.get(all.size() - 1).stale()).count();
     }
 }
--- a/standins/src/test/java/gradereach/standins/ForwardOutcomesTest.java
+++ b/standins/src/test/java/gradereach/standins/ForwardOutcomesTest.java
@@ -24,52 +24,52 @@
         loop.shutdownGracefully();
     }
 
-    private ForwardOutcomes process(int mostFences) {
+    private ForwardOutcomes newProcess(int mostFences) {
         return new ForwardOutcomes(loop, 0, mostFences);
     }
 
     @Test
-    void whatWasAskedAboutBeforeItCameIsRefused() {
-        ForwardOutcomes outcomes = process(10);
-        assertEquals(new ForwardOutcomes.Found(404, "{}", true), outcomes.find(FORWARD));
-        assertFalse(outcomes.begin(FORWARD));
-        assertEquals(404, outcomes.find(FORWARD).status(), "a refused one did not run");
-        assertTrue(outcomes.begin("yard/a#fe-1-2"), "another life's forward");
+    void forwardInquiredBeforeArrivalIsRejected() {
+        ForwardOutcomes outcomes = newProcess(10);
+        assertEquals(new ForwardOutcomes.ForwardLookup(404, "{}", true), outcomes.findOrFence(FORWARD));
+        assertFalse(outcomes.tryStart(FORWARD));
+        assertEquals(404, outcomes.findOrFence(FORWARD).status(), "a refused one did not run");
+        assertTrue(outcomes.tryStart("yard/a#fe-1-2"), "another life's forward");
     }
 
     @Test
-    void whatRunsIsNotFenced() {
-        ForwardOutcomes outcomes = process(10);
-        assertTrue(outcomes.begin(FORWARD));
-        assertEquals(new ForwardOutcomes.Found(202, "{}", false), outcomes.find(FORWARD));
-        outcomes.finished(FORWARD, "done");
-        assertEquals(new ForwardOutcomes.Found(200, "done", false), outcomes.find(FORWARD));
+    void runningForwardIsNotFenced() {
+        ForwardOutcomes outcomes = newProcess(10);
+        assertTrue(outcomes.tryStart(FORWARD));
+        assertEquals(new ForwardOutcomes.ForwardLookup(202, "{}", false), outcomes.findOrFence(FORWARD));
+        outcomes.complete(FORWARD, "done");
+        assertEquals(new ForwardOutcomes.ForwardLookup(200, "done", false), outcomes.findOrFence(FORWARD));
     }
 
     @Test
-    void withoutRoomNothingIsPromised() {
-        ForwardOutcomes outcomes = process(1);
-        assertTrue(outcomes.find("first").fenced());
-        assertEquals(new ForwardOutcomes.Found(404, "{}", false), outcomes.find(FORWARD));
-        assertTrue(outcomes.begin(FORWARD));
-        assertTrue(outcomes.find("first").fenced(), "what was promised stays so");
-        assertFalse(outcomes.begin("first"));
+    void noFenceIsPromisedBeyondTheLimit() {
+        ForwardOutcomes outcomes = newProcess(1);
+        assertTrue(outcomes.findOrFence("first").fenced());
+        assertEquals(new ForwardOutcomes.ForwardLookup(404, "{}", false), outcomes.findOrFence(FORWARD));
+        assertTrue(outcomes.tryStart(FORWARD));
+        assertTrue(outcomes.findOrFence("first").fenced(), "what was promised stays so");
+        assertFalse(outcomes.tryStart("first"));
     }
 
     /** A fence ends with its process, and the next one is not the one that promised it. */
     @Test
-    void theNextProcessHasAnotherName() {
-        ForwardOutcomes ended = process(10);
-        assertTrue(ended.find(FORWARD).fenced());
-        ForwardOutcomes next = process(10);
-        assertTrue(next.begin(FORWARD));
-        assertNotEquals(ended.process(), next.process());
+    void restartedProcessHasAnotherId() {
+        ForwardOutcomes ended = newProcess(10);
+        assertTrue(ended.findOrFence(FORWARD).fenced());
+        ForwardOutcomes next = newProcess(10);
+        assertTrue(next.tryStart(FORWARD));
+        assertNotEquals(ended.processId(), next.processId());
     }
 
     /** A question and the forward come at the same time: it runs, or is said never to. */
     @Test
-    void aQuestionAndTheForwardMayCross() throws Exception {
-        ForwardOutcomes outcomes = process(CROSSINGS);
+    void concurrentInquiryAndForwardAgree() throws Exception {
+        ForwardOutcomes outcomes = newProcess(CROSSINGS);
         ExecutorService threads = Executors.newFixedThreadPool(2);
         try {
             for (int i = 0; i < CROSSINGS; i++) {
@@ -78,12 +78,12 @@
                 Future<Boolean> begun = threads.submit(() -> {
                     both.countDown();
                     both.await();
-                    return outcomes.begin(forward);
+                    return outcomes.tryStart(forward);
                 });
-                Future<ForwardOutcomes.Found> found = threads.submit(() -> {
+                Future<ForwardOutcomes.ForwardLookup> found = threads.submit(() -> {
                     both.countDown();
                     both.await();
-                    return outcomes.find(forward);
+                    return outcomes.findOrFence(forward);
                 });
                 assertNotEquals(begun.get(), found.get().fenced(), forward);
             }
--- a/standins/src/test/java/gradereach/standins/ReservedPortTest.java
+++ b/standins/src/test/java/gradereach/standins/ReservedPortTest.java
@@ -25,7 +25,7 @@
 
     /** Guards against executors that cannot start anew, since their last listener's socket is not closed yet. */
     @Test
-    void itIsListenedAtAgainAsSoonAsTheListenerHasClosed() throws Exception {
+    void canListenAgainOnceListenerClosed() throws Exception {
         try (ReservedPort port = new ReservedPort()) {
             for (int i = 0; i < RESTARTS; i++) {
                 Channel listener = port.listen(loops.next(), new ChannelInboundHandlerAdapter());
@@ -37,7 +37,7 @@
 
     /** Guards against an address that somebody's connection took while its executor was away. */
     @Test
-    void nobodyElseIsGivenItWhileNothingListens() throws Exception {
+    void portIsReservedWhileNothingListens() throws Exception {
         try (ReservedPort port = new ReservedPort(); Socket other = new Socket()) {
             other.setReuseAddress(false);
             InetSocketAddress same = new InetSocketAddress("127.0.0.1", port.number());
--- a/standins/src/test/java/gradereach/standins/faults/FaultShimTest.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultShimTest.java
@@ -18,7 +18,7 @@
 @Timeout(60)
 class FaultShimTest {
     private static final long ALWAYS = 1_000_000;
-    private static final long STEP = 3_600_000;
+    private static final long STEP_MILLIS = 3_600_000;
     private static final long STOPPED_MILLIS = 100;
 
     @TempDir
@@ -35,12 +35,12 @@
         ProcessBuilder start = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:-UsePerfData", "-cp", System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 FaultedProcess.class.getName(), folder.resolve("file").toString()).redirectErrorStream(true);
-        FaultShim.compile(folder).load(start, faults, 3, folder.resolve("counts"));
+        FaultShim.compile(folder).preload(start, faults, 3, folder.resolve("counts"));
         return start.start();
     }
 
     @Test
-    void everyFaultIsMetAndSeen() throws Exception {
+    void everyFaultIsInjectedAndSeen() throws Exception {
         List<SystemFault> faults = List.of(
                 SystemFault.error(FaultyCall.ACCEPT, Errno.EMFILE, 0.1, 0, ALWAYS),
                 SystemFault.error(FaultyCall.SOCKET, Errno.ENOBUFS, 0.1, 500, ALWAYS),
@@ -52,9 +52,9 @@
                 SystemFault.error(FaultyCall.WAIT, Errno.EINTR, 0.3, 0, ALWAYS),
                 SystemFault.error(FaultyCall.FILE, Errno.ENOSPC, 0.1, 0, ALWAYS),
                 SystemFault.error(FaultyCall.SYNC, Errno.EIO, 0.1, 0, ALWAYS),
-                SystemFault.clockStep(STEP, 0, ALWAYS));
+                SystemFault.clockStep(STEP_MILLIS, 0, ALWAYS));
         String printed = run(faults);
-        long[] met = FaultShim.met(folder.resolve("counts"), faults);
+        long[] met = FaultShim.faultCounts(folder.resolve("counts"), faults);
         for (int i = 0; i < met.length; i++) {
             boolean onlyWritten = faults.get(i).call() == FaultyCall.READ_CONNECTED || faults.get(i).call() == FaultyCall.SOCKET;
             assertTrue(met[i] > 0 || onlyWritten, faults.get(i) + " was not met");
@@ -73,7 +73,7 @@
     /** The wall clock is stepped alone, either way, and within the span only. */
     @ParameterizedTest
     @CsvSource({"3600000, 0, 3600000", "-3600000, 0, -3600000", "3600000, 1000000, 0"})
-    void theWallClockIsSteppedAlone(long step, long from, long seen) throws Exception {
+    void onlyWallClockIsStepped(long step, long from, long seen) throws Exception {
         long before = System.currentTimeMillis();
         String printed = run(List.of(SystemFault.clockStep(step, from, from + ALWAYS)));
         long after = System.currentTimeMillis();
@@ -85,29 +85,29 @@
 
     /** Guards against a judgement of a connection's end without what was read of it and who ended it. */
     @Test
-    void connectionsAreRecordedFromTheirBeginToTheirEnd() throws Exception {
+    void connectionsAreRecordedUntilClosed() throws Exception {
         long before = System.nanoTime();
         run(List.of(SystemFault.error(FaultyCall.WRITE_CONNECTED, Errno.ETIMEDOUT, 0.1, 0, ALWAYS)));
         List<ConnectionEvent> events = FaultShim.connectionEvents(folder.resolve("counts"));
         List<ConnectionEvent> broken = events.stream().filter(event -> event.kind() == ConnectionEvent.Kind.BROKEN).toList();
-        assertTrue(!broken.isEmpty() && broken.size() < FaultedProcess.TIMES / 2, broken.size() + " broken");
+        assertTrue(!broken.isEmpty() && broken.size() < FaultedProcess.ROUNDS / 2, broken.size() + " broken");
         assertTrue(broken.stream().allMatch(event -> event.detail() == Errno.ETIMEDOUT.number));
         long connected = events.stream().filter(event -> event.kind() == ConnectionEvent.Kind.CONNECTED).count();
         List<ConnectionEvent> accepted = events.stream().filter(event -> event.kind() == ConnectionEvent.Kind.ACCEPTED).toList();
-        assertEquals(FaultedProcess.TIMES, connected);
-        assertEquals(FaultedProcess.TIMES, accepted.size());
+        assertEquals(FaultedProcess.ROUNDS, connected);
+        assertEquals(FaultedProcess.ROUNDS, accepted.size());
         for (ConnectionEvent begin : accepted) {
             ConnectionEvent end = events.stream().filter(event -> event.kind() == ConnectionEvent.Kind.CLOSED
                     && event.localPort() == begin.localPort() && event.remotePort() == begin.remotePort()).findAny().orElseThrow();
             boolean wasBroken = broken.stream().anyMatch(event -> event.localPort() == begin.remotePort());
-            assertEquals(wasBroken ? 0 : FaultedProcess.BYTES, end.received());
-            assertTrue(before < begin.nanos() && begin.nanos() <= end.nanos() && end.nanos() < System.nanoTime());
+            assertEquals(wasBroken ? 0 : FaultedProcess.BYTES, end.bytesReceived());
+            assertTrue(before < begin.nanoTime() && begin.nanoTime() <= end.nanoTime() && end.nanoTime() < System.nanoTime());
         }
     }
 
     /** Guards against taking a stop between the last look at the clock and a write for one that looks too seldom. */
     @Test
-    void aWriteThatAStopHeldUpIsRecorded() throws Exception {
+    void writeDelayedByStopIsRecorded() throws Exception {
         Process process = start(List.of(SystemFault.stop(FaultyCall.WRITE_CONNECTED, 0.02, 0, ALWAYS)));
         Path state = Path.of("/proc", Long.toString(process.pid()), "stat");
         while (process.isAlive()) {
@@ -132,9 +132,9 @@
 
     /** The span of a fault counts: outside of it nothing fails. */
     @Test
-    void nothingFailsOutsideOfItsSpan() throws Exception {
+    void noFaultOutsideItsInterval() throws Exception {
         List<SystemFault> faults = List.of(SystemFault.error(FaultyCall.CONNECT, Errno.ENETUNREACH, 1, ALWAYS, 2 * ALWAYS));
         assertTrue(run(faults).contains("errors=[]"));
-        assertEquals(0, FaultShim.met(folder.resolve("counts"), faults)[0]);
+        assertEquals(0, FaultShim.faultCounts(folder.resolve("counts"), faults)[0]);
     }
 }
--- a/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
@@ -14,7 +14,7 @@
 
 /** Makes every kind of call that the shim knows, and prints what it met: one line a kind. */
 final class FaultedProcess {
-    static final int TIMES = 200;
+    static final int ROUNDS = 200;
     static final int BYTES = 1000;
 
     private final Set<String> errors = new TreeSet<>();
@@ -28,13 +28,13 @@
         long monotonic = System.nanoTime();
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress("127.0.0.1", 0));
-            for (int i = 0; i < TIMES; i++) {
+            for (int i = 0; i < ROUNDS; i++) {
                 process.transfer(listener);
             }
         }
         process.file(Path.of(args[0]));
         try (Selector selector = Selector.open()) {
-            for (int i = 0; i < TIMES; i++) {
+            for (int i = 0; i < ROUNDS; i++) {
                 selector.select(1);
             }
         }
@@ -66,7 +66,7 @@
 
     private void file(Path path) throws IOException {
         try (FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            for (int i = 0; i < TIMES; i++) {
+            for (int i = 0; i < ROUNDS; i++) {
                 try {
                     file.write(ByteBuffer.allocate(1));
                     file.force(true);
--- a/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
+++ b/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
@@ -25,22 +25,22 @@
 class KilledFrontEndTest {
     private static final byte[] ANSWER = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     /** Milliseconds after an answer by which a client has asked again, where it is not held. */
-    private static final long ASKS_AGAIN_WITHIN = 100;
-    private static final int TRIES = 20;
+    private static final long NEXT_REQUEST_WITHIN_MILLIS = 100;
+    private static final int MAX_ATTEMPTS = 20;
 
     /** Holds every thread of the peers twice: what is due by the second time has not looked at the connection since. */
-    private static final class Hold {
-        private final CountDownLatch held = new CountDownLatch(2);
-        private final CountDownLatch firstOver = new CountDownLatch(1);
-        private final CountDownLatch secondBegan = new CountDownLatch(2);
-        private final CountDownLatch secondOver = new CountDownLatch(1);
+    private static final class EventLoopBlock {
+        private final CountDownLatch firstBlocked = new CountDownLatch(2);
+        private final CountDownLatch firstReleased = new CountDownLatch(1);
+        private final CountDownLatch secondBlocked = new CountDownLatch(2);
+        private final CountDownLatch secondReleased = new CountDownLatch(1);
 
-        Hold(PeerLoops loops) {
+        EventLoopBlock(PeerEventLoops loops) {
             for (int i = 0; i < 2; i++) {
                 var loop = loops.next();
                 loop.execute(() -> {
-                    loop.schedule(() -> await(secondBegan, secondOver), 0, TimeUnit.MILLISECONDS);
-                    await(held, firstOver);
+                    loop.schedule(() -> await(secondBlocked, secondReleased), 0, TimeUnit.MILLISECONDS);
+                    await(firstBlocked, firstReleased);
                 });
             }
         }
@@ -66,13 +66,13 @@
     }
 
     /** Whether the client asked after the end: not where it had asked again already before it was held. */
-    private static boolean asksAfterTheEnd(List<RequestAuditor.Finding> found) throws Exception {
+    private static boolean sendsRequestAfterExit(List<RequestAuditor.Finding> found) throws Exception {
         ServerSocket frontEnd = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        try (PeerLoops loops = new PeerLoops()) {
+        try (PeerEventLoops loops = new PeerEventLoops()) {
             RequestAuditor auditor = new RequestAuditor(500);
             InetSocketAddress address = (InetSocketAddress) frontEnd.getLocalSocketAddress();
             RequestClient client = new RequestClient(loops, auditor, address, 1);
-            auditor.listens(address);
+            auditor.frontEndListening(address);
             client.start();
             Socket connection = frontEnd.accept();
             readRequest(connection);
@@ -83,22 +83,22 @@
                 }
                 Thread.sleep(1);
             }
-            Hold hold = new Hold(loops);
-            hold.held.await();
-            Thread.sleep(ASKS_AGAIN_WITHIN);
-            hold.firstOver.countDown();
-            hold.secondBegan.await();
+            EventLoopBlock hold = new EventLoopBlock(loops);
+            hold.firstBlocked.await();
+            Thread.sleep(NEXT_REQUEST_WITHIN_MILLIS);
+            hold.firstReleased.countDown();
+            hold.secondBlocked.await();
             connection.setSoLinger(true, 0);
             connection.close();
             frontEnd.close();
             int before = auditor.requests();
-            auditor.killed(address, loops.now());
-            auditor.exited(address, loops.now());
-            hold.secondOver.countDown();
+            auditor.frontEndKilled(address, loops.now());
+            auditor.frontEndExited(address, loops.now());
+            hold.secondReleased.countDown();
             for (int i = 0; i < 2; i++) {
                 loops.next().submit(() -> { }).sync(); // what was due is done
             }
-            client.end();
+            client.stop();
             found.addAll(auditor.findings(Double.POSITIVE_INFINITY));
             return auditor.requests() > before;
         } finally {
@@ -111,11 +111,11 @@
     }
 
     @Test
-    void whatItsClientAsksAfterItsEndIsOwedByNobody() throws Exception {
+    void requestSentAfterFrontEndWasKilledNeedsNoAnswer() throws Exception {
         List<RequestAuditor.Finding> found = new ArrayList<>();
         boolean forced = false;
-        for (int i = 0; i < TRIES && !forced; i++) {
-            forced = asksAfterTheEnd(found);
+        for (int i = 0; i < MAX_ATTEMPTS && !forced; i++) {
+            forced = sendsRequestAfterExit(found);
         }
         assertTrue(forced, "no client asked after the end of its front end");
         assertEquals(List.of(), found);
--- a/standins/src/test/java/gradereach/standins/prometheus/ExpressionTest.java
+++ b/standins/src/test/java/gradereach/standins/prometheus/ExpressionTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.alerts.RuleFile;
+import gradereach.alerts.AlertRuleFile;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -33,23 +33,23 @@
         "absent(gone) | {}=1.0", "v and on (g) c > 299 | {g=a}=7.0", "v and on (g) c > 300 | ", "1 - v / 14 | {g=a}=0.5",
         "max by (g) (c) == 300 | {g=a}=300.0", "(v + v) * 2 | {g=a}=28.0", "rate(c{g=\"b\"}[5m]) > 0.19 and v | ",
     })
-    void expressionsMeanWhatTheDocumentationSays(String text, String result) {
-        Map<Map<String, String>, Double> value = new Expression(text, 300_000).at(store, 1_300_000 + (text.contains("gone") ? 1 : 0));
+    void evaluatesAsDocumented(String text, String result) {
+        Map<Map<String, String>, Double> value = new Expression(text, 300_000).evaluate(store, 1_300_000 + (text.contains("gone") ? 1 : 0));
         StringBuilder told = new StringBuilder();
         value.forEach((labels, one) -> told.append(labels).append('=').append(Math.round(one * 1e6) / 1e6));
         assertEquals(result == null ? "" : result, told.toString());
     }
 
     @Test
-    void aCounterThatStartsAnewLosesNothing() {
-        double rate = new Expression("rate(c{g=\"b\"}[5m])", 300_000).at(store, 1_300_000).get(Map.of("g", "b"));
+    void rateHandlesCounterReset() {
+        double rate = new Expression("rate(c{g=\"b\"}[5m])", 300_000).evaluate(store, 1_300_000).get(Map.of("g", "b"));
         assertEquals(0.2, rate, 0.01);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"histogram_quantile(0.9, c)", "rate(c)", "c[5m]", "c{g=~\"a\"}", "sum without (g) (c)", "c > bool 1", "(c", "c c",
         "c offset 5m", "-c"})
-    void whatTheRulesDoNotUseIsRefused(String text) {
+    void unsupportedSyntaxIsRejected(String text) {
         assertThrows(IllegalArgumentException.class, () -> new Expression(text, 300_000));
     }
 
@@ -59,9 +59,9 @@
         "failed, GradereachFails GradereachServiceFastBurn GradereachServiceSlowBurn",
         "late, GradereachServiceFastBurn GradereachServiceSlowBurn", "silent, GradereachSilent", "roster, GradereachRosterOld", "store, GradereachStoreSlow",
         "ledger, GradereachLedgerFails", "outbox, GradereachOutboxStuck", "limit, GradereachLimitNear", "module, GradereachModuleFailed"})
-    void eachTroubleHasItsAlert(String trouble, String alerts) throws Exception {
+    void eachFaultFiresItsAlert(String trouble, String alerts) throws Exception {
         SampleStore told = new SampleStore();
-        RuleRunner rules = new RuleRunner(new RuleFile(Map.of("lookup", 0.99), 2000, 60_000, "docs/alerts.md").text(), told, 300_000);
+        RuleEvaluator rules = new RuleEvaluator(new AlertRuleFile(Map.of("lookup", 0.99), 2000, 60_000, "docs/alerts.md").toYaml(), told, 300_000);
         double[] c = new double[10];
         for (long t = 0; t <= 90 * 60_000; t += 15_000) {
             long now = 1_000_000_000 + t;
@@ -99,9 +99,9 @@
             told.add(Map.of("__name__", "gradereach_limit_bound", "instance", "fe", "limit", "inferences_held"), now, 100);
             rules.evaluate(now);
         }
-        List<String> fired = rules.fired().stream().map(RuleRunner.Fired::alert).distinct().sorted().toList();
+        List<String> fired = rules.fired().stream().map(RuleEvaluator.FiredAlert::alert).distinct().sorted().toList();
         assertEquals(alerts == null ? "" : alerts, String.join(" ", fired));
-        assertTrue(rules.fired().stream().allMatch(f -> f.at() > 1_000_000_000 + 60 * 60_000), "before its trouble");
+        assertTrue(rules.fired().stream().allMatch(f -> f.firedAt() > 1_000_000_000 + 60 * 60_000), "before its trouble");
     }
 
     private static void counter(SampleStore to, long now, String name, double value, String... labels) {
--- a/telemetry/src/main/java/gradereach/alerts/RuleFile.java
+++ b/telemetry/src/main/java/gradereach/alerts/AlertRuleFile.java
@@ -12,27 +12,27 @@
  * The Prometheus rules file that comes with the program: recording rules, then alerts over them (Prometheus, "Recording rules",
  * "Alerting rules"). Burn rates as in the SRE workbook, "Alerting on SLOs": a fast and a slow pair of windows.
  */
-public final class RuleFile {
+public final class AlertRuleFile {
     /** Where a model group names none: one in twenty may miss, as on the users' benches. */
-    public static final double OBJECTIVE = 0.95;
+    public static final double DEFAULT_OBJECTIVE = 0.95;
     /** A load that takes three times what models say is slow. */
-    public static final double SLOW_LOADS = 3;
+    public static final double SLOW_LOAD_FACTOR = 3;
     /** Of the time in which the whole allowance would be used: 2% of a month's in an hour, 5% in six. */
-    private static final double FAST_BURN = 14.4;
-    private static final double SLOW_BURN = 6;
+    private static final double FAST_BURN_RATE = 14.4;
+    private static final double SLOW_BURN_RATE = 6;
     /** Half of everything missed is reason enough, whatever the objective: a low one's burn rates lie beyond all. */
-    private static final double MOST_MISSED = 0.5;
+    private static final double MAX_MISSED_RATIO = 0.5;
     /** Above these, somebody should look; the module sheds little before it is short. */
-    private static final double SHED_SHARE = 0.05;
-    private static final double FAILED_SHARE = 0.02;
-    private static final double LOADS_FAILED_SHARE = 0.2;
-    private static final double BROKEN_SHARE = 0.05;
-    private static final double LIMIT_SHARE = 0.8;
+    private static final double SHED_RATIO = 0.05;
+    private static final double FAILED_RATIO = 0.02;
+    private static final double LOADS_FAILED_RATIO = 0.2;
+    private static final double BROKEN_FORWARDS_RATIO = 0.05;
+    private static final double LIMIT_USED_RATIO = 0.8;
 
     private final Map<String, Double> objectives;
-    private final double loadMillis;
-    private final double minute;
-    private final String page;
+    private final double slowLoadMillis;
+    private final double millisPerMinute;
+    private final String runbookPage;
 
     /**
      * @param objectives share of the value asked for that is to be returned within the SLO time, by model group
@@ -40,29 +40,29 @@
      * @param minute milliseconds that a minute of the rules lasts: 60,000, or less where a rehearsal plays fast
      * @param page where the operators' page is
      */
-    public RuleFile(Map<String, Double> objectives, double loadMillis, double minute, String page) {
+    public AlertRuleFile(Map<String, Double> objectives, double loadMillis, double minute, String page) {
         this.objectives = objectives;
-        this.loadMillis = loadMillis;
-        this.minute = minute;
-        this.page = page;
+        this.slowLoadMillis = loadMillis;
+        this.millisPerMinute = minute;
+        this.runbookPage = page;
     }
 
     /** As Prometheus writes durations: one unit, whole. */
-    private String minutes(double count) {
-        long millis = Math.round(count * minute);
+    private String duration(double count) {
+        long millis = Math.round(count * millisPerMinute);
         return millis % 3_600_000 == 0 ? millis / 3_600_000 + "h" : millis % 60_000 == 0 ? millis / 60_000 + "m"
                 : millis % 1000 == 0 ? millis / 1000 + "s" : millis + "ms";
     }
 
-    public String text() {
+    public String toYaml() {
         ObjectMapper yaml = new ObjectMapper(new YAMLFactory().enable(YAMLGenerator.Feature.MINIMIZE_QUOTES)
                 .disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER).disable(YAMLGenerator.Feature.SPLIT_LINES));
         ObjectNode file = yaml.createObjectNode();
         ArrayNode groups = file.putArray("groups");
-        ObjectNode recorded = groups.addObject().put("name", "gradereach-recorded").put("interval", minutes(0.5));
-        record(recorded.putArray("rules"));
-        ObjectNode alerts = groups.addObject().put("name", "gradereach-alerts").put("interval", minutes(0.5));
-        alert(alerts.putArray("rules"));
+        ObjectNode recorded = groups.addObject().put("name", "gradereach-recorded").put("interval", duration(0.5));
+        addRecordingRules(recorded.putArray("rules"));
+        ObjectNode alerts = groups.addObject().put("name", "gradereach-alerts").put("interval", duration(0.5));
+        addAlerts(alerts.putArray("rules"));
         try {
             return yaml.writeValueAsString(file);
         } catch (IOException e) {
@@ -70,80 +70,80 @@
         }
     }
 
-    private void record(ArrayNode rules) {
+    private void addRecordingRules(ArrayNode rules) {
         for (double window : new double[] {5, 30, 60, 360}) {
             rules.addObject().put("record", "gradereach:missed:ratio_" + (int) window + "m").put("expr",
-                    "1 - sum by (group) (rate(gradereach_group_value_in_slo_total[" + minutes(window) + "])) / "
-                    + "sum by (group) (rate(gradereach_group_value_asked_total[" + minutes(window) + "]))");
+                    "1 - sum by (group) (rate(gradereach_group_value_in_slo_total[" + duration(window) + "])) / "
+                    + "sum by (group) (rate(gradereach_group_value_asked_total[" + duration(window) + "]))");
         }
         for (String end : new String[] {"shed", "failed"}) {
             rules.addObject().put("record", "gradereach:" + end + ":ratio_5m").put("expr",
-                    "sum by (group) (rate(gradereach_group_inferences_ended_total{outcome=\"" + end + "\"}[" + minutes(5) + "])) / "
-                    + "sum by (group) (rate(gradereach_group_inferences_total[" + minutes(5) + "]))");
+                    "sum by (group) (rate(gradereach_group_inferences_ended_total{outcome=\"" + end + "\"}[" + duration(5) + "])) / "
+                    + "sum by (group) (rate(gradereach_group_inferences_total[" + duration(5) + "]))");
         }
         rules.addObject().put("record", "gradereach:load_milliseconds:mean_5m").put("expr",
-                "sum(rate(gradereach_load_orders_milliseconds_total[" + minutes(5) + "])) / sum(rate(gradereach_load_orders_sent_total["
-                + minutes(5) + "]))");
+                "sum(rate(gradereach_load_orders_milliseconds_total[" + duration(5) + "])) / sum(rate(gradereach_load_orders_sent_total["
+                + duration(5) + "]))");
         rules.addObject().put("record", "gradereach:loads_failed:ratio_5m").put("expr",
-                "(sum(rate(gradereach_load_orders_ended_full_total[" + minutes(5) + "])) + sum(rate(gradereach_load_orders_ended_error_total["
-                + minutes(5) + "])) + sum(rate(gradereach_load_orders_ended_timed_out_total[" + minutes(5) + "]))) / "
-                + "sum(rate(gradereach_load_orders_sent_total[" + minutes(5) + "]))");
+                "(sum(rate(gradereach_load_orders_ended_full_total[" + duration(5) + "])) + sum(rate(gradereach_load_orders_ended_error_total["
+                + duration(5) + "])) + sum(rate(gradereach_load_orders_ended_timed_out_total[" + duration(5) + "]))) / "
+                + "sum(rate(gradereach_load_orders_sent_total[" + duration(5) + "]))");
         rules.addObject().put("record", "gradereach:forwards_broken:ratio_5m").put("expr",
-                "(sum(rate(gradereach_forwards_ended_reset_total[" + minutes(5) + "])) + "
-                + "sum(rate(gradereach_forwards_ended_connect_failed_total[" + minutes(5) + "])) + "
-                + "sum(rate(gradereach_forwards_ended_timed_out_total[" + minutes(5) + "]))) / "
-                + "sum(rate(gradereach_forwards_sent_total[" + minutes(5) + "]))");
+                "(sum(rate(gradereach_forwards_ended_reset_total[" + duration(5) + "])) + "
+                + "sum(rate(gradereach_forwards_ended_connect_failed_total[" + duration(5) + "])) + "
+                + "sum(rate(gradereach_forwards_ended_timed_out_total[" + duration(5) + "]))) / "
+                + "sum(rate(gradereach_forwards_sent_total[" + duration(5) + "]))");
         rules.addObject().put("record", "gradereach:limit_used:ratio").put("expr",
                 "max by (instance, limit) (gradereach_limit_present / gradereach_limit_bound)");
     }
 
-    private void alert(ArrayNode rules) {
+    private void addAlerts(ArrayNode rules) {
         objectives.forEach((group, objective) -> {
-            burns(rules, group, objective, "Fast", 5, 60, FAST_BURN, 2, "critical");
-            burns(rules, group, objective, "Slow", 30, 360, SLOW_BURN, 15, "warning");
+            addBurnRateAlert(rules, group, objective, "Fast", 5, 60, FAST_BURN_RATE, 2, "critical");
+            addBurnRateAlert(rules, group, objective, "Slow", 30, 360, SLOW_BURN_RATE, 15, "warning");
         });
-        one(rules, "GradereachSheds", "gradereach:shed:ratio_5m > " + SHED_SHARE, 2, "warning",
-                "more than " + SHED_SHARE + " of {{ $labels.group }} is shed");
-        one(rules, "GradereachFails", "gradereach:failed:ratio_5m > " + FAILED_SHARE, 2, "critical",
-                "more than " + FAILED_SHARE + " of {{ $labels.group }} fails");
-        one(rules, "GradereachLoadsFail", "gradereach:loads_failed:ratio_5m > " + LOADS_FAILED_SHARE, 2, "warning",
-                "more than " + LOADS_FAILED_SHARE + " of the load orders do not end with what was ordered");
-        one(rules, "GradereachStoreSlow", "gradereach:load_milliseconds:mean_5m > " + loadMillis, 2, "warning",
-                "loads take longer than " + loadMillis + " ms on the mean");
-        one(rules, "GradereachExecutorsBreak", "gradereach:forwards_broken:ratio_5m > " + BROKEN_SHARE, 1, "warning",
-                "more than " + BROKEN_SHARE + " of the forwards meet broken or silent executors");
-        one(rules, "GradereachLimitNear", "gradereach:limit_used:ratio{limit!=\"grpc_connections\"} > " + LIMIT_SHARE, 2, "warning",
-                "{{ $labels.limit }} on {{ $labels.instance }} is over " + LIMIT_SHARE + " of its bound");
-        one(rules, "GradereachRosterOld", "sum by (instance) (increase(gradereach_roster_failures_total[" + minutes(5) + "])) > 0", 5,
+        addAlert(rules, "GradereachSheds", "gradereach:shed:ratio_5m > " + SHED_RATIO, 2, "warning",
+                "more than " + SHED_RATIO + " of {{ $labels.group }} is shed");
+        addAlert(rules, "GradereachFails", "gradereach:failed:ratio_5m > " + FAILED_RATIO, 2, "critical",
+                "more than " + FAILED_RATIO + " of {{ $labels.group }} fails");
+        addAlert(rules, "GradereachLoadsFail", "gradereach:loads_failed:ratio_5m > " + LOADS_FAILED_RATIO, 2, "warning",
+                "more than " + LOADS_FAILED_RATIO + " of the load orders do not end with what was ordered");
+        addAlert(rules, "GradereachStoreSlow", "gradereach:load_milliseconds:mean_5m > " + slowLoadMillis, 2, "warning",
+                "loads take longer than " + slowLoadMillis + " ms on the mean");
+        addAlert(rules, "GradereachExecutorsBreak", "gradereach:forwards_broken:ratio_5m > " + BROKEN_FORWARDS_RATIO, 1, "warning",
+                "more than " + BROKEN_FORWARDS_RATIO + " of the forwards meet broken or silent executors");
+        addAlert(rules, "GradereachLimitNear", "gradereach:limit_used:ratio{limit!=\"grpc_connections\"} > " + LIMIT_USED_RATIO, 2, "warning",
+                "{{ $labels.limit }} on {{ $labels.instance }} is over " + LIMIT_USED_RATIO + " of its bound");
+        addAlert(rules, "GradereachRosterOld", "sum by (instance) (increase(gradereach_roster_failures_total[" + duration(5) + "])) > 0", 5,
                 "warning", "{{ $labels.instance }} cannot read its roster");
-        one(rules, "GradereachOutboxStuck", "gradereach_limit_present{limit=\"answers_in_outbox\"} > 0 and on (instance) "
-                + "increase(gradereach_answers_delivered_total[" + minutes(10) + "]) == 0", 10, "warning",
+        addAlert(rules, "GradereachOutboxStuck", "gradereach_limit_present{limit=\"answers_in_outbox\"} > 0 and on (instance) "
+                + "increase(gradereach_answers_delivered_total[" + duration(10) + "]) == 0", 10, "warning",
                 "promised answers of {{ $labels.instance }} are not taken by their receivers");
-        one(rules, "GradereachLedgerFails", "sum by (instance) (increase(gradereach_shed_for_the_ledger_total[" + minutes(5) + "])) > 0", 0,
+        addAlert(rules, "GradereachLedgerFails", "sum by (instance) (increase(gradereach_shed_for_the_ledger_total[" + duration(5) + "])) > 0", 0,
                 "critical", "{{ $labels.instance }} sheds what needs its ledger");
-        one(rules, "GradereachModuleFailed", "sum by (instance) (increase(gradereach_module_failures_total[" + minutes(10) + "])) > 0", 0,
+        addAlert(rules, "GradereachModuleFailed", "sum by (instance) (increase(gradereach_module_failures_total[" + duration(10) + "])) > 0", 0,
                 "critical", "the decisions of {{ $labels.instance }} broke and began anew");
-        one(rules, "GradereachHalts", "sum by (instance) (rate(gradereach_decision_turns_slow_total[" + minutes(5) + "])) > 1", 2,
+        addAlert(rules, "GradereachHalts", "sum by (instance) (rate(gradereach_decision_turns_slow_total[" + duration(5) + "])) > 1", 2,
                 "warning", "{{ $labels.instance }} stands still now and then");
-        one(rules, "GradereachPushLoses", "sum by (instance) (increase(gradereach_push_samples_dropped_total[" + minutes(10) + "])) > 0", 0,
+        addAlert(rules, "GradereachPushLoses", "sum by (instance) (increase(gradereach_push_samples_dropped_total[" + duration(10) + "])) > 0", 0,
                 "warning", "{{ $labels.instance }} lets samples go that the receiver did not take");
-        one(rules, "GradereachSilent", "absent(gradereach_inferences_taken_total)", 2, "critical", "no front end is heard");
+        addAlert(rules, "GradereachSilent", "absent(gradereach_inferences_taken_total)", 2, "critical", "no front end is heard");
     }
 
-    private void burns(ArrayNode rules, String group, double objective, String pace, int shorter, int longer, double burn,
+    private void addBurnRateAlert(ArrayNode rules, String group, double objective, String pace, int shorter, int longer, double burn,
             double forMinutes, String severity) {
-        String over = String.format(java.util.Locale.ROOT, "%.6f", Math.min(MOST_MISSED, burn * (1 - objective)));
-        one(rules, "GradereachService" + pace + "Burn", "gradereach:missed:ratio_" + shorter + "m{group=\"" + group + "\"} > " + over
+        String over = String.format(java.util.Locale.ROOT, "%.6f", Math.min(MAX_MISSED_RATIO, burn * (1 - objective)));
+        addAlert(rules, "GradereachService" + pace + "Burn", "gradereach:missed:ratio_" + shorter + "m{group=\"" + group + "\"} > " + over
                 + " and gradereach:missed:ratio_" + longer + "m{group=\"" + group + "\"} > " + over, forMinutes, severity,
                 "{{ $labels.group }} misses its objective of " + objective + " at " + burn + " times the allowed rate");
     }
 
-    private void one(ArrayNode rules, String name, String expr, double forMinutes, String severity, String says) {
+    private void addAlert(ArrayNode rules, String name, String expr, double forMinutes, String severity, String says) {
         ObjectNode rule = rules.addObject().put("alert", name).put("expr", expr);
         if (forMinutes > 0) {
-            rule.put("for", minutes(forMinutes));
+            rule.put("for", duration(forMinutes));
         }
         rule.putObject("labels").put("severity", severity);
-        rule.putObject("annotations").put("summary", says).put("runbook_url", page + "#" + name.toLowerCase());
+        rule.putObject("annotations").put("summary", says).put("runbook_url", runbookPage + "#" + name.toLowerCase());
     }
 }
--- a/telemetry/src/main/java/gradereach/measures/Grid.java
+++ b/telemetry/src/main/java/gradereach/measures/CounterTable.java
@@ -6,17 +6,17 @@
  * Counters in rows of columns, which one thread adds to without allocating or waiting and any thread reads. Rows may be bound
  * to {@link TopNames}: what leaves a slot is added to row 0, so that the sum over all rows is always all that was counted.
  */
-public final class Grid {
+public final class CounterTable {
     private final int columns;
     private final AtomicLongArray cells;
-    private final AtomicLongArray created;
+    private final AtomicLongArray createdMillis;
 
-    public Grid(int rows, int columns, long nowMillis) {
+    public CounterTable(int rows, int columns, long nowMillis) {
         this.columns = columns;
         cells = new AtomicLongArray(rows * columns);
-        created = new AtomicLongArray(rows);
+        createdMillis = new AtomicLongArray(rows);
         for (int i = 0; i < rows; i++) {
-            created.set(i, nowMillis);
+            createdMillis.set(i, nowMillis);
         }
     }
 
@@ -26,21 +26,21 @@
     }
 
     /** A row changes its meaning: its counts go to row 0 and begin anew. */
-    public void hand(int row, long nowMillis) {
+    public void moveToOthers(int row, long nowMillis) {
         for (int c = 0; c < columns; c++) {
             int i = row * columns + c;
             long had = cells.getPlain(i);
             cells.lazySet(i, 0);
             add(0, c, had);
         }
-        created.lazySet(row, nowMillis);
+        createdMillis.lazySet(row, nowMillis);
     }
 
     public long get(int row, int column) {
         return cells.get(row * columns + column);
     }
 
-    public long created(int row) {
-        return created.get(row);
+    public long createdMillis(int row) {
+        return createdMillis.get(row);
     }
 }
--- a/telemetry/src/main/java/gradereach/measures/Family.java
+++ b/telemetry/src/main/java/gradereach/measures/MetricFamily.java
@@ -7,7 +7,7 @@
  *
  * @param points one for each set of labels
  */
-public record Family(String name, Type type, String unit, String help, List<Point> points) {
+public record MetricFamily(String name, Type type, String unit, String help, List<Point> points) {
     /** What a value means. */
     public enum Type { COUNTER, GAUGE, HISTOGRAM }
 
@@ -23,10 +23,10 @@
      * An exponential histogram (Prometheus native histograms): bucket {@code i} of {@code counts} holds what lies in
      * (base^(first+i-1), base^(first+i)], base = 2^(2^-schema).
      */
-    public record Buckets(int schema, long count, double sum, int first, long[] counts, long zero) { }
+    public record Buckets(int schema, long count, double sum, int firstIndex, long[] counts, long zeroCount) { }
 
     /** Whoever has something to be measured; called by the thread that collects. */
     public interface Source {
-        void collect(List<Family> into);
+        void collect(List<MetricFamily> into);
     }
 }
--- a/telemetry/src/main/java/gradereach/remotewrite/Turns.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/PushSchedule.java
@@ -6,12 +6,12 @@
  * When one of many front ends collects and pushes: every interval, at a point of it that its name alone decides, so that sixty that
  * restart at once do not push at once, now or ever after. Unix milliseconds; no clock.
  */
-public final class Turns {
+public final class PushSchedule {
     private final long interval;
-    private final long offset;
-    private long last = Long.MIN_VALUE / 2;
+    private final long offsetMillis;
+    private long lastTimestamp = Long.MIN_VALUE / 2;
 
-    public Turns(String instance, long intervalMillis) {
+    public PushSchedule(String instance, long intervalMillis) {
         interval = intervalMillis;
         long h = 0xcbf29ce484222325L;
         for (byte b : instance.getBytes(StandardCharsets.UTF_8)) {
@@ -19,7 +19,7 @@
         }
         // FNV's low bits of like names are alike; its high ones are not.
         h = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
-        offset = Math.floorMod(h ^ h >>> 32, interval);
+        offsetMillis = Math.floorMod(h ^ h >>> 32, interval);
     }
 
     /**
@@ -27,13 +27,13 @@
      * than the one before, also where the clock went back a little; where it went back by more than an interval it is followed, and
      * what the receiver makes of that is up to its out-of-order window.
      */
-    public long stamp(long now) {
-        last = now > last || last - now > interval ? now : last + 1;
-        return last;
+    public long nextTimestamp(long now) {
+        lastTimestamp = now > lastTimestamp || lastTimestamp - now > interval ? now : lastTimestamp + 1;
+        return lastTimestamp;
     }
 
     /** The first turn after {@code now}. A clock that was set back or forward moves turns, not their distance. */
-    public long next(long now) {
-        return now + interval - Math.floorMod(now - offset, interval);
+    public long nextPushAt(long now) {
+        return now + interval - Math.floorMod(now - offsetMillis, interval);
     }
 }
--- a/telemetry/src/main/java/gradereach/remotewrite/Encoder.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/RemoteWriteEncoder.java
@@ -1,6 +1,6 @@
 package gradereach.remotewrite;
 
-import gradereach.measures.Family;
+import gradereach.measures.MetricFamily;
 import gradereach.protocol.remotewrite1.Label;
 import gradereach.protocol.remotewrite1.MetricMetadata;
 import gradereach.protocol.remotewrite1.WriteRequest;
@@ -17,35 +17,35 @@
 import org.xerial.snappy.Snappy;
 
 /** Items as the bodies of remote write requests: protobuf in the snappy block format, both versions. */
-final class Encoder {
-    private Encoder() { }
+final class RemoteWriteEncoder {
+    private RemoteWriteEncoder() { }
 
     /** Version 2.0: labels as references into a table of symbols, of which the first is empty. */
-    static byte[] two(List<Item> items) throws IOException {
+    static byte[] encodeV2(List<SeriesSample> items) throws IOException {
         Request.Builder request = Request.newBuilder();
         Map<String, Integer> symbols = new HashMap<>();
-        symbol(symbols, request, "");
-        for (Item item : items) {
+        symbolIndex(symbols, request, "");
+        for (SeriesSample item : items) {
             var series = request.addTimeseriesBuilder();
             for (String label : item.labels()) {
-                series.addLabelsRefs(symbol(symbols, request, label));
+                series.addLabelsRefs(symbolIndex(symbols, request, label));
             }
             series.setMetadata(Metadata.newBuilder().setType(switch (item.type()) {
                 case COUNTER -> Metadata.MetricType.METRIC_TYPE_COUNTER;
                 case GAUGE -> Metadata.MetricType.METRIC_TYPE_GAUGE;
                 case HISTOGRAM -> Metadata.MetricType.METRIC_TYPE_HISTOGRAM;
-            }).setHelpRef(symbol(symbols, request, item.help())).setUnitRef(symbol(symbols, request, item.unit())));
+            }).setHelpRef(symbolIndex(symbols, request, item.help())).setUnitRef(symbolIndex(symbols, request, item.unit())));
             series.setCreatedTimestamp(item.createdMillis());
             if (item.histogram() == null) {
-                series.addSamplesBuilder().setValue(item.value()).setTimestamp(item.timestamp());
+                series.addSamplesBuilder().setValue(item.value()).setTimestamp(item.timestampMillis());
             } else {
                 series.addHistograms(histogram(item));
             }
         }
-        return compressed(request.build().toByteArray());
+        return compress(request.build().toByteArray());
     }
 
-    private static int symbol(Map<String, Integer> known, Request.Builder request, String text) {
+    private static int symbolIndex(Map<String, Integer> known, Request.Builder request, String text) {
         return known.computeIfAbsent(text, t -> {
             request.addSymbols(t);
             return request.getSymbolsCount() - 1;
@@ -53,10 +53,10 @@
     }
 
     /** Spans of buckets that lie together, and each count as its difference from the one before. */
-    private static Histogram histogram(Item item) {
-        Family.Buckets from = item.histogram();
+    private static Histogram histogram(SeriesSample item) {
+        MetricFamily.Buckets from = item.histogram();
         Histogram.Builder to = Histogram.newBuilder().setCountInt(from.count()).setSum(from.sum()).setSchema(from.schema())
-                .setZeroThreshold(1e-6).setZeroCountInt(from.zero()).setTimestamp(item.timestamp());
+                .setZeroThreshold(1e-6).setZeroCountInt(from.zeroCount()).setTimestamp(item.timestampMillis());
         int end = 0; // of the last span; the first one's offset is its index
         long before = 0;
         BucketSpan.Builder span = null;
@@ -66,10 +66,10 @@
                 continue;
             }
             if (span == null) {
-                span = to.addPositiveSpansBuilder().setOffset(from.first() + i - end);
+                span = to.addPositiveSpansBuilder().setOffset(from.firstIndex() + i - end);
             }
             span.setLength(span.getLength() + 1);
-            end = from.first() + i + 1;
+            end = from.firstIndex() + i + 1;
             to.addPositiveDeltas(from.counts()[i] - before);
             before = from.counts()[i];
         }
@@ -77,14 +77,14 @@
     }
 
     /** Version 1.0: plain samples, a histogram as its classic series. */
-    static byte[] one(List<Item> items) throws IOException {
+    static byte[] encodeV1(List<SeriesSample> items) throws IOException {
         WriteRequest.Builder request = WriteRequest.newBuilder();
         Set<String> told = new HashSet<>();
-        for (Item item : items) {
+        for (SeriesSample item : items) {
             if (item.histogram() == null) {
-                sample(request, item.labels(), null, null, item.value(), item.timestamp());
+                addSample(request, item.labels(), null, null, item.value(), item.timestampMillis());
             } else {
-                classic(request, item);
+                addClassicHistogram(request, item);
             }
             String name = item.labels().get(item.labels().indexOf("__name__") + 1);
             if (told.add(name)) {
@@ -96,10 +96,10 @@
                         }));
             }
         }
-        return compressed(request.build().toByteArray());
+        return compress(request.build().toByteArray());
     }
 
-    private static void sample(WriteRequest.Builder request, List<String> labels, String suffix, String le, double value, long at) {
+    private static void addSample(WriteRequest.Builder request, List<String> labels, String suffix, String le, double value, long at) {
         var series = request.addTimeseriesBuilder();
         boolean leDue = le != null;
         for (int i = 0; i < labels.size(); i += 2) {
@@ -118,23 +118,23 @@
     }
 
     /** Every whole doubling is a bucket's end: of finer ones a receiver of classic histograms would have too many series. */
-    private static void classic(WriteRequest.Builder request, Item item) {
-        Family.Buckets from = item.histogram();
+    private static void addClassicHistogram(WriteRequest.Builder request, SeriesSample item) {
+        MetricFamily.Buckets from = item.histogram();
         int step = 1 << from.schema();
-        long below = from.zero();
+        long below = from.zeroCount();
         int next = 0;
         for (int exponent = -10; exponent <= 6; exponent++) { // a millisecond to a minute
-            for (; next < from.counts().length && from.first() + next <= exponent * step; next++) {
+            for (; next < from.counts().length && from.firstIndex() + next <= exponent * step; next++) {
                 below += from.counts()[next];
             }
-            sample(request, item.labels(), "_bucket", Double.toString(Math.pow(2, exponent)), below, item.timestamp());
+            addSample(request, item.labels(), "_bucket", Double.toString(Math.pow(2, exponent)), below, item.timestampMillis());
         }
-        sample(request, item.labels(), "_bucket", "+Inf", from.count(), item.timestamp());
-        sample(request, item.labels(), "_sum", null, from.sum(), item.timestamp());
-        sample(request, item.labels(), "_count", null, from.count(), item.timestamp());
+        addSample(request, item.labels(), "_bucket", "+Inf", from.count(), item.timestampMillis());
+        addSample(request, item.labels(), "_sum", null, from.sum(), item.timestampMillis());
+        addSample(request, item.labels(), "_count", null, from.count(), item.timestampMillis());
     }
 
-    private static byte[] compressed(byte[] message) throws IOException {
+    private static byte[] compress(byte[] message) throws IOException {
         return Snappy.compress(message);
     }
 }
--- a/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
@@ -21,208 +21,208 @@
      * @param batchAge after which a batch is sent though it is not full
      * @param keptFor after which an item is let go
      */
-    public record Bounds(int items, long bytes, int batchItems, long batchBytes, double batchAge, double keptFor, double firstPause,
-            double longestPause) { }
+    public record Limits(int maxSamples, long maxBytes, int maxBatchSamples, long maxBatchBytes, double maxBatchDelay, double maxAge, double initialBackoff,
+            double maxBackoff) { }
 
     /** Why an item was let go. */
-    public enum Drop { FULL, TOO_OLD, REFUSED, STOPPED }
+    public enum DropReason { FULL, TOO_OLD, REFUSED, STOPPED }
 
     /** What the receiver said, or did not. */
-    public sealed interface Word permits Taken, Later, Refused { }
+    public sealed interface SendResult permits Accepted, Retry, Rejected { }
 
     /** {@code 2xx}. {@code written} items of it, -1 where it does not say. */
-    public record Taken(int written) implements Word { }
+    public record Accepted(int written) implements SendResult { }
 
     /** {@code 5xx}, {@code 429}, no answer: again, not before {@code after} milliseconds (0 where it did not say). */
-    public record Later(double after) implements Word { }
+    public record Retry(double retryAfterMillis) implements SendResult { }
 
     /** Any other: not again. {@code written} items of it were taken all the same. */
-    public record Refused(int written) implements Word { }
+    public record Rejected(int written) implements SendResult { }
 
-    private record Held(Item item, double addedAt) { }
+    private record QueuedSample(SeriesSample sample, double addedAt) { }
 
     /** Items that are out, or about to be. */
     public static final class Batch {
-        private final List<Held> held;
-        public final int tries;
+        private final List<QueuedSample> queuedSamples;
+        public final int failedAttempts;
 
-        private Batch(List<Held> held, int tries) {
-            this.held = held;
-            this.tries = tries;
+        private Batch(List<QueuedSample> held, int tries) {
+            this.queuedSamples = held;
+            this.failedAttempts = tries;
         }
 
-        public List<Item> items() {
-            return held.stream().map(Held::item).toList();
+        public List<SeriesSample> samples() {
+            return queuedSamples.stream().map(QueuedSample::sample).toList();
         }
     }
 
-    private final Bounds bounds;
-    private final Random chance;
-    private final ArrayDeque<Held> queue = new ArrayDeque<>();
+    private final Limits limits;
+    private final Random random;
+    private final ArrayDeque<QueuedSample> queue = new ArrayDeque<>();
     private long bytes;
-    private List<Held> out;
+    private List<QueuedSample> inFlight;
     /** The batch that is to be sent again, null for none. */
-    private List<Held> again;
-    private int tries;
-    private boolean hurried;
+    private List<QueuedSample> retryBatch;
+    private int failedAttempts;
+    private boolean flushing;
     private double notBefore = Double.NEGATIVE_INFINITY;
     private long added;
     private long accepted;
-    private final Map<Drop, Long> dropped = new EnumMap<>(Drop.class);
+    private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
-    public SendQueue(Bounds bounds, Random chance) {
-        this.bounds = bounds;
-        this.chance = chance;
-        for (Drop why : Drop.values()) {
+    public SendQueue(Limits bounds, Random chance) {
+        this.limits = bounds;
+        this.random = chance;
+        for (DropReason why : DropReason.values()) {
             dropped.put(why, 0L);
         }
     }
 
-    public void add(Item item, double now) {
+    public void add(SeriesSample item, double now) {
         added++;
-        queue.add(new Held(item, now));
-        bytes += item.bytes();
-        while (items() > bounds.items || bytes > bounds.bytes) {
-            if (again != null) {
-                drop(again, Drop.FULL); // older than whatever is queued; what is out cannot be called back
-                again = null;
-            } else if (queue.size() > 1 || out != null) {
-                dropOldest(Drop.FULL);
+        queue.add(new QueuedSample(item, now));
+        bytes += item.estimatedBytes();
+        while (sampleCount() > limits.maxSamples || bytes > limits.maxBytes) {
+            if (retryBatch != null) {
+                drop(retryBatch, DropReason.FULL); // older than whatever is queued; what is out cannot be called back
+                retryBatch = null;
+            } else if (queue.size() > 1 || inFlight != null) {
+                dropOldest(DropReason.FULL);
             } else {
                 break; // one item alone is more than all: it may try
             }
         }
     }
 
-    private void dropOldest(Drop why) {
-        Held oldest = queue.poll();
+    private void dropOldest(DropReason why) {
+        QueuedSample oldest = queue.poll();
         if (oldest != null) {
-            bytes -= oldest.item.bytes();
+            bytes -= oldest.sample.estimatedBytes();
             dropped.merge(why, 1L, Long::sum);
         }
     }
 
-    private void drop(List<Held> some, Drop why) {
-        some.forEach(held -> bytes -= held.item.bytes());
+    private void drop(List<QueuedSample> some, DropReason why) {
+        some.forEach(held -> bytes -= held.sample.estimatedBytes());
         dropped.merge(why, (long) some.size(), Long::sum);
     }
 
-    private int items() {
-        return queue.size() + (out == null ? 0 : out.size()) + (again == null ? 0 : again.size());
+    private int sampleCount() {
+        return queue.size() + (inFlight == null ? 0 : inFlight.size()) + (retryBatch == null ? 0 : retryBatch.size());
     }
 
     /** The batch to be sent now, null where none is due. It must be told of by {@link #ended}. */
-    public Batch next(double now) {
-        if (out != null || now < notBefore) {
+    public Batch nextBatch(double now) {
+        if (inFlight != null || now < notBefore) {
             return null;
         }
-        letGo(now);
-        if (again != null) {
-            out = again;
-            again = null;
-            return new Batch(out, tries);
+        dropExpired(now);
+        if (retryBatch != null) {
+            inFlight = retryBatch;
+            retryBatch = null;
+            return new Batch(inFlight, failedAttempts);
         }
         if (queue.isEmpty() || now < dueAt()) {
             return null;
         }
-        List<Held> batch = new ArrayList<>();
+        List<QueuedSample> batch = new ArrayList<>();
         long size = 0;
-        while (!queue.isEmpty() && batch.size() < bounds.batchItems
-                && (batch.isEmpty() || size + queue.peek().item.bytes() <= bounds.batchBytes)) {
-            size += queue.peek().item.bytes();
+        while (!queue.isEmpty() && batch.size() < limits.maxBatchSamples
+                && (batch.isEmpty() || size + queue.peek().sample.estimatedBytes() <= limits.maxBatchBytes)) {
+            size += queue.peek().sample.estimatedBytes();
             batch.add(queue.poll());
         }
-        out = batch;
-        tries = 0;
+        inFlight = batch;
+        failedAttempts = 0;
         return new Batch(batch, 0);
     }
 
     /** From now on batches need not be full, nor old. */
-    public void hurry() {
-        hurried = true;
+    public void flush() {
+        flushing = true;
     }
 
     /** When {@link #next} may have something, Double.POSITIVE_INFINITY while it cannot. */
     public double dueAt() {
-        if (out != null) {
+        if (inFlight != null) {
             return Double.POSITIVE_INFINITY;
         }
-        if (again != null) {
+        if (retryBatch != null) {
             return notBefore;
         }
         if (queue.isEmpty()) {
             return Double.POSITIVE_INFINITY;
         }
-        boolean full = hurried || queue.size() >= bounds.batchItems || bytes >= bounds.batchBytes;
-        return Math.max(notBefore, full ? Double.NEGATIVE_INFINITY : queue.peek().addedAt + bounds.batchAge);
+        boolean full = flushing || queue.size() >= limits.maxBatchSamples || bytes >= limits.maxBatchBytes;
+        return Math.max(notBefore, full ? Double.NEGATIVE_INFINITY : queue.peek().addedAt + limits.maxBatchDelay);
     }
 
-    private void letGo(double now) {
-        if (again != null) {
-            List<Held> old = new ArrayList<>();
-            List<Held> young = new ArrayList<>();
-            again.forEach(held -> (now - held.addedAt > bounds.keptFor ? old : young).add(held));
-            drop(old, Drop.TOO_OLD);
-            again = young.isEmpty() ? null : young;
+    private void dropExpired(double now) {
+        if (retryBatch != null) {
+            List<QueuedSample> old = new ArrayList<>();
+            List<QueuedSample> young = new ArrayList<>();
+            retryBatch.forEach(held -> (now - held.addedAt > limits.maxAge ? old : young).add(held));
+            drop(old, DropReason.TOO_OLD);
+            retryBatch = young.isEmpty() ? null : young;
         }
-        while (!queue.isEmpty() && now - queue.peek().addedAt > bounds.keptFor) {
-            dropOldest(Drop.TOO_OLD);
+        while (!queue.isEmpty() && now - queue.peek().addedAt > limits.maxAge) {
+            dropOldest(DropReason.TOO_OLD);
         }
     }
 
     /** What became of the batch that is out. */
-    public void ended(Word word, double now) {
-        List<Held> batch = out;
-        out = null;
-        if (word instanceof Later later) {
-            again = batch;
+    public void onSendResult(SendResult word, double now) {
+        List<QueuedSample> batch = inFlight;
+        inFlight = null;
+        if (word instanceof Retry later) {
+            retryBatch = batch;
             // Full jitter over a time that doubles: many front ends that lost one receiver must not meet there again.
-            double most = Math.min(bounds.longestPause, bounds.firstPause * Math.pow(2, Math.min(30, tries)));
-            tries++;
-            notBefore = now + (later.after > 0 ? later.after * (1 + chance.nextDouble() / 4) : most * chance.nextDouble());
+            double most = Math.min(limits.maxBackoff, limits.initialBackoff * Math.pow(2, Math.min(30, failedAttempts)));
+            failedAttempts++;
+            notBefore = now + (later.retryAfterMillis > 0 ? later.retryAfterMillis * (1 + random.nextDouble() / 4) : most * random.nextDouble());
             return;
         }
-        tries = 0;
+        failedAttempts = 0;
         notBefore = Double.NEGATIVE_INFINITY;
-        int written = word instanceof Taken taken ? taken.written : ((Refused) word).written;
+        int written = word instanceof Accepted taken ? taken.written : ((Rejected) word).written;
         long good = Math.min(batch.size(), written < 0 ? batch.size() : written);
-        batch.forEach(held -> bytes -= held.item.bytes());
+        batch.forEach(held -> bytes -= held.sample.estimatedBytes());
         accepted += good;
-        dropped.merge(Drop.REFUSED, batch.size() - good, Long::sum);
+        dropped.merge(DropReason.REFUSED, batch.size() - good, Long::sum);
     }
 
     /** All that is held, oldest first, for another queue; nothing may be out. */
-    List<Item> takeAll(List<Double> addedAt) {
-        if (out != null) {
+    List<SeriesSample> drain(List<Double> addedAt) {
+        if (inFlight != null) {
             throw new IllegalStateException("a batch is out");
         }
-        List<Held> all = new ArrayList<>(again == null ? List.of() : again);
+        List<QueuedSample> all = new ArrayList<>(retryBatch == null ? List.of() : retryBatch);
         all.addAll(queue);
         queue.clear();
-        again = null;
+        retryBatch = null;
         bytes = 0;
         added -= all.size();
         all.forEach(held -> addedAt.add(held.addedAt));
-        return all.stream().map(Held::item).toList();
+        return all.stream().map(QueuedSample::sample).toList();
     }
 
     /** What is still held is let go; a batch that is out counts as lost, for nobody waits for its end. */
     public void stop() {
-        if (out != null) {
-            drop(out, Drop.STOPPED);
-            out = null;
+        if (inFlight != null) {
+            drop(inFlight, DropReason.STOPPED);
+            inFlight = null;
         }
-        if (again != null) {
-            drop(again, Drop.STOPPED);
-            again = null;
+        if (retryBatch != null) {
+            drop(retryBatch, DropReason.STOPPED);
+            retryBatch = null;
         }
         while (!queue.isEmpty()) {
-            dropOldest(Drop.STOPPED);
+            dropOldest(DropReason.STOPPED);
         }
     }
 
-    public boolean busy() {
-        return out != null;
+    public boolean hasBatchInFlight() {
+        return inFlight != null;
     }
 
     public long added() {
@@ -233,12 +233,12 @@
         return accepted;
     }
 
-    public long dropped(Drop why) {
+    public long dropped(DropReason why) {
         return dropped.get(why);
     }
 
-    public int held() {
-        return items();
+    public int pending() {
+        return sampleCount();
     }
 
     public long bytes() {
@@ -246,8 +246,8 @@
     }
 
     /** Since when the oldest waits; NaN where none does. */
-    public double oldest() {
-        return out != null ? out.get(0).addedAt : again != null ? again.get(0).addedAt
+    public double oldestAddedAt() {
+        return inFlight != null ? inFlight.get(0).addedAt : retryBatch != null ? retryBatch.get(0).addedAt
                 : queue.isEmpty() ? Double.NaN : queue.peek().addedAt;
     }
 }
--- a/telemetry/src/main/java/gradereach/remotewrite/ShardPace.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/ShardCalculator.java
@@ -4,23 +4,23 @@
  * How many shards send at once: as many as it takes to send what comes in, and a little of what has piled up, at the time that a
  * sample has taken lately. After Prometheus' own sender, as its documentation of remote write tuning describes it. No I/O, no clock.
  */
-public final class ShardPace {
+public final class ShardCalculator {
     /** Each new figure counts a fifth: some ten intervals remember. */
-    private static final double FRESH = 0.2;
+    private static final double SMOOTHING_FACTOR = 0.2;
     /** A twentieth of what has piled up is to be gone in an interval. */
-    private static final double CATCH_UP = 0.05;
+    private static final double BACKLOG_FRACTION = 0.05;
     /** Within this of the present number nothing changes: each change stops sending for a moment. */
     private static final double TOLERANCE = 0.3;
 
-    private final int most;
+    private final int maxShards;
     private int shards = 1;
-    private double in;
-    private double out;
-    private double busy;
-    private boolean begun;
+    private double samplesInPerMilli;
+    private double samplesOutPerMilli;
+    private double busyShards;
+    private boolean initialized;
 
-    public ShardPace(int most) {
-        this.most = most;
+    public ShardCalculator(int most) {
+        this.maxShards = most;
     }
 
     /**
@@ -34,19 +34,19 @@
      * @param failing whether the receiver failed last: more shards would only fail more often
      * @return shards from now on
      */
-    public int interval(double millis, long added, long sent, double sending, long held, boolean failing) {
-        double weight = begun ? FRESH : 1;
-        begun = true;
-        in += weight * (added / millis - in);
-        out += weight * (sent / millis - out);
-        busy += weight * (sending / millis - busy);
-        if (failing || out <= 0) {
+    public int update(double millis, long added, long sent, double sending, long held, boolean failing) {
+        double weight = initialized ? SMOOTHING_FACTOR : 1;
+        initialized = true;
+        samplesInPerMilli += weight * (added / millis - samplesInPerMilli);
+        samplesOutPerMilli += weight * (sent / millis - samplesOutPerMilli);
+        busyShards += weight * (sending / millis - busyShards);
+        if (failing || samplesOutPerMilli <= 0) {
             return shards;
         }
-        double each = busy / out;
-        double wanted = each * (in + CATCH_UP * held / millis);
+        double each = busyShards / samplesOutPerMilli;
+        double wanted = each * (samplesInPerMilli + BACKLOG_FRACTION * held / millis);
         if (Math.abs(wanted - shards) > TOLERANCE * shards) {
-            shards = Math.max(1, Math.min(most, (int) Math.ceil(wanted)));
+            shards = Math.max(1, Math.min(maxShards, (int) Math.ceil(wanted)));
         }
         return shards;
     }
--- a/telemetry/src/main/java/gradereach/remotewrite/Shards.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Shards.java
@@ -1,6 +1,6 @@
 package gradereach.remotewrite;
 
-import gradereach.remotewrite.SendQueue.Drop;
+import gradereach.remotewrite.SendQueue.DropReason;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -10,55 +10,55 @@
  * is out has ended, then what waits is dealt out anew in its order.
  */
 public final class Shards {
-    private final SendQueue.Bounds bounds;
-    private final Random chance;
+    private final SendQueue.Limits limits;
+    private final Random random;
     private List<SendQueue> queues = new ArrayList<>();
-    private int wanted = 1;
+    private int targetSize = 1;
     // Of queues that were given up.
     private long added;
     private long accepted;
-    private final long[] dropped = new long[Drop.values().length];
+    private final long[] dropped = new long[DropReason.values().length];
 
     /** @param bounds of all shards together */
-    public Shards(SendQueue.Bounds bounds, Random chance) {
-        this.bounds = bounds;
-        this.chance = chance;
+    public Shards(SendQueue.Limits bounds, Random chance) {
+        this.limits = bounds;
+        this.random = chance;
         queues.add(new SendQueue(bounds, chance));
     }
 
-    public void add(Item item, double now) {
+    public void add(SeriesSample item, double now) {
         queues.get(Math.floorMod(item.labels().hashCode(), queues.size())).add(item, now);
     }
 
     public void resize(int shards) {
-        wanted = shards;
-        settle();
+        targetSize = shards;
+        applyResize();
     }
 
     /** Deals out anew once nothing is out. */
-    private void settle() {
-        if (wanted == queues.size() || queues.stream().anyMatch(SendQueue::busy)) {
+    private void applyResize() {
+        if (targetSize == queues.size() || queues.stream().anyMatch(SendQueue::hasBatchInFlight)) {
             return;
         }
-        record Waiting(Item item, double addedAt) { }
+        record Waiting(SeriesSample item, double addedAt) { }
         List<Waiting> all = new ArrayList<>();
         for (SendQueue queue : queues) {
             List<Double> times = new ArrayList<>();
-            List<Item> items = queue.takeAll(times);
+            List<SeriesSample> items = queue.drain(times);
             for (int i = 0; i < items.size(); i++) {
                 all.add(new Waiting(items.get(i), times.get(i)));
             }
             added += queue.added();
             accepted += queue.accepted();
-            for (Drop why : Drop.values()) {
+            for (DropReason why : DropReason.values()) {
                 dropped[why.ordinal()] += queue.dropped(why);
             }
         }
         queues = new ArrayList<>();
-        for (int i = 0; i < wanted; i++) {
-            queues.add(new SendQueue(new SendQueue.Bounds(Math.max(1, bounds.items() / wanted), Math.max(1, bounds.bytes() / wanted),
-                    bounds.batchItems(), bounds.batchBytes(), bounds.batchAge(), bounds.keptFor(), bounds.firstPause(),
-                    bounds.longestPause()), chance));
+        for (int i = 0; i < targetSize; i++) {
+            queues.add(new SendQueue(new SendQueue.Limits(Math.max(1, limits.maxSamples() / targetSize), Math.max(1, limits.maxBytes() / targetSize),
+                    limits.maxBatchSamples(), limits.maxBatchBytes(), limits.maxBatchDelay(), limits.maxAge(), limits.initialBackoff(),
+                    limits.maxBackoff()), random));
         }
         all.forEach(waiting -> add(waiting.item, waiting.addedAt));
     }
@@ -68,13 +68,13 @@
     }
 
     /** The next batch of a shard; none while their number is about to change. */
-    public SendQueue.Batch next(int shard, double now) {
-        return wanted != queues.size() ? null : queues.get(shard).next(now);
+    public SendQueue.Batch nextBatch(int shard, double now) {
+        return targetSize != queues.size() ? null : queues.get(shard).nextBatch(now);
     }
 
-    public void ended(int shard, SendQueue.Word word, double now) {
-        queues.get(shard).ended(word, now);
-        settle();
+    public void onSendResult(int shard, SendQueue.SendResult word, double now) {
+        queues.get(shard).onSendResult(word, now);
+        applyResize();
     }
 
     public double dueAt() {
@@ -82,8 +82,8 @@
     }
 
     /** All that is held may go at once. */
-    public void hurry() {
-        queues.forEach(SendQueue::hurry);
+    public void flush() {
+        queues.forEach(SendQueue::flush);
     }
 
     public void stop() {
@@ -98,19 +98,19 @@
         return accepted + queues.stream().mapToLong(SendQueue::accepted).sum();
     }
 
-    public long dropped(Drop why) {
+    public long dropped(DropReason why) {
         return dropped[why.ordinal()] + queues.stream().mapToLong(q -> q.dropped(why)).sum();
     }
 
-    public long held() {
-        return queues.stream().mapToLong(SendQueue::held).sum();
+    public long pending() {
+        return queues.stream().mapToLong(SendQueue::pending).sum();
     }
 
     public long bytes() {
         return queues.stream().mapToLong(SendQueue::bytes).sum();
     }
 
-    public double oldest() {
-        return queues.stream().mapToDouble(SendQueue::oldest).filter(t -> !Double.isNaN(t)).min().orElse(Double.NaN);
+    public double oldestAddedAt() {
+        return queues.stream().mapToDouble(SendQueue::oldestAddedAt).filter(t -> !Double.isNaN(t)).min().orElse(Double.NaN);
     }
 }
