--- a/core/src/main/java/gradereach/CustomerQuotas.java
+++ b/core/src/main/java/gradereach/CustomerQuotas.java
@@ -4,16 +4,24 @@
 import gradereach.state.FrontEndShare;
 import java.util.List;
 
-/** Whose inferences are beyond their customer's share, by this front end's part of the quota. */
+/**
+ * Tells which inferences exceed their customer's quota, of which this front end enforces its share.
+ *
+ * @param overQuotaValue value of an over-quota inference, relative to others
+ * @param quotasPerSecond by customer index, over all front ends; 0 for no quota
+ * @param accepted recent inferences within quota, by customer index
+ */
 record CustomerQuotas(double overQuotaValue, double[] quotasPerSecond, FrontEndShare share, List<DecayingSum> accepted) {
-    private static final double WINDOW_MILLIS = 3000; // a short crowd at the door is not yet a surplus
+    private static final double WINDOW_MILLIS = 3000; // a short burst is not yet over quota
 
-    boolean recordArrival(int i, double now) {
-        if (i < 0 || i >= quotasPerSecond.length || quotasPerSecond[i] <= 0) {
+    /** Counts an inference if it is within quota. Returns whether it is over quota. */
+    boolean recordArrival(int customer, double now) {
+        if (customer < 0 || customer >= quotasPerSecond.length || quotasPerSecond[customer] <= 0) {
             return false;
         }
-        boolean surplus = accepted.get(i).value(now, WINDOW_MILLIS) >= quotasPerSecond[i] * share.fraction * WINDOW_MILLIS / 1000;
-        accepted.get(i).add(surplus ? 0 : 1, now, WINDOW_MILLIS);
-        return surplus;
+        boolean overQuota = accepted.get(customer).value(now, WINDOW_MILLIS)
+                >= quotasPerSecond[customer] * share.fraction * WINDOW_MILLIS / 1000;
+        accepted.get(customer).add(overQuota ? 0 : 1, now, WINDOW_MILLIS);
+        return overQuota;
     }
 }
--- a/core/src/main/java/gradereach/Policy.java
+++ b/core/src/main/java/gradereach/Policy.java
@@ -5,13 +5,13 @@
 import java.util.*;
 
 /**
- * Every decision of one front end. The host makes one Policy an instance, calls the events of
- * {@link gradereach.api.Router} on it and then settle(); what it decides leaves through
- * {@link gradereach.api.Outlet}. Types are in gradereach.api, plain state in gradereach.state.
+ * Makes all routing decisions of one front end. The host creates one Policy per front end, delivers events through
+ * {@link gradereach.api.Router} and then calls endBatch(); the decisions go out through
+ * {@link gradereach.api.RouterActions}. Types are in gradereach.api, mutable state in gradereach.state.
  *
- * The ordinary path (docs/design.md): a queue per model; a held inference goes to the busiest instance with
- * a free lane; one more copy is ordered when the counted lanes run out; idle copies lapse. Events change
- * beliefs, settle() sets what is wanted, emit() sends the difference.
+ * The usual path (docs/design.md): each model has a queue; a queued inference goes to the busiest executor that has a
+ * free lane for the model; when the known lanes are exhausted, one more copy is ordered; idle copies are left to expire.
+ * Events update the state, endBatch() decides what to send, and sendActions() sends it.
  */
 public final class Policy implements Router {
     private final RouterActions actions;
@@ -29,7 +29,7 @@
 
     private final Set<Executor> executors = new LinkedHashSet<>();
     private final Set<Executor> removedExecutors = new LinkedHashSet<>();
-    /** Those that may have started anew while the roster could not tell. */
+    /** Executors that may have restarted while the roster was not valid; they count as cold. */
     private final Set<Executor> assumedRestarted = new LinkedHashSet<>();
     private int fleetVersion;
     private final Set<Model> modelsToReview = new LinkedHashSet<>();
@@ -48,888 +48,920 @@
     private final Set<ModelCopies> ordersToSend = new LinkedHashSet<>();
     private final Set<Executor> executorsToProbe = new LinkedHashSet<>();
 
-    public Policy(RouterActions out, Random chance, FrontEndSettings tier, List<ModelGroup> groups, List<Customer> customers,
-            double surplusValue, ColdStartRule coldStarts, LoadOrderBudget ration, LoadingRules loading,
-            ForwardRules forwarding) {
-        this.actions = out;
-        this.random = chance;
-        this.frontEnd = tier;
+    public Policy(RouterActions actions, Random random, FrontEndSettings frontEnd, List<ModelGroup> groups, List<Customer> customers,
+            double overQuotaValue, ColdStartRule coldStart, LoadOrderBudget loadOrderBudget, LoadingRules loadingRules,
+            ForwardRules forwardRules) {
+        this.actions = actions;
+        this.random = random;
+        this.frontEnd = frontEnd;
         this.groups = groups;
-        this.loadingRules = loading;
-        this.forwardRules = forwarding;
-        leases = new ReadinessLeases(forwarding.drainGrace());
-        frontEndShare = new FrontEndShare(1d / Math.max(1, tier.frontEnds()));
-        sendRules = new SendRules(coldStarts, ration, frontEndShare, forwarding, leases, new SlidingWindowSum(), new SlidingWindowSum(), new DecayingSum(),
-                executors, chance);
-        customerQuotas = new CustomerQuotas(surplusValue, customers.stream().mapToDouble(Customer::quotaPerSecond)
-                .toArray(), frontEndShare, customers.stream().map(c -> new DecayingSum()).toList());
+        this.loadingRules = loadingRules;
+        this.forwardRules = forwardRules;
+        leases = new ReadinessLeases(forwardRules.drainGrace());
+        frontEndShare = new FrontEndShare(1d / Math.max(1, frontEnd.frontEnds()));
+        sendRules = new SendRules(coldStart, loadOrderBudget, frontEndShare, forwardRules, leases, new SlidingWindowSum(),
+                new SlidingWindowSum(), new DecayingSum(), executors, random);
+        customerQuotas = new CustomerQuotas(overQuotaValue, customers.stream().mapToDouble(Customer::quotaPerSecond)
+                .toArray(), frontEndShare, customers.stream().map(customer -> new DecayingSum()).toList());
         for (ModelGroup group : groups) {
-            AnswerTimeStats pace = new AnswerTimeStats();
-            // Until answers tell: a quarter of the SLO time, since an SLO leaves room for a wait and a tail.
-            pace.mean = pace.lowestMean = group.sloTime() / 4;
-            groupAnswerTimes.add(pace);
+            AnswerTimeStats answerTimes = new AnswerTimeStats();
+            // Initial estimate until answers are measured: an SLO leaves room for queueing and for the tail.
+            answerTimes.mean = answerTimes.lowestMean = group.sloTime() / 4;
+            groupAnswerTimes.add(answerTimes);
         }
     }
 
-    // ---- events change beliefs -------------------------------------------------------------------------
+    // ---- events: update the state ----------------------------------------------------------------------
 
-    @Override public void beginBatch(double at) {
-        now = at;
-        // Guards against a halt of this front end itself: what it finds late is no slow executor.
-        health.resumedAt = at - timerScheduledAt > STALL_MILLIS ? at : health.resumedAt;
-        frontEndShare.startedAt = Double.isNaN(frontEndShare.startedAt) ? at : frontEndShare.startedAt;
+    @Override public void beginBatch(double time) {
+        now = time;
+        // A late timer shows that this front end itself stalled: answers read late do not mean slow executors.
+        health.resumedAt = time - timerScheduledAt > STALL_MILLIS ? time : health.resumedAt;
+        frontEndShare.startedAt = Double.isNaN(frontEndShare.startedAt) ? time : frontEndShare.startedAt;
     }
 
-    private static final double STALL_MILLIS = 50; // a few batches: less is the grid of the clock
+    private static final double STALL_MILLIS = 50; // a few batches; shorter delays are the granularity of the clock
 
-    @Override public void onRosterUpdate(RosterUpdateKind form, List<ExecutorListing> listings) {
-        if (form == RosterUpdateKind.FAILED) {
+    @Override public void onRosterUpdate(RosterUpdateKind kind, List<ExecutorListing> listings) {
+        if (kind == RosterUpdateKind.FAILED) {
             rosterSubscribed = false;
-            // Asked for again a second later: the service is short of capacity.
+            // Subscribes again after a second: the discovery service is short of capacity.
             timers.schedule(now + 1000, this);
             return;
         }
-        if (form != RosterUpdateKind.CHANGES) {
+        if (kind != RosterUpdateKind.CHANGES) {
             Set<Executor> missing = new LinkedHashSet<>(executors);
-            listings.forEach(line -> missing.remove(line.executor()));
-            for (Executor ex : missing) {
-                ex.state = ExecutorState.REMOVED;
-                ex.beginGeneration(now, modelsToReview);
-                removedExecutors.add(ex);
-            }
-        }
-        for (ExecutorListing line : listings) {
-            Executor ex = line.executor();
-            fleetVersion += executors.add(ex) ? 1 : 0;
-            if (line.state() == ExecutorState.REMOVED) {
-                removedExecutors.add(ex);
+            listings.forEach(listing -> missing.remove(listing.executor()));
+            for (Executor executor : missing) {
+                executor.state = ExecutorState.REMOVED;
+                executor.beginGeneration(now, modelsToReview);
+                removedExecutors.add(executor);
+            }
+        }
+        for (ExecutorListing listing : listings) {
+            Executor executor = listing.executor();
+            fleetVersion += executors.add(executor) ? 1 : 0;
+            if (listing.state() == ExecutorState.REMOVED) {
+                removedExecutors.add(executor);
             } else {
-                removedExecutors.remove(ex);
+                removedExecutors.remove(executor);
             }
-            boolean sameStart = line.startedAt() == ex.rosterStartedAt;
-            if (line.state() != ExecutorState.READY || !sameStart) {
-                ex.beginGeneration(now, modelsToReview);
+            boolean sameStart = listing.startedAt() == executor.rosterStartedAt;
+            if (listing.state() != ExecutorState.READY || !sameStart) {
+                executor.beginGeneration(now, modelsToReview);
             }
-            if (line.replaces() != null) {
-                ex.recentWork.addAll(line.replaces().recentWork); // it may have come to this process already
+            if (listing.replaces() != null) {
+                executor.recentWork.addAll(listing.replaces().recentWork); // that work may already have reached this process
             }
-            ex.state = line.state();
-            if (!sameStart || !assumedRestarted.contains(ex)) {
-                ex.startedAt = line.startedAt();
-                assumedRestarted.remove(ex);
+            executor.state = listing.state();
+            if (!sameStart || !assumedRestarted.contains(executor)) {
+                executor.startedAt = listing.startedAt();
+                assumedRestarted.remove(executor);
             }
-            ex.rosterStartedAt = line.startedAt();
-            ex.capacity = line.capacity() > 0 ? line.capacity() : 1;
-            ex.location = line.location();
-            ex.cell = line.cell();
+            executor.rosterStartedAt = listing.startedAt();
+            executor.capacity = listing.capacity() > 0 ? listing.capacity() : 1;
+            executor.location = listing.location();
+            executor.cell = listing.cell();
         }
         if (Double.isNaN(health.fleet.concurrencyLimit) && !executors.isEmpty()) {
-            health.fleet.concurrencyLimit = Math.max(ExecutorHealth.INITIAL_CONCURRENCY_LIMIT, INITIAL_FLEET_LIMIT_PER_EXECUTOR * executors.size() * frontEndShare.fraction);
+            health.fleet.concurrencyLimit = Math.max(ExecutorHealth.INITIAL_CONCURRENCY_LIMIT,
+                    INITIAL_FLEET_LIMIT_PER_EXECUTOR * executors.size() * frontEndShare.fraction);
         }
         timers.schedule(now, this);
     }
 
-    @Override public void onRosterValidity(double confirmedAt, double until) {
-        leases.rosterValid(confirmedAt, until);
-        if (leases.rosterValid(now) && !assumedRestarted.isEmpty()) {
-            assumedRestarted.forEach(ex -> ex.startedAt = ex.rosterStartedAt);
+    @Override public void onRosterValidity(double confirmedAt, double validUntil) {
+        leases.setRosterValidity(confirmedAt, validUntil);
+        if (leases.isRosterValid(now) && !assumedRestarted.isEmpty()) {
+            assumedRestarted.forEach(executor -> executor.startedAt = executor.rosterStartedAt);
             assumedRestarted.clear();
         }
     }
 
-    @Override public boolean maySend(Executor ex, double at) { return leases.maySend(ex, at); }
+    @Override public boolean maySend(Executor executor, double time) { return leases.maySend(executor, time); }
 
-    @Override public void onConnectionReset(Executor ex) { leases.recordDisconnect(ex, now); }
+    @Override public void onConnectionReset(Executor executor) { leases.recordDisconnect(executor, now); }
 
-    private void checkForRestart(Executor ex, double sentAt) {
-        if (leases.mayHaveRestarted(ex, sentAt, now)) {
-            assumeRestarted(ex, ex.disconnectedAt);
+    private void checkForRestart(Executor executor, double sentAt) {
+        if (leases.mayHaveRestarted(executor, sentAt, now)) {
+            assumeRestarted(executor, executor.disconnectedAt);
         }
     }
 
-    /** A process that may be new has nothing loaded and is cold; what was sent since the old one's end went to it. */
-    private void assumeRestarted(Executor ex, double endedAt) {
-        ex.disconnectedAt = Double.NEGATIVE_INFINITY;
-        ex.beginGeneration(now, modelsToReview);
-        ex.assignToCurrentGeneration(endedAt);
-        ex.startedAt = now;
-        assumedRestarted.add(ex);
+    /**
+     * Treats the executor as a new process, which is cold and has nothing loaded. What was sent after {@code endedAt}, when
+     * the old process ended, went to the new one.
+     */
+    private void assumeRestarted(Executor executor, double endedAt) {
+        executor.disconnectedAt = Double.NEGATIVE_INFINITY;
+        executor.beginGeneration(now, modelsToReview);
+        executor.assignToCurrentGeneration(endedAt);
+        executor.startedAt = now;
+        assumedRestarted.add(executor);
     }
 
-    @Override public void onInferenceAccepted(Inference inf) {
-        Model mdl = inf.model;
-        if (mdl.group == null) {
-            mdl.group = inf.group;
-            mdl.groupAnswerTimes = groupAnswerTimes.get(groups.indexOf(inf.group));
+    @Override public void onInferenceAccepted(Inference inference) {
+        Model model = inference.model;
+        if (model.group == null) {
+            model.group = inference.group;
+            model.groupAnswerTimes = groupAnswerTimes.get(groups.indexOf(inference.group));
         }
         sendRules.acceptedInferences().add(1, now);
         probeCredit = Math.min(10 * PROBE_CREDIT_PER_INFERENCE, probeCredit + PROBE_CREDIT_PER_INFERENCE);
-        inf.overQuota = customerQuotas.recordArrival(inf.customer, now);
-        mdl.acceptedCount++;
-        mdl.recentArrivals.add(1, now, RECENT_DECAY_MILLIS);
-        enqueue(inf);
-        timers.schedule(lateAfter(inf), inf);
-        timers.schedule(giveUpAt(inf), inf);
-    }
-
-    /** Its SLO time is that of the start: the rest lasts while its client reads, and keeps only its lane. */
-    @Override public void onAnswerStarted(Forward fwd, double took) {
-        fwd.inference.streaming = true;
-        fwd.answerStarted = true;
-        addUnanswered(fwd, -1);
-        fwd.executor.unansweredForwards.remove(fwd);
-        health.fleet.unansweredForwards.remove(fwd);
-        if (fwd.sentAt >= health.resumedAt) {
-            health.recordAnswer(health.fleet, took / fwd.targetAnswerTime, now);
-        }
-    }
-
-    @Override public void onForwardEnded(Forward fwd, ForwardResult answer) {
-        Inference inf = fwd.inference;
-        fwd.executor.unansweredForwards.remove(fwd);
-        health.fleet.unansweredForwards.remove(fwd);
-        addInFlight(fwd.copies, -1);
-        addUnanswered(fwd, fwd.answerStarted ? 1 : 0);
-        modelsToReview.add(inf.model);
-        if (fwd.isCurrent()) {
-            recordReport(fwd.executor, answer.report());
-            updateExecutor(fwd, answer);
-        }
-        updateFleetStatistics(fwd, answer);
-        if (answer.inferenceDone() || inf.done) {
-            onInferenceCancelled(inf);
-        } else if (now < giveUpAt(inf) && inf.forwards.size() < forwardRules.maxForwards()
-                && (!inf.mayHaveRun() || inf.group.retrySafety() != RetrySafety.NON_RETRIABLE)) {
-            enqueue(inf);
+        inference.overQuota = customerQuotas.recordArrival(inference.customer, now);
+        model.acceptedCount++;
+        model.recentArrivals.add(1, now, RECENT_DECAY_MILLIS);
+        enqueue(inference);
+        timers.schedule(lateAfter(inference), inference);
+        timers.schedule(giveUpAt(inference), inference);
+    }
+
+    /**
+     * The SLO time of a streamed answer applies to its start. The rest takes as long as the client reads, and occupies only
+     * a lane.
+     */
+    @Override public void onAnswerStarted(Forward forward, double elapsed) {
+        forward.inference.streaming = true;
+        forward.answerStarted = true;
+        addUnanswered(forward, -1);
+        forward.executor.unansweredForwards.remove(forward);
+        health.fleet.unansweredForwards.remove(forward);
+        if (forward.sentAt >= health.resumedAt) {
+            health.recordAnswer(health.fleet, elapsed / forward.targetAnswerTime, now);
+        }
+    }
+
+    @Override public void onForwardEnded(Forward forward, ForwardResult result) {
+        Inference inference = forward.inference;
+        forward.executor.unansweredForwards.remove(forward);
+        health.fleet.unansweredForwards.remove(forward);
+        addInFlight(forward.copies, -1);
+        addUnanswered(forward, forward.answerStarted ? 1 : 0);
+        modelsToReview.add(inference.model);
+        if (forward.isCurrent()) {
+            recordReport(forward.executor, result.report());
+            updateExecutor(forward, result);
+        }
+        updateFleetStatistics(forward, result);
+        if (result.inferenceDone() || inference.done) {
+            onInferenceCancelled(inference);
+        } else if (now < giveUpAt(inference) && inference.forwards.size() < forwardRules.maxForwards()
+                && (!inference.mayHaveRun() || inference.group.retrySafety() != RetrySafety.NON_RETRIABLE)) {
+            enqueue(inference);
         } else {
-            reject(inf);
+            reject(inference);
         }
     }
 
-    /** What an answer tells of the model and of all executors as one, whichever process gave it. */
-    private void updateFleetStatistics(Forward fwd, ForwardResult answer) {
-        switch (answer.outcome()) {
+    /** Updates the statistics of the model and of the fleet, whichever process the result came from. */
+    private void updateFleetStatistics(Forward forward, ForwardResult result) {
+        switch (result.outcome()) {
             case RETURNED -> {
-                fwd.inference.model.consecutiveFailedLoads = 0;
-                if (isWarmAnswer(fwd, answer)) {
-                    if (!fwd.answerStarted) {
-                        health.recordAnswer(health.fleet, answer.elapsed() / fwd.targetAnswerTime, now);
+                forward.inference.model.consecutiveFailedLoads = 0;
+                if (usedLoadedCopy(forward, result)) {
+                    if (!forward.answerStarted) {
+                        health.recordAnswer(health.fleet, result.elapsed() / forward.targetAnswerTime, now);
                     }
-                    fwd.copies.model.answerTimes.add(answer.elapsed(), now, ANSWER_TIME_SAMPLES, ANSWER_TIME_SAMPLES / 5, LOWEST_MEAN_GROWTH_PER_MILLI);
-                    fwd.copies.model.groupAnswerTimes.add(answer.elapsed(), now, ANSWER_TIME_SAMPLES, ANSWER_TIME_SAMPLES / 5, LOWEST_MEAN_GROWTH_PER_MILLI);
+                    forward.copies.model.answerTimes.add(result.elapsed(), now, ANSWER_TIME_SAMPLES,
+                            ANSWER_TIME_SAMPLES / 5, LOWEST_MEAN_GROWTH_PER_MILLI);
+                    forward.copies.model.groupAnswerTimes.add(result.elapsed(), now, ANSWER_TIME_SAMPLES,
+                            ANSWER_TIME_SAMPLES / 5, LOWEST_MEAN_GROWTH_PER_MILLI);
                 }
             }
             case TIMED_OUT, CANCELLED -> {
-                if (!fwd.answerStarted) {
-                    health.fleet.slowdownSum.add(answer.elapsed() / fwd.targetAnswerTime, now, ExecutorHealth.STATISTICS_DECAY_MILLIS);
+                if (!forward.answerStarted) {
+                    health.fleet.slowdownSum.add(result.elapsed() / forward.targetAnswerTime, now, ExecutorHealth.STATISTICS_DECAY_MILLIS);
                 }
             }
             default -> { }
         }
     }
 
-    /** Whether its answer time is that of a warm copy, and not of a halt of this front end. */
-    private boolean isWarmAnswer(Forward fwd, ForwardResult answer) {
-        return fwd.sentAt >= health.resumedAt
-                && (answer.loadStatus() == LoadStatus.ALREADY_LOADED || answer.loadStatus() == LoadStatus.UNKNOWN);
+    /** Whether the answer time is that of a loaded copy, and not distorted by a stall of this front end. */
+    private boolean usedLoadedCopy(Forward forward, ForwardResult result) {
+        return forward.sentAt >= health.resumedAt
+                && (result.loadStatus() == LoadStatus.ALREADY_LOADED || result.loadStatus() == LoadStatus.UNKNOWN);
     }
 
-    /** What an answer tells of the process that gave it, which is the one that the executor stands for now. */
-    private void updateExecutor(Forward fwd, ForwardResult answer) {
-        ModelCopies c = fwd.copies;
-        Executor ex = fwd.executor;
-        if (answer.modelInFlight() >= 0) {
-            double others = Math.max(0, answer.modelInFlight() - fwd.ownInFlight);
-            double before = totalInFlight(c) - c.inFlight;
-            // Counted in answers: one of many front ends hears seldom, and each crowd met is a fair sample.
-            c.othersInFlight.set(before < 0.01 ? others : 0.7 * before + 0.3 * others, now);
-            c.peakInFlight = Math.max(c.peakInFlight, answer.modelInFlight() + 1);
+    /** Updates the executor and its copies from a result of its current process. */
+    private void updateExecutor(Forward forward, ForwardResult result) {
+        ModelCopies copies = forward.copies;
+        Executor executor = forward.executor;
+        if (result.modelInFlight() >= 0) {
+            double othersInFlight = Math.max(0, result.modelInFlight() - forward.ownInFlight);
+            double previousOthers = totalInFlight(copies) - copies.inFlight;
+            // Averaged per answer, not over time: one of many front ends gets few answers, and each of their counts
+            // is a fair sample.
+            copies.othersInFlight.set(previousOthers < 0.01 ? othersInFlight : 0.7 * previousOthers + 0.3 * othersInFlight, now);
+            copies.peakInFlight = Math.max(copies.peakInFlight, result.modelInFlight() + 1);
         }
-        if (answer.outcome() == Outcome.RETURNED || answer.outcome() == Outcome.MISS) {
-            checkForRestart(ex, fwd.sentAt);
+        if (result.outcome() == Outcome.RETURNED || result.outcome() == Outcome.MISS) {
+            checkForRestart(executor, forward.sentAt);
         }
-        switch (answer.outcome()) {
+        switch (result.outcome()) {
             case RETURNED -> {
-                c.loadedCopies = Math.max(1, c.loadedCopies);
-                c.lastUsedAt = now;
-                c.loadedUntil = now + loadingRules.idleUnloadTime();
-                scheduleReview(c);
-                health.lowerSuspicion(ex, now);
-                if (isWarmAnswer(fwd, answer)) {
-                    health.recordAnswer(ex, answer.elapsed() / expectedAnswerTime(c.model), now);
+                copies.loadedCopies = Math.max(1, copies.loadedCopies);
+                copies.lastUsedAt = now;
+                copies.loadedUntil = now + loadingRules.idleUnloadTime();
+                scheduleReview(copies);
+                health.lowerSuspicion(executor, now);
+                if (usedLoadedCopy(forward, result)) {
+                    health.recordAnswer(executor, result.elapsed() / expectedAnswerTime(copies.model), now);
                 }
             }
             case MISS -> {
-                c.loadedCopies = 0;
-                if (answer.loadStatus() == LoadStatus.LOAD_FAILED) {
-                    c.backoffUntil = now + BACKOFF_MILLIS;
-                } else if (!c.model.hasLoadedCopy()) {
-                    requestCopies(c, 1);
+                copies.loadedCopies = 0;
+                if (result.loadStatus() == LoadStatus.LOAD_FAILED) {
+                    copies.backoffUntil = now + BACKOFF_MILLIS;
+                } else if (!copies.model.hasLoadedCopy()) {
+                    requestCopies(copies, 1);
                 }
             }
             case FULL -> {
-                c.backoffUntil = now + BACKOFF_MILLIS;
-                leases.invalidateProof(ex, fwd.sentAt);
-                health.recordFull(ex);
-                health.raiseSuspicion(ex, 0.3, now);
+                copies.backoffUntil = now + BACKOFF_MILLIS;
+                leases.invalidateProof(executor, forward.sentAt);
+                health.recordFull(executor);
+                health.raiseSuspicion(executor, 0.3, now);
             }
-            // What stands there is not forgotten: a broken link is no dead executor.
+            // Its copies still count as loaded: a broken connection does not mean that the executor is down.
             case CONNECT_FAILED, RESET -> {
-                leases.recordDisconnect(ex, now);
-                health.raiseSuspicion(ex, 2, now);
+                leases.recordDisconnect(executor, now);
+                health.raiseSuspicion(executor, 2, now);
             }
-            case ERROR -> health.raiseSuspicion(ex, 0.3, now);
+            case ERROR -> health.raiseSuspicion(executor, 0.3, now);
             case TIMED_OUT, CANCELLED -> {
-                if (fwd.answerStarted) {
-                    break; // its reader left, or took its time
+                if (forward.answerStarted) {
+                    break; // the client left or read slowly
                 }
-                // Guards against an executor that never answers: what ended without one still counts as time.
-                ex.slowdownSum.add(answer.elapsed() / fwd.expectedAnswerTime, now, ExecutorHealth.STATISTICS_DECAY_MILLIS);
-                health.raiseSuspicion(ex, answer.outcome() == Outcome.CANCELLED ? 0 : 0.3, now);
+                // The time of forwards that ended without an answer counts too, or an executor that never answers would not
+                // look slow.
+                executor.slowdownSum.add(result.elapsed() / forward.expectedAnswerTime, now, ExecutorHealth.STATISTICS_DECAY_MILLIS);
+                health.raiseSuspicion(executor, result.outcome() == Outcome.CANCELLED ? 0 : 0.3, now);
             }
             default -> { }
         }
     }
 
-    private static final int ANSWER_TIME_SAMPLES = 100; // the least of a shorter mean would be the luckiest
-    private static final double LOWEST_MEAN_GROWTH_PER_MILLI = 0.00001; // a hundredth a second: work that grew is noticed
+    private static final int ANSWER_TIME_SAMPLES = 100; // with fewer, the lowest mean would be that of lucky answers
+    private static final double LOWEST_MEAN_GROWTH_PER_MILLI = 0.00001; // 1% per second: follows work that has become heavier
 
     @Override public void onTimer(long tag) { timerScheduledAt = Double.POSITIVE_INFINITY; }
 
-    @Override public void onProbeEnded(Executor ex, Outcome outcome, double took, ExecutorReport report) {
-        ex.probePending = false;
-        if (ex.probeGeneration != ex.generation) {
-            return; // of a process that has gone
+    @Override public void onProbeEnded(Executor executor, Outcome outcome, double elapsed, ExecutorReport report) {
+        executor.probePending = false;
+        if (executor.probeGeneration != executor.generation) {
+            return; // sent to an earlier process
         }
-        recordReport(ex, report);
+        recordReport(executor, report);
         switch (outcome) {
             case RETURNED -> {
-                if (leases.mayHaveRestarted(ex, ex.probeSentAt, now)) {
-                    assumeRestarted(ex, ex.disconnectedAt);
-                } else if (leases.wasDraining(ex, now)) {
-                    assumeRestarted(ex, now);
+                if (leases.mayHaveRestarted(executor, executor.probeSentAt, now)) {
+                    assumeRestarted(executor, executor.disconnectedAt);
+                } else if (leases.wasDraining(executor, now)) {
+                    assumeRestarted(executor, now);
                 }
-                leases.recordReady(ex, ex.probeSentAt);
+                leases.recordReady(executor, executor.probeSentAt);
             }
-            case ERROR, FULL -> leases.recordNotReady(ex, ex.probeSentAt);
+            case ERROR, FULL -> leases.recordNotReady(executor, executor.probeSentAt);
             case CONNECT_FAILED, RESET -> {
-                leases.recordDisconnect(ex, now);
-                health.raiseSuspicion(ex, 2, now);
+                leases.recordDisconnect(executor, now);
+                health.raiseSuspicion(executor, 2, now);
             }
             default -> { }
         }
     }
 
-    @Override public void onOrderEnded(Executor ex, Model mdl, Outcome outcome, double took, int standing) {
-        ModelCopies c = mdl.copiesOn(ex);
-        boolean current = c.orderIsCurrent();
-        boolean question = c.recordOrderEnded();
-        ordersInFlight -= question ? 0 : 1;
-        modelsToReview.add(mdl);
+    @Override public void onOrderEnded(Executor executor, Model model, Outcome outcome, double elapsed, int loadedCopies) {
+        ModelCopies copies = model.copiesOn(executor);
+        boolean current = copies.orderIsCurrent();
+        boolean isQuery = copies.recordOrderEnded();
+        ordersInFlight -= isQuery ? 0 : 1;
+        modelsToReview.add(model);
         if (current) {
-            updateCopies(c, outcome, question, standing);
+            updateCopies(copies, outcome, isQuery, loadedCopies);
         }
     }
 
-    /** What the end of an order or a question tells of the process that it was sent to, which is the present one. */
-    private void updateCopies(ModelCopies c, Outcome outcome, boolean question, int standing) {
-        Executor ex = c.executor;
-        Model mdl = c.model;
-        c.backoffUntil = outcome == Outcome.RETURNED ? c.backoffUntil : now + BACKOFF_MILLIS;
+    /** Updates the copies from the end of an order or a status query that was sent to the current process. */
+    private void updateCopies(ModelCopies copies, Outcome outcome, boolean isQuery, int loadedCopies) {
+        Executor executor = copies.executor;
+        Model model = copies.model;
+        copies.backoffUntil = outcome == Outcome.RETURNED ? copies.backoffUntil : now + BACKOFF_MILLIS;
         if (outcome == Outcome.FULL) {
-            leases.invalidateProof(ex, c.orderSentAt);
+            leases.invalidateProof(executor, copies.orderSentAt);
         } else if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
-            leases.recordDisconnect(ex, now);
+            leases.recordDisconnect(executor, now);
         } else if (outcome == Outcome.RETURNED) {
-            checkForRestart(ex, c.orderSentAt);
+            checkForRestart(executor, copies.orderSentAt);
         }
         if (outcome == Outcome.RETURNED || outcome == Outcome.FULL || outcome == Outcome.ERROR) {
-            c.loadedCopies = standing;
-            c.confirmedAt = now;
-            // A question does not renew: what stands has, on the mean, half its idle time left.
-            c.loadedUntil = Math.max(c.loadedUntil, now + loadingRules.idleUnloadTime() / (question ? 2 : 1));
-            scheduleReview(c);
+            copies.loadedCopies = loadedCopies;
+            copies.confirmedAt = now;
+            // A status query does not restart the idle timer: a loaded copy has, on average, half of its idle time left.
+            copies.loadedUntil = Math.max(copies.loadedUntil, now + loadingRules.idleUnloadTime() / (isQuery ? 2 : 1));
+            scheduleReview(copies);
         } else {
-            health.raiseSuspicion(ex, 0.7, now);
+            health.raiseSuspicion(executor, 0.7, now);
         }
-        if (outcome == Outcome.ERROR && !question) {
-            mdl.consecutiveFailedLoads++;
-            mdl.lastFailedLoadAt = now;
-        } else if (standing > 0) {
-            mdl.consecutiveFailedLoads = 0;
+        if (outcome == Outcome.ERROR && !isQuery) {
+            model.consecutiveFailedLoads++;
+            model.lastFailedLoadAt = now;
+        } else if (loadedCopies > 0) {
+            model.consecutiveFailedLoads = 0;
         }
     }
 
-    private static final double BACKOFF_MILLIS = 1000; // a pair that said no is passed over for about one load
+    private static final double BACKOFF_MILLIS = 1000; // after a refusal; about the duration of one load
 
     /**
-     * Failed wherever it was tried: there hardly is such a model. What asks for it is given up at once, and
-     * not ordered on one executor after the other; later one more try is made. Harms models that come up
-     * while no executor can load.
+     * Whether the model failed to load wherever it was tried, so that it hardly exists. Its inferences are rejected at
+     * once, and it is not ordered on one executor after the other; one more attempt is made later. Drawback: it also
+     * rejects models that are first used while no executor can load.
      */
-    private boolean cannotLoad(Model mdl) {
-        return mdl.consecutiveFailedLoads >= MAX_CONSECUTIVE_FAILED_LOADS && !mdl.hasLoadedCopy() && mdl.inFlight == 0
-                && now - mdl.lastFailedLoadAt < FAILED_LOAD_RETRY_MILLIS;
+    private boolean cannotLoad(Model model) {
+        return model.consecutiveFailedLoads >= MAX_CONSECUTIVE_FAILED_LOADS && !model.hasLoadedCopy() && model.inFlight == 0
+                && now - model.lastFailedLoadAt < FAILED_LOAD_RETRY_MILLIS;
     }
 
-    private static final int MAX_CONSECUTIVE_FAILED_LOADS = 3; // few sound loads fail: hardly one thrice in a row
-    private static final double FAILED_LOAD_RETRY_MILLIS = 5000; // longer than a burst of clients that come again at once
+    private static final int MAX_CONSECUTIVE_FAILED_LOADS = 3; // loads of existing models rarely fail, hardly ever three times in a row
+    private static final double FAILED_LOAD_RETRY_MILLIS = 5000; // longer than a burst of clients that retry at once
 
-    @Override public void onPeerMessage(int from, byte[] words) { }
+    @Override public void onPeerMessage(int from, byte[] message) { }
 
-    @Override public void onShareChanged(double part) { frontEndShare.fraction = part; }
+    @Override public void onShareChanged(double fraction) { frontEndShare.fraction = fraction; }
 
-    // ---- what is wanted --------------------------------------------------------------------------------
+    // ---- decisions -------------------------------------------------------------------------------------
 
-    /** Lets go of executors that have gone, once nothing of ours is out there. */
+    /** Drops executors that were removed from the roster, once nothing of this front end is pending there. */
     private void dropIdleRemovedExecutors() {
-        for (Executor ex : removedExecutors.isEmpty() ? List.<Executor>of() : List.copyOf(removedExecutors)) {
-            if (ex.isIdle()) {
-                removedExecutors.remove(ex);
-                executors.remove(ex);
-                ex.detachFromModels();
+        for (Executor executor : removedExecutors.isEmpty() ? List.<Executor>of() : List.copyOf(removedExecutors)) {
+            if (executor.isIdle()) {
+                removedExecutors.remove(executor);
+                executors.remove(executor);
+                executor.detachFromModels();
                 fleetVersion++;
             }
         }
     }
 
-    @Override public boolean tryForgetModel(Model mdl) {
-        boolean lets = mdl.isIdle() && mdl.recentArrivals.value(now, RECENT_DECAY_MILLIS) < MIN_RECENT_ARRIVALS;
-        if (lets) {
-            mdl.copies.forEach(c -> c.executor.copies.remove(c));
-            modelsToReview.remove(mdl);
+    @Override public boolean tryForgetModel(Model model) {
+        boolean forgotten = model.isIdle() && model.recentArrivals.value(now, RECENT_DECAY_MILLIS) < MIN_RECENT_ARRIVALS;
+        if (forgotten) {
+            model.copies.forEach(copies -> copies.executor.copies.remove(copies));
+            modelsToReview.remove(model);
         }
-        return lets;
+        return forgotten;
     }
 
-    private static final double MIN_RECENT_ARRIVALS = 0.001; // seven times LATELY after its last inference
+    private static final double MIN_RECENT_ARRIVALS = 0.001; // reached seven times RECENT_DECAY_MILLIS after the last inference
 
     @Override public void endBatch() {
         dropIdleRemovedExecutors();
-        for (Object whom = timers.pollDue(now); whom != null; whom = timers.pollDue(now)) {
-            if (whom instanceof Inference inf) {
-                reviewInference(inf);
-            } else if (whom instanceof ModelCopies c) {
-                reviewCopies(c);
-            } else if (whom instanceof Model mdl) {
-                modelsToReview.add(mdl);
+        for (Object subject = timers.pollDue(now); subject != null; subject = timers.pollDue(now)) {
+            if (subject instanceof Inference inference) {
+                reviewInference(inference);
+            } else if (subject instanceof ModelCopies copies) {
+                reviewCopies(copies);
+            } else if (subject instanceof Model model) {
+                modelsToReview.add(model);
             } else if (frontEnd.subscribesToRoster() && !rosterSubscribed) {
                 rosterSubscribed = true;
                 actions.setRosterSubscription(true);
             }
         }
         modelsToReview.addAll(queuedModels);
-        List<Model> order = new ArrayList<>(modelsToReview);
+        List<Model> models = new ArrayList<>(modelsToReview);
         modelsToReview.clear();
-        // Where room is short the queues with the most value for their work go first.
-        order.sort(Comparator.comparingDouble(mdl -> mdl.queue.isEmpty() ? 0 : -valueDensity(mdl.queue.first())));
-        for (Model mdl : order) {
-            dispatchQueue(mdl);
-            if (!mdl.queue.isEmpty() && !leases.rosterValid(now)) {
-                renewLeases(mdl);
+        // When capacity is short, the queues with the most value for their work are served first.
+        models.sort(Comparator.comparingDouble(model -> model.queue.isEmpty() ? 0 : -valueDensity(model.queue.first())));
+        for (Model model : models) {
+            dispatchQueue(model);
+            if (!model.queue.isEmpty() && !leases.isRosterValid(now)) {
+                renewLeases(model);
             }
-            orderCopyIfNeeded(mdl);
+            orderCopyIfNeeded(model);
         }
         sendActions();
     }
 
-    /** What an answer still brings for its work. */
-    private double valueDensity(Inference inf) {
-        return inf.group.value() * (isLate(inf) ? inf.group.lateValueFraction() : 1) / expectedAnswerTime(inf.model)
-                * (inf.overQuota ? customerQuotas.overQuotaValue() : 1);
+    /** The value that an answer still has, by expected work. */
+    private double valueDensity(Inference inference) {
+        return inference.group.value() * (isLate(inference) ? inference.group.lateValueFraction() : 1) / expectedAnswerTime(inference.model)
+                * (inference.overQuota ? customerQuotas.overQuotaValue() : 1);
     }
 
-    /** Sent now, the mean inference ends past its SLO time; a client's repeat counts from its first try. */
-    private boolean isLate(Inference inf) { return inf.isRetry || now >= lateAfter(inf); }
+    /** Whether the mean inference sent now would miss its SLO time; a client's repeat counts from its first try. */
+    private boolean isLate(Inference inference) { return inference.isRetry || now >= lateAfter(inference); }
 
-    private static double lateAfter(Inference inf) {
-        return inf.acceptedAt + inf.group.sloTime() - expectedAnswerTime(inf.model);
+    private static double lateAfter(Inference inference) {
+        return inference.acceptedAt + inference.group.sloTime() - expectedAnswerTime(inference.model);
     }
 
     /**
-     * Queues keep the order of coming, those late or beyond their customer's share behind the others. Guards
-     * against a backlog in which everything is served just too late; harms the late ones only.
+     * Queues are in order of arrival, with late and over-quota inferences behind the others. This avoids a backlog in
+     * which everything is served just too late; only the late ones lose by it.
      */
-    private void enqueue(Inference inf) {
-        dequeue(inf);
-        inf.queued = true;
-        inf.queueRank = (inf.overQuota ? 2 : 0) + (isLate(inf) ? 1 : 0);
-        inf.model.queue.add(inf);
-        queuedModels.add(inf.model);
+    private void enqueue(Inference inference) {
+        dequeue(inference);
+        inference.queued = true;
+        inference.queueRank = (inference.overQuota ? 2 : 0) + (isLate(inference) ? 1 : 0);
+        inference.model.queue.add(inference);
+        queuedModels.add(inference.model);
     }
 
-    private void dequeue(Inference inf) {
-        inf.queued = false;
-        if (inf.model.queue.remove(inf) && inf.model.queue.isEmpty()) {
-            queuedModels.remove(inf.model);
+    private void dequeue(Inference inference) {
+        inference.queued = false;
+        if (inference.model.queue.remove(inference) && inference.model.queue.isEmpty()) {
+            queuedModels.remove(inference.model);
         }
     }
 
-    /** Half the SLO time: past it, an instance's queue is the better bet than a lane that may come free. */
-    private static double maxLaneWait(Inference inf) { return inf.group.sloTime() / 2; }
+    /** Half the SLO time: after it, an executor's queue is a better bet than a lane that may become free. */
+    private static double maxLaneWait(Inference inference) { return inference.group.sloTime() / 2; }
 
-    /** The last batch but one before the client leaves. */
-    private double giveUpAt(Inference inf) { return inf.deadlineAt - 3 * frontEnd.tick(); }
+    /** The last batch but one before the deadline. */
+    private double giveUpAt(Inference inference) { return inference.deadlineAt - 3 * frontEnd.tick(); }
 
-    private void dispatchQueue(Model mdl) {
-        boolean nobodyToAsk = !frontEnd.probesAllowed() && leases.rosterExpiredFor(ROSTER_RECOVERY_MILLIS, now);
-        if (cannotLoad(mdl) || nobodyToAsk) {
-            List.copyOf(mdl.queue).forEach(this::reject);
+    private void dispatchQueue(Model model) {
+        boolean rosterUnavailable = !frontEnd.probesAllowed() && leases.rosterExpiredFor(ROSTER_RECOVERY_MILLIS, now);
+        if (cannotLoad(model) || rosterUnavailable) {
+            List.copyOf(model.queue).forEach(this::reject);
             return;
         }
-        boolean lanes = true;
-        boolean room = true;
-        // Lanes that others fill come free unseen: without any of ours out, there is nothing to wait for.
-        boolean waits = mdl.inFlight > 0 || !mdl.hasLoadedCopy();
-        // Step by step, not a copy: a long queue is looked into at its head only.
-        Inference head = mdl.queue.isEmpty() ? null : mdl.queue.first();
-        for (Inference inf = head; inf != null; inf = mdl.queue.higher(inf)) {
-            // In a long queue the first that finds nothing speaks for the rest, but for those with a past.
-            boolean fresh = inf.forwards.isEmpty();
-            boolean early = !waits || now - inf.acceptedAt >= maxLaneWait(inf);
-            ModelCopies c = lanes || !fresh ? selectCopies(mdl, inf, true) : null;
-            lanes &= c != null || !fresh;
-            if (c == null && early && (room || !fresh)) {
-                c = selectCopies(mdl, inf, false);
-                room &= c != null || !fresh;
-            }
-            if (c != null) {
-                dequeue(inf);
-                inf.target = c;
-                addInFlight(c, 1);
-                inferencesToForward.add(inf);
+        boolean lanesFree = true;
+        boolean queueRoom = true;
+        // Lanes used by other front ends become free unnoticed: without a forward of our own in flight, there is nothing
+        // to wait for.
+        boolean worthWaiting = model.inFlight > 0 || !model.hasLoadedCopy();
+        // Iterates without a copy: only the head of a long queue is examined.
+        Inference head = model.queue.isEmpty() ? null : model.queue.first();
+        for (Inference inference = head; inference != null; inference = model.queue.higher(inference)) {
+            // In a long queue, the first that finds no executor stands for the rest, except those with earlier forwards.
+            boolean firstAttempt = inference.forwards.isEmpty();
+            boolean waitedLongEnough = !worthWaiting || now - inference.acceptedAt >= maxLaneWait(inference);
+            ModelCopies copies = lanesFree || !firstAttempt ? selectCopies(model, inference, true) : null;
+            lanesFree &= copies != null || !firstAttempt;
+            if (copies == null && waitedLongEnough && (queueRoom || !firstAttempt)) {
+                copies = selectCopies(model, inference, false);
+                queueRoom &= copies != null || !firstAttempt;
+            }
+            if (copies != null) {
+                dequeue(inference);
+                inference.target = copies;
+                addInFlight(copies, 1);
+                inferencesToForward.add(inference);
                 continue;
             }
-            boolean stuck = early && inf.firstCandidate == null && mdl.hasLoadedCopy();
-            if (stuck && (now - blockedAt > BLOCKED_MILLIS || valueDensity(inf) >= blockedValueDensity)) {
-                blockedValueDensity = valueDensity(inf);
+            boolean blocked = waitedLongEnough && inference.firstCandidate == null && model.hasLoadedCopy();
+            if (blocked && (now - blockedAt > BLOCKED_MILLIS || valueDensity(inference) >= blockedValueDensity)) {
+                blockedValueDensity = valueDensity(inference);
                 blockedAt = now;
             }
-            if (!lanes && !room) {
+            if (!lanesFree && !queueRoom) {
                 return;
             }
         }
     }
 
-    /** Where executors cannot be asked: a source of the roster that is there again tells so within a second. */
+    /** For when executors cannot be probed: a roster source that is available again reports so within a second. */
     private static final double ROSTER_RECOVERY_MILLIS = 1000;
 
-    private void addInFlight(ModelCopies c, int more) {
-        c.addInFlight(more);
-        health.fleet.inFlight += more;
+    private void addInFlight(ModelCopies copies, int delta) {
+        copies.addInFlight(delta);
+        health.fleet.inFlight += delta;
     }
 
-    /** In-flight limits count what has not started: they guard the wait for it. Lanes are kept to the end. */
-    private void addUnanswered(Forward fwd, int more) {
-        fwd.executor.inFlight += more;
-        health.fleet.inFlight += more;
-        fwd.inference.model.startedAnswers -= more;
+    /** In-flight limits count forwards whose answer has not started: they limit that wait. Lanes are occupied to the end. */
+    private void addUnanswered(Forward forward, int delta) {
+        forward.executor.inFlight += delta;
+        health.fleet.inFlight += delta;
+        forward.inference.model.startedAnswers -= delta;
     }
 
-    private static final double BLOCKED_MILLIS = 1000; // for so long the clearly less worth leave half of it free
+    private static final double BLOCKED_MILLIS = 1000; // for this long, clearly lower values leave half of the capacity free
 
-    /** Others' inferences there are forgotten as what stands there is. */
-    private double totalInFlight(ModelCopies c) { return c.inFlight + c.othersInFlight.value(now, loadingRules.idleUnloadTime()); }
+    /** Of all front ends; the count of the others decays over the time after which idle copies are unloaded. */
+    private double totalInFlight(ModelCopies copies) {
+        return copies.inFlight + copies.othersInFlight.value(now, loadingRules.idleUnloadTime());
+    }
 
-    private boolean canAccept(ModelCopies c, Inference inf) {
-        Executor ex = c.executor;
-        // Traffic follows distrust: every point leaves about a third of it.
-        double distrust = ex.suspicion.value(now, ExecutorHealth.SUSPICION_DECAY_MILLIS);
-        boolean yields = now - blockedAt < BLOCKED_MILLIS && valueDensity(inf) < 0.7 * blockedValueDensity;
-        return now >= c.backoffUntil && sendRules.mayForward(inf, ex, expectedAnswerTime(c.model), now)
-                && estimatedAnswerTime(c, inf) < inf.deadlineAt - now
-                && ex.inFlight < health.concurrencyLimit(ex, now) * (yields ? 0.5 : 1)
+    private boolean canAccept(ModelCopies copies, Inference inference) {
+        Executor executor = copies.executor;
+        // Every point of suspicion reduces traffic to about a third.
+        double suspicion = executor.suspicion.value(now, ExecutorHealth.SUSPICION_DECAY_MILLIS);
+        boolean yields = now - blockedAt < BLOCKED_MILLIS && valueDensity(inference) < 0.7 * blockedValueDensity;
+        return now >= copies.backoffUntil && sendRules.mayForward(inference, executor, expectedAnswerTime(copies.model), now)
+                && estimatedAnswerTime(copies, inference) < inference.deadlineAt - now
+                && executor.inFlight < health.concurrencyLimit(executor, now) * (yields ? 0.5 : 1)
                 && health.fleet.inFlight < Math.max(health.concurrencyLimit(health.fleet, now) * (yields ? 0.5 : 1),
                         MIN_FLEET_LIMIT_PER_EXECUTOR * executors.size() * frontEndShare.fraction)
-                && (distrust < 0.02 || random.nextDouble() < Math.exp(-distrust));
+                && (suspicion < 0.02 || random.nextDouble() < Math.exp(-suspicion));
     }
 
     /**
-     * What an answer there is taken to need: as expected, times how slow the executor has been. Past the early point one
-     * that has nothing of ours is tried all the same. Guards against one slow answer among few, which counts in both
-     * factors, and shuts an idle executor for longer than a client waits; harms one inference at an executor that stalls.
+     * Expected answer time, multiplied by the slowdown of the executor. After {@link #maxLaneWait}, an executor with none of
+     * our forwards in flight is tried regardless of its slowdown. Otherwise one slow answer among few, which counts in both
+     * factors, would exclude an idle executor for longer than a client waits; the cost is one inference if it stalls.
      */
-    private double estimatedAnswerTime(ModelCopies c, Inference inf) {
-        boolean idle = c.executor.inFlight == 0 && now - inf.acceptedAt >= maxLaneWait(inf);
-        return expectedAnswerTime(c.model) * (idle ? 1 : health.slowdown(c.executor, now));
+    private double estimatedAnswerTime(ModelCopies copies, Inference inference) {
+        boolean idle = copies.executor.inFlight == 0 && now - inference.acceptedAt >= maxLaneWait(inference);
+        return expectedAnswerTime(copies.model) * (idle ? 1 : health.slowdown(copies.executor, now));
     }
 
-    private static final double MIN_FLEET_LIMIT_PER_EXECUTOR = 4; // so many an executor, from all front ends, are no crowd
-    // So many are tried before answers tell: a start meets models to load, a low guess holds what could run.
+    private static final double MIN_FLEET_LIMIT_PER_EXECUTOR = 4; // so many per executor, from all front ends, are no overload
+    // Before the first answers. At startup models have to be loaded; a lower value would hold back what could run.
     private static final double INITIAL_FLEET_LIMIT_PER_EXECUTOR = 16;
 
     /**
-     * Busy counts what is there and what was there lately, or else all idle instances would tie, be used in
-     * turn, and none would lapse. A few arrivals of a middling model.
+     * How busy copies are includes recent forwards. Otherwise all idle copies would tie and be used in turn, and none
+     * would expire. The time spans a few arrivals of a model with medium traffic.
      */
     private static final double RECENT_DECAY_MILLIS = 3000;
 
     /**
-     * The busiest instance with a free lane, ties random; one too slow for the SLO time comes last. Without
-     * {@code lanes} the least busy one. Guards against others' crowds: one more is looked at beside it.
+     * Selects the busiest executor with a free lane, ties at random; those too slow for the SLO time come last. Without
+     * {@code freeLaneOnly}, selects the least busy one. As the load from other front ends is not known, the load report of
+     * a second candidate is compared with that of the first.
      */
-    private ModelCopies selectCopies(Model mdl, Inference inf, boolean lanes) {
-        if (inf.firstCandidate != null && (isProbeAwaited(inf.firstCandidate.executor) || isProbeAwaited(inf.secondCandidate.executor))) {
+    private ModelCopies selectCopies(Model model, Inference inference, boolean freeLaneOnly) {
+        if (inference.firstCandidate != null && (isProbeAwaited(inference.firstCandidate.executor)
+                || isProbeAwaited(inference.secondCandidate.executor))) {
             return null;
         }
         ModelCopies best = null;
-        ModelCopies other = null;
+        ModelCopies alternative = null;
         double bestRank = Double.NEGATIVE_INFINITY;
-        int seen = 0;
-        for (ModelCopies c : mdl.copies) {
-            int copies = lanes || now - c.orderSentAt <= ORDER_DELIVERY_MILLIS ? c.loadedCopies : Math.max(c.loadedCopies, c.copiesOnOrder());
-            if (copies == 0 || lanes && totalInFlight(c) > c.loadedCopies * mdl.lanes - 0.5 || !canAccept(c, inf)) {
+        int alternativesSeen = 0;
+        for (ModelCopies copies : model.copies) {
+            int copyCount = freeLaneOnly || now - copies.orderSentAt <= ORDER_DELIVERY_MILLIS ? copies.loadedCopies
+                    : Math.max(copies.loadedCopies, copies.copiesOnOrder());
+            if (copyCount == 0 || freeLaneOnly && totalInFlight(copies) > copies.loadedCopies * model.lanes - 0.5
+                    || !canAccept(copies, inference)) {
                 continue;
             }
-            double answers = expectedAnswerTime(mdl) * health.slowdown(c.executor, now);
-            double rank = !lanes ? -(totalInFlight(c) + 1) / (copies * mdl.lanes) * answers
-                    : answers > maxLaneWait(inf) ? -answers : c.inFlight + c.recentForwards.value(now, RECENT_DECAY_MILLIS);
+            double answerTime = expectedAnswerTime(model) * health.slowdown(copies.executor, now);
+            double rank = !freeLaneOnly ? -(totalInFlight(copies) + 1) / (copyCount * model.lanes) * answerTime
+                    : answerTime > maxLaneWait(inference) ? -answerTime
+                    : copies.inFlight + copies.recentForwards.value(now, RECENT_DECAY_MILLIS);
             boolean better = rank > bestRank || rank == bestRank && random.nextInt(2) == 0;
-            ModelCopies left = better ? best : c;
-            other = left != null && random.nextInt(++seen) == 0 ? left : other;
-            best = better ? c : best;
+            ModelCopies runnerUp = better ? best : copies;
+            alternative = runnerUp != null && random.nextInt(++alternativesSeen) == 0 ? runnerUp : alternative;
+            best = better ? copies : best;
             bestRank = better ? rank : bestRank;
         }
-        if (other == null || !frontEnd.probesAllowed()) {
+        if (alternative == null || !frontEnd.probesAllowed()) {
             return best;
         }
-        if (inf.firstCandidate == null) {
-            inf.firstCandidate = best;
-            inf.secondCandidate = other;
-            if (refreshReport(best.executor) | refreshReport(other.executor)) {
+        if (inference.firstCandidate == null) {
+            inference.firstCandidate = best;
+            inference.secondCandidate = alternative;
+            if (refreshReport(best.executor) | refreshReport(alternative.executor)) {
                 return null;
             }
         }
-        ModelCopies one = canStillAccept(inf.firstCandidate, inf) ? inf.firstCandidate : best;
-        ModelCopies two = canStillAccept(inf.secondCandidate, inf) ? inf.secondCandidate : one;
-        inf.firstCandidate = null;
-        // A fifth more is what reports are off by.
-        return relativeLoad(one.executor) > 1.2 * relativeLoad(two.executor) ? two : one;
+        ModelCopies first = canStillAccept(inference.firstCandidate, inference) ? inference.firstCandidate : best;
+        ModelCopies second = canStillAccept(inference.secondCandidate, inference) ? inference.secondCandidate : first;
+        inference.firstCandidate = null;
+        // Reports are off by about a fifth.
+        return relativeLoad(first.executor) > 1.2 * relativeLoad(second.executor) ? second : first;
     }
 
-    private boolean canStillAccept(ModelCopies c, Inference inf) { return c.loadedCopies + c.copiesOnOrder() > 0 && canAccept(c, inf); }
+    private boolean canStillAccept(ModelCopies copies, Inference inference) {
+        return copies.loadedCopies + copies.copiesOnOrder() > 0 && canAccept(copies, inference);
+    }
 
-    /** Probes it where its report is old; whether the answer is worth a wait. */
-    private boolean refreshReport(Executor ex) {
-        if (!ex.probePending && now - ex.reportedAt > REPORT_FRESH_MILLIS && probeCredit > 0 && executorsToProbe.add(ex)) {
+    /** Probes the executor if its report is old. Returns whether to wait for the answer. */
+    private boolean refreshReport(Executor executor) {
+        if (!executor.probePending && now - executor.reportedAt > REPORT_FRESH_MILLIS && probeCredit > 0
+                && executorsToProbe.add(executor)) {
             probeCredit--;
         }
-        return isProbeAwaited(ex);
+        return isProbeAwaited(executor);
     }
 
-    /** Asks it whether it is ready where the roster can no longer tell; whether the answer is worth a wait. */
-    private boolean renewLease(Executor ex) {
-        if (frontEnd.probesAllowed() && !ex.probePending && leases.shouldProbe(ex, now) && probeCredit > 0 && executorsToProbe.add(ex)) {
+    /** Probes the executor for readiness if the roster can no longer tell. Returns whether to wait for the answer. */
+    private boolean renewLease(Executor executor) {
+        if (frontEnd.probesAllowed() && !executor.probePending && leases.shouldProbe(executor, now) && probeCredit > 0
+                && executorsToProbe.add(executor)) {
             probeCredit--;
         }
-        return isProbeAwaited(ex);
+        return isProbeAwaited(executor);
     }
 
-    /** Something is held that none of the executors with a lease takes: others that hold its model are asked. */
-    private void renewLeases(Model mdl) {
-        int asked = 0;
-        for (ModelCopies c : mdl.copies) {
-            if (asked < LEASE_PROBES_PER_MODEL && c.loadedCopies + c.copiesOnOrder() > 0 && !sendRules.maySendTo(c.executor, now)
-                    && now >= c.backoffUntil && renewLease(c.executor)) {
-                asked++;
+    /** Probes executors without a lease that hold the model, as those with a lease did not accept all queued inferences. */
+    private void renewLeases(Model model) {
+        int probed = 0;
+        for (ModelCopies copies : model.copies) {
+            if (probed < LEASE_PROBES_PER_MODEL && copies.loadedCopies + copies.copiesOnOrder() > 0
+                    && !sendRules.maySendTo(copies.executor, now) && now >= copies.backoffUntil && renewLease(copies.executor)) {
+                probed++;
             }
         }
     }
 
-    /** As many as are looked at for one inference. */
+    /** As many as are compared for one inference. */
     private static final int LEASE_PROBES_PER_MODEL = 2;
 
-    private boolean isProbeAwaited(Executor ex) {
-        return executorsToProbe.contains(ex) || unansweredProbeAge(ex) > 0 && unansweredProbeAge(ex) <= REPLY_WAIT_MILLIS;
+    private boolean isProbeAwaited(Executor executor) {
+        return executorsToProbe.contains(executor) || unansweredProbeAge(executor) > 0 && unansweredProbeAge(executor) <= REPLY_WAIT_MILLIS;
     }
 
-    /** How long a probe has been out without any report since; 0 where none is. */
-    private double unansweredProbeAge(Executor ex) {
-        return ex.probePending && ex.reportedAt < ex.probeSentAt ? now - ex.probeSentAt : 0;
+    /** Time since the pending probe was sent, if no report came since then; otherwise 0. */
+    private double unansweredProbeAge(Executor executor) {
+        return executor.probePending && executor.reportedAt < executor.probeSentAt ? now - executor.probeSentAt : 0;
     }
 
     /**
-     * Looks and questions an inference taken pays for, ten's at once; three are used when all is well. Guards
-     * against a fleet that is asked more the worse it is; harms a front end that restarts into many models.
+     * Probes and status queries allowed per accepted inference; the credit of ten inferences can be saved up. About three
+     * are used when all is well. Keeps a fleet that gets worse from being probed more and more; the drawback is for a
+     * front end that restarts with many models.
      */
     private static final int PROBE_CREDIT_PER_INFERENCE = 8;
     private static final double REPORT_FRESH_MILLIS = 300; // reports are refreshed a few times a second
 
-    private static final double ORDER_DELIVERY_MILLIS = 20; // a forward may overtake an order: a few network trips
+    private static final double ORDER_DELIVERY_MILLIS = 20; // a forward may overtake an order: a few network round trips
 
-    /** Mean answer time of a warm, unhurried copy: the group's shortest, shaped by the model's own mean. */
-    private static double expectedAnswerTime(Model mdl) {
-        double own = mdl.answerTimes.count;
-        // Eight answers of its own weigh as much as the group's.
-        double shape = (8 + own * mdl.answerTimes.mean / mdl.groupAnswerTimes.mean) / (8 + own);
-        return Math.max(1, mdl.groupAnswerTimes.lowestMean * shape);
+    /** Mean answer time of a loaded copy without queueing: the group's lowest mean, scaled by the model's own mean. */
+    private static double expectedAnswerTime(Model model) {
+        double own = model.answerTimes.count;
+        // Eight answers of the model weigh as much as the group's.
+        double shape = (8 + own * model.answerTimes.mean / model.groupAnswerTimes.mean) / (8 + own);
+        return Math.max(1, model.groupAnswerTimes.lowestMean * shape);
     }
 
-    /** Orders one more when the counted lanes run out. */
-    private void orderCopyIfNeeded(Model mdl) {
-        if (mdl.ordersInFlight >= MAX_ORDERS_PER_MODEL || ordersInFlight >= MAX_ORDERS || !sendRules.mayOrder(now)
-                || cannotLoad(mdl)) {
+    /** Orders one more copy when the known lanes are exhausted, after querying likely executors for loaded copies. */
+    private void orderCopyIfNeeded(Model model) {
+        if (model.ordersInFlight >= MAX_ORDERS_PER_MODEL || ordersInFlight >= MAX_ORDERS || !sendRules.mayOrder(now)
+                || cannotLoad(model)) {
             return;
         }
-        int lanes = 0;
-        int free = 0;
-        int coming = 0;
-        double others = 0;
-        for (ModelCopies c : mdl.copies) {
-            if (c.loadedCopies + c.copiesOnOrder() + c.inFlight > 0 && isUsable(c.executor)) {
-                double here = totalInFlight(c);
-                lanes += c.loadedCopies * mdl.lanes;
-                free += Math.max(0, (int) (c.loadedCopies * mdl.lanes - here + 0.5));
-                coming += Math.max(0, c.copiesOnOrder() - c.loadedCopies) * mdl.lanes;
-                others += here - c.inFlight;
-            }
-        }
-        int held = mdl.queue.size();
-        // What flows holds its lane for as long as its client reads, which no mean answer time tells.
-        double busy = mdl.recentArrivals.value(now, RECENT_DECAY_MILLIS) / RECENT_DECAY_MILLIS * expectedAnswerTime(mdl) + others + mdl.startedAnswers;
-        // Also where the last instance has just left with its executor: the next would wait for a load.
-        boolean wished = mdl.inFlight + others + held > 0 || mdl.recentArrivals.value(now, RECENT_DECAY_MILLIS) > 0.5;
-        boolean out = free <= 0 && wished && (lanes == 0 || busy > BUSY_LANES_THRESHOLD * lanes
-                || held * expectedAnswerTime(mdl) / lanes > mdl.group.sloTime() / 2);
-        if (!out || coming > 0 && coming >= held || mdl.queriesInFlight > 0 && now - mdl.queriedAt <= REPLY_WAIT_MILLIS) {
+        int loadedLanes = 0;
+        int freeLanes = 0;
+        int lanesOnOrder = 0;
+        double othersInFlight = 0;
+        for (ModelCopies copies : model.copies) {
+            if (copies.loadedCopies + copies.copiesOnOrder() + copies.inFlight > 0 && isUsable(copies.executor)) {
+                double inFlightHere = totalInFlight(copies);
+                loadedLanes += copies.loadedCopies * model.lanes;
+                freeLanes += Math.max(0, (int) (copies.loadedCopies * model.lanes - inFlightHere + 0.5));
+                lanesOnOrder += Math.max(0, copies.copiesOnOrder() - copies.loadedCopies) * model.lanes;
+                othersInFlight += inFlightHere - copies.inFlight;
+            }
+        }
+        int queued = model.queue.size();
+        // A started answer occupies its lane for as long as the client reads, which no mean answer time shows.
+        double busyLanes = model.recentArrivals.value(now, RECENT_DECAY_MILLIS) / RECENT_DECAY_MILLIS
+                * expectedAnswerTime(model) + othersInFlight + model.startedAnswers;
+        // Also if the last copy has just been lost with its executor: the next inference would wait for a load.
+        boolean inDemand = model.inFlight + othersInFlight + queued > 0 || model.recentArrivals.value(now, RECENT_DECAY_MILLIS) > 0.5;
+        boolean lanesExhausted = freeLanes <= 0 && inDemand && (loadedLanes == 0 || busyLanes > BUSY_LANES_THRESHOLD * loadedLanes
+                || queued * expectedAnswerTime(model) / loadedLanes > model.group.sloTime() / 2);
+        if (!lanesExhausted || lanesOnOrder > 0 && lanesOnOrder >= queued
+                || model.queriesInFlight > 0 && now - model.queriedAt <= REPLY_WAIT_MILLIS) {
             return;
         }
-        int depth = 0;
-        List<Executor> near = rendezvousOrder(mdl);
-        // Where asking costs more, fewer are asked, or none: an order is answered at once where one stands.
-        double asks = Math.min(MAX_CANDIDATES, QUERY_COST_LIMIT / frontEnd.probeCost());
-        for (int i = 0; i < near.size() && depth + 1 <= asks; i++) {
-            ModelCopies c = sendRules.mayQuery(near.get(i)) ? mdl.copiesOn(near.get(i)) : null;
-            if (c != null && c.loadedCopies == 0) {
-                depth++;
-                if (!c.orderPending && now - c.confirmedAt > QUERY_INTERVAL_MILLIS && probeCredit > 0) {
+        int candidates = 0;
+        List<Executor> nearest = rendezvousOrder(model);
+        // The more a status query costs, the fewer are sent, or none: where a copy is loaded, an order is answered at once.
+        double maxQueries = Math.min(MAX_CANDIDATES, QUERY_COST_LIMIT / frontEnd.probeCost());
+        for (int i = 0; i < nearest.size() && candidates + 1 <= maxQueries; i++) {
+            ModelCopies copies = sendRules.mayQuery(nearest.get(i)) ? model.copiesOn(nearest.get(i)) : null;
+            if (copies != null && copies.loadedCopies == 0) {
+                candidates++;
+                if (!copies.orderPending && now - copies.confirmedAt > QUERY_INTERVAL_MILLIS && probeCredit > 0) {
                     probeCredit--;
-                    mdl.queriedAt = now;
-                    requestCopies(c, 0);
+                    model.queriedAt = now;
+                    requestCopies(copies, 0);
                 }
             }
         }
-        ModelCopies c = mdl.queriedAt == now ? null : selectExecutorForOrder(mdl);
-        if (c != null) {
-            requestCopies(c, c.loadedCopies + 1);
+        ModelCopies copies = model.queriedAt == now ? null : selectExecutorForOrder(model);
+        if (copies != null) {
+            requestCopies(copies, copies.loadedCopies + 1);
         }
     }
 
-    /** The design's starting values: two loads under way for a model, and a small total. */
+    /** Limits of load orders in flight. */
     private static final int MAX_ORDERS_PER_MODEL = 2, MAX_ORDERS = 8;
-    private static final double BUSY_LANES_THRESHOLD = 0.5; // lanes out for a moment are worth a wait, not a load
-    private static final double QUERY_INTERVAL_MILLIS = 8000; // cheap beside a load, but each one asked must answer
-    /** Orders go to the first in rendezvous order, so what stands does so on the first few. */
+    private static final double BUSY_LANES_THRESHOLD = 0.5; // lanes missing for a moment are worth a wait, not a load
+    /** A status query is cheap compared with a load, but each one has to be answered. */
+    private static final double QUERY_INTERVAL_MILLIS = 8000;
+    /** Orders go to the first executors in rendezvous order, so loaded copies are found on the first few. */
     private static final int MAX_CANDIDATES = 4;
-    private static final double QUERY_COST_LIMIT = 0.05; // points: a twentieth of what an inference brings pays for questions
-    private static final double REPLY_WAIT_MILLIS = 15; // a few network trips; one that stalls is not waited for
-
-    /** The executors in a model's rendezvous order; sorted anew where the fleet has changed. */
-    private List<Executor> rendezvousOrder(Model mdl) {
-        if (mdl.rendezvousFleetVersion != fleetVersion) {
-            mdl.rendezvousFleetVersion = fleetVersion;
-            mdl.rendezvousOrder.clear();
-            mdl.rendezvousOrder.addAll(executors);
-            mdl.rendezvousOrder.sort(Comparator.comparingLong(ex -> rendezvousHash(mdl, ex)));
-        }
-        return mdl.rendezvousOrder;
-    }
-
-    /** First in the model's rendezvous order whose use, looked at, is not far above the mean. */
-    private ModelCopies selectExecutorForOrder(Model mdl) {
-        ModelCopies least = null;
-        int seen = 0;
-        int unproven = 0;
-        for (Executor ex : rendezvousOrder(mdl)) {
-            if (!isUsable(ex) || mdl.copiesOn(ex).orderPending || now < mdl.copiesOn(ex).backoffUntil) {
+    private static final double QUERY_COST_LIMIT = 0.05; // points: a twentieth of the value of an inference
+    private static final double REPLY_WAIT_MILLIS = 15; // a few network round trips; stalled executors are not waited for
+
+    /** The executors in the model's rendezvous order, sorted again after the fleet has changed. */
+    private List<Executor> rendezvousOrder(Model model) {
+        if (model.rendezvousFleetVersion != fleetVersion) {
+            model.rendezvousFleetVersion = fleetVersion;
+            model.rendezvousOrder.clear();
+            model.rendezvousOrder.addAll(executors);
+            model.rendezvousOrder.sort(Comparator.comparingLong(executor -> rendezvousHash(model, executor)));
+        }
+        return model.rendezvousOrder;
+    }
+
+    /** Selects the first executor in the model's rendezvous order whose load is not far above the mean. */
+    private ModelCopies selectExecutorForOrder(Model model) {
+        ModelCopies leastLoaded = null;
+        int overloaded = 0;
+        int withoutLease = 0;
+        for (Executor executor : rendezvousOrder(model)) {
+            if (!isUsable(executor) || model.copiesOn(executor).orderPending || now < model.copiesOn(executor).backoffUntil) {
                 continue;
             }
-            if (!sendRules.maySendTo(ex, now)) {
-                if (renewLease(ex)) {
-                    timers.schedule(now + REPLY_WAIT_MILLIS, mdl);
+            if (!sendRules.maySendTo(executor, now)) {
+                if (renewLease(executor)) {
+                    timers.schedule(now + REPLY_WAIT_MILLIS, model);
                     return null;
                 }
-                if (++unproven == MAX_CANDIDATES) {
-                    return least; // nobody answers, or nothing pays for more questions: the others would not either
+                if (++withoutLease == MAX_CANDIDATES) {
+                    return leastLoaded; // no answers or no probe credit left: the same goes for the others
                 }
                 continue;
             }
-            if (frontEnd.probesAllowed() && now - ex.reportedAt > 4 * REPORT_FRESH_MILLIS && refreshReport(ex)) {
-                timers.schedule(now + REPLY_WAIT_MILLIS, mdl);
+            if (frontEnd.probesAllowed() && now - executor.reportedAt > 4 * REPORT_FRESH_MILLIS && refreshReport(executor)) {
+                timers.schedule(now + REPLY_WAIT_MILLIS, model);
                 return null;
             }
-            // Half above the mean is within the reports' noise.
-            if (relativeLoad(ex) <= 1.5 * meanLoad) {
-                return mdl.copiesOn(ex);
+            // Up to 1.5 times the mean is within the noise of the reports.
+            if (relativeLoad(executor) <= 1.5 * meanLoad) {
+                return model.copiesOn(executor);
             }
-            least = least == null || relativeLoad(ex) < relativeLoad(least.executor) ? mdl.copiesOn(ex) : least;
-            if (++seen == MAX_CANDIDATES) {
-                return least;
+            leastLoaded = leastLoaded == null || relativeLoad(executor) < relativeLoad(leastLoaded.executor)
+                    ? model.copiesOn(executor) : leastLoaded;
+            if (++overloaded == MAX_CANDIDATES) {
+                return leastLoaded;
             }
         }
-        return least;
+        return leastLoaded;
     }
 
-    /** A mean over the last reports heard: the fleet, seen through what we deal with. */
-    private void recordReport(Executor ex, ExecutorReport report) {
-        ex.recordReport(report, now);
+    /** Stores the report and updates the mean over the latest reports, an estimate for the fleet. */
+    private void recordReport(Executor executor, ExecutorReport report) {
+        executor.recordReport(report, now);
         if (report != null) {
-            meanLoad += (relativeLoad(ex) - meanLoad) / Math.min(++reportCount, MEAN_LOAD_SAMPLES);
+            meanLoad += (relativeLoad(executor) - meanLoad) / Math.min(++reportCount, MEAN_LOAD_SAMPLES);
         }
     }
 
     private static final double MEAN_LOAD_SAMPLES = 20; // as many executors as a model may choose from
 
-    /** Whether what stands there counts: a lease that ran out is renewed when it is needed. */
-    private boolean isUsable(Executor ex) {
-        return ex.state == ExecutorState.READY && !leases.isRefusing(ex, now)
-                && ex.suspicion.value(now, ExecutorHealth.SUSPICION_DECAY_MILLIS) <= 0.7;
+    /** Whether copies there count; an expired lease is no obstacle, as it is renewed when needed. */
+    private boolean isUsable(Executor executor) {
+        return executor.state == ExecutorState.READY && !leases.isRefusing(executor, now)
+                && executor.suspicion.value(now, ExecutorHealth.SUSPICION_DECAY_MILLIS) <= 0.7;
     }
 
-    /** What it has to do: as reported, or else our own part; one that leaves a probe unheard is full. */
-    private double relativeLoad(Executor ex) {
-        ExecutorReport r = now - ex.reportedAt < 4 * REPORT_FRESH_MILLIS ? ex.report : null;
-        double use = unansweredProbeAge(ex) > REPLY_WAIT_MILLIS ? 100 // more than most executors hold
-                : r == null ? ex.inFlight : !Double.isNaN(r.inFlight()) ? r.inFlight()
-                // A share of busy cores says little near 1: turned into what would be there.
-                : (r.queued() > 0 ? r.queued() : 0) + (r.busyFraction() > 0 ? 1 / (1.1 - Math.min(1, r.busyFraction())) : 0);
-        return use / ex.capacity / sendRules.capacityFraction(ex, now);
+    /**
+     * In-flight work by capacity: as reported, otherwise the forwards of this front end. An executor that leaves a probe
+     * unanswered counts as full.
+     */
+    private double relativeLoad(Executor executor) {
+        ExecutorReport report = now - executor.reportedAt < 4 * REPORT_FRESH_MILLIS ? executor.report : null;
+        double load = unansweredProbeAge(executor) > REPLY_WAIT_MILLIS ? 100 // more than most executors hold
+                : report == null ? executor.inFlight : !Double.isNaN(report.inFlight()) ? report.inFlight()
+                // The fraction of busy cores says little near 1: converted into the inferences in flight that it implies.
+                : (report.queued() > 0 ? report.queued() : 0)
+                + (report.busyFraction() > 0 ? 1 / (1.1 - Math.min(1, report.busyFraction())) : 0);
+        return load / executor.capacity / sendRules.capacityFraction(executor, now);
     }
 
-    private static long rendezvousHash(Model mdl, Executor ex) {
-        long h = (mdl.id * 0x9e3779b97f4a7c15L ^ ex.id) * 0xbf58476d1ce4e5b9L;
-        h = (h ^ h >>> 31) * 0x94d049bb133111ebL;
-        return h ^ h >>> 29;
+    private static long rendezvousHash(Model model, Executor executor) {
+        long hash = (model.id * 0x9e3779b97f4a7c15L ^ executor.id) * 0xbf58476d1ce4e5b9L;
+        hash = (hash ^ hash >>> 31) * 0x94d049bb133111ebL;
+        return hash ^ hash >>> 29;
     }
 
-    /** No order may ask for more than 16, though executors may hold more of their own accord. */
-    private void requestCopies(ModelCopies c, int count) {
-        c.wantedCopies = Math.min(16, count);
-        ordersToSend.add(c);
+    /** Requests an order, or a status query where count is 0. Orders ask for at most 16 copies, though executors may hold more. */
+    private void requestCopies(ModelCopies copies, int count) {
+        copies.wantedCopies = Math.min(16, count);
+        ordersToSend.add(copies);
     }
 
-    private void scheduleReview(ModelCopies c) {
-        if (!c.reviewScheduled) {
-            c.reviewScheduled = true;
-            timers.schedule(Math.max(now + 1, c.loadedUntil - renewLead()), c);
+    private void scheduleReview(ModelCopies copies) {
+        if (!copies.reviewScheduled) {
+            copies.reviewScheduled = true;
+            timers.schedule(Math.max(now + 1, copies.loadedUntil - renewLead()), copies);
         }
     }
 
-    /** A tenth of the idle time: late enough to see a last use, early enough for a slow trip. */
+    /** A tenth of the idle time: late enough to see a last use, early enough for a slow round trip. */
     private double renewLead() { return loadingRules.idleUnloadTime() / 10; }
 
-    /** Near its idle time's end an instance is renewed if it was used and its model came more than once. */
-    private void reviewCopies(ModelCopies c) {
-        c.reviewScheduled = false;
-        c.loadedCopies = now >= c.loadedUntil && c.inFlight == 0 ? 0 : c.loadedCopies;
-        if (c.loadedCopies == 0) {
+    /** Shortly before their idle time ends, renews copies that were used and whose model had more than one inference. */
+    private void reviewCopies(ModelCopies copies) {
+        copies.reviewScheduled = false;
+        copies.loadedCopies = now >= copies.loadedUntil && copies.inFlight == 0 ? 0 : copies.loadedCopies;
+        if (copies.loadedCopies == 0) {
             return;
-        } else if (now >= c.loadedUntil - renewLead() - 1) {
-            c.loadedCopies = Math.min(c.loadedCopies, Math.max(1, (int) Math.ceil(c.peakInFlight / c.model.lanes)));
-            c.peakInFlight = c.inFlight;
-            if (c.inFlight > 0) {
-                c.loadedUntil = now + loadingRules.idleUnloadTime();
-            } else if (c.lastUsedAt > c.renewedAt && c.model.acceptedCount > 1 && !sendRules.maySendTo(c.executor, now)
-                    && renewLease(c.executor)) {
-                c.reviewScheduled = true;
-                timers.schedule(now + REPLY_WAIT_MILLIS, c);
+        } else if (now >= copies.loadedUntil - renewLead() - 1) {
+            copies.loadedCopies = Math.min(copies.loadedCopies, Math.max(1, (int) Math.ceil(copies.peakInFlight / copies.model.lanes)));
+            copies.peakInFlight = copies.inFlight;
+            if (copies.inFlight > 0) {
+                copies.loadedUntil = now + loadingRules.idleUnloadTime();
+            } else if (copies.lastUsedAt > copies.renewedAt && copies.model.acceptedCount > 1 && !sendRules.maySendTo(copies.executor, now)
+                    && renewLease(copies.executor)) {
+                copies.reviewScheduled = true;
+                timers.schedule(now + REPLY_WAIT_MILLIS, copies);
                 return;
-            } else if (c.lastUsedAt > c.renewedAt && c.model.acceptedCount > 1) {
-                c.renewedAt = now;
-                requestCopies(c, c.loadedCopies);
+            } else if (copies.lastUsedAt > copies.renewedAt && copies.model.acceptedCount > 1) {
+                copies.renewedAt = now;
+                requestCopies(copies, copies.loadedCopies);
             } else {
-                c.reviewScheduled = true;
-                timers.schedule(c.loadedUntil, c);
+                copies.reviewScheduled = true;
+                timers.schedule(copies.loadedUntil, copies);
                 return;
             }
         }
-        scheduleReview(c);
+        scheduleReview(copies);
     }
 
-    private void reviewInference(Inference inf) {
-        if (inf.queued && now >= giveUpAt(inf) - 0.5) {
-            reject(inf);
-        } else if (inf.queued && now >= lateAfter(inf)) {
-            enqueue(inf);
+    private void reviewInference(Inference inference) {
+        if (inference.queued && now >= giveUpAt(inference) - 0.5) {
+            reject(inference);
+        } else if (inference.queued && now >= lateAfter(inference)) {
+            enqueue(inference);
         }
     }
 
-    private void reject(Inference inf) {
-        dequeue(inf);
-        inf.rejection = sendRules.mayShed(inf) ? Rejection.SHED : Rejection.FAIL;
-        inferencesToReject.add(inf);
+    private void reject(Inference inference) {
+        dequeue(inference);
+        inference.rejection = sendRules.mayShed(inference) ? Rejection.SHED : Rejection.FAIL;
+        inferencesToReject.add(inference);
     }
 
-    @Override public void onInferenceCancelled(Inference inf) {
-        inf.done = true;
-        dequeue(inf);
-        for (Forward fwd : inf.forwards) {
-            if (fwd.outcome == null && !fwd.cancelled && forwardRules.cancellationAllowed() && !inf.streaming) {
-                fwd.cancelled = true;
-                forwardsToCancel.add(fwd);
+    @Override public void onInferenceCancelled(Inference inference) {
+        inference.done = true;
+        dequeue(inference);
+        for (Forward forward : inference.forwards) {
+            if (forward.outcome == null && !forward.cancelled && forwardRules.cancellationAllowed() && !inference.streaming) {
+                forward.cancelled = true;
+                forwardsToCancel.add(forward);
             }
         }
     }
 
-    /** Sends what is wanted and not yet so; every rule is asked once more at this door. */
+    /** Sends what was decided, after checking every rule again. */
     private void sendActions() {
         forwardsToCancel.forEach(actions::cancelForward);
         forwardsToCancel.clear();
-        for (Inference inf : inferencesToReject) {
-            if (!inf.done && inf.rejection == Rejection.SHED) {
-                // It was held to the last: what comes back at once finds the same crowd.
-                actions.shed(inf, forwardRules.sendsRetryAfter() ? forwardRules.maxRetryAfter() : 0);
-            } else if (!inf.done) {
-                actions.fail(inf);
+        for (Inference inference : inferencesToReject) {
+            if (!inference.done && inference.rejection == Rejection.SHED) {
+                // It was queued to its deadline: an immediate retry would meet the same load.
+                actions.shed(inference, forwardRules.sendsRetryAfter() ? forwardRules.maxRetryAfter() : 0);
+            } else if (!inference.done) {
+                actions.fail(inference);
             }
         }
         inferencesToReject.clear();
-        for (ModelCopies c : ordersToSend) {
-            int orders = c.wantedCopies == 0 ? 0 : 1;
-            if (loadingRules.ordersAllowed() && !c.orderPending && (orders == 0 ? sendRules.mayQuery(c.executor)
-                    : sendRules.maySendTo(c.executor, now) && sendRules.mayOrder(now))) {
-                c.recordOrderSent(now);
-                sendRules.orders().add(orders, now);
-                ordersInFlight += orders;
-                c.executor.leaseEndsAt = leases.leaseEnd(c.executor);
-                actions.sendOrder(c.executor, c.model, c.wantedCopies);
+        for (ModelCopies copies : ordersToSend) {
+            int orderCount = copies.wantedCopies == 0 ? 0 : 1;
+            if (loadingRules.ordersAllowed() && !copies.orderPending && (orderCount == 0 ? sendRules.mayQuery(copies.executor)
+                    : sendRules.maySendTo(copies.executor, now) && sendRules.mayOrder(now))) {
+                copies.recordOrderSent(now);
+                sendRules.orders().add(orderCount, now);
+                ordersInFlight += orderCount;
+                copies.executor.leaseEndsAt = leases.leaseEnd(copies.executor);
+                actions.sendOrder(copies.executor, copies.model, copies.wantedCopies);
             }
         }
         ordersToSend.clear();
-        for (Inference inf : inferencesToForward) {
-            ModelCopies c = inf.target;
-            inf.target = null;
-            if (inf.done || !sendRules.mayForward(inf, c.executor, expectedAnswerTime(c.model), now)) {
-                addInFlight(c, -1);
-                if (!inf.done) {
-                    enqueue(inf);
+        for (Inference inference : inferencesToForward) {
+            ModelCopies copies = inference.target;
+            inference.target = null;
+            if (inference.done || !sendRules.mayForward(inference, copies.executor, expectedAnswerTime(copies.model), now)) {
+                addInFlight(copies, -1);
+                if (!inference.done) {
+                    enqueue(inference);
                 }
                 continue;
             }
-            c.executor.leaseEndsAt = leases.leaseEnd(c.executor);
-            Forward fwd = actions.sendForward(inf, c.executor, inf.deadlineAt - 2 * frontEnd.tick());
-            fwd.copies = c;
-            fwd.ownInFlight = c.inFlight - 1;
-            fwd.expectedAnswerTime = expectedAnswerTime(c.model) + (c.loadedCopies > 0 ? 0 : c.model.loadTime);
-            // Where the mean is twice this, the tail misses the SLO; less shuts out healthy executors.
-            fwd.targetAnswerTime = 0.375 * inf.group.sloTime() + (c.loadedCopies > 0 ? 0 : c.model.loadTime);
-            c.executor.unansweredForwards.add(fwd);
-            health.fleet.unansweredForwards.add(fwd);
-            c.peakInFlight = Math.max(c.peakInFlight, totalInFlight(c));
-            c.recentForwards.add(1, now, RECENT_DECAY_MILLIS);
-            sendRules.recordForward(c.executor, expectedAnswerTime(c.model), now);
+            copies.executor.leaseEndsAt = leases.leaseEnd(copies.executor);
+            Forward forward = actions.sendForward(inference, copies.executor, inference.deadlineAt - 2 * frontEnd.tick());
+            forward.copies = copies;
+            forward.ownInFlight = copies.inFlight - 1;
+            forward.expectedAnswerTime = expectedAnswerTime(copies.model) + (copies.loadedCopies > 0 ? 0 : copies.model.loadTime);
+            // Where the mean is twice this, the tail misses the SLO; a lower value excludes healthy executors.
+            forward.targetAnswerTime = 0.375 * inference.group.sloTime() + (copies.loadedCopies > 0 ? 0 : copies.model.loadTime);
+            copies.executor.unansweredForwards.add(forward);
+            health.fleet.unansweredForwards.add(forward);
+            copies.peakInFlight = Math.max(copies.peakInFlight, totalInFlight(copies));
+            copies.recentForwards.add(1, now, RECENT_DECAY_MILLIS);
+            sendRules.recordForward(copies.executor, expectedAnswerTime(copies.model), now);
         }
         inferencesToForward.clear();
-        for (Executor ex : executorsToProbe) {
-            ex.probePending = true;
-            ex.probeSentAt = now;
-            ex.probeGeneration = ex.generation;
-            actions.sendProbe(ex);
+        for (Executor executor : executorsToProbe) {
+            executor.probePending = true;
+            executor.probeSentAt = now;
+            executor.probeGeneration = executor.generation;
+            actions.sendProbe(executor);
         }
         executorsToProbe.clear();
-        // While something is held, look again soon, but no more than a thousand models a second.
-        double again = queuedModels.isEmpty() ? Double.POSITIVE_INFINITY : now + Math.max(10, queuedModels.size());
-        double next = Math.min(timers.nextDueAt(), again);
+        // While inferences are queued, checks again soon, but at most a thousand models per second.
+        double nextReview = queuedModels.isEmpty() ? Double.POSITIVE_INFINITY : now + Math.max(10, queuedModels.size());
+        double next = Math.min(timers.nextDueAt(), nextReview);
         if (next < timerScheduledAt) {
             timerScheduledAt = next;
             actions.scheduleTimer(Math.max(0, next - now), 0);
--- a/core/src/main/java/gradereach/ReadinessLeases.java
+++ b/core/src/main/java/gradereach/ReadinessLeases.java
@@ -4,108 +4,110 @@
 import gradereach.state.Executor;
 
 /**
- * Until when each executor may be sent forwards and load orders (rule 3). An executor that the roster has as ready is known
- * to be so for as long as the roster counts as complete. After that it must have answered for itself: a probe that it
- * answered as ready proves that it did not drain when the probe was sent, so that a drain since then counts as told after
- * that time at the earliest. Either knowledge is a lease that runs out the grace of the rule later.
+ * Tracks until when each executor may be sent forwards and load orders (rule 3). While the roster is known to be complete,
+ * an executor listed as ready is ready. After that it has to be probed: a probe answered as ready proves that the executor
+ * was not draining when the probe was sent, so that a later drain cannot have been announced before that time. Either proof
+ * is a lease that expires after the drain grace of the rule.
  *
- * <p>Nothing else is such a proof: executors that drain were seen to return forwards for up to 0.9 s, and to confirm orders
- * and questions about copies that stand for as long as they were up (docs/incidents/i1c4c95.md).
+ * <p>Nothing else is such a proof: draining executors were seen to return forwards for up to 0.9 s, and to confirm orders
+ * and status queries for loaded copies for as long as they were up (docs/incidents/i1c4c95.md).
  */
 final class ReadinessLeases {
-    /** Milliseconds for the way to the executor and a turn of the thread: a send counts from when it arrives. */
+    /** For the network and one event batch: a send counts from its arrival at the executor. */
     private static final double DELIVERY_MARGIN_MILLIS = 25;
-    /** Milliseconds after which an executor that said no is asked again: it will end soon, or start anew. */
+    /** After an answer of not ready: the executor will stop soon, or restart. */
     private static final double NOT_READY_PROBE_INTERVAL_MILLIS = 1000;
-    /** Milliseconds between two questions to an executor that did not answer: a few network trips. */
+    /** While probes are not answered: a few network round trips. */
     private static final double UNANSWERED_PROBE_INTERVAL_MILLIS = 50;
 
     private final double drainGrace;
     private double rosterConfirmedAt = Double.POSITIVE_INFINITY;
     private double rosterValidUntil = Double.POSITIVE_INFINITY;
 
-    /** @param grace of the rule, milliseconds */
-    ReadinessLeases(double grace) {
-        this.drainGrace = grace;
+    /** @param drainGrace how long sends are allowed after a drain was announced, milliseconds */
+    ReadinessLeases(double drainGrace) {
+        this.drainGrace = drainGrace;
     }
 
     /**
-     * What is known of the roster as a whole; a roster that is never told of is always valid.
+     * Sets the validity of the roster as a whole. Until the first call the roster is always valid.
      *
      * @param confirmedAt when it was last known to be complete
-     * @param until up to when what it does not say counts as not told
+     * @param validUntil until when a drain that it does not list counts as not announced
      */
-    void rosterValid(double confirmedAt, double until) {
+    void setRosterValidity(double confirmedAt, double validUntil) {
         rosterConfirmedAt = confirmedAt;
-        rosterValidUntil = until;
+        rosterValidUntil = validUntil;
     }
 
-    boolean rosterValid(double now) {
+    boolean isRosterValid(double now) {
         return now < rosterValidUntil;
     }
 
-    /** Whether nothing may be sent by the roster alone, and that for so long. */
+    /** Whether the roster has allowed no sends for at least this time. */
     boolean rosterExpiredFor(double span, double now) {
         return now - rosterValidUntil - drainGrace >= span;
     }
 
-    /** Whether forwards and load orders may be sent to it. */
-    boolean maySend(Executor ex, double now) { return now < leaseEnd(ex); }
+    /** Whether forwards and load orders may be sent to the executor. */
+    boolean maySend(Executor executor, double now) { return now < leaseEnd(executor); }
 
-    /** When its lease ends by what is known now; minus infinity where it has none. */
-    double leaseEnd(Executor ex) {
-        return ex.state != ExecutorState.READY ? Double.NEGATIVE_INFINITY
-                : Math.max(rosterValidUntil, ex.readyProbeSentAt) + drainGrace - DELIVERY_MARGIN_MILLIS;
+    /** When the lease ends, as far as known now; negative infinity without a lease. */
+    double leaseEnd(Executor executor) {
+        return executor.state != ExecutorState.READY ? Double.NEGATIVE_INFINITY
+                : Math.max(rosterValidUntil, executor.readyProbeSentAt) + drainGrace - DELIVERY_MARGIN_MILLIS;
     }
 
-    /** Whether it is ready by a roster that is no longer valid, and a question would tell more. */
-    boolean shouldProbe(Executor ex, double now) {
-        double pause = ex.notReadyProbeSentAt > ex.readyProbeSentAt ? NOT_READY_PROBE_INTERVAL_MILLIS : UNANSWERED_PROBE_INTERVAL_MILLIS;
-        return ex.state == ExecutorState.READY && !maySend(ex, now) && now - ex.probeSentAt >= pause;
+    /** Whether the executor is listed as ready, but has no lease, and is due for a probe. */
+    boolean shouldProbe(Executor executor, double now) {
+        double interval = executor.notReadyProbeSentAt > executor.readyProbeSentAt ? NOT_READY_PROBE_INTERVAL_MILLIS
+                : UNANSWERED_PROBE_INTERVAL_MILLIS;
+        return executor.state == ExecutorState.READY && !maySend(executor, now) && now - executor.probeSentAt >= interval;
     }
 
-    /** Whether it has said that it takes nothing new, and the roster does not know better. */
-    boolean isRefusing(Executor ex, double now) {
-        return !rosterValid(now) && ex.notReadyProbeSentAt > ex.readyProbeSentAt;
+    /** Whether the executor last answered as not ready, and the roster is not valid. */
+    boolean isRefusing(Executor executor, double now) {
+        return !isRosterValid(now) && executor.notReadyProbeSentAt > executor.readyProbeSentAt;
     }
 
-    /** It has answered as ready. */
-    void recordReady(Executor ex, double askedAt) {
-        ex.readyProbeSentAt = Math.max(ex.readyProbeSentAt, askedAt);
+    /** The executor answered a probe as ready. */
+    void recordReady(Executor executor, double probeSentAt) {
+        executor.readyProbeSentAt = Math.max(executor.readyProbeSentAt, probeSentAt);
     }
 
-    /** It has answered that it takes nothing new. */
-    void recordNotReady(Executor ex, double askedAt) {
-        ex.notReadyProbeSentAt = Math.max(ex.notReadyProbeSentAt, askedAt);
-        invalidateProof(ex, askedAt);
+    /** The executor answered a probe as not ready. */
+    void recordNotReady(Executor executor, double probeSentAt) {
+        executor.notReadyProbeSentAt = Math.max(executor.notReadyProbeSentAt, probeSentAt);
+        invalidateProof(executor, probeSentAt);
     }
 
-    /** Something that was sent then came back: it may drain, and has to be asked before anything else goes there. */
-    void invalidateProof(Executor ex, double sentAt) {
-        if (sentAt >= ex.readyProbeSentAt) {
-            ex.readyProbeSentAt = Double.NEGATIVE_INFINITY;
+    /** The executor refused what was sent then: it may be draining, and has to be probed before anything else is sent. */
+    void invalidateProof(Executor executor, double sentAt) {
+        if (sentAt >= executor.readyProbeSentAt) {
+            executor.readyProbeSentAt = Double.NEGATIVE_INFINITY;
         }
     }
 
-    /** A connection to it was reset or could not be made: its process may have ended. */
-    void recordDisconnect(Executor ex, double now) {
-        ex.disconnectedAt = now;
+    /** A connection was reset or could not be made: the process may have ended. */
+    void recordDisconnect(Executor executor, double now) {
+        executor.disconnectedAt = now;
     }
 
     /**
-     * Whether what has answered what was sent then may be a new process that the roster could not tell of, since connections
-     * to the old one were lost. An answer to what was sent before that came from the old process, and settles it.
+     * Whether an answer to what was sent at sentAt may come from a new process that the roster could not report, since
+     * connections to the old one were lost. An answer to something sent before that came from the old process, and shows
+     * that it still runs.
      */
-    boolean mayHaveRestarted(Executor ex, double sentAt, double now) {
-        if (sentAt <= ex.disconnectedAt) {
-            ex.disconnectedAt = Double.NEGATIVE_INFINITY;
+    boolean mayHaveRestarted(Executor executor, double sentAt, double now) {
+        if (sentAt <= executor.disconnectedAt) {
+            executor.disconnectedAt = Double.NEGATIVE_INFINITY;
             return false;
         }
-        return !rosterValid(now) && ex.disconnectedAt > rosterConfirmedAt;
+        return !isRosterValid(now) && executor.disconnectedAt > rosterConfirmedAt;
     }
 
-    /** Whether it was last heard to drain, and the roster could not tell: draining ends with the process. */
-    boolean wasDraining(Executor ex, double now) {
-        return isRefusing(ex, now) && ex.notReadyProbeSentAt > rosterConfirmedAt;
+    /** Whether the executor was last found draining while the roster could not tell. Draining ends only with the process. */
+    boolean wasDraining(Executor executor, double now) {
+        return isRefusing(executor, now) && executor.notReadyProbeSentAt > rosterConfirmedAt;
     }
 }
--- a/core/src/main/java/gradereach/SendRules.java
+++ b/core/src/main/java/gradereach/SendRules.java
@@ -16,96 +16,114 @@
 import java.util.Random;
 import java.util.Set;
 
-/** What rules 2 to 5 allow to be sent, ordered and answered; holds whatever the rest of the module decides. */
+/**
+ * Checks rules 1 to 5 for everything that is sent, whatever the rest of the policy decides:
+ *
+ * <ol>
+ * <li>every inference gets one final answer in time, and nothing is sent after it;
+ * <li>no effect happens twice;
+ * <li>nothing new is sent to executors that are draining or removed;
+ * <li>no cold executor is overloaded;
+ * <li>load orders stay within their budget.
+ * </ol>
+ *
+ * @param sentWorkPerExecutor recent work, averaged over the executors
+ */
 record SendRules(ColdStartRule coldStart, LoadOrderBudget loadOrderBudget, FrontEndShare frontEndShare, ForwardRules forwardRules,
-        ReadinessLeases leases, SlidingWindowSum orders, SlidingWindowSum acceptedInferences, DecayingSum sentWorkPerExecutor, Set<Executor> executors, Random random) {
-    /** Rule 5. Orders leave the count a little late, inferences a little early: clocks round. */
+        ReadinessLeases leases, SlidingWindowSum orders, SlidingWindowSum acceptedInferences,
+        DecayingSum sentWorkPerExecutor, Set<Executor> executors, Random random) {
+    /** Rule 5. Orders count a little longer than the window, inferences a little shorter, since clocks round. */
     boolean mayOrder(double now) {
-        double ordered = orders.sumSince(now - loadOrderBudget.window() - 1);
-        return ordered + 1 <= loadOrderBudget.baseOrders() + loadOrderBudget.ordersPerInference() * acceptedInferences.sumSince(now - loadOrderBudget.window() + 1)
+        double recentOrders = orders.sumSince(now - loadOrderBudget.window() - 1);
+        return recentOrders + 1 <= loadOrderBudget.baseOrders()
+                + loadOrderBudget.ordersPerInference() * acceptedInferences.sumSince(now - loadOrderBudget.window() + 1)
                 || loadOrderBudget.window() <= 0;
     }
 
-    /** Rule 3. Its grace is used only where the roster cannot tell. */
-    boolean maySendTo(Executor ex, double now) { return leases.maySend(ex, now); }
+    /** Rule 3. Uses the grace of the rule only when the roster cannot tell. */
+    boolean maySendTo(Executor executor, double now) { return leases.maySend(executor, now); }
 
-    /** What only asks is not under rule 3, but an executor that leaves need not be asked. */
-    boolean mayQuery(Executor ex) { return ex.state == ExecutorState.READY; }
+    /** Status queries are not subject to rule 3, but there is no point in asking an executor that is shutting down. */
+    boolean mayQuery(Executor executor) { return executor.state == ExecutorState.READY; }
 
     /** Rules 1 to 4. */
-    boolean mayForward(Inference inf, Executor ex, double work, double now) {
-        return maySendTo(ex, now) && !inf.done && !inf.streaming && now < inf.deadlineAt
-                && inf.forwards.size() < forwardRules.maxForwards()
-                && mayRetryOn(inf, ex, now) && fitsColdStartLimit(ex, work, now);
+    boolean mayForward(Inference inference, Executor executor, double work, double now) {
+        return maySendTo(executor, now) && !inference.done && !inference.streaming && now < inference.deadlineAt
+                && inference.forwards.size() < forwardRules.maxForwards()
+                && mayRetryOn(inference, executor, now) && fitsColdStartLimit(executor, work, now);
     }
 
     /** Rule 2. */
-    private boolean mayRetryOn(Inference inf, Executor ex, double now) {
-        ModelGroup group = inf.group;
-        for (Forward fwd : inf.forwards) {
-            if (fwd.outcome != null && fwd.outcome.provesNotRun) {
+    private boolean mayRetryOn(Inference inference, Executor executor, double now) {
+        ModelGroup group = inference.group;
+        for (Forward forward : inference.forwards) {
+            if (forward.outcome != null && forward.outcome.provesNotRun) {
                 continue;
             }
-            boolean inside = fwd.executor == ex || switch (group.dedupScope()) {
+            boolean inDedupScope = forward.executor == executor || switch (group.dedupScope()) {
                 case ALL -> true;
-                case LOCATION -> isSameAndKnown(fwd.executor.location, ex.location);
-                case CELL -> isSameAndKnown(fwd.executor.cell, ex.cell);
+                case LOCATION -> isSameAndKnown(forward.executor.location, executor.location);
+                case CELL -> isSameAndKnown(forward.executor.cell, executor.cell);
             };
-            boolean late = now - fwd.sentAt >= group.dedupWindow();
+            boolean windowClosed = now - forward.sentAt >= group.dedupWindow();
             if (group.retrySafety() == RetrySafety.NON_RETRIABLE
-                    || fwd.outcome == null && !forwardRules.hedgingAllowed()
-                    || group.retrySafety() == RetrySafety.DEDUPED && (late || !inside)) {
+                    || forward.outcome == null && !forwardRules.hedgingAllowed()
+                    || group.retrySafety() == RetrySafety.DEDUPED && (windowClosed || !inDedupScope)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Negative where it is not known: two of those need not be the same. */
-    private static boolean isSameAndKnown(int one, int other) {
-        return one == other && one >= 0;
+    /** Negative values are unknown: two of them need not be the same. */
+    private static boolean isSameAndKnown(int first, int second) {
+        return first == second && first >= 0;
     }
 
-    /** Rule 2: a shed reply tells the client that trying again is harmless. */
-    boolean mayShed(Inference inf) {
-        return !inf.mayHaveRun() || inf.group.retrySafety() == RetrySafety.RETRIABLE
-                || inf.group.retrySafety() == RetrySafety.DEDUPED && inf.group.dedupScope() == DedupScope.ALL;
+    /** Rule 2: a shed reply tells the client that a repeat is harmless. */
+    boolean mayShed(Inference inference) {
+        return !inference.mayHaveRun() || inference.group.retrySafety() == RetrySafety.RETRIABLE
+                || inference.group.retrySafety() == RetrySafety.DEDUPED && inference.group.dedupScope() == DedupScope.ALL;
     }
 
-    /** The least share of its capacity that an executor can have by now. */
-    double capacityFraction(Executor ex, double now) {
-        if (ex.startedAt <= 0 || coldStart.warmUpTime() <= 0) {
+    /** The lowest fraction of its capacity that an executor can have reached by now. */
+    double capacityFraction(Executor executor, double now) {
+        if (executor.startedAt <= 0 || coldStart.warmUpTime() <= 0) {
             return 1;
         }
-        double age = Math.max(0, now - ex.startedAt) / coldStart.warmUpTime();
+        double age = Math.max(0, now - executor.startedAt) / coldStart.warmUpTime();
         return Math.min(1, coldStart.initialCapacityFraction() + (1 - coldStart.initialCapacityFraction()) * age);
     }
 
-    /** Rule 4: our part of one core, or of what an executor usually takes; below an inference, a draw. */
-    private boolean fitsColdStartLimit(Executor ex, double work, double now) {
-        double share = capacityFraction(ex, now - coldStart.overloadTime());
-        double sentThere = ex.recentWork.sumSince(now - coldStart.overloadTime());
-        if (share >= 1 || coldStart.overloadFactor() <= 0) {
+    /**
+     * Rule 4. The budget is this front end's share of one core, or of what an executor usually gets. If it is less than one
+     * inference, a random draw decides.
+     */
+    private boolean fitsColdStartLimit(Executor executor, double work, double now) {
+        double fraction = capacityFraction(executor, now - coldStart.overloadTime());
+        double recentWork = executor.recentWork.sumSince(now - coldStart.overloadTime());
+        if (fraction >= 1 || coldStart.overloadFactor() <= 0) {
             return true;
         }
-        // Over a time longer than a burst, which must not pass for what executors can take.
-        double usual = sentWorkPerExecutor.value(now, coldStart.warmUpTime()) / coldStart.warmUpTime();
-        // Three quarters of the bearable: the rest is for inferences that turn out longer than the mean.
-        double bears = 0.75 * coldStart.overloadFactor() * coldStart.overloadTime() * share;
-        // What it is used to beyond its part counts half: the others' parts stand, however little used.
-        double part = bears * (frontEndShare.fraction + Math.max(0, usual - frontEndShare.fraction) / 2);
-        // The one before a restart may have spent this part just now: half, until that no longer counts.
-        part *= now - frontEndShare.startedAt < coldStart.overloadTime() ? 0.5 : 1;
-        if (now >= ex.drawValidUntil) {
-            ex.drawValidUntil = now + coldStart.overloadTime();
-            ex.admissionDraw = random.nextDouble();
+        // Averaged over longer than a burst, which must not count as what executors can take.
+        double usualWork = sentWorkPerExecutor.value(now, coldStart.warmUpTime()) / coldStart.warmUpTime();
+        // Three quarters of the maximum; the rest is for inferences that take longer than the mean.
+        double maxWork = 0.75 * coldStart.overloadFactor() * coldStart.overloadTime() * fraction;
+        // Usual work above the share counts half: the shares of other front ends hold, however little they are used.
+        double budget = maxWork * (frontEndShare.fraction + Math.max(0, usualWork - frontEndShare.fraction) / 2);
+        // Before a restart, this front end may just have used up its budget: half, until that work no longer counts.
+        budget *= now - frontEndShare.startedAt < coldStart.overloadTime() ? 0.5 : 1;
+        if (now >= executor.drawValidUntil) {
+            executor.drawValidUntil = now + coldStart.overloadTime();
+            executor.admissionDraw = random.nextDouble();
         }
-        return sentThere + work <= Math.max(part, ex.admissionDraw * work < part ? work : 0);
+        return recentWork + work <= Math.max(budget, executor.admissionDraw * work < budget ? work : 0);
     }
 
-    void recordForward(Executor ex, double work, double now) {
-        // By those there are: divided later, a fleet that shrinks would raise every part.
+    /** Records the work of a forward that has been sent. */
+    void recordForward(Executor executor, double work, double now) {
+        // Divided by the present number of executors: divided later, a shrinking fleet would raise every budget.
         sentWorkPerExecutor.add(work / executors.size(), now, coldStart.warmUpTime());
-        ex.recentWork.add(work, now);
+        executor.recentWork.add(work, now);
     }
 }
