--- a/benchlink/src/main/java/gradereach/benchlink/Benchlink.java
+++ b/benchlink/src/main/java/gradereach/benchlink/Benchlink.java
@@ -5,11 +5,11 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** Serves the bench's wire until its input ends. */
+/** Serves the simulator protocol until the input ends. */
 public final class Benchlink {
     private Benchlink() { }
 
-    /** The exit code: 0 at the end of input between frames, 1 on bad input. */
+    /** Returns the exit code: 0 if the input ended between frames, 1 on invalid input. */
     public static int serve(InputStream in, OutputStream out, PrintStream err) {
         try {
             new InstanceHost().run(new FrameReader(in), out);
--- a/benchlink/src/main/java/gradereach/benchlink/FrameReader.java
+++ b/benchlink/src/main/java/gradereach/benchlink/FrameReader.java
@@ -5,7 +5,7 @@
 import java.io.InputStream;
 import java.nio.ByteBuffer;
 
-/** Reads frames and the records in them; keeps the position so that errors can name the byte. */
+/** Reads frames and the records in them, and keeps the position so that errors can name the byte. */
 final class FrameReader {
     private static final int HEADER_BYTES = 16;
     private static final int RECORD_HEADER_BYTES = 5;
@@ -19,50 +19,54 @@
     private int frameLength;
     private int recordEnd;
 
+    /** Number of records in the current frame. */
     int recordCount;
+    /** Time of the current frame, milliseconds. */
     double clock;
+    /** Code of the current record. */
     int recordCode;
 
     FrameReader(InputStream in) {
         this.in = in;
     }
 
-    /** False at the end of input between frames. */
+    /** Reads the next frame. Returns false if the input ended. */
     boolean nextFrame() throws IOException {
         frameStart = nextFrame;
-        int got = in.readNBytes(lengthPrefix, 0, 4);
-        if (got == 0) {
+        int bytesRead = in.readNBytes(lengthPrefix, 0, 4);
+        if (bytesRead == 0) {
             return false;
         }
-        if (got < 4) {
-            throw new InvalidInputException("input ends inside a frame's length at byte " + (frameStart + got));
+        if (bytesRead < 4) {
+            throw new InvalidInputException("input ends inside a frame's length at byte " + (frameStart + bytesRead));
         }
         long length = ByteBuffer.wrap(lengthPrefix).getInt() & 0xffffffffL;
         if (length < HEADER_BYTES || length > Integer.MAX_VALUE - 8) {
             throw new InvalidInputException("frame length " + length + " at byte " + frameStart + " is out of range");
         }
         frameLength = (int) length;
-        int rest = frameLength - 4;
-        if (rest <= bytes.length) {
-            got = in.readNBytes(bytes, 0, rest);
+        int remaining = frameLength - 4;
+        if (remaining <= bytes.length) {
+            bytesRead = in.readNBytes(bytes, 0, remaining);
         } else {
-            // Grows as bytes come, so a wild length does not claim its memory at once.
-            byte[] larger = in.readNBytes(rest);
-            got = larger.length;
+            // Grows as bytes arrive, so that a corrupt length does not allocate its memory at once.
+            byte[] larger = in.readNBytes(remaining);
+            bytesRead = larger.length;
             bytes = larger;
             buffer = ByteBuffer.wrap(bytes);
         }
-        if (got < rest) {
-            throw new EOFException("input ends inside a frame at byte " + (frameStart + 4 + got));
+        if (bytesRead < remaining) {
+            throw new EOFException("input ends inside a frame at byte " + (frameStart + 4 + bytesRead));
         }
         nextFrame = frameStart + frameLength;
-        buffer.clear().limit(rest);
+        buffer.clear().limit(remaining);
         recordCount = buffer.getInt();
         clock = buffer.getDouble();
         recordEnd = buffer.position();
         return true;
     }
 
+    /** Moves to the next record of the frame. */
     void nextRecord() throws InvalidInputException {
         buffer.limit(frameLength - 4).position(recordEnd);
         if (buffer.remaining() < RECORD_HEADER_BYTES) {
@@ -77,6 +81,7 @@
         buffer.limit(recordEnd);
     }
 
+    /** Checks that the frame has no bytes after its records. */
     void endFrame() throws InvalidInputException {
         if (recordEnd != frameLength - 4) {
             throw new InvalidInputException("frame holds " + (frameLength - 4 - recordEnd)
@@ -84,6 +89,7 @@
         }
     }
 
+    /** Position in the input, in bytes. */
     long position() {
         return frameStart + 4 + buffer.position();
     }
@@ -128,7 +134,7 @@
         return buffer.getDouble();
     }
 
-    /** Four address bytes and a port, as one number. */
+    /** Reads an IPv4 address and a port as one number. */
     long address() throws InvalidInputException {
         return u32() << 16 | u16();
     }
--- a/benchlink/src/main/java/gradereach/benchlink/HostedInstance.java
+++ b/benchlink/src/main/java/gradereach/benchlink/HostedInstance.java
@@ -1,15 +1,15 @@
 package gradereach.benchlink;
 
-import gradereach.api.ForwardResult;
 import gradereach.api.ExecutorListing;
+import gradereach.api.ExecutorReport;
+import gradereach.api.ExecutorState;
+import gradereach.api.ForwardResult;
+import gradereach.api.LoadStatus;
 import gradereach.api.ModelGroup;
 import gradereach.api.Outcome;
-import gradereach.api.RouterActions;
-import gradereach.api.ExecutorReport;
 import gradereach.api.RosterUpdateKind;
 import gradereach.api.Router;
-import gradereach.api.ExecutorState;
-import gradereach.api.LoadStatus;
+import gradereach.api.RouterActions;
 import gradereach.state.Executor;
 import gradereach.state.Forward;
 import gradereach.state.Inference;
@@ -18,12 +18,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One hosted instance: turns the wire's ids into objects, and actions back into records. */
+/** One hosted instance of the policy. Maps the ids of the protocol to objects, and actions to reply records. */
 final class HostedInstance implements RouterActions {
+    /** By code in the protocol. */
     private static final Outcome[] OUTCOMES = {null, Outcome.RETURNED, Outcome.ERROR, Outcome.FULL,
         Outcome.TIMED_OUT, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.CANCELLED, Outcome.NEVER_SENT,
         Outcome.MISS};
     private static final long ALL_PEERS = 0xffffffffL;
+    // Bits of the options of an inference.
     private static final int WORK_HINT_VALID = 1;
     private static final int CLIENT_RETRY = 2;
 
@@ -37,15 +39,16 @@
     private final LongMap<Model> models = new LongMap<>();
     private double now;
     boolean inBatch;
+    /** Whether it threw an exception; it gets no more events then. */
     boolean failed;
 
-    HostedInstance(int number, long seed, byte[] settings, ReplyWriter reply) throws InvalidInputException {
-        this.instanceId = number;
+    HostedInstance(int instanceId, long seed, byte[] settings, ReplyWriter reply) throws InvalidInputException {
+        this.instanceId = instanceId;
         this.reply = reply;
-        InstanceSettings start = new InstanceSettings(settings);
-        groups = start.groups;
-        reportColumns = start.reportColumns;
-        router = start.createRouter(this, seed);
+        InstanceSettings instanceSettings = new InstanceSettings(settings);
+        groups = instanceSettings.groups;
+        reportColumns = instanceSettings.reportColumns;
+        router = instanceSettings.createRouter(this, seed);
     }
 
     void beginBatch(double clock) {
@@ -58,39 +61,39 @@
             case InstanceHost.ROSTER_UPDATE -> handleRosterUpdate(in);
             case InstanceHost.INFERENCE_ACCEPTED -> handleInferenceAccepted(in);
             case InstanceHost.ANSWER_STARTED -> {
-                Inference inf = inferences.get(in.u32());
-                double took = in.f64();
+                Inference inference = inferences.get(in.u32());
+                double elapsed = in.f64();
                 in.address();
-                Forward fwd = findForward(inf, in.u8());
-                if (fwd != null) {
-                    router.onAnswerStarted(fwd, took);
+                Forward forward = findForward(inference, in.u8());
+                if (forward != null) {
+                    router.onAnswerStarted(forward, elapsed);
                 }
             }
             case InstanceHost.FORWARD_ENDED -> handleForwardEnded(in);
             case InstanceHost.INFERENCE_CANCELLED -> {
-                Inference inf = inferences.get(in.u32());
-                if (inf != null) {
-                    inf.done = true;
-                    router.onInferenceCancelled(inf);
-                    forgetIfEnded(inf);
+                Inference inference = inferences.get(in.u32());
+                if (inference != null) {
+                    inference.done = true;
+                    router.onInferenceCancelled(inference);
+                    forgetIfEnded(inference);
                 }
             }
             case InstanceHost.TIMER_FIRED -> router.onTimer(in.u64());
             case InstanceHost.PROBE_ENDED -> {
-                Executor ex = findOrCreateExecutor(in.address());
+                Executor executor = findOrCreateExecutor(in.address());
                 Outcome outcome = readOutcome(in);
-                router.onProbeEnded(ex, outcome, in.f64(), readReport(in));
+                router.onProbeEnded(executor, outcome, in.f64(), readReport(in));
             }
             case InstanceHost.PEER_MESSAGE -> {
                 int from = in.u16();
                 router.onPeerMessage(from, in.bytes(in.u16()));
             }
             case InstanceHost.ORDER_ENDED -> {
-                Executor ex = findOrCreateExecutor(in.address());
-                Model mdl = findOrCreateModel(in.u64());
+                Executor executor = findOrCreateExecutor(in.address());
+                Model model = findOrCreateModel(in.u64());
                 Outcome outcome = readOutcome(in);
-                double took = in.f64();
-                router.onOrderEnded(ex, mdl, outcome, took, in.u8());
+                double elapsed = in.f64();
+                router.onOrderEnded(executor, model, outcome, elapsed, in.u8());
             }
             default -> { }
         }
@@ -101,25 +104,25 @@
     }
 
     private Executor findOrCreateExecutor(long address) {
-        Executor ex = executors.get(address);
-        if (ex == null) {
-            ex = new Executor(address);
-            executors.put(address, ex);
+        Executor executor = executors.get(address);
+        if (executor == null) {
+            executor = new Executor(address);
+            executors.put(address, executor);
         }
-        return ex;
+        return executor;
     }
 
     private Model findOrCreateModel(long id) {
-        Model mdl = models.get(id);
-        if (mdl == null) {
-            mdl = new Model(id);
-            models.put(id, mdl);
+        Model model = models.get(id);
+        if (model == null) {
+            model = new Model(id);
+            models.put(id, model);
         }
-        return mdl;
+        return model;
     }
 
-    private static Forward findForward(Inference inf, int number) {
-        return inf == null || number >= inf.forwards.size() ? null : inf.forwards.get(number);
+    private static Forward findForward(Inference inference, int number) {
+        return inference == null || number >= inference.forwards.size() ? null : inference.forwards.get(number);
     }
 
     private static Outcome readOutcome(FrameReader in) throws InvalidInputException {
@@ -144,25 +147,25 @@
 
     private void handleRosterUpdate(FrameReader in) throws InvalidInputException {
         in.u64();
-        int form = in.u8();
-        RosterUpdateKind kind = switch (form) {
+        int kindCode = in.u8();
+        RosterUpdateKind kind = switch (kindCode) {
             case 1 -> RosterUpdateKind.CACHED;
             case 2 -> RosterUpdateKind.FAILED;
             case 3 -> RosterUpdateKind.FULL;
             case 4 -> RosterUpdateKind.CHANGES;
-            default -> throw new InvalidInputException("unknown list form " + form + " at byte " + (in.position() - 1));
+            default -> throw new InvalidInputException("unknown list form " + kindCode + " at byte " + (in.position() - 1));
         };
         long count = in.u32();
         List<ExecutorListing> listings = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            double size = in.f32();
-            double since = in.f64();
-            int state = in.u8();
-            ExecutorState standing = state == 1 ? ExecutorState.READY : state == 2 ? ExecutorState.DRAINING : ExecutorState.REMOVED;
+            double capacity = in.f32();
+            double startedAt = in.f64();
+            int stateCode = in.u8();
+            ExecutorState state = stateCode == 1 ? ExecutorState.READY : stateCode == 2 ? ExecutorState.DRAINING : ExecutorState.REMOVED;
             int location = in.u16();
-            int machine = in.u8();
+            int machineKind = in.u8();
             int cell = in.u16();
-            listings.add(new ExecutorListing(findOrCreateExecutor(in.address()), size, since, standing, location, machine, cell));
+            listings.add(new ExecutorListing(findOrCreateExecutor(in.address()), capacity, startedAt, state, location, machineKind, cell));
         }
         router.onRosterUpdate(kind, listings);
     }
@@ -174,109 +177,110 @@
             throw new InvalidInputException("unknown class " + group + " at byte " + (in.position() - 2));
         }
         int customer = (int) in.u32();
-        Model mdl = findOrCreateModel(in.u64());
-        double left = in.f64();
-        double work = in.hasRemaining(8) ? in.f64() : 0;
+        Model model = findOrCreateModel(in.u64());
+        double timeLeft = in.f64();
+        double expectedWork = in.hasRemaining(8) ? in.f64() : 0;
         double memory = in.hasRemaining(4) ? in.f32() : 0;
         double lanes = in.hasRemaining(4) ? in.f32() : 0;
         double loadTime = in.hasRemaining(4) ? in.f32() : 0;
         int options = in.hasRemaining(1) ? in.u8() : 0;
-        mdl.memory = memory;
-        mdl.lanes = Math.max(1, (int) lanes);
-        mdl.loadTime = loadTime;
-        boolean hinted = (options & WORK_HINT_VALID) != 0;
-        Inference inf = new Inference(id, groups.get(group), customer, mdl, now, now + left,
-                hinted ? work : Double.NaN, (options & CLIENT_RETRY) != 0);
-        inferences.put(id, inf);
-        router.onInferenceAccepted(inf);
+        model.memory = memory;
+        model.lanes = Math.max(1, (int) lanes);
+        model.loadTime = loadTime;
+        boolean workKnown = (options & WORK_HINT_VALID) != 0;
+        Inference inference = new Inference(id, groups.get(group), customer, model, now, now + timeLeft,
+                workKnown ? expectedWork : Double.NaN, (options & CLIENT_RETRY) != 0);
+        inferences.put(id, inference);
+        router.onInferenceAccepted(inference);
     }
 
     private void handleForwardEnded(FrameReader in) throws InvalidInputException {
-        Inference inf = inferences.get(in.u32());
+        Inference inference = inferences.get(in.u32());
         long note = in.u32();
-        double took = in.f64();
+        double elapsed = in.f64();
         boolean done = in.u8() != 0;
         Outcome outcome = readOutcome(in);
-        Forward fwd = findForward(inf, in.u8());
+        Forward forward = findForward(inference, in.u8());
         in.address();
-        if (fwd == null || fwd.outcome != null) {
+        if (forward == null || forward.outcome != null) {
             return;
         }
-        LoadStatus warmth = switch ((int) (note & 7)) {
+        LoadStatus loadStatus = switch ((int) (note & 7)) {
             case 1 -> LoadStatus.ALREADY_LOADED;
             case 2 -> LoadStatus.STARTED_LOAD;
             case 3 -> LoadStatus.WAITED_FOR_LOAD;
             case 4 -> LoadStatus.LOAD_FAILED;
             default -> LoadStatus.UNKNOWN;
         };
-        boolean tellsCrowd = outcome == Outcome.FULL || outcome == Outcome.RETURNED;
-        int crowd = note > 0 && tellsCrowd ? (int) (note >> 3) : -1;
-        fwd.outcome = outcome;
-        inf.done |= done;
-        router.onForwardEnded(fwd, new ForwardResult(outcome, warmth, crowd, took, done, readReport(in)));
-        forgetIfEnded(inf);
+        boolean hasModelInFlight = outcome == Outcome.FULL || outcome == Outcome.RETURNED;
+        int modelInFlight = note > 0 && hasModelInFlight ? (int) (note >> 3) : -1;
+        forward.outcome = outcome;
+        inference.done |= done;
+        router.onForwardEnded(forward, new ForwardResult(outcome, loadStatus, modelInFlight, elapsed, done, readReport(in)));
+        forgetIfEnded(inference);
     }
 
-    private void forgetIfEnded(Inference inf) {
-        if (!inf.done) {
+    /** Forgets the inference once it has its final answer and none of its forwards is in flight. */
+    private void forgetIfEnded(Inference inference) {
+        if (!inference.done) {
             return;
         }
-        for (Forward fwd : inf.forwards) {
-            if (fwd.outcome == null) {
+        for (Forward forward : inference.forwards) {
+            if (forward.outcome == null) {
                 return;
             }
         }
-        inferences.remove(inf.id);
+        inferences.remove(inference.id);
     }
 
     @Override
-    public Forward sendForward(Inference inf, Executor ex, double stopAt) {
-        ByteBuffer to = reply.startRecord(ReplyWriter.FORWARD, 22).putInt(instanceId).putInt((int) inf.id).putDouble(stopAt);
-        ReplyWriter.putAddress(to, ex.id);
-        Forward fwd = new Forward(inf, ex, inf.forwards.size(), now);
-        inf.forwards.add(fwd);
-        return fwd;
+    public Forward sendForward(Inference inference, Executor executor, double deadline) {
+        ByteBuffer to = reply.startRecord(ReplyWriter.FORWARD, 22).putInt(instanceId).putInt((int) inference.id).putDouble(deadline);
+        ReplyWriter.putAddress(to, executor.id);
+        Forward forward = new Forward(inference, executor, inference.forwards.size(), now);
+        inference.forwards.add(forward);
+        return forward;
     }
 
     @Override
-    public void cancelForward(Forward fwd) {
-        reply.startRecord(ReplyWriter.CANCEL, 9).putInt(instanceId).putInt((int) fwd.inference.id).put((byte) fwd.number);
+    public void cancelForward(Forward forward) {
+        reply.startRecord(ReplyWriter.CANCEL, 9).putInt(instanceId).putInt((int) forward.inference.id).put((byte) forward.number);
     }
 
     @Override
-    public void shed(Inference inf, double pause) {
-        reply.startRecord(ReplyWriter.SHED, 16).putInt(instanceId).putInt((int) inf.id).putDouble(pause);
-        inf.done = true;
-        forgetIfEnded(inf);
+    public void shed(Inference inference, double retryAfter) {
+        reply.startRecord(ReplyWriter.SHED, 16).putInt(instanceId).putInt((int) inference.id).putDouble(retryAfter);
+        inference.done = true;
+        forgetIfEnded(inference);
     }
 
     @Override
-    public void fail(Inference inf) {
-        reply.startRecord(ReplyWriter.FAIL, 8).putInt(instanceId).putInt((int) inf.id);
-        inf.done = true;
-        forgetIfEnded(inf);
+    public void fail(Inference inference) {
+        reply.startRecord(ReplyWriter.FAIL, 8).putInt(instanceId).putInt((int) inference.id);
+        inference.done = true;
+        forgetIfEnded(inference);
     }
 
     @Override
-    public void sendOrder(Executor ex, Model mdl, int copies) {
-        ByteBuffer to = reply.startRecord(ReplyWriter.ORDER, 19).putInt(instanceId).put((byte) copies).putLong(mdl.id);
-        ReplyWriter.putAddress(to, ex.id);
+    public void sendOrder(Executor executor, Model model, int copies) {
+        ByteBuffer to = reply.startRecord(ReplyWriter.ORDER, 19).putInt(instanceId).put((byte) copies).putLong(model.id);
+        ReplyWriter.putAddress(to, executor.id);
     }
 
     @Override
-    public void unloadIdle(Executor ex, Model mdl) {
-        ByteBuffer to = reply.startRecord(ReplyWriter.UNLOAD_IDLE, 18).putInt(instanceId).putLong(mdl.id);
-        ReplyWriter.putAddress(to, ex.id);
+    public void unloadIdle(Executor executor, Model model) {
+        ByteBuffer to = reply.startRecord(ReplyWriter.UNLOAD_IDLE, 18).putInt(instanceId).putLong(model.id);
+        ReplyWriter.putAddress(to, executor.id);
     }
 
     @Override
-    public void sendProbe(Executor ex) {
-        ReplyWriter.putAddress(reply.startRecord(ReplyWriter.PROBE, 10).putInt(instanceId), ex.id);
+    public void sendProbe(Executor executor) {
+        ReplyWriter.putAddress(reply.startRecord(ReplyWriter.PROBE, 10).putInt(instanceId), executor.id);
     }
 
     @Override
-    public void scheduleTimer(double in, long tag) {
-        reply.startRecord(ReplyWriter.SCHEDULE_TIMER, 20).putInt(instanceId).putDouble(in).putLong(tag);
+    public void scheduleTimer(double delay, long tag) {
+        reply.startRecord(ReplyWriter.SCHEDULE_TIMER, 20).putInt(instanceId).putDouble(delay).putLong(tag);
     }
 
     @Override
@@ -285,19 +289,19 @@
     }
 
     @Override
-    public void setRosterSubscription(boolean on) {
-        reply.startRecord(ReplyWriter.ROSTER_SUBSCRIPTION, 5).putInt(instanceId).put((byte) (on ? 1 : 0));
+    public void setRosterSubscription(boolean subscribed) {
+        reply.startRecord(ReplyWriter.ROSTER_SUBSCRIPTION, 5).putInt(instanceId).put((byte) (subscribed ? 1 : 0));
     }
 
     @Override
-    public void closeConnections(Executor ex) {
-        ReplyWriter.putAddress(reply.startRecord(ReplyWriter.CLOSE_CONNECTIONS, 10).putInt(instanceId), ex.id);
+    public void closeConnections(Executor executor) {
+        ReplyWriter.putAddress(reply.startRecord(ReplyWriter.CLOSE_CONNECTIONS, 10).putInt(instanceId), executor.id);
     }
 
     @Override
-    public void sendPeerMessage(int to, byte[] words) {
-        reply.startRecord(ReplyWriter.PEER_MESSAGE, 10 + words.length).putInt(instanceId)
-                .putInt(to < 0 ? (int) ALL_PEERS : to).putShort((short) words.length).put(words);
+    public void sendPeerMessage(int to, byte[] message) {
+        reply.startRecord(ReplyWriter.PEER_MESSAGE, 10 + message.length).putInt(instanceId)
+                .putInt(to < 0 ? (int) ALL_PEERS : to).putShort((short) message.length).put(message);
     }
 
     @Override
--- a/benchlink/src/main/java/gradereach/benchlink/InstanceHost.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InstanceHost.java
@@ -7,8 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts instances and hands them their events, batch by batch. */
+/** Hosts instances of the policy and gives them their events. Each frame is one event batch. */
 final class InstanceHost {
+    // Record codes of the protocol.
     static final int INSTANCE_STARTED = 0;
     static final int ROSTER_UPDATE = 1;
     static final int INFERENCE_ACCEPTED = 2;
@@ -21,6 +22,7 @@
     static final int INSTANCE_STOPPED = 9;
     static final int ORDER_ENDED = 10;
 
+    /** By id; null for a stopped instance. */
     private final Map<Integer, HostedInstance> instances = new HashMap<>();
     private final List<HostedInstance> instancesInBatch = new ArrayList<>();
     private final ReplyWriter reply = new ReplyWriter();
@@ -34,10 +36,10 @@
                 }
             }
             in.endFrame();
-            for (HostedInstance seat : instancesInBatch) {
-                seat.inBatch = false;
-                if (instances.get(seat.instanceId) == seat) {
-                    runGuarded(seat, seat::endBatch);
+            for (HostedInstance instance : instancesInBatch) {
+                instance.inBatch = false;
+                if (instances.get(instance.instanceId) == instance) {
+                    runGuarded(instance, instance::endBatch);
                 }
             }
             instancesInBatch.clear();
@@ -46,59 +48,59 @@
     }
 
     private void handleRecord(FrameReader in) throws InvalidInputException {
-        int number = (int) in.u32();
+        int instanceId = (int) in.u32();
         if (in.recordCode == INSTANCE_STARTED) {
             long seed = in.u64();
             byte[] settings = in.bytes(in.u32());
-            HostedInstance seat = new HostedInstance(number, seed, settings, reply);
-            instances.put(number, seat);
-            addToBatch(seat, in.clock);
+            HostedInstance instance = new HostedInstance(instanceId, seed, settings, reply);
+            instances.put(instanceId, instance);
+            addToBatch(instance, in.clock);
             return;
         }
-        HostedInstance seat = instances.get(number);
+        HostedInstance instance = instances.get(instanceId);
         if (in.recordCode == INSTANCE_STOPPED) {
-            instances.put(number, null);
+            instances.put(instanceId, null);
             return;
         }
-        if (seat == null) {
-            if (instances.containsKey(number)) {
+        if (instance == null) {
+            if (instances.containsKey(instanceId)) {
                 return;
             }
-            throw new InvalidInputException("event for instance " + number + ", which never began, at byte " + (in.position() - 4));
+            throw new InvalidInputException("event for instance " + instanceId + ", which never began, at byte " + (in.position() - 4));
         }
-        addToBatch(seat, in.clock);
-        if (seat.failed) {
+        addToBatch(instance, in.clock);
+        if (instance.failed) {
             return;
         }
         try {
-            seat.handleEvent(in);
+            instance.handleEvent(in);
         } catch (RuntimeException e) {
-            reportFailure(seat, e);
+            reportFailure(instance, e);
         }
     }
 
-    private void addToBatch(HostedInstance seat, double clock) {
-        if (!seat.inBatch) {
-            seat.inBatch = true;
-            instancesInBatch.add(seat);
-            seat.beginBatch(clock);
+    private void addToBatch(HostedInstance instance, double clock) {
+        if (!instance.inBatch) {
+            instance.inBatch = true;
+            instancesInBatch.add(instance);
+            instance.beginBatch(clock);
         }
     }
 
-    private void runGuarded(HostedInstance seat, Runnable work) {
-        if (seat.failed) {
+    private void runGuarded(HostedInstance instance, Runnable work) {
+        if (instance.failed) {
             return;
         }
         try {
             work.run();
         } catch (RuntimeException e) {
-            reportFailure(seat, e);
+            reportFailure(instance, e);
         }
     }
 
-    private void reportFailure(HostedInstance seat, RuntimeException e) {
-        seat.failed = true;
+    private void reportFailure(HostedInstance instance, RuntimeException e) {
+        instance.failed = true;
         StackTraceElement[] trace = e.getStackTrace();
-        reply.writeText(ReplyWriter.FAULT, seat.instanceId, e + (trace.length > 0 ? " at " + trace[0] : ""));
+        reply.writeText(ReplyWriter.FAULT, instance.instanceId, e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 }
--- a/benchlink/src/main/java/gradereach/benchlink/InstanceSettings.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InstanceSettings.java
@@ -4,15 +4,15 @@
 import gradereach.api.ColdStartRule;
 import gradereach.api.Customer;
 import gradereach.api.DedupScope;
+import gradereach.api.ExecutorReport;
 import gradereach.api.ForwardRules;
+import gradereach.api.FrontEndSettings;
 import gradereach.api.LoadOrderBudget;
 import gradereach.api.LoadingRules;
 import gradereach.api.ModelGroup;
-import gradereach.api.RouterActions;
 import gradereach.api.RetrySafety;
-import gradereach.api.ExecutorReport;
 import gradereach.api.Router;
-import gradereach.api.FrontEndSettings;
+import gradereach.api.RouterActions;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -22,8 +22,8 @@
 import java.util.Random;
 
 /**
- * The settings of an instance, path by path, read into the trade's types. The bench's wire sends them as path=value
- * lines; a front end of the platform has them from its configuration, flattened to the same paths.
+ * Parses the settings of an instance, given as values by path. The simulator protocol sends them as lines of path=value; a
+ * front end of the platform takes them from its configuration, flattened to the same paths.
  */
 public final class InstanceSettings {
     private static final List<String> REPORT_COLUMNS =
@@ -38,7 +38,7 @@
     public final LoadOrderBudget loadOrderBudget;
     public final LoadingRules loadingRules;
     public final ForwardRules forwardRules;
-    /** Whether answers tell how many inferences of the model the executor held. */
+    /** Whether answers report how many inferences of the model the executor held. */
     public final boolean reportsModelInFlight;
     private final double overQuotaValue;
 
@@ -49,25 +49,25 @@
     private static Map<String, String> lines(byte[] content) {
         Map<String, String> lines = new HashMap<>();
         for (String line : new String(content, StandardCharsets.UTF_8).split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                lines.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+            int equals = line.indexOf('=');
+            if (equals > 0) {
+                lines.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
             }
         }
         return lines;
     }
 
-    /** @param lines value by path; lists of plain values joined by commas, lists of objects by .count, .0, .1 and on */
+    /** @param lines value by path; lists of scalars are joined by commas, lists of objects have the paths .count, .0, .1 and so on */
     public InstanceSettings(Map<String, String> lines) throws InvalidInputException {
         this.lines = lines;
         reportColumns = list("report.columns");
         int count = (int) requiredPositive("grades.count");
-        for (int i = 0; i < count; i++) {
-            groups.add(group("grades." + i + "."));
+        for (int index = 0; index < count; index++) {
+            groups.add(group("grades." + index + "."));
         }
-        for (int i = 0; i < (int) nonNegative("customers.count", 0); i++) {
-            String at = "customers." + i + ".";
-            customers.add(new Customer(text(at + "name", ""), nonNegative(at + "portion", 0), nonNegative(at + "quota_rps", 0)));
+        for (int index = 0; index < (int) nonNegative("customers.count", 0); index++) {
+            String path = "customers." + index + ".";
+            customers.add(new Customer(text(path + "name", ""), nonNegative(path + "portion", 0), nonNegative(path + "quota_rps", 0)));
         }
         List<Double> memory = new ArrayList<>();
         for (String value : list("extra.memory_mb_by_kind")) {
@@ -92,63 +92,63 @@
         overQuotaValue = nonNegative("over_share_worth", 1);
     }
 
-    /** A load report from its values by name, null where none is known. */
+    /** Builds a load report from values by column name. Unknown columns are ignored, missing ones are NaN. */
     public static ExecutorReport report(Iterable<String> names, double[] values) {
-        double[] v = new double[8];
-        Arrays.fill(v, Double.NaN);
-        int i = 0;
+        double[] byColumn = new double[8];
+        Arrays.fill(byColumn, Double.NaN);
+        int index = 0;
         for (String name : names) {
-            int at = i < values.length ? REPORT_COLUMNS.indexOf(name) : -1;
-            if (at >= 0) {
-                v[at] = values[i];
+            int column = index < values.length ? REPORT_COLUMNS.indexOf(name) : -1;
+            if (column >= 0) {
+                byColumn[column] = values[index];
             }
-            i++;
+            index++;
         }
-        return new ExecutorReport(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]);
+        return new ExecutorReport(byColumn[0], byColumn[1], byColumn[2], byColumn[3], byColumn[4], byColumn[5], byColumn[6], byColumn[7]);
     }
 
-    public Router createRouter(RouterActions out, long seed) {
-        return new Policy(out, new Random(seed), frontEnd, groups, customers, overQuotaValue, coldStart, loadOrderBudget, loadingRules,
+    public Router createRouter(RouterActions actions, long seed) {
+        return new Policy(actions, new Random(seed), frontEnd, groups, customers, overQuotaValue, coldStart, loadOrderBudget, loadingRules,
                 forwardRules);
     }
 
-    private ModelGroup group(String at) throws InvalidInputException {
-        RetrySafety repeat = switch (text(at + "repeat", "")) {
+    private ModelGroup group(String path) throws InvalidInputException {
+        RetrySafety retrySafety = switch (text(path + "repeat", "")) {
             case "retryable" -> RetrySafety.RETRIABLE;
             case "dedup" -> RetrySafety.DEDUPED;
             case "fragile" -> RetrySafety.NON_RETRIABLE;
-            default -> throw new InvalidInputException("start message: " + at + "repeat is missing or unknown");
+            default -> throw new InvalidInputException("start message: " + path + "repeat is missing or unknown");
         };
-        DedupScope scope = switch (text(at + "group", "all")) {
+        DedupScope scope = switch (text(path + "group", "all")) {
             case "zone" -> DedupScope.LOCATION;
             case "cell" -> DedupScope.CELL;
             default -> DedupScope.ALL;
         };
-        return new ModelGroup(text(at + "name", ""), repeat, scope, nonNegative(at + "repeat_window", 0),
-                requiredPositive(at + "aim"), nonNegative(at + "aim_stretch", 0), requiredPositive(at + "deadline"), nonNegative(at + "worth", 1),
-                nonNegative(at + "late_worth", 0), flag(at + "streaming", false));
+        return new ModelGroup(text(path + "name", ""), retrySafety, scope, nonNegative(path + "repeat_window", 0),
+                requiredPositive(path + "aim"), nonNegative(path + "aim_stretch", 0), requiredPositive(path + "deadline"),
+                nonNegative(path + "worth", 1), nonNegative(path + "late_worth", 0), flag(path + "streaming", false));
     }
 
-    /** A list of plain values; none where the path is missing. */
+    /** A list of scalars; empty if the path is missing. */
     public List<String> list(String key) {
         String joined = lines.getOrDefault(key, "");
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
 
-    public String text(String key, String otherwise) {
-        return lines.getOrDefault(key, otherwise);
+    public String text(String key, String defaultValue) {
+        return lines.getOrDefault(key, defaultValue);
     }
 
-    public boolean flag(String key, boolean otherwise) throws InvalidInputException {
+    public boolean flag(String key, boolean defaultValue) throws InvalidInputException {
         String value = lines.get(key);
-        return value == null ? otherwise : switch (value) {
+        return value == null ? defaultValue : switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
             default -> throw new InvalidInputException("start message: " + key + " is neither true nor false: " + value);
         };
     }
 
-    /** A time or a count that must be there. */
+    /** A required time or count above 0. */
     private double requiredPositive(String key) throws InvalidInputException {
         if (!lines.containsKey(key)) {
             throw new InvalidInputException("start message: " + key + " is missing");
@@ -160,13 +160,13 @@
         return value;
     }
 
-    public double number(String key, double otherwise) throws InvalidInputException {
+    public double number(String key, double defaultValue) throws InvalidInputException {
         String value = lines.get(key);
-        return value == null || value.isEmpty() ? otherwise : parse(key, value);
+        return value == null || value.isEmpty() ? defaultValue : parse(key, value);
     }
 
-    private double nonNegative(String key, double otherwise) throws InvalidInputException {
-        double value = number(key, otherwise);
+    private double nonNegative(String key, double defaultValue) throws InvalidInputException {
+        double value = number(key, defaultValue);
         if (value < 0) {
             throw new InvalidInputException("start message: " + key + " is below 0: " + value);
         }
@@ -180,7 +180,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
         throw new InvalidInputException("start message: " + key + " is no number: " + value);
     }
--- a/benchlink/src/main/java/gradereach/benchlink/InvalidInputException.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InvalidInputException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Input that is no proper frame, record or start message; the message is one plain line. */
+/** A frame, record or start message is malformed. The message is a single line. */
 public final class InvalidInputException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    public InvalidInputException(String what) {
-        super(what);
+    public InvalidInputException(String message) {
+        super(message);
     }
 }
--- a/benchlink/src/main/java/gradereach/benchlink/LongMap.java
+++ b/benchlink/src/main/java/gradereach/benchlink/LongMap.java
@@ -1,23 +1,23 @@
 package gradereach.benchlink;
 
-/** Objects by id, without boxing: open addressing, never iterated. */
+/** Hash map with primitive long keys and open addressing. Has no iteration. */
 final class LongMap<V> {
     private long[] keys = new long[64];
     private Object[] values = new Object[64];
     private int size;
 
     private static int hash(long key) {
-        long h = key * 0x9e3779b97f4a7c15L;
-        return (int) (h >>> 32);
+        long hash = key * 0x9e3779b97f4a7c15L;
+        return (int) (hash >>> 32);
     }
 
     private int slotOf(long key) {
         int mask = keys.length - 1;
-        int i = hash(key) & mask;
-        while (values[i] != null && keys[i] != key) {
-            i = i + 1 & mask;
+        int slot = hash(key) & mask;
+        while (values[slot] != null && keys[slot] != key) {
+            slot = slot + 1 & mask;
         }
-        return i;
+        return slot;
     }
 
     @SuppressWarnings("unchecked")
@@ -26,39 +26,39 @@
     }
 
     void put(long key, V value) {
-        int i = slotOf(key);
-        if (values[i] == null && ++size * 2 > keys.length) {
+        int slot = slotOf(key);
+        if (values[slot] == null && ++size * 2 > keys.length) {
             long[] oldKeys = keys;
             Object[] oldValues = values;
             keys = new long[oldKeys.length * 2];
             values = new Object[oldKeys.length * 2];
-            for (int j = 0; j < oldKeys.length; j++) {
-                if (oldValues[j] != null) {
-                    int to = slotOf(oldKeys[j]);
-                    keys[to] = oldKeys[j];
-                    values[to] = oldValues[j];
+            for (int old = 0; old < oldKeys.length; old++) {
+                if (oldValues[old] != null) {
+                    int target = slotOf(oldKeys[old]);
+                    keys[target] = oldKeys[old];
+                    values[target] = oldValues[old];
                 }
             }
-            i = slotOf(key);
+            slot = slotOf(key);
         }
-        keys[i] = key;
-        values[i] = value;
+        keys[slot] = key;
+        values[slot] = value;
     }
 
     void remove(long key) {
-        int i = slotOf(key);
-        if (values[i] == null) {
+        int slot = slotOf(key);
+        if (values[slot] == null) {
             return;
         }
         size--;
         int mask = keys.length - 1;
-        int hole = i;
-        for (int j = i + 1 & mask; values[j] != null; j = j + 1 & mask) {
-            int home = hash(keys[j]) & mask;
-            if ((j - home & mask) >= (j - hole & mask)) {
-                keys[hole] = keys[j];
-                values[hole] = values[j];
-                hole = j;
+        int hole = slot;
+        for (int next = slot + 1 & mask; values[next] != null; next = next + 1 & mask) {
+            int home = hash(keys[next]) & mask;
+            if ((next - home & mask) >= (next - hole & mask)) {
+                keys[hole] = keys[next];
+                values[hole] = values[next];
+                hole = next;
             }
         }
         values[hole] = null;
--- a/benchlink/src/main/java/gradereach/benchlink/Main.java
+++ b/benchlink/src/main/java/gradereach/benchlink/Main.java
@@ -1,6 +1,6 @@
 package gradereach.benchlink;
 
-/** Entry point of the bench adapter alone: no server or command line class is on its path, so it starts light. */
+/** Entry point of the simulator adapter. Its class path has no server or command line classes, so it starts fast. */
 public final class Main {
     private Main() { }
 
--- a/benchlink/src/main/java/gradereach/benchlink/ReplyWriter.java
+++ b/benchlink/src/main/java/gradereach/benchlink/ReplyWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects the actions of one reply. */
+/** Collects the records of one reply. */
 final class ReplyWriter {
     static final int FAIL = 0;
     static final int SHED = 1;
@@ -28,7 +28,7 @@
     private ByteBuffer out = ByteBuffer.allocate(1 << 16).position(8);
     private int recordCount;
 
-    /** Starts a record of a known size; the caller puts exactly that many bytes. */
+    /** Starts a record. The caller puts exactly {@code size} bytes into the returned buffer. */
     ByteBuffer startRecord(int code, int size) {
         if (out.remaining() < size + 5) {
             ByteBuffer larger = ByteBuffer.allocate(Math.max(out.capacity() * 2, out.position() + size + 5));
@@ -38,18 +38,20 @@
         return out.put((byte) code).putInt(size);
     }
 
-    void writeText(int code, int instance, String words) {
-        byte[] text = words.getBytes(StandardCharsets.UTF_8);
-        if (text.length > MAX_TEXT_BYTES) {
-            text = Arrays.copyOf(text, MAX_TEXT_BYTES);
+    /** Writes a record with a text, cut off at the maximum length. */
+    void writeText(int code, int instance, String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        if (bytes.length > MAX_TEXT_BYTES) {
+            bytes = Arrays.copyOf(bytes, MAX_TEXT_BYTES);
         }
-        startRecord(code, 6 + text.length).putInt(instance).putShort((short) text.length).put(text);
+        startRecord(code, 6 + bytes.length).putInt(instance).putShort((short) bytes.length).put(bytes);
     }
 
     static void putAddress(ByteBuffer to, long address) {
         to.putInt((int) (address >>> 16)).putShort((short) address);
     }
 
+    /** Writes the reply and starts a new one. */
     void flush(OutputStream to) throws IOException {
         out.putInt(0, recordCount).putInt(4, out.position());
         to.write(out.array(), 0, out.position());
--- a/core/src/main/java/gradereach/ExecutorHealth.java
+++ b/core/src/main/java/gradereach/ExecutorHealth.java
@@ -14,7 +14,7 @@
     /**
      * Stands for all executors together. Its slowdown is relative to the SLO time, and it has a limit of its own. Protects
      * against overload and immediate client repeats where there is less than one forward per executor, so that the limits
-     * of the executors have no effect. The drawback is that executors slow at one group only slow down all groups.
+     * of the executors have no effect. The drawback: if many executors are slow for one group only, all groups are held back.
      */
     final Executor fleet = new Executor(0);
     /** When this front end last resumed after a stall. */
--- a/core/src/main/java/gradereach/SendRules.java
+++ b/core/src/main/java/gradereach/SendRules.java
@@ -2,17 +2,17 @@
 
 import gradereach.api.ColdStartRule;
 import gradereach.api.DedupScope;
+import gradereach.api.ExecutorState;
 import gradereach.api.ForwardRules;
 import gradereach.api.LoadOrderBudget;
 import gradereach.api.ModelGroup;
 import gradereach.api.RetrySafety;
-import gradereach.api.ExecutorState;
-import gradereach.state.Executor;
 import gradereach.state.DecayingSum;
+import gradereach.state.Executor;
 import gradereach.state.Forward;
+import gradereach.state.FrontEndShare;
 import gradereach.state.Inference;
 import gradereach.state.SlidingWindowSum;
-import gradereach.state.FrontEndShare;
 import java.util.Random;
 import java.util.Set;
 
--- a/core/src/main/java/gradereach/api/ColdStartRule.java
+++ b/core/src/main/java/gradereach/api/ColdStartRule.java
@@ -1,4 +1,10 @@
 package gradereach.api;
 
-/** What a just-started executor can bear: it falls over when sent fallMultiple x its capacity for fallTime. */
+/**
+ * What an executor that has just started can take. It fails when sent overloadFactor times its capacity during overloadTime.
+ * Times are in milliseconds.
+ *
+ * @param initialCapacityFraction fraction of its capacity at the start, which grows linearly
+ * @param warmUpTime time after which it has its full capacity
+ */
 public record ColdStartRule(double initialCapacityFraction, double warmUpTime, double overloadFactor, double overloadTime) { }
--- a/core/src/main/java/gradereach/api/Customer.java
+++ b/core/src/main/java/gradereach/api/Customer.java
@@ -1,4 +1,8 @@
 package gradereach.api;
 
-/** A customer and what it may send a second, over all front ends, at full value. */
+/**
+ * A customer.
+ *
+ * @param quotaPerSecond inferences per second that have full value, over all front ends
+ */
 public record Customer(String name, double share, double quotaPerSecond) { }
--- a/core/src/main/java/gradereach/api/DedupScope.java
+++ b/core/src/main/java/gradereach/api/DedupScope.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
-/** Which executors drop the repeats of a deduped inference. */
+/** Which executors recognize a forward of a deduped inference that they have run before: all, or those of the same location or cell. */
 public enum DedupScope { ALL, LOCATION, CELL }
--- a/core/src/main/java/gradereach/api/ExecutorListing.java
+++ b/core/src/main/java/gradereach/api/ExecutorListing.java
@@ -3,15 +3,17 @@
 import gradereach.state.Executor;
 
 /**
- * One line of the roster.
+ * One executor as listed by the roster.
  *
- * @param startedAt module time; 0 means long ago
- * @param replaces the executor that was met at its address before; null for none, or where that is not new
+ * @param startedAt monotonic time; 0 means long ago
+ * @param location negative if unknown
+ * @param cell negative if unknown
+ * @param replaces the executor that had the address before; null if there is none or it was replaced earlier
  */
-public record ExecutorListing(Executor executor, double capacity, double startedAt, ExecutorState state, int location, int machineKind,
-        int cell, Executor replaces) {
-    public ExecutorListing(Executor executor, double size, double startedAt, ExecutorState standing, int location, int kind,
-            int cell) {
-        this(executor, size, startedAt, standing, location, kind, cell, null);
+public record ExecutorListing(Executor executor, double capacity, double startedAt, ExecutorState state, int location,
+        int machineKind, int cell, Executor replaces) {
+    public ExecutorListing(Executor executor, double capacity, double startedAt, ExecutorState state, int location,
+            int machineKind, int cell) {
+        this(executor, capacity, startedAt, state, location, machineKind, cell, null);
     }
 }
--- a/core/src/main/java/gradereach/api/ExecutorReport.java
+++ b/core/src/main/java/gradereach/api/ExecutorReport.java
@@ -1,5 +1,5 @@
 package gradereach.api;
 
-/** An executor's load report; NaN where it does not say. */
+/** Load report of an executor; NaN where a value is missing. */
 public record ExecutorReport(double inFlight, double queued, double busyFraction, double answerTime, double rate, double errorRate,
         double memoryFraction, double loads) { }
--- a/core/src/main/java/gradereach/api/ExecutorState.java
+++ b/core/src/main/java/gradereach/api/ExecutorState.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
-/** The roster's word on an executor. */
+/** State of an executor according to the roster. */
 public enum ExecutorState { REMOVED, READY, DRAINING }
--- a/core/src/main/java/gradereach/api/FrontEndSettings.java
+++ b/core/src/main/java/gradereach/api/FrontEndSettings.java
@@ -1,5 +1,13 @@
 package gradereach.api;
 
-/** This front end among its equals. */
-public record FrontEndSettings(int index, int frontEnds, int location, boolean peerMessagesAllowed, boolean probesAllowed, boolean subscribesToRoster,
-        double probeCost, double crossZoneCost, double tick) { }
+/**
+ * Settings of this front end within its group of front ends.
+ *
+ * @param index of this front end, from 0
+ * @param frontEnds number of front ends
+ * @param subscribesToRoster whether roster updates come only after a subscription
+ * @param probeCost in points, as {@link ModelGroup#value}
+ * @param tick milliseconds between event batches
+ */
+public record FrontEndSettings(int index, int frontEnds, int location, boolean peerMessagesAllowed,
+        boolean probesAllowed, boolean subscribesToRoster, double probeCost, double crossZoneCost, double tick) { }
--- a/core/src/main/java/gradereach/api/LoadOrderBudget.java
+++ b/core/src/main/java/gradereach/api/LoadOrderBudget.java
@@ -1,4 +1,8 @@
 package gradereach.api;
 
-/** Load orders allowed in any span: a few plus a share of the inferences taken; span 0 means no ration. */
+/**
+ * Limits load orders in any window: to a base plus a fraction of the inferences accepted in it.
+ *
+ * @param window milliseconds; 0 means no limit
+ */
 public record LoadOrderBudget(double baseOrders, double ordersPerInference, double window) { }
--- a/core/src/main/java/gradereach/api/Outcome.java
+++ b/core/src/main/java/gradereach/api/Outcome.java
@@ -12,7 +12,7 @@
     NEVER_SENT(true),
     MISS(true);
 
-    /** Whether a forward that ended so is known not to have run. */
+    /** Whether a forward with this outcome is known not to have run. */
     public final boolean provesNotRun;
 
     Outcome(boolean provesNotRun) {
--- a/core/src/main/java/gradereach/api/RetrySafety.java
+++ b/core/src/main/java/gradereach/api/RetrySafety.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
-/** What may be done with an inference that may already have run. */
+/** Whether an inference that may already have run may be forwarded again. */
 public enum RetrySafety { RETRIABLE, DEDUPED, NON_RETRIABLE }
--- a/core/src/main/java/gradereach/api/RosterUpdateKind.java
+++ b/core/src/main/java/gradereach/api/RosterUpdateKind.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
-/** What a roster message holds. */
+/** What a roster update contains. */
 public enum RosterUpdateKind { CHANGES, FULL, CACHED, FAILED }
--- a/core/src/main/java/gradereach/api/Router.java
+++ b/core/src/main/java/gradereach/api/Router.java
@@ -6,56 +6,56 @@
 import gradereach.state.Model;
 import java.util.List;
 
-/** Events in, between {@link #moment} and {@link #settle}. */
+/** Takes events, in batches between {@link #beginBatch} and {@link #endBatch}. Times are in milliseconds. */
 public interface Router {
-    /** The clock now, before the first event of this moment. */
+    /** Sets the time of the batch, before its first event. */
     void beginBatch(double now);
 
-    void onRosterUpdate(RosterUpdateKind form, List<ExecutorListing> listings);
+    void onRosterUpdate(RosterUpdateKind kind, List<ExecutorListing> listings);
 
     /**
-     * What the roster's source guarantees. Where it is never called the roster counts as complete for good.
+     * Validity of the roster. Unless this is called, the roster always counts as complete.
      *
      * @param confirmedAt when the roster was last known to be complete
-     * @param until from when on what the roster does not say may count as told all the same
+     * @param validUntil from then on, a drain may count as announced although the roster does not list it
      */
-    void onRosterValidity(double confirmedAt, double until);
+    void onRosterValidity(double confirmedAt, double validUntil);
 
-    /** Whether forwards and load orders may be written to it at that time; asked again when they are. */
-    boolean maySend(Executor ex, double at);
+    /** Whether forwards and load orders may be written to the executor at that time; checked again when they are written. */
+    boolean maySend(Executor executor, double time);
 
-    /** A connection to it that carried nothing was reset. */
-    void onConnectionReset(Executor ex);
+    /** A connection to the executor with nothing in flight was reset. */
+    void onConnectionReset(Executor executor);
 
-    void onInferenceAccepted(Inference inf);
+    void onInferenceAccepted(Inference inference);
 
     /**
-     * The answer of a streamed inference has started, {@code took} milliseconds after it was sent: the forward belongs to
-     * the client from here on, and no time-out runs for it any longer.
+     * The answer of a streamed inference has started, {@code elapsed} milliseconds after the forward was sent. From then on
+     * the forward lasts as long as its client, without a timeout.
      */
-    void onAnswerStarted(Forward fwd, double took);
+    void onAnswerStarted(Forward forward, double elapsed);
 
-    void onForwardEnded(Forward fwd, ForwardResult answer);
+    void onForwardEnded(Forward forward, ForwardResult result);
 
-    /** The client has left, or its time is up: nothing more is owed. */
-    void onInferenceCancelled(Inference inf);
+    /** The client disconnected or its deadline has passed: it needs no answer any more. */
+    void onInferenceCancelled(Inference inference);
 
     void onTimer(long tag);
 
-    /** {@code report} may be null. */
-    void onProbeEnded(Executor ex, Outcome outcome, double took, ExecutorReport report);
+    /** @param report null if there was none */
+    void onProbeEnded(Executor executor, Outcome outcome, double elapsed, ExecutorReport report);
 
-    /** A load order has ended; {@code standing} copies stand loaded, 0 where nothing was heard. */
-    void onOrderEnded(Executor ex, Model mdl, Outcome outcome, double took, int standing);
+    /** A load order has ended. {@code loadedCopies} is the number of copies loaded now, 0 if there was no answer. */
+    void onOrderEnded(Executor executor, Model model, Outcome outcome, double elapsed, int loadedCopies);
 
-    void onPeerMessage(int from, byte[] words);
+    void onPeerMessage(int from, byte[] message);
 
-    /** The part of what all front ends share that is this one's from now on, 0 to 1; one of their number until it is told. */
-    void onShareChanged(double part);
+    /** Sets the fraction of shared limits that this front end may use, 0 to 1. Until then it is 1 / number of front ends. */
+    void onShareChanged(double fraction);
 
-    /** Whoever keeps models by name would forget this one: true where nothing is out, stands or waits for it any more. */
-    boolean tryForgetModel(Model mdl);
+    /** Asks to drop the state of a model. Returns true if nothing of it is in flight, loaded or queued any more. */
+    boolean tryForgetModel(Model model);
 
-    /** All events of this moment are in: decide and act. */
+    /** All events of the batch are in: decides and acts. */
     void endBatch();
 }
--- a/core/src/main/java/gradereach/api/RouterActions.java
+++ b/core/src/main/java/gradereach/api/RouterActions.java
@@ -5,35 +5,36 @@
 import gradereach.state.Inference;
 import gradereach.state.Model;
 
-/** Actions out, taking effect at the moment that is being settled. */
+/** The actions of a router, which take effect at the time of the batch that ends. */
 public interface RouterActions {
-    /** {@code stopAt} is the time at which the forward is given up. */
-    Forward sendForward(Inference inf, Executor ex, double stopAt);
+    /** @param deadline when the forward is cancelled */
+    Forward sendForward(Inference inference, Executor executor, double deadline);
 
-    void cancelForward(Forward fwd);
+    void cancelForward(Forward forward);
 
-    /** {@code pause} 0 gives no advice. */
-    void shed(Inference inf, double pause);
+    /** @param retryAfter milliseconds after which the client should repeat; 0 for no advice */
+    void shed(Inference inference, double retryAfter);
 
-    void fail(Inference inf);
+    void fail(Inference inference);
 
-    /** Hold at least {@code copies}; 0 only asks. */
-    void sendOrder(Executor ex, Model mdl, int copies);
+    /** Orders the executor to hold at least this many copies; 0 is a status query. */
+    void sendOrder(Executor executor, Model model, int copies);
 
-    void unloadIdle(Executor ex, Model mdl);
+    void unloadIdle(Executor executor, Model model);
 
-    void sendProbe(Executor ex);
+    void sendProbe(Executor executor);
 
-    void scheduleTimer(double in, long tag);
+    /** @param delay milliseconds */
+    void scheduleTimer(double delay, long tag);
 
     void requestRoster();
 
     void setRosterSubscription(boolean on);
 
-    void closeConnections(Executor ex);
+    void closeConnections(Executor executor);
 
-    /** {@code to} -1 tells every front end. */
-    void sendPeerMessage(int to, byte[] words);
+    /** @param to index of the front end, -1 for all */
+    void sendPeerMessage(int to, byte[] message);
 
     void log(String line);
 }
--- a/core/src/main/java/gradereach/state/DecayingSum.java
+++ b/core/src/main/java/gradereach/state/DecayingSum.java
@@ -1,16 +1,16 @@
 package gradereach.state;
 
-/** A sum that fades by the spans its users state. */
+/** A sum that decays exponentially. The time constant is given with each call. */
 public final class DecayingSum {
     private double sum;
     private double updatedAt;
 
-    public double value(double now, double span) {
-        return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / span);
+    public double value(double now, double timeConstant) {
+        return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstant);
     }
 
-    public void add(double more, double now, double span) {
-        sum = value(now, span) + more;
+    public void add(double amount, double now, double timeConstant) {
+        sum = value(now, timeConstant) + amount;
         updatedAt = now;
     }
 
--- a/core/src/main/java/gradereach/state/Executor.java
+++ b/core/src/main/java/gradereach/state/Executor.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Set;
 
-/** An executor that the roster has named: kept until it has gone and nothing of ours is out there. */
+/** An executor of the roster, kept until it is removed and nothing of this front end is pending there. */
 public final class Executor {
-    /** Its address, for hashing and the door only. */
+    /** Its address, for hashing and for the host only. */
     public final long id;
     public ExecutorState state = ExecutorState.REMOVED;
     /** 0 means long ago. */
     public double startedAt;
-    /** The same by the roster's word: another where it may have started anew and the roster could not tell. */
+    /** The start that the roster lists; differs if the executor may have restarted while the roster was not valid. */
     public double rosterStartedAt;
     public double capacity = 1;
     public int location;
     public int cell;
 
     public final List<ModelCopies> copies = new ArrayList<>();
-    /** Our forwards there, those just decided included. */
+    /** Forwards of this front end whose answer has not started, including those that are about to be sent. */
     public int inFlight;
     public final List<Forward> unansweredForwards = new ArrayList<>();
 
@@ -31,78 +31,79 @@
     /** The generation that the latest probe was sent to. */
     public int probeGeneration;
     /**
-     * Counts the processes that this executor stood for, as far as they are told apart: it went away, started anew or is met
-     * at another address. What was sent to an earlier generation tells nothing of the present one.
+     * Counts the processes behind this executor, as far as they can be told apart: it was removed, restarted or moved to
+     * another address. What was sent to an earlier generation says nothing about the current one.
      */
     public int generation;
     /**
-     * When the lease ends under which something is being sent to it, module time: for links whose threads cannot ask as they
-     * write. A module that knows no leases leaves it.
+     * When the lease ends under which something is being sent to it, monotonic time: for transports whose threads cannot ask
+     * the router while they write. Routers without leases leave it as it is.
      */
     public double leaseEndsAt = Double.POSITIVE_INFINITY;
-    /** When the latest probe was sent that it answered as ready, and the latest that it answered as not. */
+    /** When the latest probe answered as ready was sent, and the latest answered as not ready. */
     public double readyProbeSentAt = Double.NEGATIVE_INFINITY;
     public double notReadyProbeSentAt = Double.NEGATIVE_INFINITY;
-    /** When a connection to it was last reset or could not be made. */
+    /** When a connection was last reset or could not be made. */
     public double disconnectedAt = Double.NEGATIVE_INFINITY;
 
-    /** Warm answers: how many, and what they took in expected answer times. */
+    /** Number of recent answers of loaded copies, and the sum of their slowdowns. */
     public final DecayingSum answerCount = new DecayingSum();
     public final DecayingSum slowdownSum = new DecayingSum();
-    /** Present over expected answer time, as worked out at {@code stretchAt}. */
+    /** Observed over expected answer time, as computed at {@code slowdownComputedAt}. */
     public double slowdown = 1;
     public double slowdownComputedAt = Double.NaN;
-    /** Most of our forwards at once; NaN before the first answer. */
+    /** Limit of concurrent forwards of this front end; NaN before the first answer. */
     public double concurrencyLimit = Double.NaN;
     public final DecayingSum suspicion = new DecayingSum();
-    /** Drawn from 0 to 1 for our turn while it is cold, and until when that holds. */
+    /** Random number from 0 to 1 that decides whether a cold executor gets an inference, and until when it holds. */
     public double admissionDraw;
     public double drawValidUntil = Double.NEGATIVE_INFINITY;
-    /** Work sent lately. */
+    /** Work sent recently. */
     public final SlidingWindowSum recentWork = new SlidingWindowSum();
 
     public Executor(long id) {
         this.id = id;
     }
 
-    /** What was sent after that time, and is still out, went to the present process. */
+    /** Treats everything sent after that time, and still pending, as sent to the current process. */
     public void assignToCurrentGeneration(double time) {
-        unansweredForwards.stream().filter(fwd -> fwd.sentAt > time).forEach(Forward::assignToCurrentGeneration);
-        copies.stream().filter(c -> c.orderPending && c.orderSentAt > time).forEach(ModelCopies::assignOrderToCurrentGeneration);
+        unansweredForwards.stream().filter(forward -> forward.sentAt > time).forEach(Forward::assignToCurrentGeneration);
+        copies.stream().filter(modelCopies -> modelCopies.orderPending && modelCopies.orderSentAt > time)
+                .forEach(ModelCopies::assignOrderToCurrentGeneration);
         probeGeneration = probePending && probeSentAt > time ? generation : probeGeneration;
     }
 
-    /** {@code news} may be null: nothing was attached. */
-    public void recordReport(ExecutorReport news, double now) {
-        if (news != null) {
-            report = news;
+    /** @param newReport null if there was none */
+    public void recordReport(ExecutorReport newReport, double now) {
+        if (newReport != null) {
+            report = newReport;
             reportedAt = now;
         }
     }
 
-    /** Nothing of ours is out there. */
+    /** Whether nothing of this front end is pending there. */
     public boolean isIdle() {
-        for (ModelCopies c : copies) {
-            if (c.orderPending || c.inFlight > 0) {
+        for (ModelCopies modelCopies : copies) {
+            if (modelCopies.orderPending || modelCopies.inFlight > 0) {
                 return false;
             }
         }
         return unansweredForwards.isEmpty() && !probePending;
     }
 
-    /** It has gone for good: no model deals with it any more. */
+    /** Removes the executor from all models. */
     public void detachFromModels() {
-        copies.forEach(c -> c.model.copies.remove(c));
+        copies.forEach(modelCopies -> modelCopies.model.copies.remove(modelCopies));
         copies.clear();
     }
 
-    /** It went away or may be a new process: nothing stands there. Adds the models concerned to {@code concerned}. */
-    public void beginGeneration(double now, Set<Model> concerned) {
+    /** The executor was removed or may be a new process: nothing is loaded there. Adds its models to {@code affected}. */
+    public void beginGeneration(double now, Set<Model> affected) {
         generation++;
-        for (ModelCopies c : copies) {
-            concerned.add(c.model);
-            c.loadedCopies = 0;
-            c.othersInFlight.set(0, now);
+        for (ModelCopies modelCopies : copies) {
+            affected.add(modelCopies.model);
+            modelCopies.loadedCopies = 0;
+            modelCopies.othersInFlight.set(0, now);
         }
         report = null;
     }
--- a/core/src/main/java/gradereach/state/Forward.java
+++ b/core/src/main/java/gradereach/state/Forward.java
@@ -2,25 +2,25 @@
 
 import gradereach.api.Outcome;
 
-/** One forward of one inference. */
+/** One attempt of an inference at an executor. */
 public final class Forward {
     public final Inference inference;
     public final Executor executor;
     public final int number;
     public final double sentAt;
-    /** The executor's generation that it was sent to. */
+    /** The generation of the executor that it was sent to. */
     private int generation;
-    /** Null while it is out. */
+    /** Null while it is in flight. */
     public Outcome outcome;
     public ModelCopies copies;
-    /** Our own inferences of that model there when it was sent. */
+    /** Inferences of the model that this front end had in flight there when the forward was sent. */
     public int ownInFlight;
-    /** The answer time that it was sent in hope of. */
+    /** The answer time expected when it was sent. */
     public double expectedAnswerTime;
-    /** The answer time with which its SLO is still safe. */
+    /** The answer time up to which the SLO is met. */
     public double targetAnswerTime;
     public boolean cancelled;
-    /** Its answer flows: it holds a lane, and waits for nothing. */
+    /** Its answer has started: it occupies a lane, but waits for nothing. */
     public boolean answerStarted;
 
     public Forward(Inference inference, Executor executor, int number, double sentAt) {
@@ -31,9 +31,9 @@
         generation = executor.generation;
     }
 
-    /** It went to the present process after all. */
+    /** Treats it as sent to the current process. */
     void assignToCurrentGeneration() { generation = executor.generation; }
 
-    /** Whether its end tells of the process that its executor stands for now. */
+    /** Whether it was sent to the current process of the executor. */
     public boolean isCurrent() { return generation == executor.generation; }
 }
--- a/core/src/main/java/gradereach/state/FrontEndShare.java
+++ b/core/src/main/java/gradereach/state/FrontEndShare.java
@@ -1,12 +1,12 @@
 package gradereach.state;
 
-/** The part of what all front ends share that is this one's now, 0 to 1. */
+/** The fraction of shared limits that this front end may use, 0 to 1. */
 public final class FrontEndShare {
     public double fraction;
-    /** When this one began; another under its name may have spent its part until then. */
+    /** When this front end started; a process of the same name may have used the share until then. */
     public double startedAt = Double.NaN;
 
-    public FrontEndShare(double part) {
-        this.fraction = part;
+    public FrontEndShare(double fraction) {
+        this.fraction = fraction;
     }
 }
--- a/core/src/main/java/gradereach/state/Inference.java
+++ b/core/src/main/java/gradereach/state/Inference.java
@@ -5,10 +5,10 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** An inference that was taken and is owed one final answer. */
+/** An accepted inference, which gets one final answer. */
 public final class Inference {
-    static final Comparator<Inference> QUEUE_ORDER = Comparator.<Inference>comparingInt(inf -> inf.queueRank)
-            .thenComparingDouble(inf -> inf.acceptedAt).thenComparingLong(inf -> inf.id);
+    static final Comparator<Inference> QUEUE_ORDER = Comparator.<Inference>comparingInt(inference -> inference.queueRank)
+            .thenComparingDouble(inference -> inference.acceptedAt).thenComparingLong(inference -> inference.id);
 
     public final long id;
     public final ModelGroup group;
@@ -16,44 +16,45 @@
     public final int customer;
     public final Model model;
     public final double acceptedAt;
-    /** When its client gives up. */
+    /** When its client stops waiting. */
     public final double deadlineAt;
-    /** Expected work, NaN where untold. */
+    /** NaN if unknown. */
     public final double expectedWork;
+    /** Whether it is a repeat by the client. */
     public final boolean isRetry;
 
     public final List<Forward> forwards = new ArrayList<>(2);
     public boolean done;
     public boolean streaming;
     public boolean queued;
-    /** Its place behind others in its queue; 0 is the front. */
+    /** Rank in the queue of its model; lower ranks are served first. */
     public int queueRank;
-    /** Beyond its customer's share when it came. */
+    /** Whether it exceeded its customer's quota when it arrived. */
     public boolean overQuota;
-    /** The two instances whose executors are looked at before it goes to one of them. */
+    /** The candidates whose load reports are awaited before the inference is sent to one of them; null for none. */
     public ModelCopies firstCandidate;
     public ModelCopies secondCandidate;
-    /** Where it should go next, null for nowhere. */
+    /** Where it is about to be sent, null for nowhere. */
     public ModelCopies target;
-    /** Its final answer as decided; null while there is none. */
+    /** The decided rejection; null for none. */
     public Rejection rejection;
 
-    public Inference(long id, ModelGroup group, int customer, Model model, double takenAt, double leavesAt,
-            double work, boolean repeated) {
+    public Inference(long id, ModelGroup group, int customer, Model model, double acceptedAt, double deadlineAt,
+            double expectedWork, boolean isRetry) {
         this.id = id;
         this.group = group;
         this.customer = customer;
         this.model = model;
-        this.acceptedAt = takenAt;
-        this.deadlineAt = leavesAt;
-        this.expectedWork = work;
-        this.isRetry = repeated;
+        this.acceptedAt = acceptedAt;
+        this.deadlineAt = deadlineAt;
+        this.expectedWork = expectedWork;
+        this.isRetry = isRetry;
     }
 
-    /** Whether a forward is out or ended without proof that it never ran. */
+    /** Whether a forward is in flight, or has ended without proof that it did not run. */
     public boolean mayHaveRun() {
-        for (Forward fwd : forwards) {
-            if (fwd.outcome == null || !fwd.outcome.provesNotRun) {
+        for (Forward forward : forwards) {
+            if (forward.outcome == null || !forward.outcome.provesNotRun) {
                 return true;
             }
         }
--- a/core/src/main/java/gradereach/state/Model.java
+++ b/core/src/main/java/gradereach/state/Model.java
@@ -5,36 +5,37 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** A model that an inference has named: lives as long as the instance. */
+/** A model that inferences have asked for, with its queue and its copies. */
 public final class Model {
     public final long id;
     public double memory;
+    /** Inferences that one copy runs concurrently. */
     public int lanes = 1;
-    /** Usual load time, 0 where untold. */
+    /** Usual load time, 0 if unknown. */
     public double loadTime;
     public ModelGroup group;
-    /** Its group's answer times. */
+    /** Answer times over the model group. */
     public AnswerTimeStats groupAnswerTimes;
     public final AnswerTimeStats answerTimes = new AnswerTimeStats();
 
     public final TreeSet<Inference> queue = new TreeSet<>(Inference.QUEUE_ORDER);
-    /** The executors that the roster named, nearest first. */
+    /** The executors in this model's rendezvous order. */
     public final List<Executor> rendezvousOrder = new ArrayList<>();
-    /** Of which fleet, by the module's count of its changes. */
+    /** Version of the fleet for which the rendezvous order was computed. */
     public int rendezvousFleetVersion;
-    /** With the executors dealt with so far, in the order in which that began. */
+    /** By executor, in the order of first use. */
     public final List<ModelCopies> copies = new ArrayList<>();
-    /** Inferences taken: in all, and lately. */
+    /** Accepted inferences: in total, and recent. */
     public long acceptedCount;
     public final DecayingSum recentArrivals = new DecayingSum();
-    /** Our own forwards of it. */
+    /** Forwards of this front end in flight. */
     public int inFlight;
-    /** Those of them whose answers have started. */
+    /** Those of them whose answer has started. */
     public int startedAnswers;
     public int ordersInFlight;
     public int queriesInFlight;
     public double queriedAt = Double.NEGATIVE_INFINITY;
-    /** Loads that failed in a row, since one of it was last known to stand; and when the last did. */
+    /** Loads that failed in a row since a copy was last known to be loaded, and when the last one failed. */
     public int consecutiveFailedLoads;
     public double lastFailedLoadAt = Double.NEGATIVE_INFINITY;
 
@@ -42,26 +43,27 @@
         this.id = id;
     }
 
-    public ModelCopies copiesOn(Executor ex) {
-        for (ModelCopies c : copies) {
-            if (c.executor == ex) {
-                return c;
+    /** The copies on that executor, created if missing. */
+    public ModelCopies copiesOn(Executor executor) {
+        for (ModelCopies modelCopies : copies) {
+            if (modelCopies.executor == executor) {
+                return modelCopies;
             }
         }
-        ModelCopies c = new ModelCopies(this, ex);
-        copies.add(c);
-        ex.copies.add(c);
-        return c;
+        ModelCopies modelCopies = new ModelCopies(this, executor);
+        copies.add(modelCopies);
+        executor.copies.add(modelCopies);
+        return modelCopies;
     }
 
-    /** Nothing is out, ordered, asked or held, and nothing is believed to stand. */
+    /** Whether nothing is in flight, ordered or queued, and no copy is believed to be loaded. */
     public boolean isIdle() {
         return queue.isEmpty() && inFlight == 0 && ordersInFlight == 0 && queriesInFlight == 0 && !hasLoadedCopy();
     }
 
     public boolean hasLoadedCopy() {
-        for (ModelCopies c : copies) {
-            if (c.loadedCopies > 0) {
+        for (ModelCopies modelCopies : copies) {
+            if (modelCopies.loadedCopies > 0) {
                 return true;
             }
         }
--- a/core/src/main/java/gradereach/state/ModelCopies.java
+++ b/core/src/main/java/gradereach/state/ModelCopies.java
@@ -1,34 +1,34 @@
 package gradereach.state;
 
-/** What is believed of one model's copies on one executor. */
+/** The copies of one model on one executor, as far as this front end knows. */
 public final class ModelCopies {
     public final Model model;
     public final Executor executor;
-    /** Copies believed to stand loaded. */
+    /** Copies believed to be loaded. */
     public int loadedCopies;
-    /** Our own forwards there. */
+    /** Forwards of this front end in flight there. */
     public int inFlight;
-    /** Inferences of other front ends there. */
+    /** Inferences of other front ends there, estimated. */
     public final DecayingSum othersInFlight = new DecayingSum();
-    /** Our own forwards there, lately. */
+    /** Recent forwards of this front end there. */
     public final DecayingSum recentForwards = new DecayingSum();
-    /** Most inferences seen there at once since the last review. */
+    /** Highest number of concurrent inferences since the last review. */
     public double peakInFlight;
     public double lastUsedAt = Double.NEGATIVE_INFINITY;
     public double renewedAt = Double.NEGATIVE_INFINITY;
     public double confirmedAt = Double.NEGATIVE_INFINITY;
-    /** Until when what stands there is believed to stay. */
+    /** Until when the copies are believed to stay loaded. */
     public double loadedUntil = Double.NEGATIVE_INFINITY;
-    /** An order or a question is out. */
+    /** Whether an order or a status query is pending. */
     public boolean orderPending;
-    /** Copies that the order asks for, 0 for a question. */
+    /** Copies that the order asks for, 0 for a status query. */
     public int orderedCopies;
     public double orderSentAt;
-    /** The executor's generation that the order was sent to. */
+    /** The generation of the executor that the order was sent to. */
     private int orderGeneration;
-    /** What should stand there, as last decided. */
+    /** Copies to be ordered, 0 for a status query. */
     public int wantedCopies;
-    /** Not to be ordered on before this. */
+    /** No forward or order is sent before this time. */
     public double backoffUntil = Double.NEGATIVE_INFINITY;
     public boolean reviewScheduled;
 
@@ -37,14 +37,14 @@
         this.executor = executor;
     }
 
-    /** Forwards more or fewer, here, on the executor and of the model. */
-    public void addInFlight(int more) {
-        inFlight += more;
-        executor.inFlight += more;
-        model.inFlight += more;
+    /** Changes the number of forwards in flight here, on the executor and of the model. */
+    public void addInFlight(int delta) {
+        inFlight += delta;
+        executor.inFlight += delta;
+        model.inFlight += delta;
     }
 
-    /** What is wanted has been asked of the executor. */
+    /** The wanted copies have been ordered. */
     public void recordOrderSent(double now) {
         orderPending = true;
         orderedCopies = wantedCopies;
@@ -54,22 +54,22 @@
         model.queriesInFlight += orderedCopies > 0 ? 0 : 1;
     }
 
-    /** Whether the order that is out, or was last, went to the process that the executor stands for now. */
+    /** Whether the pending or latest order was sent to the current process of the executor. */
     public boolean orderIsCurrent() { return orderGeneration == executor.generation; }
 
-    /** The order that is out went to the present process after all. */
+    /** Treats the pending order as sent to the current process. */
     void assignOrderToCurrentGeneration() { orderGeneration = executor.generation; }
 
-    /** Copies that an order to the present process asks for; 0 where none is out. */
+    /** Copies that a pending order to the current process asks for, otherwise 0. */
     public int copiesOnOrder() { return orderIsCurrent() ? orderedCopies : 0; }
 
-    /** The order has its answer; true if it was a question only. */
+    /** The order has ended. Returns whether it was only a status query. */
     public boolean recordOrderEnded() {
-        boolean question = orderedCopies == 0;
-        model.ordersInFlight -= question ? 0 : 1;
-        model.queriesInFlight -= question ? 1 : 0;
+        boolean isQuery = orderedCopies == 0;
+        model.ordersInFlight -= isQuery ? 0 : 1;
+        model.queriesInFlight -= isQuery ? 1 : 0;
         orderPending = false;
         orderedCopies = 0;
-        return question;
+        return isQuery;
     }
 }
--- a/core/src/main/java/gradereach/state/Rejection.java
+++ b/core/src/main/java/gradereach/state/Rejection.java
@@ -1,4 +1,4 @@
 package gradereach.state;
 
-/** A final answer given by the front end itself. */
+/** Final answers that the front end gives itself, without an executor. */
 public enum Rejection { SHED, FAIL }
--- a/core/src/main/java/gradereach/state/SlidingWindowSum.java
+++ b/core/src/main/java/gradereach/state/SlidingWindowSum.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Amounts with their times, summed over what is not older than a stated time. */
+/** Amounts with their times, summed over those since a given time. */
 public final class SlidingWindowSum {
     private final ArrayDeque<double[]> amounts = new ArrayDeque<>();
     private double sum;
@@ -15,7 +15,7 @@
         sum += amount;
     }
 
-    /** Counts what another one counted as well. */
+    /** Adds all amounts of another sum. */
     public void addAll(SlidingWindowSum other) {
         List<double[]> all = new ArrayList<>(amounts);
         all.addAll(other.amounts);
@@ -25,6 +25,7 @@
         sum += other.sum;
     }
 
+    /** The sum since that time. Drops older amounts. */
     public double sumSince(double time) {
         while (!amounts.isEmpty() && amounts.peek()[0] < time) {
             sum -= amounts.poll()[1];
--- a/core/src/main/java/gradereach/state/TimerQueue.java
+++ b/core/src/main/java/gradereach/state/TimerQueue.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Whom to look at again, and when; equal times in the order in which they were set. */
+/** Objects to be reviewed at given times; equal times come out in the order in which they were scheduled. */
 public final class TimerQueue {
     private record Timer(double dueAt, long sequence, Object subject) { }
 
@@ -11,11 +11,11 @@
             new PriorityQueue<>(Comparator.comparingDouble(Timer::dueAt).thenComparingLong(Timer::sequence));
     private long nextSequence;
 
-    public void schedule(double at, Object whom) {
-        queue.add(new Timer(at, nextSequence++, whom));
+    public void schedule(double dueAt, Object subject) {
+        queue.add(new Timer(dueAt, nextSequence++, subject));
     }
 
-    /** The next one due by now, null if none is. */
+    /** Removes and returns the next object that is due, null if none is. */
     public Object pollDue(double now) {
         return nextDueAt() <= now ? queue.poll().subject() : null;
     }
--- a/core/src/test/java/gradereach/ColdFleetTest.java
+++ b/core/src/test/java/gradereach/ColdFleetTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.api.Outcome;
 import gradereach.api.ExecutorState;
+import gradereach.api.Outcome;
 import gradereach.state.Executor;
 import gradereach.state.Forward;
 import gradereach.state.Model;
--- a/core/src/test/java/gradereach/RosterOutageTest.java
+++ b/core/src/test/java/gradereach/RosterOutageTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.api.Outcome;
 import gradereach.api.ExecutorState;
+import gradereach.api.Outcome;
 import gradereach.state.Executor;
 import gradereach.state.Forward;
 import gradereach.state.Model;
