--- a/core/src/main/java/gradereach/api/FrontEndSettings.java
+++ b/core/src/main/java/gradereach/api/FrontEndSettings.java
@@ -7,7 +7,7 @@
  * @param frontEnds number of front ends
  * @param subscribesToRoster whether roster updates come only after a subscription
  * @param probeCost in points, as {@link ModelGroup#value}
- * @param tick milliseconds between event batches
+ * @param tick milliseconds between event batches; answers are given three ticks before the deadline
  */
 public record FrontEndSettings(int index, int frontEnds, int location, boolean peerMessagesAllowed,
         boolean probesAllowed, boolean subscribesToRoster, double probeCost, double crossZoneCost, double tick) { }
--- a/core/src/main/java/gradereach/api/RouterActions.java
+++ b/core/src/main/java/gradereach/api/RouterActions.java
@@ -5,7 +5,7 @@
 import gradereach.state.Inference;
 import gradereach.state.Model;
 
-/** The actions of a router, which take effect at the time of the batch that ends. */
+/** The actions of a router. They take effect at the time of the current batch. */
 public interface RouterActions {
     /** @param deadline when the forward is cancelled */
     Forward sendForward(Inference inference, Executor executor, double deadline);
--- a/core/src/main/java/gradereach/state/Forward.java
+++ b/core/src/main/java/gradereach/state/Forward.java
@@ -17,7 +17,7 @@
     public int ownInFlight;
     /** The answer time expected when it was sent. */
     public double expectedAnswerTime;
-    /** The answer time up to which the SLO is met. */
+    /** The mean answer time at which even slow answers still meet the SLO. */
     public double targetAnswerTime;
     public boolean cancelled;
     /** Its answer has started: it occupies a lane, but waits for nothing. */
