--- a/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
@@ -42,33 +42,44 @@
 import java.util.function.Function;
 
 /**
- * One front end's state around its module: what was taken and is owed an answer, what is out, who is there. It
- * decides nothing of the ordinary path: events go to the module, its actions to the links and to who asked. It does
- * keep what the module cannot see: the life of a message over repeats, the bounds at the door, and the rules when
- * the module itself breaks.
+ * Coordinates the inferences of one front end. It holds the accepted inferences, their forwards in flight and the executor
+ * endpoints, passes events to the router, and carries out the router's actions through the transport and the answer
+ * observers. Scheduling decisions are the router's. The coordinator itself keeps track of a message over its repeats,
+ * enforces the admission limits and ends inferences correctly when the router throws.
  *
- * One thread calls everything here, between {@link #begin} and {@link #settle}. No I/O, no clock of its own.
+ * Everything here runs on the decision thread, between {@link #beginBatch} and {@link #endBatch}. It does no I/O and has no
+ * clock of its own.
  */
 public final class InferenceCoordinator implements RouterActions {
-    /** What the desk tells of lives and faults, for the log. */
+    /** Receives ended inferences, router failures and the router's log lines. */
     public interface InferenceListener {
-        void onInferenceEnded(InferenceState life, double now);
+        void onInferenceEnded(InferenceState state, double now);
 
-        void onRouterFailed(RuntimeException why, String during, int inferences);
+        /**
+         * @param event the event that the router was handling
+         * @param inferences inferences that are ended because of the failure
+         */
+        void onRouterFailed(RuntimeException failure, String event, int inferences);
 
         void onLogLine(String line);
     }
 
-    /** Module time of a Unix time, both in milliseconds. */
+    /** Converts between Unix time and monotonic time, both in milliseconds. */
     public interface WallClock {
         double toMonotonic(double unixMillis);
 
-        double toUnixMillis(double moduleTime);
+        double toUnixMillis(double monotonicTime);
 
-        Instant toInstant(double moduleTime);
+        Instant toInstant(double monotonicTime);
     }
 
-    /** Bounds at the door: inferences taken at once, names of models kept, connections that wait for one message. */
+    /**
+     * Limits checked before a message is accepted.
+     *
+     * @param maxInferences inferences in progress at one time
+     * @param maxModels models known at one time
+     * @param maxObserversPerMessage connections that wait for the answer of one message
+     */
     public record AdmissionLimits(int maxInferences, int maxModels, int maxObserversPerMessage) { }
 
     private final Function<RouterActions, Router> routerFactory;
@@ -124,53 +135,57 @@
     private String currentEvent = "start";
     private double now;
     private long lastInferenceId;
-    /** NaN until it was told. */
+    /** This front end's share of the shared budgets, 0 to 1; NaN until it was set. */
     private double share = Double.NaN;
     private double shareUntil;
     private double rosterConfirmedAt = Double.POSITIVE_INFINITY;
     private double rosterValidUntil = Double.POSITIVE_INFINITY;
     /** Unix seconds up to which a damaged ledger may have lost messages. */
     private long ledgerDamagedUntil = Long.MIN_VALUE;
-    /** In order of coming, so that a fault ends them in one order. */
+    /** By id, in order of acceptance, so that a router failure ends them in a fixed order. */
     private final Map<Long, InferenceState> inferences = new LinkedHashMap<>();
     private final Map<String, Model> models = new HashMap<>();
     private final Map<Model, String> modelNames = new HashMap<>();
     private final ArrayDeque<Model> modelCleanupQueue = new ArrayDeque<>();
     private final EndpointRegistry endpoints;
-    /** Executors that a fresh module must not hear of before their cold budget is surely whole again. */
+    /** Cold executors that a new router must not be told of before their cold-start budget is certainly unused again. */
     private final Set<Executor> deferredExecutors = new LinkedHashSet<>();
     private final OutcomeInquiries inquiries;
-    /** Ends that came about while the module was acting: told to it at the next moment, never within one. */
+    /** Events caused by the router's own actions: passed to it in the next event batch, never while it is acting. */
     private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
-    /** A wake that the module asked for. */
+    /** A timer set by the router of that generation. */
     private record RouterWakeup(int routerGeneration, long tag) { }
 
-    /** From now on the module of that era hears of the executors that it must not have heard of before. */
+    /** Timer after which the router of that generation is told of the deferred executors. */
     private record DeferredListing(int routerGeneration) { }
 
-    /** @param customers names by index */
-    public InferenceCoordinator(String name, Function<RouterActions, Router> routers, ExecutorTransport links, Timers timers, InferenceListener chronicle,
-            WallClock wall, MessageStore memory, Ledger ledger, ClaimService claims, InquiryScheduler questions, AnswerFormat words, AdmissionLimits door, LoadingRules loading, ForwardRules forwarding,
-            ColdStartRule cold, List<String> customers, Counts counts) {
+    /**
+     * @param routerFactory creates the router, and a new one after a failure
+     * @param customerNames names by customer index
+     */
+    public InferenceCoordinator(String name, Function<RouterActions, Router> routerFactory, ExecutorTransport transport, Timers timers,
+            InferenceListener listener, WallClock wallClock, MessageStore messageStore, Ledger ledger, ClaimService claimService,
+            InquiryScheduler inquiryScheduler, AnswerFormat answerFormat, AdmissionLimits limits, LoadingRules loading,
+            ForwardRules forwardRules, ColdStartRule coldStartRule, List<String> customerNames, Counts counts) {
         this.name = name;
-        this.routerFactory = routers;
-        this.transport = links;
+        this.routerFactory = routerFactory;
+        this.transport = transport;
         this.timers = timers;
-        this.listener = chronicle;
-        this.wallClock = wall;
-        this.messageStore = memory;
+        this.listener = listener;
+        this.wallClock = wallClock;
+        this.messageStore = messageStore;
         this.ledger = ledger;
-        this.claimService = claims;
-        this.answerFormat = words;
-        this.limits = door;
+        this.claimService = claimService;
+        this.answerFormat = answerFormat;
+        this.limits = limits;
         this.loading = loading;
-        this.forwardRules = forwarding;
-        this.coldStartRule = cold;
-        this.customerNames = customers;
-        inferenceLimit = counts.limit("inferences_held", door.maxInferences());
-        modelLimit = counts.limit("models_known", door.maxModels());
-        observerLimit = counts.limit("waiting_for_one_message", door.maxObserversPerMessage());
+        this.forwardRules = forwardRules;
+        this.coldStartRule = coldStartRule;
+        this.customerNames = customerNames;
+        inferenceLimit = counts.limit("inferences_held", limits.maxInferences());
+        modelLimit = counts.limit("models_known", limits.maxModels());
+        observerLimit = counts.limit("waiting_for_one_message", limits.maxObserversPerMessage());
         messageLimit = counts.limit("messages_remembered", Long.MAX_VALUE);
         for (Outcome outcome : Outcome.values()) {
             orderOutcomes[outcome.ordinal()] = counts.counter("load_orders_ended_" + outcome.name().toLowerCase());
@@ -202,15 +217,16 @@
         messagesInDamagedPeriod = counts.counter("messages_in_damaged_time");
         streamsStarted = counts.counter("answers_started");
         streamsBroken = counts.counter("answers_broken_after_their_start");
-        endpoints = new EndpointRegistry(links, wall, this::scheduleDiscard);
-        inquiries = new OutcomeInquiries(questions, new OutcomeInquiries.Dependencies(links, timers, endpoints, memory, ledger, words,
-                wall, customers, this::now), counts);
-        router = routers.apply(this);
-        timers.schedule(0, (Runnable) this::discardUnusedModels); // at the first moment, and from then on
+        endpoints = new EndpointRegistry(transport, wallClock, this::scheduleDiscard);
+        inquiries = new OutcomeInquiries(inquiryScheduler, new OutcomeInquiries.Dependencies(transport, timers, endpoints,
+                messageStore, ledger, answerFormat, wallClock, customerNames, this::now), counts);
+        router = routerFactory.apply(this);
+        timers.schedule(0, (Runnable) this::discardUnusedModels); // reschedules itself
     }
 
-    // ---- a moment ----------------------------------------------------------------------------------------
+    // ---- event batches -----------------------------------------------------------------------------------
 
+    /** Starts an event batch at the given monotonic time; deferred events run first. */
     public void beginBatch(double at) {
         now = at;
         callRouter("moment", () -> router.beginBatch(at));
@@ -219,6 +235,7 @@
         }
     }
 
+    /** Ends the event batch: the router decides and acts. */
     public void endBatch() {
         callRouter("settle", router::endBatch);
         inferenceLimit.inUse(inferences.size());
@@ -226,7 +243,7 @@
         modelLimit.inUse(models.size());
     }
 
-    /** Whether something is to be told to the module at once: the next moment must not wait. */
+    /** Whether the router has to be told of deferred events: the next event batch must start at once. */
     public boolean hasDeferredEvents() {
         return !deferredEvents.isEmpty();
     }
@@ -235,372 +252,385 @@
         return now;
     }
 
-    /** How late answers are, told by those who see it. */
+    /** How late decisions and answers are, as reported by the threads that measure it. */
     public AnswerDelay answerDelay() {
         return answerDelay;
     }
 
+    /** Inferences that are not finished: an answer is due, or a forward is in flight. */
     public int openInferenceCount() {
         return inferences.size();
     }
 
     // ---- after a restart -------------------------------------------------------------------------------
 
-    /** Who delivers an answer that was promised before a restart. */
+    /** Delivers answers by webhook that were promised before a restart. */
     public interface PromisedAnswerDelivery {
-        /** {@code tries} deliveries of the promise {@code of} were made before. */
-        AnswerObserver observerFor(int customer, String id, double of, int tries);
+        /**
+         * @param promisedAt ledger time of the promise, which identifies it
+         * @param deliveryAttempts delivery attempts made before the restart
+         */
+        AnswerObserver observerFor(int customer, String id, double promisedAt, int deliveryAttempts);
     }
 
     /**
-     * Takes over what the ledger tells, before the first moment. Each message stands as it did: its recorded answer,
-     * proven not to have run, or unknown.
+     * Restores the messages recorded in the ledger, before the first event batch. Each message has its recorded answer, is
+     * proven not to have run, or has an unknown outcome.
      *
-     * @param suspectUntil Unix seconds up to which a damaged part may have held messages, Long.MIN_VALUE for no damage
+     * @param retention milliseconds for which messages are stored
+     * @param damagedUntil Unix seconds up to which a damaged part may have held messages, Long.MIN_VALUE for no damage
      */
-    public void recover(LedgerState book, double at, double kept, List<ModelGroup> groups, long suspectUntil,
-            PromisedAnswerDelivery owed) {
+    public void recover(LedgerState ledgerState, double at, double retention, List<ModelGroup> groups, long damagedUntil,
+            PromisedAnswerDelivery promisedAnswers) {
         now = at;
-        this.ledgerDamagedUntil = suspectUntil;
-        new LedgerRecovery(ledger, messageStore, answerFormat, inquiries, owed, customerNames, groups).recover(book, at, kept);
+        this.ledgerDamagedUntil = damagedUntil;
+        new LedgerRecovery(ledger, messageStore, answerFormat, inquiries, promisedAnswers, customerNames, groups)
+                .recover(ledgerState, at, retention);
         messageLimit.inUse(messageStore.size());
     }
 
     // ---- messages ----------------------------------------------------------------------------------------
 
-    /** A message whose signature held. It is a new inference, the same again, or cannot be one. */
-    public void onMessage(IncomingMessage arrival) {
+    /** Handles a message with a verified signature: a new inference, a repeat, or a message that is rejected. */
+    public void onMessage(IncomingMessage message) {
         try {
-            handleMessage(arrival);
-        } catch (RuntimeException | Error e) {
-            // Whatever broke, it costs this message alone, and whoever waits for it is told.
-            MessageStore.Entry entry = messageStore.find(arrival.customer(), arrival.id());
+            handleMessage(message);
+        } catch (RuntimeException | Error failure) {
+            // The failure affects this message only, and its observer gets an answer.
+            MessageStore.Entry entry = messageStore.find(message.customer(), message.id());
             if (entry != null) {
-                entry.observers.remove(arrival.observer());
+                entry.observers.remove(message.observer());
             }
-            arrival.observer().onRejected(500, "internal-error", "this front end failed to take the message");
-            throw e;
+            message.observer().onRejected(500, "internal-error", "this front end failed to take the message");
+            throw failure;
         }
     }
 
-    private void handleMessage(IncomingMessage arrival) {
+    private void handleMessage(IncomingMessage message) {
         messageStore.removeExpired(now);
-        MessageStore.Entry entry = messageStore.find(arrival.customer(), arrival.id());
-        switch (messageStore.statusOf(entry, arrival, now)) {
+        MessageStore.Entry entry = messageStore.find(message.customer(), message.id());
+        switch (messageStore.statusOf(entry, message, now)) {
             case BODY_MISMATCH -> {
                 bodyMismatches.increment();
-                arrival.observer().onRejected(409, "other-body", "this webhook-id came before with another body");
+                message.observer().onRejected(409, "other-body", "this webhook-id came before with another body");
             }
-            case IN_PROGRESS -> joinInference(entry, arrival);
+            case IN_PROGRESS -> joinInference(entry, message);
             case ANSWERED -> {
                 if (entry.inquiryOpen) {
-                    awaitInquiry(entry, arrival);
+                    awaitInquiry(entry, message);
                 } else {
                     repeatsAnswered.increment();
-                    arrival.observer().onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, now));
+                    message.observer().onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, now));
                 }
             }
-            case NEW -> handleUnknownMessage(arrival);
+            case NEW -> handleUnknownMessage(message);
             case CLAIM_PENDING -> {
                 if (entry.awaitingClaim.size() >= limits.maxObserversPerMessage()) {
-                    rejectTooManyObservers(arrival);
+                    rejectTooManyObservers(message);
                 } else {
-                    entry.awaitingClaim.add(arrival);
+                    entry.awaitingClaim.add(message);
                 }
             }
-            case MAY_RUN_AGAIN -> accept(arrival, entry, true);
+            case MAY_RUN_AGAIN -> accept(message, entry, true);
         }
     }
 
-    /** Not known here: new, or older than what is remembered, or lost with a damaged part of the ledger. */
-    private void handleUnknownMessage(IncomingMessage arrival) {
-        if (messageStore.mayHaveExpired(arrival.signedAt())) {
+    /** Handles a message that is not stored: new, older than the retention, or lost with a damaged part of the ledger. */
+    private void handleUnknownMessage(IncomingMessage message) {
+        if (messageStore.mayHaveExpired(message.signedAt())) {
             messagesTooOld.increment();
-            arrival.observer().onRejected(400, "too-old", "webhook-timestamp is older than what is remembered here");
-        } else if (restrictsRepeats(arrival.model().group()) && arrival.signedAt() <= ledgerDamagedUntil) {
+            message.observer().onRejected(400, "too-old", "webhook-timestamp is older than what is remembered here");
+        } else if (restrictsRepeats(message.model().group()) && message.signedAt() <= ledgerDamagedUntil) {
             messagesInDamagedPeriod.increment();
-            arrival.observer().onFinalAnswer(answerFormat.failed(arrival.id(), 504, LEDGER_UNREADABLE, true));
-        } else if (claimService != ClaimService.ALONE && restrictsRepeats(arrival.model().group())) {
-            claim(arrival);
+            message.observer().onFinalAnswer(answerFormat.failed(message.id(), 504, LEDGER_UNREADABLE, true));
+        } else if (claimService != ClaimService.ALONE && restrictsRepeats(message.model().group())) {
+            claim(message);
         } else {
-            accept(arrival, null, false);
+            accept(message, null, false);
         }
     }
 
-    /** What must not run twice must be ours before it is taken: the same message may have reached another front end. */
-    private void claim(IncomingMessage arrival) {
+    /** Claims a repeat-restricted message before it is accepted, since it may have reached another front end as well. */
+    private void claim(IncomingMessage message) {
         if (!ledger.isWritable()) {
             ledgerUnwritable.increment();
-            arrival.observer().onFinalAnswer(answerFormat.failed(arrival.id(), 504, HOLDER_UNKNOWN, true));
+            message.observer().onFinalAnswer(answerFormat.failed(message.id(), 504, HOLDER_UNKNOWN, true));
             return;
         }
-        MessageStore.Entry entry = messageStore.createEntry(arrival, now);
+        MessageStore.Entry entry = messageStore.createEntry(message, now);
         if (entry == null) {
             messageLimit.recordRejection();
-            arrival.observer().onFinalAnswer(answerFormat.failed(arrival.id(), 504, HOLDER_UNKNOWN, true));
+            message.observer().onFinalAnswer(answerFormat.failed(message.id(), 504, HOLDER_UNKNOWN, true));
             return;
         }
-        entry.awaitingClaim = new ArrayList<>(List.of(arrival));
-        MessageIdentity message = new MessageIdentity(customerNames.get(arrival.customer()), arrival.id(), arrival.digestHigh(),
-                arrival.digestLow(), arrival.signedAt());
-        claimService.claim(message, CLAIM_TIMEOUT, verdict -> onClaimResult(entry, verdict));
+        entry.awaitingClaim = new ArrayList<>(List.of(message));
+        MessageIdentity identity = new MessageIdentity(customerNames.get(message.customer()), message.id(), message.digestHigh(),
+                message.digestLow(), message.signedAt());
+        claimService.claim(identity, CLAIM_TIMEOUT, result -> onClaimResult(entry, result));
     }
 
-    private static final double CLAIM_TIMEOUT = 250; // a trip and a commit at each keeper, with a slow one among them
+    private static final double CLAIM_TIMEOUT = 250; // milliseconds: a round trip and a commit at each replica, one of them slow
     private static final String HOLDER_UNKNOWN =
             "whether another front end has it cannot be known now; the same message again is harmless";
 
-    private void onClaimResult(MessageStore.Entry entry, ClaimService.ClaimResult verdict) {
-        List<IncomingMessage> waited = entry.awaitingClaim;
+    private void onClaimResult(MessageStore.Entry entry, ClaimService.ClaimResult result) {
+        List<IncomingMessage> waiting = entry.awaitingClaim;
         entry.awaitingClaim = null;
-        // A client may have left while the keepers were asked: for it nothing may be sent.
-        waited.removeIf(arrival -> arrival.observer().isDisconnected());
-        if (verdict.status() == ClaimService.ClaimStatus.GRANTED && !waited.isEmpty()) {
-            accept(waited.get(0), entry, false);
-            waited.subList(1, waited.size()).forEach(this::onMessage);
+        // Nothing may be sent for a client that disconnected during the claim.
+        waiting.removeIf(message -> message.observer().isDisconnected());
+        if (result.status() == ClaimService.ClaimStatus.GRANTED && !waiting.isEmpty()) {
+            accept(waiting.get(0), entry, false);
+            waiting.subList(1, waiting.size()).forEach(this::onMessage);
             return;
         }
         messageStore.discard(entry);
-        for (IncomingMessage arrival : waited) {
-            if (verdict.status() == ClaimService.ClaimStatus.HELD_BY_OTHER) {
-                claimService.relayToHolder(arrival, verdict.holder());
+        for (IncomingMessage message : waiting) {
+            if (result.status() == ClaimService.ClaimStatus.HELD_BY_OTHER) {
+                claimService.relayToHolder(message, result.holder());
             } else {
-                // Not shed: it may have run elsewhere.
-                arrival.observer().onFinalAnswer(answerFormat.failed(arrival.id(), 504, HOLDER_UNKNOWN, true));
+                // Not shed, since it may have run at another front end.
+                message.observer().onFinalAnswer(answerFormat.failed(message.id(), 504, HOLDER_UNKNOWN, true));
             }
         }
     }
 
     private static final String LEDGER_UNREADABLE = "a part of this front end's ledger cannot be read; whether it ran is unknown";
 
-    /** Whether it must not run twice at will. */
+    /** Whether inferences of this group must not run again at will. */
     static boolean restrictsRepeats(ModelGroup group) {
         return group.retrySafety() != RetrySafety.RETRIABLE;
     }
 
-    private void joinInference(MessageStore.Entry entry, IncomingMessage arrival) {
+    private void joinInference(MessageStore.Entry entry, IncomingMessage message) {
         if (entry.observers.size() >= limits.maxObserversPerMessage()) {
-            rejectTooManyObservers(arrival);
+            rejectTooManyObservers(message);
             return;
         }
         repeatsJoined.increment();
-        entry.observers.add(arrival.observer());
-        arrival.observer().onAccepted(entry.openInference);
+        entry.observers.add(message.observer());
+        message.observer().onAccepted(entry.openInference);
     }
 
-    /** Better a true word late than "unknown" at once; but within the time of whoever asks. */
-    private void awaitInquiry(MessageStore.Entry entry, IncomingMessage arrival) {
+    /** Waits for the outcome inquiries instead of answering "unknown" at once, but no longer than the client's timeout allows. */
+    private void awaitInquiry(MessageStore.Entry entry, IncomingMessage message) {
         if (entry.observers.size() >= limits.maxObserversPerMessage()) {
-            rejectTooManyObservers(arrival);
+            rejectTooManyObservers(message);
             return;
         }
         repeatsAwaitingInquiry.increment();
-        AnswerObserver asker = arrival.observer();
-        entry.observers.add(asker);
-        double until = arrival.receivedAt() + clientTimeout(arrival) - UNKNOWN_ANSWER_MARGIN;
+        AnswerObserver observer = message.observer();
+        entry.observers.add(observer);
+        double until = message.receivedAt() + clientTimeout(message) - UNKNOWN_ANSWER_MARGIN;
         timers.schedule(Math.max(now, until), (Runnable) () -> {
-            if (entry.observers.remove(asker)) {
-                asker.onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, now));
+            if (entry.observers.remove(observer)) {
+                observer.onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, now));
             }
         });
     }
 
-    /** Enough for the answer's way to a client whose time runs out. */
+    /** Milliseconds left for the answer to reach its client before the client's deadline. */
     private static final double UNKNOWN_ANSWER_MARGIN = 50;
 
-    private static double clientTimeout(IncomingMessage arrival) {
-        double most = arrival.model().group().routeTimeout();
-        return arrival.clientTimeout() > 0 ? Math.min(most, arrival.clientTimeout()) : most;
+    private static double clientTimeout(IncomingMessage message) {
+        double routeTimeout = message.model().group().routeTimeout();
+        return message.clientTimeout() > 0 ? Math.min(routeTimeout, message.clientTimeout()) : routeTimeout;
     }
 
-    private void rejectTooManyObservers(IncomingMessage arrival) {
+    private void rejectTooManyObservers(IncomingMessage message) {
         observerLimit.recordRejection();
-        arrival.observer().onRejected(429, "too-many-repeats", "enough connections wait for this message's answer");
+        message.observer().onRejected(429, "too-many-repeats", "enough connections wait for this message's answer");
     }
 
-    /** @param before its entry, where it has one; {@code repeated} where a life of it has ended before */
-    private void accept(IncomingMessage arrival, MessageStore.Entry before, boolean repeated) {
-        double clientLeavesAt = arrival.receivedAt() + clientTimeout(arrival);
-        if (before == null && clientLeavesAt <= now) {
-            // It lay unread while this process stood still. Nothing of it has run.
+    /**
+     * Accepts a message as an inference, or sheds it where a limit is reached.
+     *
+     * @param existing its entry, null where it has none
+     * @param repeated whether an earlier inference of this message has ended
+     */
+    private void accept(IncomingMessage message, MessageStore.Entry existing, boolean repeated) {
+        double clientDeadline = message.receivedAt() + clientTimeout(message);
+        if (existing == null && clientDeadline <= now) {
+            // It was received too late, for instance because the process was suspended. Nothing of it has run.
             expiredUnread.increment();
-            arrival.observer().onFinalAnswer(answerFormat.shed(arrival.id(), "its client's time was up before it was read", 0));
+            message.observer().onFinalAnswer(answerFormat.shed(message.id(), "its client's time was up before it was read", 0));
             return;
         }
         if (inferences.size() >= limits.maxInferences()) {
             inferenceLimit.recordRejection();
-            shedAtAdmission(arrival, "this front end holds as many inferences as it may");
+            shedAtAdmission(message, "this front end holds as many inferences as it may");
             return;
         }
-        boolean careful = ledger != Ledger.NONE && restrictsRepeats(arrival.model().group());
-        if (careful && !ledger.isWritable()) {
+        boolean needsLedger = ledger != Ledger.NONE && restrictsRepeats(message.model().group());
+        if (needsLedger && !ledger.isWritable()) {
             ledgerUnwritable.increment();
-            if (before != null && !Double.isNaN(before.mayHaveRunSince)) {
-                arrival.observer().onFinalAnswer(answerFormat.failed(arrival.id(), 504, "its ledger cannot be written now", true));
+            if (existing != null && !Double.isNaN(existing.mayHaveRunSince)) {
+                message.observer().onFinalAnswer(answerFormat.failed(message.id(), 504, "its ledger cannot be written now", true));
             } else {
-                shedAtAdmission(arrival, "this front end's ledger cannot be written now");
+                shedAtAdmission(message, "this front end's ledger cannot be written now");
             }
             return;
         }
-        Model mdl = models.get(arrival.model().name());
-        if (mdl == null && models.size() >= limits.maxModels()) {
+        Model model = models.get(message.model().name());
+        if (model == null && models.size() >= limits.maxModels()) {
             modelLimit.recordRejection();
-            shedAtAdmission(arrival, "this front end knows as many models as it may");
+            shedAtAdmission(message, "this front end knows as many models as it may");
             return;
         }
-        MessageStore.Entry entry = before != null ? before : messageStore.createEntry(arrival, now);
+        MessageStore.Entry entry = existing != null ? existing : messageStore.createEntry(message, now);
         if (entry == null) {
             messageLimit.recordRejection();
-            shedAtAdmission(arrival, "this front end remembers as many messages as it may");
+            shedAtAdmission(message, "this front end remembers as many messages as it may");
             return;
         }
-        mdl = mdl != null ? mdl : modelOf(arrival.model());
-        // The answer must be durable before it leaves, and takes its time to leave: the module has that much less.
-        double leavesAt = clientLeavesAt - (careful ? ledger.commitMargin() : 0)
-                - answerDelay.margin(clientLeavesAt - arrival.receivedAt(), now);
+        model = model != null ? model : modelOf(message.model());
+        // The router gets an earlier deadline, since the answer has to be made durable and sent after its decision.
+        double routerDeadline = clientDeadline - (needsLedger ? ledger.commitMargin() : 0)
+                - answerDelay.margin(clientDeadline - message.receivedAt(), now);
         if (!Double.isNaN(entry.mayHaveRunSince) && entry.group.retrySafety() == RetrySafety.DEDUPED) {
-            // Executors drop repeats only inside the window: nothing of this life may leave after it.
-            leavesAt = Math.min(leavesAt, entry.mayHaveRunSince + entry.group.dedupWindow());
+            // Executors drop repeats only within the dedup window: this inference must send nothing after it.
+            routerDeadline = Math.min(routerDeadline, entry.mayHaveRunSince + entry.group.dedupWindow());
         }
-        Inference inf = new Inference(++lastInferenceId, arrival.model().group(), arrival.customer(), mdl,
-                arrival.receivedAt(), leavesAt, Double.NaN, repeated || arrival.markedAsRetry());
-        InferenceState life = new InferenceState(inf, arrival.model(), arrival.input(), entry, name,
-                customerNames.get(arrival.customer()) + "/" + arrival.id(), routerGeneration, clientLeavesAt,
+        Inference inference = new Inference(++lastInferenceId, message.model().group(), message.customer(), model,
+                message.receivedAt(), routerDeadline, Double.NaN, repeated || message.markedAsRetry());
+        InferenceState state = new InferenceState(inference, message.model(), message.input(), entry, name,
+                customerNames.get(message.customer()) + "/" + message.id(), routerGeneration, clientDeadline,
                 ledger.time().fromMonotonic(now));
-        life.earlierInferenceMayHaveRun = !Double.isNaN(entry.mayHaveRunSince);
-        entry.openInference = life;
+        state.earlierInferenceMayHaveRun = !Double.isNaN(entry.mayHaveRunSince);
+        entry.openInference = state;
         entry.inferenceCount++;
-        entry.observers.add(arrival.observer());
-        inferences.put(inf.id, life);
-        life.timer = timers.schedule(clientLeavesAt, life);
+        entry.observers.add(message.observer());
+        inferences.put(inference.id, state);
+        state.timer = timers.schedule(clientDeadline, state);
         inferencesAccepted.increment();
-        arrival.observer().onAccepted(life);
-        callRouter("taken", () -> router.onInferenceAccepted(inf));
+        message.observer().onAccepted(state);
+        callRouter("taken", () -> router.onInferenceAccepted(inference));
     }
 
-    /** Before it is taken a message can always be shed: nothing of it has run. */
-    private void shedAtAdmission(IncomingMessage arrival, String why) {
-        double pause = forwardRules.sendsRetryAfter() ? forwardRules.maxRetryAfter() : 0;
-        arrival.observer().onFinalAnswer(answerFormat.shed(arrival.id(), why, pause));
+    /** Sheds a message that was not accepted; this is always safe, since nothing of it has run. */
+    private void shedAtAdmission(IncomingMessage message, String detail) {
+        double retryAfter = forwardRules.sendsRetryAfter() ? forwardRules.maxRetryAfter() : 0;
+        message.observer().onFinalAnswer(answerFormat.shed(message.id(), detail, retryAfter));
     }
 
-    private Model modelOf(ModelCatalog.Entry told) {
-        return models.computeIfAbsent(told.name(), n -> {
-            Model mdl = new Model(told.id());
-            mdl.memory = told.memoryMegabytes();
-            mdl.lanes = Math.max(1, told.lanes());
-            mdl.loadTime = told.loadMillis();
-            modelNames.put(mdl, told.name());
-            modelCleanupQueue.add(mdl);
-            return mdl;
+    private Model modelOf(ModelCatalog.Entry entry) {
+        return models.computeIfAbsent(entry.name(), name -> {
+            Model model = new Model(entry.id());
+            model.memory = entry.memoryMegabytes();
+            model.lanes = Math.max(1, entry.lanes());
+            model.loadTime = entry.loadMillis();
+            modelNames.put(model, entry.name());
+            modelCleanupQueue.add(model);
+            return model;
         });
     }
 
-    /** A connection that waited has gone; the last one takes its inference with it. */
-    public void onClientDisconnected(InferenceState life, AnswerObserver asker) {
-        MessageStore.Entry entry = life.entry;
-        if (entry.openInference != life || !entry.observers.remove(asker)) {
+    /** Removes an observer that has disconnected; the inference is cancelled with its last observer. */
+    public void onClientDisconnected(InferenceState state, AnswerObserver observer) {
+        MessageStore.Entry entry = state.entry;
+        if (entry.openInference != state || !entry.observers.remove(observer)) {
             return;
         }
-        if (life.streamReader == asker) {
-            life.streamReader = null;
-            life.answerStream.discard(); // the others that wait get it from the record
+        if (state.streamReader == observer) {
+            state.streamReader = null;
+            state.answerStream.discard(); // other observers get the recorded answer
         }
-        if (!entry.observers.isEmpty() || life.inference.done) {
-            return; // others wait, or its answer is on its way to the ledger and stays for whoever asks again
+        if (!entry.observers.isEmpty() || state.inference.done) {
+            return; // other observers wait, or the answer is being written to the ledger and is kept for repeats
         }
-        life.inference.done = true;
-        closeInference(life, null);
-        if (life.routerGeneration == routerGeneration) {
-            callRouter("left", () -> router.onInferenceCancelled(life.inference));
+        state.inference.done = true;
+        closeInference(state, null);
+        if (state.routerGeneration == routerGeneration) {
+            callRouter("left", () -> router.onInferenceCancelled(state.inference));
         }
-        for (InFlightForward flight : life.forwards) {
-            if (flight.answerStarted && !flight.ended) {
-                // The module leaves a started one to its client; its client has left, so the executor is told.
-                flight.cancelled = true;
-                transport.cancel(flight);
-                onForwardEnded(flight, Outcome.CANCELLED, LoadStatus.UNKNOWN, -1, null, null);
+        for (InFlightForward inFlight : state.forwards) {
+            if (inFlight.answerStarted && !inFlight.ended) {
+                // The router does not cancel a started answer, so it is cancelled here.
+                inFlight.cancelled = true;
+                transport.cancel(inFlight);
+                onForwardEnded(inFlight, Outcome.CANCELLED, LoadStatus.UNKNOWN, -1, null, null);
             }
         }
-        removeIfFinished(life);
+        removeIfFinished(state);
     }
 
-    // ---- ends --------------------------------------------------------------------------------------------
+    // ---- outcomes ----------------------------------------------------------------------------------------
 
     /**
-     * The first part of an answer has come. From here on it is its client's: no time-out runs, nothing else is sent for it,
-     * and how it ends is its end.
+     * The first part of a streamed answer was received. From here on the inference has no timeout, no other forward is sent
+     * for it, and it ends as this forward ends.
      */
-    public void onAnswerStarted(InFlightForward flight, AnswerStream<?> flow) {
-        InferenceState life = flight.inferenceState;
-        Inference inf = life.inference;
-        if (flight.ended || inf.done || life.answerStream != null) {
-            flow.discard();
+    public void onAnswerStarted(InFlightForward inFlight, AnswerStream<?> stream) {
+        InferenceState state = inFlight.inferenceState;
+        Inference inference = state.inference;
+        if (inFlight.ended || inference.done || state.answerStream != null) {
+            stream.discard();
             return;
         }
-        flight.answerStarted = true;
-        life.answerStream = flow;
-        life.answerStartedAt = now;
-        timers.cancel(flight.timer, flight);
-        timers.cancel(life.timer, life);
+        inFlight.answerStarted = true;
+        state.answerStream = stream;
+        state.answerStartedAt = now;
+        timers.cancel(inFlight.timer, inFlight);
+        timers.cancel(state.timer, state);
         streamsStarted.increment();
-        life.streamReader = life.entry.observers.stream().filter(AnswerObserver::acceptsStreaming).findFirst().orElse(null);
-        if (life.streamReader == null) {
-            flow.discard();
+        state.streamReader = state.entry.observers.stream().filter(AnswerObserver::acceptsStreaming).findFirst().orElse(null);
+        if (state.streamReader == null) {
+            stream.discard();
         } else {
-            life.streamReader.onStreamStarted(flow);
+            state.streamReader.onStreamStarted(stream);
         }
-        if (life.routerGeneration == routerGeneration) {
-            callRouter("started", () -> router.onAnswerStarted(flight.forward, now - flight.forward.sentAt));
+        if (state.routerGeneration == routerGeneration) {
+            callRouter("started", () -> router.onAnswerStarted(inFlight.forward, now - inFlight.forward.sentAt));
         }
     }
 
     /**
-     * How a forward ended; what comes after its end is dropped. {@code output} is the executor's answer, null for one in
-     * parts that is longer than what is kept.
+     * Records how a forward ended; a later outcome of the same forward is dropped.
+     *
+     * @param output the executor's answer; null for a streamed answer that is too long to be recorded
      */
-    public void onForwardEnded(InFlightForward flight, Outcome outcome, LoadStatus warmth, int crowd, ExecutorReport report, byte[] output) {
-        if (flight.ended) {
+    public void onForwardEnded(InFlightForward inFlight, Outcome outcome, LoadStatus loadStatus, int modelInFlight,
+            ExecutorReport report, byte[] output) {
+        if (inFlight.ended) {
             lateAnswers.increment();
             return;
         }
-        flight.ended = true;
-        timers.cancel(flight.timer, flight);
-        InferenceState life = flight.inferenceState;
-        Inference inf = life.inference;
-        Forward fwd = flight.forward;
-        fwd.outcome = outcome;
+        inFlight.ended = true;
+        timers.cancel(inFlight.timer, inFlight);
+        InferenceState state = inFlight.inferenceState;
+        Inference inference = state.inference;
+        Forward forward = inFlight.forward;
+        forward.outcome = outcome;
         forwardOutcomes[outcome.ordinal()].increment();
-        resetIdentityIfBroken(flight.endpoint, outcome);
-        if (outcome == Outcome.RETURNED && !inf.done) {
-            inf.done = true;
-            life.streamTooLongToRecord = output == null;
-            finishInference(life, answerFormat.returned(life.entry.id, life.model.name(),
-                    output == null ? placeholderOutput(life) : output, wallClock.toInstant(now)));
-        } else if (flight.answerStarted && !inf.done) {
+        resetIdentityIfBroken(inFlight.endpoint, outcome);
+        if (outcome == Outcome.RETURNED && !inference.done) {
+            inference.done = true;
+            state.streamTooLongToRecord = output == null;
+            finishInference(state, answerFormat.returned(state.entry.id, state.model.name(),
+                    output == null ? placeholderOutput(state) : output, wallClock.toInstant(now)));
+        } else if (inFlight.answerStarted && !inference.done) {
             streamsBroken.increment();
-            inf.done = true;
-            finishInference(life, failureAnswer(life));
+            inference.done = true;
+            finishInference(state, failureAnswer(state));
         }
-        if (life.routerGeneration == routerGeneration) {
-            boolean over = inf.done;
-            callRouter("ended", () -> router.onForwardEnded(fwd,
-                    new ForwardResult(outcome, warmth, crowd, now - fwd.sentAt, over, report)));
+        if (state.routerGeneration == routerGeneration) {
+            boolean inferenceDone = inference.done;
+            callRouter("ended", () -> router.onForwardEnded(forward,
+                    new ForwardResult(outcome, loadStatus, modelInFlight, now - forward.sentAt, inferenceDone, report)));
         }
-        removeIfFinished(life);
+        removeIfFinished(state);
     }
 
-    /** What is on record of an answer in more or longer parts than are kept: that it was given. */
-    private static byte[] placeholderOutput(InferenceState life) {
-        return ("{\"outputs\":[],\"parameters\":{\"gradereach-parts\":" + life.answerStream.partCount()
+    /** The record of a streamed answer that is too long to be kept: only that it was given, and its number of parts. */
+    private static byte[] placeholderOutput(InferenceState state) {
+        return ("{\"outputs\":[],\"parameters\":{\"gradereach-parts\":" + state.answerStream.partCount()
                 + ",\"gradereach-parts-kept\":false}}").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** How much of what all front ends share is ours from now on, 0 to 1; nothing of it after {@code until}. */
-    public void share(double part, double until) {
-        share = part;
+    /** Sets this front end's share of the shared budgets, 0 to 1, until {@code until}; the share is 0 after that. */
+    public void share(double fraction, double until) {
+        share = fraction;
         shareUntil = until;
-        callRouter("share", () -> router.onShareChanged(part));
+        callRouter("share", () -> router.onShareChanged(fraction));
         if (until < Double.POSITIVE_INFINITY) {
             timers.schedule(until, (Runnable) () -> {
                 if (shareUntil == until) {
@@ -610,7 +640,8 @@
         }
     }
 
-    public void onLoadOrderEnded(LoadOrder order, Outcome outcome, int standing) {
+    /** Records how a load order or status query ended; later outcomes of it are dropped. */
+    public void onLoadOrderEnded(LoadOrder order, Outcome outcome, int loadedCopies) {
         if (order.ended) {
             return;
         }
@@ -625,11 +656,11 @@
         resetIdentityIfBroken(order.endpoint, outcome);
         if (order.routerGeneration == routerGeneration) {
             callRouter("ordered", () -> router.onOrderEnded(order.endpoint.executor, order.model, outcome, now - order.sentAt,
-                    standing));
+                    loadedCopies));
         }
     }
 
-    /** How a probe ended; what comes after its end is dropped, since another one may be out by then. */
+    /** Records how a probe ended; a later answer is dropped, since another probe may be in flight by then. */
     public void onProbeEnded(Probe probe, Outcome outcome, ExecutorReport report) {
         if (!probe.isAwaited()) {
             lateProbeAnswers.increment();
@@ -644,76 +675,79 @@
         }
     }
 
-    /** A link that broke may have ended with its process. */
-    private static void resetIdentityIfBroken(ExecutorEndpoint place, Outcome outcome) {
+    /** A broken connection may mean that the executor's process has ended. */
+    private static void resetIdentityIfBroken(ExecutorEndpoint endpoint, Outcome outcome) {
         if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
-            place.processIdentity.reset();
+            endpoint.processIdentity.reset();
         }
     }
 
-    public void onTimer(Object whom) {
-        if (whom instanceof InFlightForward flight) {
-            flight.cancelled = true;
-            transport.cancel(flight);
-            onForwardEnded(flight, flight.sent ? Outcome.TIMED_OUT : Outcome.NEVER_SENT, LoadStatus.UNKNOWN, -1, null, null);
-        } else if (whom instanceof InferenceState life) {
-            // The module, where this thread is late, has its last moment still to come: it knows what may be shed.
-            deferredEvents.add(() -> onClientDeadline(life));
-        } else if (whom instanceof LoadOrder order) {
+    /** A timer set through {@link Timers} has expired. */
+    public void onTimer(Object target) {
+        if (target instanceof InFlightForward inFlight) {
+            inFlight.cancelled = true;
+            transport.cancel(inFlight);
+            onForwardEnded(inFlight, inFlight.sent ? Outcome.TIMED_OUT : Outcome.NEVER_SENT, LoadStatus.UNKNOWN, -1, null, null);
+        } else if (target instanceof InferenceState state) {
+            // Deferred: where this thread is late, the router can still decide in this batch, and knows what may be shed.
+            deferredEvents.add(() -> onClientDeadline(state));
+        } else if (target instanceof LoadOrder order) {
             onLoadOrderEnded(order, Outcome.TIMED_OUT, 0);
-        } else if (whom instanceof Probe probe) {
+        } else if (target instanceof Probe probe) {
             onProbeEnded(probe, Outcome.TIMED_OUT, null);
-        } else if (whom instanceof Runnable work) {
+        } else if (target instanceof Runnable work) {
             work.run();
-        } else if (whom instanceof RouterWakeup wake) {
-            if (wake.routerGeneration == routerGeneration) {
-                callRouter("woken", () -> router.onTimer(wake.tag));
+        } else if (target instanceof RouterWakeup wakeup) {
+            if (wakeup.routerGeneration == routerGeneration) {
+                callRouter("woken", () -> router.onTimer(wakeup.tag));
             }
-        } else if (whom instanceof DeferredListing relist && relist.routerGeneration == routerGeneration) {
-            List<ExecutorListing> listings = deferredExecutors.stream().map(endpoints::endpointOf).filter(place -> place != null && !place.isRemoved())
-                    .map(place -> endpoints.listing(place, null)).toList();
+        } else if (target instanceof DeferredListing deferred && deferred.routerGeneration == routerGeneration) {
+            List<ExecutorListing> listings = deferredExecutors.stream().map(endpoints::endpointOf)
+                    .filter(endpoint -> endpoint != null && !endpoint.isRemoved())
+                    .map(endpoint -> endpoints.listing(endpoint, null)).toList();
             deferredExecutors.clear();
             callRouter("roster", () -> router.onRosterUpdate(RosterUpdateKind.CHANGES, listings));
         }
     }
 
-    /** The client's time is up. The module answers well before; if it did not, the answer is given here and counted. */
-    private void onClientDeadline(InferenceState life) {
-        if (life.pendingAnswer != null) {
-            // Its client cannot wait for the disk; what is durable by now says less, and never something else.
+    /** The client's deadline has passed. The router decides well before; where it did not, the answer is given and counted here. */
+    private void onClientDeadline(InferenceState state) {
+        if (state.pendingAnswer != null) {
+            // The client cannot wait for the disk. What is durable so far says less than this answer, but never contradicts it.
             answersBeforeDurable.increment();
-            deliverAnswer(life);
-            removeIfFinished(life);
+            deliverAnswer(state);
+            removeIfFinished(state);
             return;
         }
-        if (life.inference.done) {
+        if (state.inference.done) {
             return;
         }
         answersOverdue.increment();
-        fail(life.inference);
-        if (life.routerGeneration == routerGeneration) {
-            callRouter("left", () -> router.onInferenceCancelled(life.inference));
+        fail(state.inference);
+        if (state.routerGeneration == routerGeneration) {
+            callRouter("left", () -> router.onInferenceCancelled(state.inference));
         }
     }
 
     // ---- roster ------------------------------------------------------------------------------------------
 
-    public void onRosterUpdate(RosterUpdateKind form, List<RosterEntry> lines) {
-        List<ExecutorListing> listings = endpoints.update(form, lines);
+    /** Applies a roster update and passes it to the router, without the deferred executors. */
+    public void onRosterUpdate(RosterUpdateKind kind, List<RosterEntry> entries) {
+        List<ExecutorListing> listings = endpoints.update(kind, entries);
         for (ExecutorListing listing : listings) {
             if (deferredExecutors.contains(listing.replaces())) {
                 deferredExecutors.add(listing.executor());
             }
         }
         listings.removeIf(listing -> deferredExecutors.contains(listing.executor()));
-        callRouter("roster", () -> router.onRosterUpdate(form, listings));
+        callRouter("roster", () -> router.onRosterUpdate(kind, listings));
     }
 
     /**
-     * What the roster's source guarantees: up to when it counts as complete.
+     * The roster's source has confirmed that the roster is complete.
      *
-     * @param confirmedAt when it was last known to be complete, module time
-     * @param until from when on what it does not say may count as told, module time
+     * @param confirmedAt when it was last known to be complete, monotonic time
+     * @param until until when it counts as complete, monotonic time; an executor may drain unnoticed after that
      */
     public void onRosterConfirmed(double confirmedAt, double until) {
         rosterConfirmedAt = confirmedAt;
@@ -721,106 +755,110 @@
         callRouter("rosterValid", () -> router.onRosterValidity(confirmedAt, until));
     }
 
-    /** Whether forwards and load orders may be written to an executor now: asked by the links as they write. */
-    public boolean maySendTo(ExecutorEndpoint place, double at) {
-        return place.ready() && router.maySend(place.executor, at);
+    /** Whether forwards and load orders may be written to an executor now; the transport checks this before each write. */
+    public boolean maySendTo(ExecutorEndpoint endpoint, double at) {
+        return endpoint.ready() && router.maySend(endpoint.executor, at);
     }
 
-    /** A connection to an executor that carried nothing was reset. */
-    public void onExecutorDisconnected(ExecutorEndpoint place) {
-        place.processIdentity.reset();
-        callRouter("disconnected", () -> router.onConnectionReset(place.executor));
+    /** An idle connection to an executor was reset. */
+    public void onExecutorDisconnected(ExecutorEndpoint endpoint) {
+        endpoint.processIdentity.reset();
+        callRouter("disconnected", () -> router.onConnectionReset(endpoint.executor));
     }
 
-    /** Not forgotten before what was sent to it has left the window of rule 4: it may be listed again, cold as it was. */
-    private void scheduleDiscard(ExecutorEndpoint place) {
+    /**
+     * Discards a removed endpoint once the work sent to it has left the overload window of rule 4. It may be listed again
+     * before that, still cold.
+     */
+    private void scheduleDiscard(ExecutorEndpoint endpoint) {
         double since = now;
-        place.removedAt = since;
+        endpoint.removedAt = since;
         timers.schedule(now + coldStartRule.overloadTime() + 1, (Runnable) () -> {
-            if (place.removedAt == since) {
-                endpoints.discardRemoved(place);
+            if (endpoint.removedAt == since) {
+                endpoints.discardRemoved(endpoint);
             }
         });
     }
 
-    /** Models that were not asked for in a while are forgotten: some are looked at each time, in turn. */
+    /** Discards models that have not been requested for a while; checks a batch of them at a time, round robin. */
     private void discardUnusedModels() {
         timers.schedule(now + MODEL_CLEANUP_INTERVAL, (Runnable) this::discardUnusedModels);
         for (int n = Math.min(MODEL_CLEANUP_BATCH, modelCleanupQueue.size()); n > 0; n--) {
-            Model mdl = modelCleanupQueue.poll();
-            boolean[] forgotten = {!modelNames.containsKey(mdl)};
-            if (!forgotten[0]) {
-                callRouter("letGo", () -> forgotten[0] = router.tryForgetModel(mdl));
+            Model model = modelCleanupQueue.poll();
+            boolean[] discardable = {!modelNames.containsKey(model)};
+            if (!discardable[0]) {
+                callRouter("letGo", () -> discardable[0] = router.tryForgetModel(model));
             }
-            if (!forgotten[0]) {
-                modelCleanupQueue.add(mdl);
-            } else if (modelNames.containsKey(mdl)) {
-                models.remove(modelNames.remove(mdl));
+            if (!discardable[0]) {
+                modelCleanupQueue.add(model);
+            } else if (modelNames.containsKey(model)) {
+                models.remove(modelNames.remove(model));
             }
         }
     }
 
-    private static final double MODEL_CLEANUP_INTERVAL = 1000;
-    private static final int MODEL_CLEANUP_BATCH = 500; // some 50 microseconds of work
+    private static final double MODEL_CLEANUP_INTERVAL = 1000; // milliseconds
+    private static final int MODEL_CLEANUP_BATCH = 500; // about 50 microseconds of work
 
-    // ---- the module's actions ----------------------------------------------------------------------------
+    // ---- the router's actions ----------------------------------------------------------------------------
 
     @Override
-    public Forward sendForward(Inference inf, Executor ex, double stopAt) {
-        InferenceState life = inferences.get(inf.id);
-        Forward fwd = new Forward(inf, ex, inf.forwards.size(), now);
-        inf.forwards.add(fwd);
-        InFlightForward flight = new InFlightForward(life, fwd, endpoints.endpointOf(ex), Math.min(stopAt, inf.deadlineAt), ex.leaseEndsAt);
-        life.forwards.add(flight);
-        flight.timer = timers.schedule(flight.deadline, flight);
+    public Forward sendForward(Inference inference, Executor executor, double deadline) {
+        InferenceState state = inferences.get(inference.id);
+        Forward forward = new Forward(inference, executor, inference.forwards.size(), now);
+        inference.forwards.add(forward);
+        InFlightForward inFlight = new InFlightForward(state, forward, endpoints.endpointOf(executor),
+                Math.min(deadline, inference.deadlineAt), executor.leaseEndsAt);
+        state.forwards.add(inFlight);
+        inFlight.timer = timers.schedule(inFlight.deadline, inFlight);
         forwardsSent.increment();
-        if (ledger == Ledger.NONE || !restrictsRepeats(inf.group)) {
-            sendForward(flight);
+        if (ledger == Ledger.NONE || !restrictsRepeats(inference.group)) {
+            sendForward(inFlight);
         } else {
-            recordIntent(flight);
+            recordIntent(inFlight);
         }
-        return fwd;
+        return forward;
     }
 
-    private void sendForward(InFlightForward flight) {
-        flight.sent = true;
-        transport.forward(flight);
+    private void sendForward(InFlightForward inFlight) {
+        inFlight.sent = true;
+        transport.forward(inFlight);
     }
 
-    /** What must not run twice leaves only when it is durable that it may have run. */
-    private void recordIntent(InFlightForward flight) {
-        InferenceState life = flight.inferenceState;
-        MessageStore.Entry entry = life.entry;
-        flight.intentRecorded = true;
-        flight.recipient = flight.endpoint.asRecipient();
-        inquiries.requestProcessId(flight.endpoint); // for the next one, where it is not known yet
+    /** Records the intent of a forward in the ledger, and sends a repeat-restricted inference only when that is durable. */
+    private void recordIntent(InFlightForward inFlight) {
+        InferenceState state = inFlight.inferenceState;
+        MessageStore.Entry entry = state.entry;
+        inFlight.intentRecorded = true;
+        inFlight.recipient = inFlight.endpoint.asRecipient();
+        inquiries.requestProcessId(inFlight.endpoint); // for later forwards, where it is not known yet
         ledger.append(new LedgerRecord.ForwardIntended(customerNames.get(entry.customer), entry.id, ledger.time().fromMonotonic(now),
-                entry.digestHigh, entry.digestLow, entry.group.name(), life.model.name(), flight.recipient,
-                flight.forwardId(), entry.signedAt), durable -> {
-                    if (flight.ended) {
+                entry.digestHigh, entry.digestLow, entry.group.name(), state.model.name(), inFlight.recipient,
+                inFlight.forwardId(), entry.signedAt), durable -> {
+                    if (inFlight.ended) {
                         return;
                     }
-                    if (durable && !life.inference.done && flight.endpoint.ready() && flight.targetsCurrentProcess()) {
-                        sendForward(flight);
+                    if (durable && !state.inference.done && inFlight.endpoint.ready() && inFlight.targetsCurrentProcess()) {
+                        sendForward(inFlight);
                     } else {
-                        onForwardEnded(flight, Outcome.NEVER_SENT, LoadStatus.UNKNOWN, -1, null, null);
+                        onForwardEnded(inFlight, Outcome.NEVER_SENT, LoadStatus.UNKNOWN, -1, null, null);
                     }
                 });
     }
 
     @Override
-    public void cancelForward(Forward fwd) {
-        InferenceState life = inferences.get(fwd.inference.id);
-        if (life == null) {
+    public void cancelForward(Forward forward) {
+        InferenceState state = inferences.get(forward.inference.id);
+        if (state == null) {
             return;
         }
-        InFlightForward flight = life.forwards.get(fwd.number);
-        flight.cancelled = true;
-        transport.cancel(flight);
-        // The module is acting: it hears of the end at the next moment, unless an answer was faster.
+        InFlightForward inFlight = state.forwards.get(forward.number);
+        inFlight.cancelled = true;
+        transport.cancel(inFlight);
+        // The router is acting: it is notified in the next event batch, unless an answer arrives before.
         deferredEvents.add(() -> {
-            if (!flight.ended) {
-                onForwardEnded(flight, flight.sent ? Outcome.CANCELLED : Outcome.NEVER_SENT, LoadStatus.UNKNOWN, -1, null, null);
+            if (!inFlight.ended) {
+                onForwardEnded(inFlight, inFlight.sent ? Outcome.CANCELLED : Outcome.NEVER_SENT, LoadStatus.UNKNOWN, -1, null, null);
             }
         });
     }
@@ -829,205 +867,210 @@
     private static final String NO_ANSWER_HARMLESS = "no answer from an executor within its time; a repeat is harmless";
 
     @Override
-    public void shed(Inference inf, double pause) {
-        InferenceState life = inferences.get(inf.id);
-        if (life == null || inf.done) {
+    public void shed(Inference inference, double retryAfter) {
+        InferenceState state = inferences.get(inference.id);
+        if (state == null || inference.done) {
             return;
         }
-        inf.done = true;
-        boolean earlierMayHaveRun = !Double.isNaN(life.entry.mayHaveRunSince) && inf.group.retrySafety() != RetrySafety.RETRIABLE;
-        if (earlierMayHaveRun || life.dedupWindowClosed(now)) {
-            // No word that a repeat is harmless.
-            finishInference(life, failureAnswer(life));
+        inference.done = true;
+        boolean earlierMayHaveRun = !Double.isNaN(state.entry.mayHaveRunSince) && inference.group.retrySafety() != RetrySafety.RETRIABLE;
+        if (earlierMayHaveRun || state.dedupWindowClosed(now)) {
+            // The answer must not say that a repeat is harmless.
+            finishInference(state, failureAnswer(state));
         } else {
-            boolean sent = life.forwards.stream().anyMatch(flight -> flight.sent);
-            finishInference(life, answerFormat.shed(life.entry.id, sent ? NO_ANSWER_HARMLESS : NO_ROOM, pause));
+            boolean sent = state.forwards.stream().anyMatch(inFlight -> inFlight.sent);
+            finishInference(state, answerFormat.shed(state.entry.id, sent ? NO_ANSWER_HARMLESS : NO_ROOM, retryAfter));
         }
-        removeIfFinished(life);
+        removeIfFinished(state);
     }
 
     @Override
-    public void fail(Inference inf) {
-        InferenceState life = inferences.get(inf.id);
-        if (life == null || inf.done) {
+    public void fail(Inference inference) {
+        InferenceState state = inferences.get(inference.id);
+        if (state == null || inference.done) {
             return;
         }
-        inf.done = true;
-        finishInference(life, failureAnswer(life));
-        removeIfFinished(life);
+        inference.done = true;
+        finishInference(state, failureAnswer(state));
+        removeIfFinished(state);
     }
 
-    /** A failure by what is known of the last forward. */
-    private FinalAnswer failureAnswer(InferenceState life) {
-        noteMayHaveRun(life);
-        MessageStore.Entry entry = life.entry;
+    /** A failure answer, worded by the outcome of the last forward. */
+    private FinalAnswer failureAnswer(InferenceState state) {
+        noteMayHaveRun(state);
+        MessageStore.Entry entry = state.entry;
         boolean harmless = MessageStore.isRepeatHarmless(entry, now);
-        Outcome last = life.forwards.isEmpty() ? null : life.forwards.get(life.forwards.size() - 1).forward.outcome;
+        Outcome last = state.forwards.isEmpty() ? null : state.forwards.get(state.forwards.size() - 1).forward.outcome;
         boolean answered = last == Outcome.ERROR || last == Outcome.RESET;
-        String why = Double.isNaN(entry.mayHaveRunSince) ? "it never ran"
+        String detail = Double.isNaN(entry.mayHaveRunSince) ? "it never ran"
                 : last == Outcome.ERROR ? "the executor answered with an error; whether it took effect is unknown"
                 : last == Outcome.RESET ? "the executor's connection broke; whether it took effect is unknown"
                 : "no answer within its time; whether it took effect is unknown";
-        return answerFormat.failed(entry.id, answered ? 502 : 504, why, harmless);
+        return answerFormat.failed(entry.id, answered ? 502 : 504, detail, harmless);
     }
 
-    private void noteMayHaveRun(InferenceState life) {
-        double since = life.mayHaveRunSince();
-        MessageStore.Entry entry = life.entry;
+    private void noteMayHaveRun(InferenceState state) {
+        double since = state.mayHaveRunSince();
+        MessageStore.Entry entry = state.entry;
         if (Double.isNaN(entry.mayHaveRunSince)) {
             entry.mayHaveRunSince = since;
         }
     }
 
-    /** Its answer is decided. Where something of it was intended, the answer leaves when it is durable. */
-    private void finishInference(InferenceState life, FinalAnswer answer) {
-        boolean intended = life.forwards.stream().anyMatch(f -> f.intentRecorded);
-        MessageStore.Entry entry = life.entry;
-        life.pendingAnswer = answer;
+    /** Finishes an inference with its answer; where a forward intent was recorded, the answer is delivered once it is durable. */
+    private void finishInference(InferenceState state, FinalAnswer answer) {
+        boolean intended = state.forwards.stream().anyMatch(f -> f.intentRecorded);
+        MessageStore.Entry entry = state.entry;
+        state.pendingAnswer = answer;
         if (!intended) {
-            deliverAnswer(life);
+            deliverAnswer(state);
             return;
         }
-        noteMayHaveRun(life);
+        noteMayHaveRun(state);
         LedgerRecord record = answer.kind() == FinalAnswer.Kind.SHED && Double.isNaN(entry.mayHaveRunSince)
                 ? new LedgerRecord.ProvenNotRun(customerNames.get(entry.customer), entry.id, ledger.time().fromMonotonic(now))
                 : new LedgerRecord.Answered(customerNames.get(entry.customer), entry.id, ledger.time().fromMonotonic(now), answer);
         ledger.append(record, durable -> {
-            if (life.pendingAnswer != null) {
+            if (state.pendingAnswer != null) {
                 answersBeforeDurable.add(durable ? 0 : 1);
-                deliverAnswer(life);
-                removeIfFinished(life);
+                deliverAnswer(state);
+                removeIfFinished(state);
             }
         });
     }
 
-    private void deliverAnswer(InferenceState life) {
-        FinalAnswer answer = life.pendingAnswer;
-        life.pendingAnswer = null;
-        List<AnswerObserver> askers = List.copyOf(life.entry.observers);
-        closeInference(life, answer);
+    private void deliverAnswer(InferenceState state) {
+        FinalAnswer answer = state.pendingAnswer;
+        state.pendingAnswer = null;
+        List<AnswerObserver> observers = List.copyOf(state.entry.observers);
+        closeInference(state, answer);
         finalAnswers[answer.kind().ordinal()].increment();
-        for (AnswerObserver asker : askers) {
-            asker.onFinalAnswer(answer);
+        for (AnswerObserver observer : observers) {
+            observer.onFinalAnswer(answer);
         }
     }
 
-    /** Ends a life in the memory: with its answer, or, its client gone, with what is known of it. */
-    private void closeInference(InferenceState life, FinalAnswer answer) {
-        MessageStore.Entry entry = life.entry;
-        timers.cancel(life.timer, life);
-        noteMayHaveRun(life);
+    /**
+     * Records the end of an inference in the message store.
+     *
+     * @param answer null where its last client has disconnected; what is known of its outcome is recorded then
+     */
+    private void closeInference(InferenceState state, FinalAnswer answer) {
+        MessageStore.Entry entry = state.entry;
+        timers.cancel(state.timer, state);
+        noteMayHaveRun(state);
         entry.observers.clear();
-        if (life.streamTooLongToRecord && !restrictsRepeats(entry.group)) {
-            life.answer = answer;
-            messageStore.discard(entry); // whoever asks again has it run again
-            listener.onInferenceEnded(life, now);
+        if (state.streamTooLongToRecord && !restrictsRepeats(entry.group)) {
+            state.answer = answer;
+            messageStore.discard(entry); // a repeat runs it again
+            listener.onInferenceEnded(state, now);
             return;
         }
         FinalAnswer record = answer;
         if (record == null && !Double.isNaN(entry.mayHaveRunSince)) {
-            record = failureAnswer(life);
+            record = failureAnswer(state);
         }
-        life.answer = record;
+        state.answer = record;
         if (record == null) {
             messageStore.discard(entry);
         } else {
             messageStore.recordAnswer(entry, record);
             if (ledger != Ledger.NONE && restrictsRepeats(entry.group) && record.kind() == FinalAnswer.Kind.FAILED
                     && !Double.isNaN(entry.mayHaveRunSince)) {
-                inquiries.startInquiries(entry, life.model.name(), life.unresolvedForwards(), !life.earlierInferenceMayHaveRun);
+                inquiries.startInquiries(entry, state.model.name(), state.unresolvedForwards(), !state.earlierInferenceMayHaveRun);
             }
         }
-        listener.onInferenceEnded(life, now);
+        listener.onInferenceEnded(state, now);
     }
 
-    private void removeIfFinished(InferenceState life) {
-        if (life.isFinished()) {
-            inferences.remove(life.inference.id);
+    private void removeIfFinished(InferenceState state) {
+        if (state.isFinished()) {
+            inferences.remove(state.inference.id);
         }
     }
 
     @Override
-    public void sendOrder(Executor ex, Model mdl, int copies) {
-        ExecutorEndpoint place = endpoints.endpointOf(ex);
-        inquiries.requestProcessId(place);
-        String modelName = modelNames.get(mdl);
-        LoadOrder order = new LoadOrder(place, modelName, mdl, copies, routerGeneration, now, loading.orderTimeout(), ex.leaseEndsAt);
+    public void sendOrder(Executor executor, Model model, int copies) {
+        ExecutorEndpoint endpoint = endpoints.endpointOf(executor);
+        inquiries.requestProcessId(endpoint);
+        String modelName = modelNames.get(model);
+        LoadOrder order = new LoadOrder(endpoint, modelName, model, copies, routerGeneration, now, loading.orderTimeout(),
+                executor.leaseEndsAt);
         order.timer = timers.schedule(now + loading.orderTimeout(), order);
         (copies > 0 ? ordersSent : statusQueriesSent).increment();
         transport.sendLoadOrder(order);
     }
 
     @Override
-    public void unloadIdle(Executor ex, Model mdl) {
-        transport.unloadIdle(endpoints.endpointOf(ex), modelNames.get(mdl));
+    public void unloadIdle(Executor executor, Model model) {
+        transport.unloadIdle(endpoints.endpointOf(executor), modelNames.get(model));
     }
 
     @Override
-    public void sendProbe(Executor ex) {
-        Probe probe = new Probe(endpoints.endpointOf(ex), routerGeneration, now);
+    public void sendProbe(Executor executor) {
+        Probe probe = new Probe(endpoints.endpointOf(executor), routerGeneration, now);
         probe.timer = timers.schedule(now + PROBE_TIMEOUT, probe);
         probesSent.increment();
         transport.sendProbe(probe);
     }
 
-    private static final double PROBE_TIMEOUT = 1000; // the module passes it over long before; this ends the wait
+    private static final double PROBE_TIMEOUT = 1000; // milliseconds; the router stops waiting much earlier, this frees the probe
 
     @Override
-    public void scheduleTimer(double in, long tag) {
-        timers.schedule(now + in, new RouterWakeup(routerGeneration, tag));
+    public void scheduleTimer(double delay, long tag) {
+        timers.schedule(now + delay, new RouterWakeup(routerGeneration, tag));
     }
 
-    /** Rosters come unasked here. */
+    /** Does nothing: roster updates are pushed to this front end. */
     @Override
     public void requestRoster() { }
 
     @Override
-    public void setRosterSubscription(boolean on) { }
+    public void setRosterSubscription(boolean subscribed) { }
 
     @Override
-    public void closeConnections(Executor ex) {
-        transport.closeWhenIdle(endpoints.endpointOf(ex));
+    public void closeConnections(Executor executor) {
+        transport.closeWhenIdle(endpoints.endpointOf(executor));
     }
 
-    /** Front ends share nothing yet. */
+    /** Does nothing: routers of different front ends exchange no messages. */
     @Override
-    public void sendPeerMessage(int to, byte[] words) { }
+    public void sendPeerMessage(int frontEnd, byte[] payload) { }
 
     @Override
     public void log(String line) {
         listener.onLogLine(line);
     }
 
-    // ---- when the module breaks --------------------------------------------------------------------------
+    // ---- router failures ---------------------------------------------------------------------------------
 
     private void callRouter(String event, Runnable call) {
-        String before = currentEvent;
+        String outerEvent = currentEvent;
         currentEvent = event;
         try {
             call.run();
-        } catch (RuntimeException e) {
-            replaceRouter(e, event);
+        } catch (RuntimeException failure) {
+            replaceRouter(failure, event);
         }
-        currentEvent = before;
+        currentEvent = outerEvent;
     }
 
     /**
-     * The module threw: what it thinks cannot be trusted. Every inference of its is ended as rules 1 and 2 say, and a
-     * fresh one goes on from the roster. It does not know what was sent to cold executors just now, so it hears of
-     * those only when that has left the window of rule 4.
+     * Replaces a router that threw, since its state cannot be trusted. All its inferences are ended according to rules 1 and
+     * 2, and a new router starts from the roster. The new router does not know what was just sent to cold executors, so it
+     * is told of them only once that has left the overload window of rule 4.
      */
-    private void replaceRouter(RuntimeException why, String event) {
+    private void replaceRouter(RuntimeException failure, String event) {
         routerFailures.increment();
-        List<InferenceState> open = new ArrayList<>();
-        for (InferenceState life : inferences.values()) {
-            if (life.routerGeneration == routerGeneration && !life.inference.done && life.answerStream == null) {
-                open.add(life); // one that has started needs no more decisions
+        List<InferenceState> unfinished = new ArrayList<>();
+        for (InferenceState state : inferences.values()) {
+            if (state.routerGeneration == routerGeneration && !state.inference.done && state.answerStream == null) {
+                unfinished.add(state); // a started answer needs no further decisions
             }
         }
-        listener.onRouterFailed(why, event, open.size());
+        listener.onRouterFailed(failure, event, unfinished.size());
         routerGeneration++;
-        open.forEach(life -> endWithoutRouter(life, "this front end starts its decisions anew"));
+        unfinished.forEach(state -> endWithoutRouter(state, "this front end starts its decisions anew"));
         inferences.values().removeIf(InferenceState::isFinished);
         models.clear();
         modelNames.clear();
@@ -1038,61 +1081,64 @@
             router.onShareChanged(share);
         }
         router.onRosterValidity(rosterConfirmedAt, rosterValidUntil);
-        List<ExecutorListing> warm = new ArrayList<>();
+        List<ExecutorListing> listings = new ArrayList<>();
         deferredExecutors.clear();
-        for (ExecutorEndpoint place : endpoints.all()) {
-            place.executor = new Executor(place.id);
-            if (place.isRemoved()) {
+        for (ExecutorEndpoint endpoint : endpoints.all()) {
+            endpoint.executor = new Executor(endpoint.id);
+            if (endpoint.isRemoved()) {
                 continue;
             }
-            double startedAt = place.startedAt(wallClock);
+            double startedAt = endpoint.startedAt(wallClock);
             if (startedAt > 0 && now - startedAt < coldStartRule.warmUpTime() + coldStartRule.overloadTime()) {
-                deferredExecutors.add(place.executor);
+                deferredExecutors.add(endpoint.executor);
             } else {
-                warm.add(endpoints.listing(place, null));
+                listings.add(endpoints.listing(endpoint, null));
             }
         }
-        router.onRosterUpdate(RosterUpdateKind.FULL, warm);
+        router.onRosterUpdate(RosterUpdateKind.FULL, listings);
         if (!deferredExecutors.isEmpty()) {
             timers.schedule(now + coldStartRule.overloadTime() + 1, new DeferredListing(routerGeneration));
         }
     }
 
-    /** Ends what is owed an answer still, as rules 1 and 2 say: this front end cannot wait for it. */
-    public void endAllInferences(String why) {
-        for (InferenceState life : List.copyOf(inferences.values())) {
-            if (!life.inference.done && life.answerStream == null) {
-                endWithoutRouter(life, why);
-                if (life.routerGeneration == routerGeneration) {
-                    callRouter("left", () -> router.onInferenceCancelled(life.inference));
+    /** Ends all inferences whose answer has not started, according to rules 1 and 2, because this front end stops. */
+    public void endAllInferences(String detail) {
+        for (InferenceState state : List.copyOf(inferences.values())) {
+            if (!state.inference.done && state.answerStream == null) {
+                endWithoutRouter(state, detail);
+                if (state.routerGeneration == routerGeneration) {
+                    callRouter("left", () -> router.onInferenceCancelled(state.inference));
                 }
             }
         }
         inferences.values().removeIf(InferenceState::isFinished);
     }
 
-    private void endWithoutRouter(InferenceState life, String why) {
-        Inference inf = life.inference;
-        inf.done = true;
-        boolean harmless = !inf.mayHaveRun() || inf.group.retrySafety() == RetrySafety.RETRIABLE
-                || inf.group.retrySafety() == RetrySafety.DEDUPED && inf.group.dedupScope() == DedupScope.ALL && !life.dedupWindowClosed(now);
-        for (InFlightForward flight : life.forwards) {
-            if (!flight.ended) {
-                flight.cancelled = true;
-                transport.cancel(flight);
-                flight.ended = true;
-                timers.cancel(flight.timer, flight);
-                flight.forward.outcome = flight.sent ? Outcome.CANCELLED : Outcome.NEVER_SENT;
+    /** Ends an inference without asking the router: shed where a repeat is harmless, failed otherwise. */
+    private void endWithoutRouter(InferenceState state, String detail) {
+        Inference inference = state.inference;
+        inference.done = true;
+        boolean harmless = !inference.mayHaveRun() || inference.group.retrySafety() == RetrySafety.RETRIABLE
+                || inference.group.retrySafety() == RetrySafety.DEDUPED && inference.group.dedupScope() == DedupScope.ALL
+                        && !state.dedupWindowClosed(now);
+        for (InFlightForward inFlight : state.forwards) {
+            if (!inFlight.ended) {
+                inFlight.cancelled = true;
+                transport.cancel(inFlight);
+                inFlight.ended = true;
+                timers.cancel(inFlight.timer, inFlight);
+                inFlight.forward.outcome = inFlight.sent ? Outcome.CANCELLED : Outcome.NEVER_SENT;
             }
         }
-        if (harmless && Double.isNaN(life.entry.mayHaveRunSince)) {
-            finishInference(life, answerFormat.shed(life.entry.id, why,
+        if (harmless && Double.isNaN(state.entry.mayHaveRunSince)) {
+            finishInference(state, answerFormat.shed(state.entry.id, detail,
                     forwardRules.sendsRetryAfter() ? forwardRules.maxRetryAfter() : 0));
         } else {
-            finishInference(life, failureAnswer(life));
+            finishInference(state, failureAnswer(state));
         }
     }
 
+    /** All known endpoints, removed ones included until they are discarded. */
     public Collection<ExecutorEndpoint> endpoints() {
         return endpoints.all();
     }
