--- a/gateway/src/main/java/gradereach/desk/MessageStore.java
+++ b/gateway/src/main/java/gradereach/desk/MessageStore.java
@@ -13,20 +13,19 @@
 import java.util.Map;
 
 /**
- * Which messages came, and what became of them: the same {@code webhook-id} of the same customer is the same
- * inference for as long as its signature could be played again.
+ * The messages received and their answers. The same {@code webhook-id} of the same customer is the same inference for as
+ * long as its signature could be replayed.
  *
- * Bounded by entries and by bytes of recorded answers. When either runs out, what is retriable is forgotten first,
- * oldest first, since it may run again; a message whose effect must not happen twice is never forgotten early:
- * rather is a new one turned away.
+ * Limited in entries and in bytes of recorded answers. At a limit, the oldest retriable messages are evicted, since they may
+ * run again. A message that must not run twice is never evicted; a new message is turned away instead.
  */
 public final class MessageStore {
-    /** What a message that came is to this memory. */
+    /** What the store knows of a received message. */
     public enum MessageStatus { NEW, CLAIM_PENDING, IN_PROGRESS, ANSWERED, MAY_RUN_AGAIN, BODY_MISMATCH }
 
     private record Key(int customer, String id) { }
 
-    /** One message. */
+    /** One stored message. */
     static final class Entry {
         final int customer;
         final String id;
@@ -37,30 +36,30 @@
         final long signedAt;
         final List<AnswerObserver> observers = new ArrayList<>(1);
         InferenceState openInference;
-        /** Lives that have begun. */
+        /** Inferences started for this message. */
         int inferenceCount;
-        /** While other front ends are asked whose it is: those that wait for that; null otherwise. */
+        /** The received copies of the message that wait for the result of its claim; null while none is pending. */
         List<IncomingMessage> awaitingClaim;
         FinalAnswer answer;
-        /** When the first forward left that may have run, over all its lives; NaN for none. */
+        /** When the first forward that may have run was sent, over all inferences of the message; NaN for none. */
         double mayHaveRunSince = Double.NaN;
         boolean removed;
-        /** Executors are being asked what became of it: whoever asks again may wait for that. */
+        /** Outcome inquiries are in progress: a repeat may wait for their result. */
         boolean inquiryOpen;
 
-        Entry(int customer, String id, long digestHigh, long digestLow, ModelGroup group, double until,
+        Entry(int customer, String id, long digestHigh, long digestLow, ModelGroup group, double expiresAt,
                 long signedAt) {
             this.customer = customer;
             this.id = id;
             this.digestHigh = digestHigh;
             this.digestLow = digestLow;
             this.group = group;
-            this.expiresAt = until;
+            this.expiresAt = expiresAt;
             this.signedAt = signedAt;
         }
     }
 
-    /** Milliseconds until a client that hears an answer has sent its message again. */
+    /** Milliseconds within which the repeat of a client that has received an answer arrives. */
     static final double CLIENT_REPEAT_DELAY = 100;
     private static final String OUTCOME_UNKNOWN = "no answer within its time; whether it took effect is unknown";
 
@@ -68,61 +67,61 @@
     private final long maxBytes;
     private final double retention;
     private final Map<Key, Entry> entries = new HashMap<>();
-    /** In order of coming, which is the order of expiry: every entry is kept equally long. */
+    /** In order of arrival, which is the order of expiry: every entry has the same retention. */
     private final ArrayDeque<Entry> retriable = new ArrayDeque<>();
     private final ArrayDeque<Entry> repeatRestricted = new ArrayDeque<>();
-    /** Ids of what was forgotten early: another body under one of them is still told. */
+    /** Ids of evicted messages, to detect a different body under the same id. */
     private final ExpiringIdTable evictedIds;
     private final long fingerprintSeed;
     private long bytes;
     private long evictedCount;
     private double lastExpiryAt;
-    /** The latest signed timestamp among those forgotten for their age; a clock set back must not let them in again. */
+    /** The latest signed timestamp of all expired messages; a clock that is set back must not readmit them. */
     private long expiredUpTo = Long.MIN_VALUE;
 
     /**
-     * @param kept milliseconds: twice the signature's tolerance, since a timestamp may lie that far ahead
-     * @param mostIds ids remembered of what had to be forgotten early, some 50 bytes each
-     * @param seed of the fingerprints, drawn at start: or a sender could make its ids meet another's
+     * @param retention milliseconds: twice the signature's tolerance, since a timestamp may lie that far ahead
+     * @param maxEvictedIds ids of evicted messages that are kept, about 50 bytes each
+     * @param fingerprintSeed random per process, so that a sender cannot craft ids that collide with another's
      */
-    public MessageStore(int mostEntries, long mostBytes, double kept, int mostIds, long seed) {
-        evictedIds = new ExpiringIdTable(kept, mostIds);
-        this.fingerprintSeed = seed;
-        this.maxEntries = mostEntries;
-        this.maxBytes = mostBytes;
-        this.retention = kept;
+    public MessageStore(int maxEntries, long maxBytes, double retention, int maxEvictedIds, long fingerprintSeed) {
+        evictedIds = new ExpiringIdTable(retention, maxEvictedIds);
+        this.fingerprintSeed = fingerprintSeed;
+        this.maxEntries = maxEntries;
+        this.maxBytes = maxBytes;
+        this.retention = retention;
     }
 
     Entry find(int customer, String id) {
         return entries.get(new Key(customer, id));
     }
 
-    /** What a message is that found {@code entry}, which may be null. */
-    MessageStatus statusOf(Entry entry, IncomingMessage arrival, double now) {
+    /** The status of a message whose entry is {@code entry}, null where none is stored. */
+    MessageStatus statusOf(Entry entry, IncomingMessage message, double now) {
         if (entry != null) {
-            return statusOfEntry(entry, arrival, now);
+            return statusOfEntry(entry, message, now);
         }
-        boolean other = evictedIds.size() > 0 && evictedIds.find(fingerprint(arrival.customer(), arrival.id(), fingerprintSeed),
-                fingerprint(arrival.customer(), arrival.id(), ~fingerprintSeed), arrival.digestHigh() ^ arrival.digestLow(),
+        boolean bodyDiffers = evictedIds.size() > 0 && evictedIds.find(fingerprint(message.customer(), message.id(), fingerprintSeed),
+                fingerprint(message.customer(), message.id(), ~fingerprintSeed), message.digestHigh() ^ message.digestLow(),
                 now) == ExpiringIdTable.Lookup.OTHER_DIGEST;
-        return other ? MessageStatus.BODY_MISMATCH : MessageStatus.NEW;
+        return bodyDiffers ? MessageStatus.BODY_MISMATCH : MessageStatus.NEW;
     }
 
     private static long fingerprint(int customer, String id, long seed) {
-        long h = seed ^ customer * 0x9e3779b97f4a7c15L;
+        long hash = seed ^ customer * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < id.length(); i++) {
-            h = (h ^ id.charAt(i)) * 0xff51afd7ed558ccdL;
-            h ^= h >>> 32;
+            hash = (hash ^ id.charAt(i)) * 0xff51afd7ed558ccdL;
+            hash ^= hash >>> 32;
         }
-        return h;
+        return hash;
     }
 
 
-    static MessageStatus statusOfEntry(Entry entry, IncomingMessage arrival, double now) {
+    static MessageStatus statusOfEntry(Entry entry, IncomingMessage message, double now) {
         if (entry == null) {
             return MessageStatus.NEW;
         }
-        if (entry.digestHigh != arrival.digestHigh() || entry.digestLow != arrival.digestLow()) {
+        if (entry.digestHigh != message.digestHigh() || entry.digestLow != message.digestLow()) {
             return MessageStatus.BODY_MISMATCH;
         }
         if (entry.awaitingClaim != null) {
@@ -135,7 +134,7 @@
         return returned || !mayRunAgain(entry, now) ? MessageStatus.ANSWERED : MessageStatus.MAY_RUN_AGAIN;
     }
 
-    /** Rule 2 over the lives of one message: the module sees the forwards of one life only. */
+    /** Rule 2 over all inferences of one message; the router sees the forwards of one inference only. */
     static boolean mayRunAgain(Entry entry, double now) {
         if (Double.isNaN(entry.mayHaveRunSince) || entry.group.retrySafety() == RetrySafety.RETRIABLE) {
             return true;
@@ -144,30 +143,31 @@
                 && now < entry.mayHaveRunSince + entry.group.dedupWindow();
     }
 
-    /** Whether a client may be told that a repeat is harmless: it comes while it may run again. */
+    /** Whether a client may be told that a repeat is harmless: the message may still run again when the repeat arrives. */
     static boolean isRepeatHarmless(Entry entry, double now) {
         return mayRunAgain(entry, now + CLIENT_REPEAT_DELAY);
     }
 
     /**
-     * What whoever asks for the recorded answer hears now. One that was returned stays; else, where a repeat was harmless, it is
-     * so no longer once executors may have forgotten what ran.
+     * The recorded answer as it has to be given now. A returned answer stays as it is; any other answer no longer calls a
+     * repeat harmless once executors may have forgotten what ran.
      */
-    static FinalAnswer currentAnswer(Entry entry, AnswerFormat words, double now) {
+    static FinalAnswer currentAnswer(Entry entry, AnswerFormat answerFormat, double now) {
         FinalAnswer recorded = entry.answer;
         boolean outdated = recorded.repeatHarmless() && !isRepeatHarmless(entry, now);
-        return outdated && recorded.kind() != FinalAnswer.Kind.RETURNED ? words.failed(entry.id, 504, OUTCOME_UNKNOWN, false) : recorded;
+        return outdated && recorded.kind() != FinalAnswer.Kind.RETURNED ? answerFormat.failed(entry.id, 504, OUTCOME_UNKNOWN, false)
+                : recorded;
     }
 
-    /** Null where there is no room for it. */
-    Entry createEntry(IncomingMessage arrival, double now) {
-        ModelGroup group = arrival.model().group();
+    /** Stores a new message; null where the limit is reached. */
+    Entry createEntry(IncomingMessage message, double now) {
+        ModelGroup group = message.model().group();
         while (entries.size() >= maxEntries && evictOldestRetriable()) { }
         if (entries.size() >= maxEntries) {
             return null;
         }
-        Entry entry = new Entry(arrival.customer(), arrival.id(), arrival.digestHigh(), arrival.digestLow(), group,
-                now + retention, arrival.signedAt());
+        Entry entry = new Entry(message.customer(), message.id(), message.digestHigh(), message.digestLow(), group,
+                now + retention, message.signedAt());
         put(entry);
         return entry;
     }
@@ -178,30 +178,36 @@
     }
 
     /**
-     * As a restart finds it in the ledger. {@code until} is when its signature can no longer be played again,
-     * {@code uncertainSince} when a forward left that may have run; module time, which starts anew with the process.
+     * Restores a message from the ledger after a restart. Times are monotonic time of this process.
+     *
+     * @param expiresAt when its signature can no longer be replayed
+     * @param mayHaveRunSince when the first forward that may have run was sent, NaN for none
      */
-    Entry restore(int customer, String id, long digestHigh, long digestLow, ModelGroup group, double until,
-            long signedAt, double uncertainSince, FinalAnswer answer) {
-        Entry entry = new Entry(customer, id, digestHigh, digestLow, group, until, signedAt);
-        entry.mayHaveRunSince = uncertainSince;
+    Entry restore(int customer, String id, long digestHigh, long digestLow, ModelGroup group, double expiresAt,
+            long signedAt, double mayHaveRunSince, FinalAnswer answer) {
+        Entry entry = new Entry(customer, id, digestHigh, digestLow, group, expiresAt, signedAt);
+        entry.mayHaveRunSince = mayHaveRunSince;
         entry.answer = answer;
         bytes += size(answer);
         put(entry);
         return entry;
     }
 
-    /** A message that was signed then at the latest has been forgotten for its age, here or before a restart. */
+    /** Messages signed at that time or earlier may have expired, here or before a restart. */
     void markExpiredUpTo(long signedAt) {
         expiredUpTo = Math.max(expiredUpTo, signedAt);
     }
 
-    /** Whether a message that is not known may be one that was forgotten: it is then too old, whatever our clock says. */
+    /** Whether a message that is not stored may be an expired one; it is too old then, whatever the clock says. */
     boolean mayHaveExpired(long signedAt) {
         return signedAt <= expiredUpTo;
     }
 
-    /** Knowledge came: what was answered as unknown has this answer, or, with null, is proven not to have run. */
+    /**
+     * Replaces the answer of a message with an unknown outcome.
+     *
+     * @param answer null where the message is proven not to have run
+     */
     void replaceUnknownAnswer(Entry entry, FinalAnswer answer) {
         bytes += size(answer) - size(entry.answer);
         entry.answer = answer;
@@ -210,7 +216,7 @@
         }
     }
 
-    /** Its present life has ended with {@code answer}. */
+    /** Records the answer with which the open inference of a message has ended. */
     void recordAnswer(Entry entry, FinalAnswer answer) {
         bytes -= size(entry.answer);
         entry.answer = answer;
@@ -219,20 +225,20 @@
         while (bytes > maxBytes && evictOldestRetriable()) { }
     }
 
-    /** Its client has left before anything may have run: as if it had never come. */
+    /** Removes a message of which nothing may have run, as if it had never been received. */
     void discard(Entry entry) {
         entry.openInference = null;
         remove(entry);
     }
 
-    /** Lets go of what can no longer be played again. */
+    /** Removes the messages whose signatures can no longer be replayed. */
     void removeExpired(double now) {
         lastExpiryAt = now;
         for (ArrayDeque<Entry> queue : List.of(retriable, repeatRestricted)) {
             while (!queue.isEmpty() && (queue.peek().removed || queue.peek().expiresAt <= now)) {
                 Entry oldest = queue.peek();
                 if (!oldest.removed && (oldest.openInference != null || oldest.awaitingClaim != null)) {
-                    break; // its life ends long before that, so this waits a moment at most
+                    break; // its inference ends long before its expiry, so this is a short wait at most
                 }
                 queue.poll();
                 if (!oldest.removed) {
@@ -244,9 +250,9 @@
     }
 
     private boolean evictOldestRetriable() {
-        // One that is open cannot go: it is put last, and so expires late, never early.
-        int looked = 0;
-        for (int size = retriable.size(); looked < size; looked++) {
+        // An open message cannot be evicted: it is moved to the end of the queue, so it expires late, never early.
+        int checked = 0;
+        for (int size = retriable.size(); checked < size; checked++) {
             Entry oldest = retriable.poll();
             if (oldest.removed) {
                 continue;
@@ -255,7 +261,8 @@
                 retriable.add(oldest);
                 continue;
             }
-            evictedIds.add(fingerprint(oldest.customer, oldest.id, fingerprintSeed), fingerprint(oldest.customer, oldest.id, ~fingerprintSeed),
+            evictedIds.add(fingerprint(oldest.customer, oldest.id, fingerprintSeed),
+                    fingerprint(oldest.customer, oldest.id, ~fingerprintSeed),
                     oldest.digestHigh ^ oldest.digestLow, lastExpiryAt);
             remove(oldest);
             evictedCount++;
@@ -276,14 +283,17 @@
         return answer == null ? 0 : answer.body().length;
     }
 
+    /** Messages stored. */
     public int size() {
         return entries.size();
     }
 
+    /** Bytes of recorded answers. */
     public long bytes() {
         return bytes;
     }
 
+    /** Messages evicted so far, because a limit was reached. */
     public long evictedCount() {
         return evictedCount;
     }
--- a/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
+++ b/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
@@ -15,38 +15,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks executors what became of forwards whose end nobody saw, and tells whoever waits for it. When to ask and what an
- * answer proves is {@link InquiryBook}'s.
+ * Asks executors for the outcome of forwards whose end was not seen, and answers the observers that wait for it.
+ * {@link InquiryScheduler} decides when to ask and what a reply proves.
  */
 final class OutcomeInquiries {
-    /** What it works on, all of the deciding thread. */
-    record Dependencies(ExecutorTransport transport, Timers timers, EndpointRegistry endpoints, MessageStore messageStore, Ledger ledger, AnswerFormat answerFormat,
-            InferenceCoordinator.WallClock wallClock, List<String> customerNames, DoubleSupplier clock) { }
+    /** The collaborators, all confined to the decision thread. */
+    record Dependencies(ExecutorTransport transport, Timers timers, EndpointRegistry endpoints, MessageStore messageStore,
+            Ledger ledger, AnswerFormat answerFormat, InferenceCoordinator.WallClock wallClock, List<String> customerNames,
+            DoubleSupplier clock) { }
 
     private static final Logger LOG = LoggerFactory.getLogger(OutcomeInquiries.class);
-    /** Milliseconds for an answer: a few trips to an executor at work; one that is silent must not keep others from being asked. */
+    /**
+     * Milliseconds to wait for a reply: a few round trips to a busy executor. A silent executor must not keep inquiries to
+     * others from being sent.
+     */
     private static final double REPLY_TIMEOUT = 2000;
 
-    /** A message of unknown end and the forwards that may have run, still in question. */
+    /** A message with an unknown outcome and the open inquiries about its forwards. */
     private static final class UnresolvedMessage {
         final MessageStore.Entry entry;
         final String modelName;
         int openInquiries;
-        /** None of those that have ended has run; only where they are all of the message. */
+        /** All inquiries that have ended prove that nothing ran; false where not all forwards of the message are inquired. */
         boolean neverRan;
-        /** The message's lives as it was asked about: what a later one sent is not among them. */
+        /** The inferences of the message when the inquiries started; forwards of later ones are not covered. */
         final int inferenceCount;
         final List<InquiryScheduler.Inquiry> inquiries = new ArrayList<>(1);
 
-        UnresolvedMessage(MessageStore.Entry entry, String modelName, boolean all) {
-            neverRan = all;
+        UnresolvedMessage(MessageStore.Entry entry, String modelName, boolean complete) {
+            neverRan = complete;
             inferenceCount = entry.inferenceCount;
             this.entry = entry;
             this.modelName = modelName;
         }
     }
 
-    private final InquiryScheduler book;
+    private final InquiryScheduler scheduler;
     private final Dependencies dependencies;
     private final LongAdder resolvedAsRun;
     private final LongAdder resolvedAsNotRun;
@@ -55,9 +59,9 @@
     private final Counts.Limit openInquiries;
     private double timerAt = Double.POSITIVE_INFINITY;
 
-    OutcomeInquiries(InquiryScheduler book, Dependencies with, Counts counts) {
-        this.book = book;
-        this.dependencies = with;
+    OutcomeInquiries(InquiryScheduler scheduler, Dependencies dependencies, Counts counts) {
+        this.scheduler = scheduler;
+        this.dependencies = dependencies;
         resolvedAsRun = counts.counter("unknown_learnt_to_have_run");
         resolvedAsNotRun = counts.counter("unknown_learnt_not_to_have_run");
         unresolvable = counts.counter("unknown_for_good");
@@ -65,69 +69,69 @@
         openInquiries = counts.limit("forwards_in_question", Long.MAX_VALUE);
     }
 
-    /** Asks an executor which process it is, where that may be needed later and is not known. */
-    void requestProcessId(ExecutorEndpoint place) {
+    /** Asks an executor for its process number, where an inquiry may need it later and it is not known. */
+    void requestProcessId(ExecutorEndpoint endpoint) {
         double now = dependencies.clock.getAsDouble();
-        if (!book.isEnabled() || dependencies.ledger == Ledger.NONE || !place.processIdentity.isQueryDue(now)) {
+        if (!scheduler.isEnabled() || dependencies.ledger == Ledger.NONE || !endpoint.processIdentity.isQueryDue(now)) {
             return;
         }
-        dependencies.transport.requestProcessId(place, place.processIdentity.beginQuery(now));
+        dependencies.transport.requestProcessId(endpoint, endpoint.processIdentity.beginQuery(now));
     }
 
     /**
-     * Begins to ask about forwards of a message.
+     * Starts outcome inquiries for forwards of a message.
      *
-     * @param all whether they are all that may have run, over all its lives so far
+     * @param complete whether these are all forwards that may have run, over all inferences of the message so far
      */
-    void startInquiries(MessageStore.Entry entry, String modelName, List<InquiryScheduler.InquiredForward> forwards, boolean all) {
-        UnresolvedMessage unknown = new UnresolvedMessage(entry, modelName, all);
-        for (InquiryScheduler.InquiredForward forwarded : forwards) {
-            InquiryScheduler.Inquiry question = book.add(unknown, forwarded, dependencies.clock.getAsDouble());
-            if (question == null) {
-                unknown.neverRan = false;
+    void startInquiries(MessageStore.Entry entry, String modelName, List<InquiryScheduler.InquiredForward> forwards, boolean complete) {
+        UnresolvedMessage message = new UnresolvedMessage(entry, modelName, complete);
+        for (InquiryScheduler.InquiredForward forward : forwards) {
+            InquiryScheduler.Inquiry inquiry = scheduler.add(message, forward, dependencies.clock.getAsDouble());
+            if (inquiry == null) {
+                message.neverRan = false;
             } else {
-                unknown.openInquiries++;
-                unknown.inquiries.add(question);
+                message.openInquiries++;
+                message.inquiries.add(inquiry);
             }
         }
-        entry.inquiryOpen = unknown.openInquiries > 0;
+        entry.inquiryOpen = message.openInquiries > 0;
         if (!entry.inquiryOpen) {
-            concludeMessage(unknown, null, false);
+            concludeMessage(message, null, false);
         }
         scheduleTimer();
     }
 
     private void scheduleTimer() {
-        openInquiries.inUse(book.openCount());
-        double next = book.nextDueAt();
-        if (next < timerAt) {
-            timerAt = next;
-            dependencies.timers.schedule(next, (Runnable) this::sendDueInquiries);
+        openInquiries.inUse(scheduler.openCount());
+        double nextDueAt = scheduler.nextDueAt();
+        if (nextDueAt < timerAt) {
+            timerAt = nextDueAt;
+            dependencies.timers.schedule(nextDueAt, (Runnable) this::sendDueInquiries);
         }
     }
 
     private void sendDueInquiries() {
         timerAt = Double.POSITIVE_INFINITY;
-        for (InquiryScheduler.Inquiry question : book.takeDue(dependencies.clock.getAsDouble())) {
-            sendInquiry(question);
+        for (InquiryScheduler.Inquiry inquiry : scheduler.takeDue(dependencies.clock.getAsDouble())) {
+            sendInquiry(inquiry);
         }
         scheduleTimer();
     }
 
-    private void sendInquiry(InquiryScheduler.Inquiry question) {
-        Recipient recipient = question.forward.recipient();
-        ExecutorEndpoint place = dependencies.endpoints.inquiryTarget(recipient.instance(), recipient.address());
-        if (place == null) {
+    private void sendInquiry(InquiryScheduler.Inquiry inquiry) {
+        Recipient recipient = inquiry.forward.recipient();
+        ExecutorEndpoint endpoint = dependencies.endpoints.inquiryTarget(recipient.instance(), recipient.address());
+        if (endpoint == null) {
             executorReplaced.increment();
-            onInquiryReply(question, InquiryScheduler.OutcomeReply.GONE, Double.NaN, null);
+            onInquiryReply(inquiry, InquiryScheduler.OutcomeReply.GONE, Double.NaN, null);
             return;
         }
-        PendingInquiry asking = new PendingInquiry(question, place);
-        asking.timer = dependencies.timers.schedule(dependencies.clock.getAsDouble() + REPLY_TIMEOUT, asking);
-        dependencies.transport.inquire(place, question.forward.forwardId(), asking);
+        PendingInquiry pending = new PendingInquiry(inquiry, endpoint);
+        pending.timer = dependencies.timers.schedule(dependencies.clock.getAsDouble() + REPLY_TIMEOUT, pending);
+        dependencies.transport.inquire(endpoint, inquiry.forward.forwardId(), pending);
     }
 
-    /** One asking of a question: it ends with the first word, or by itself where none comes. */
+    /** One request to an executor: it ends with the first reply, or with a timeout. */
     private final class PendingInquiry implements ExecutorTransport.InquiryCallback, Runnable {
         final InquiryScheduler.Inquiry inquiry;
         final ExecutorEndpoint endpoint;
@@ -135,10 +139,10 @@
         long timer;
         boolean ended;
 
-        PendingInquiry(InquiryScheduler.Inquiry question, ExecutorEndpoint place) {
-            this.inquiry = question;
-            this.endpoint = place;
-            processCallback = place.processIdentity.currentProcessCallback();
+        PendingInquiry(InquiryScheduler.Inquiry inquiry, ExecutorEndpoint endpoint) {
+            this.inquiry = inquiry;
+            this.endpoint = endpoint;
+            processCallback = endpoint.processIdentity.currentProcessCallback();
         }
 
         @Override
@@ -147,80 +151,82 @@
         }
 
         @Override
-        public void onReply(InquiryScheduler.OutcomeReply what, double process, byte[] output) {
+        public void onReply(InquiryScheduler.OutcomeReply reply, double processNumber, byte[] output) {
             if (ended) {
-                return; // it may be asked again already
+                return; // a late reply; the inquiry may have been sent again
             }
             ended = true;
             dependencies.timers.cancel(timer, this);
-            processCallback.accept(process);
+            processCallback.accept(processNumber);
             if (endpoint.rosterEntry == null) {
-                dependencies.transport.closeWhenIdle(endpoint); // met for this question only
+                dependencies.transport.closeWhenIdle(endpoint); // an endpoint created for this inquiry only
             }
-            OutcomeInquiries.this.onInquiryReply(inquiry, what, process, output);
+            OutcomeInquiries.this.onInquiryReply(inquiry, reply, processNumber, output);
             scheduleTimer();
         }
     }
 
-    private void onInquiryReply(InquiryScheduler.Inquiry question, InquiryScheduler.OutcomeReply what, double process, byte[] output) {
-        UnresolvedMessage unknown = (UnresolvedMessage) question.subject;
-        InquiryScheduler.Conclusion known = book.recordReply(question, what, process, dependencies.clock.getAsDouble());
-        logConclusion(unknown.entry, question.forward, what, process, known);
-        if (known == InquiryScheduler.Conclusion.RAN) {
-            unknown.inquiries.forEach(book::cancel);
-            concludeMessage(unknown, output, false);
-        } else if (known != InquiryScheduler.Conclusion.NOT_YET) {
-            unknown.neverRan &= known == InquiryScheduler.Conclusion.NEVER_RAN;
-            unknown.openInquiries--;
-            if (unknown.openInquiries == 0) {
-                concludeMessage(unknown, null, unknown.neverRan && unknown.inferenceCount == unknown.entry.inferenceCount);
+    private void onInquiryReply(InquiryScheduler.Inquiry inquiry, InquiryScheduler.OutcomeReply reply, double processNumber,
+            byte[] output) {
+        UnresolvedMessage message = (UnresolvedMessage) inquiry.subject;
+        InquiryScheduler.Conclusion conclusion = scheduler.recordReply(inquiry, reply, processNumber, dependencies.clock.getAsDouble());
+        logConclusion(message.entry, inquiry.forward, reply, processNumber, conclusion);
+        if (conclusion == InquiryScheduler.Conclusion.RAN) {
+            message.inquiries.forEach(scheduler::cancel);
+            concludeMessage(message, output, false);
+        } else if (conclusion != InquiryScheduler.Conclusion.NOT_YET) {
+            message.neverRan &= conclusion == InquiryScheduler.Conclusion.NEVER_RAN;
+            message.openInquiries--;
+            if (message.openInquiries == 0) {
+                concludeMessage(message, null, message.neverRan && message.inferenceCount == message.entry.inferenceCount);
             }
         }
     }
 
-    private static void logConclusion(MessageStore.Entry entry, InquiryScheduler.InquiredForward of, InquiryScheduler.OutcomeReply what, double process,
-            InquiryScheduler.Conclusion known) {
-        if (known == InquiryScheduler.Conclusion.NOT_YET) {
+    private static void logConclusion(MessageStore.Entry entry, InquiryScheduler.InquiredForward forward,
+            InquiryScheduler.OutcomeReply reply, double processNumber, InquiryScheduler.Conclusion conclusion) {
+        if (conclusion == InquiryScheduler.Conclusion.NOT_YET) {
             return;
         }
-        LOG.atInfo().addKeyValue("id", entry.id).addKeyValue("forward", of.forwardId())
-                .addKeyValue("instance", of.recipient().instance()).addKeyValue("address", of.recipient().address())
-                .addKeyValue("meant_for", of.recipient().processNumber()).addKeyValue("told_by", process)
-                .log("a forward in question was told {}, so it is {}", what, known);
+        LOG.atInfo().addKeyValue("id", entry.id).addKeyValue("forward", forward.forwardId())
+                .addKeyValue("instance", forward.recipient().instance()).addKeyValue("address", forward.recipient().address())
+                .addKeyValue("meant_for", forward.recipient().processNumber()).addKeyValue("told_by", processNumber)
+                .log("outcome inquiry: reply {}, conclusion {}", reply, conclusion);
     }
 
-    /** As much as will ever be known of it. Whoever waits for that is told; so is whoever asks from now on. */
-    private void concludeMessage(UnresolvedMessage unknown, byte[] output, boolean neverRan) {
-        MessageStore.Entry entry = unknown.entry;
+    /** Records everything that will be known of a message, and answers the observers that wait for it. */
+    private void concludeMessage(UnresolvedMessage message, byte[] output, boolean neverRan) {
+        MessageStore.Entry entry = message.entry;
         entry.inquiryOpen = false;
         if (entry.openInference != null || entry.removed) {
-            return; // a second life within its window has begun, and ends with what it learns itself
+            return; // a second inference has started within the dedup window and records its own outcome
         }
-        FinalAnswer learnt = output == null ? null
-                : dependencies.answerFormat.returned(entry.id, unknown.modelName, output, dependencies.wallClock.toInstant(dependencies.clock.getAsDouble()));
-        if (learnt != null || neverRan) {
-            recordOutcome(entry, learnt);
+        FinalAnswer answer = output == null ? null
+                : dependencies.answerFormat.returned(entry.id, message.modelName, output,
+                        dependencies.wallClock.toInstant(dependencies.clock.getAsDouble()));
+        if (answer != null || neverRan) {
+            recordOutcome(entry, answer);
         } else {
             unresolvable.increment();
         }
         if (entry.observers.isEmpty()) {
             return;
         }
-        FinalAnswer told = learnt != null ? learnt : neverRan
+        FinalAnswer finalAnswer = answer != null ? answer : neverRan
                 ? dependencies.answerFormat.shed(entry.id, "this front end was restarted before it ran", 0)
                 : MessageStore.currentAnswer(entry, dependencies.answerFormat, dependencies.clock.getAsDouble());
-        List<AnswerObserver> askers = List.copyOf(entry.observers);
+        List<AnswerObserver> observers = List.copyOf(entry.observers);
         entry.observers.clear();
-        askers.forEach(asker -> asker.onFinalAnswer(told));
+        observers.forEach(observer -> observer.onFinalAnswer(finalAnswer));
     }
 
-    /** @param learnt null where it is proven that it never ran */
-    private void recordOutcome(MessageStore.Entry entry, FinalAnswer learnt) {
-        (learnt != null ? resolvedAsRun : resolvedAsNotRun).increment();
-        dependencies.messageStore.replaceUnknownAnswer(entry, learnt);
+    /** @param answer null where the message is proven not to have run */
+    private void recordOutcome(MessageStore.Entry entry, FinalAnswer answer) {
+        (answer != null ? resolvedAsRun : resolvedAsNotRun).increment();
+        dependencies.messageStore.replaceUnknownAnswer(entry, answer);
         String customer = dependencies.customerNames.get(entry.customer);
         double at = dependencies.ledger.time().fromMonotonic(dependencies.clock.getAsDouble());
-        dependencies.ledger.append(learnt != null ? new LedgerRecord.Answered(customer, entry.id, at, learnt)
+        dependencies.ledger.append(answer != null ? new LedgerRecord.Answered(customer, entry.id, at, answer)
                 : new LedgerRecord.ProvenNotRun(customer, entry.id, at), durable -> { });
     }
 }
