--- a/gateway/src/main/java/gradereach/desk/AnswerObserver.java
+++ b/gateway/src/main/java/gradereach/desk/AnswerObserver.java
@@ -3,28 +3,35 @@
 import gradereach.flow.AnswerStream;
 import gradereach.message.FinalAnswer;
 
-/** Whoever waits for a message's answer: a connection, or the outbox. Called by the deciding thread; must not block. */
+/** Receives the answer of a message: a client's connection, or the outbox. Called on the decision thread; must not block. */
 public interface AnswerObserver {
+    /** The message has its final answer. */
     void onFinalAnswer(FinalAnswer answer);
 
-    /** The message cannot be an inference here: an HTTP status of the 4xx class or 500, a word and a sentence. */
-    void onRejected(int status, String word, String why);
+    /**
+     * The message cannot become an inference here.
+     *
+     * @param status an HTTP status of the 4xx class, or 500
+     * @param errorCode one word
+     * @param detail a sentence
+     */
+    void onRejected(int status, String errorCode, String detail);
 
-    /** Whoever waited has left, and nobody has told the desk: its message was not taken yet. */
+    /** Whether the client disconnected before its message was accepted; the coordinator is not notified of that. */
     default boolean isDisconnected() {
         return false;
     }
 
-    /** Whether it takes an answer in parts. */
+    /** Whether it accepts a streamed answer. */
     default boolean acceptsStreaming() {
         return false;
     }
 
-    /** The answer has started: its parts are in {@code flow}; {@link #answer} tells its end. */
-    default void onStreamStarted(AnswerStream<?> flow) {
-        flow.discard();
+    /** A streamed answer has started; {@link #onFinalAnswer} reports its end. */
+    default void onStreamStarted(AnswerStream<?> stream) {
+        stream.discard();
     }
 
-    /** The message was taken, or joined one that was; a final answer follows. */
-    default void onAccepted(InferenceState life) { }
+    /** The message was accepted, or joined an inference in progress; a final answer follows. */
+    default void onAccepted(InferenceState state) { }
 }
--- a/gateway/src/main/java/gradereach/desk/ClaimService.java
+++ b/gateway/src/main/java/gradereach/desk/ClaimService.java
@@ -1,41 +1,45 @@
 package gradereach.desk;
 
-/** Whose a message is, among front ends. Called by the deciding thread; must not block. */
+/** Decides which front end may run a message. Called on the decision thread; must not block. */
 public interface ClaimService {
-    /** What a claim came to. */
+    /** The result of a claim. */
     enum ClaimStatus {
-        /** Nobody else may run it, now or later. */
+        /** No other front end may run it, now or later. */
         GRANTED,
-        /** Another front end has it. */
+        /** Another front end holds the claim. */
         HELD_BY_OTHER,
-        /** It cannot be known now; nothing was decided. */
+        /** The holder cannot be determined now; nothing was decided. */
         UNKNOWN
     }
 
-    /** {@code holder} is null but for OTHERS. */
+    /** @param holder the front end that holds the claim; null unless {@code HELD_BY_OTHER} */
     record ClaimResult(ClaimStatus status, String holder) { }
 
-    /** Told at a later moment, on the deciding thread. */
+    /** Called in a later event batch, on the decision thread. */
     interface ClaimCallback {
-        void onResult(ClaimResult verdict);
+        void onResult(ClaimResult result);
     }
 
-    /** {@code patience} is how long to wait at most, milliseconds. */
-    void claim(MessageIdentity message, double patience, ClaimCallback then);
+    /**
+     * Claims a message for this front end.
+     *
+     * @param timeout milliseconds to wait at most
+     */
+    void claim(MessageIdentity message, double timeout, ClaimCallback callback);
 
-    /** Hands the message on to the front end that has it; its answer goes to whoever asked. */
-    void relayToHolder(IncomingMessage arrival, String holder);
+    /** Relays the message to the front end that holds its claim; the answer goes to the message's observer. */
+    void relayToHolder(IncomingMessage message, String holder);
 
-    /** One front end alone: all is its own. */
+    /** For a single front end, which owns all messages without claiming them. */
     ClaimService ALONE = new ClaimService() {
         @Override
-        public void claim(MessageIdentity message, double patience, ClaimCallback then) {
-            throw new IllegalStateException("nobody to ask");
+        public void claim(MessageIdentity message, double timeout, ClaimCallback callback) {
+            throw new IllegalStateException("a single front end does not claim messages");
         }
 
         @Override
-        public void relayToHolder(IncomingMessage arrival, String holder) {
-            throw new IllegalStateException("nobody to hand on to");
+        public void relayToHolder(IncomingMessage message, String holder) {
+            throw new IllegalStateException("there is no other front end to relay the message to");
         }
     };
 }
--- a/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
+++ b/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
@@ -13,12 +13,12 @@
 import java.util.function.Consumer;
 
 /**
- * Where executors are met, by the instance's name, by the module's number and by address. One process listens at an address
- * at a time: an instance that discovery tells there has taken it over from the one before, whose end discovery may tell
- * later or never.
+ * The known executor endpoints, by instance name, by the router's executor id and by address. Only one process listens at an
+ * address: an instance that is newly listed at an address has taken it over from the previous one, even where the roster
+ * reports the end of the previous instance later or never.
  */
 final class EndpointRegistry {
-    /** Instances remembered to have lost their address: as many as a large fleet replaces within minutes. */
+    /** Replaced instances that are remembered: as many as a large fleet replaces within minutes. */
     private static final int MAX_REPLACED = 10_000;
 
     private final ExecutorTransport transport;
@@ -27,7 +27,7 @@
     private final Map<String, ExecutorEndpoint> byInstance = new LinkedHashMap<>();
     private final Map<Long, ExecutorEndpoint> byId = new HashMap<>();
     private final Map<String, ExecutorEndpoint> byAddress = new HashMap<>();
-    /** Discovery's last line of instances whose address another one took over: it may be told once more. */
+    /** The last roster entry of each instance whose address another one took over: the roster may repeat that entry. */
     private final Map<String, RosterEntry> replaced = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -37,11 +37,11 @@
         }
     };
 
-    /** @param whenGone told once of each place that has gone; sets since when */
-    EndpointRegistry(ExecutorTransport links, InferenceCoordinator.WallClock wall, Consumer<ExecutorEndpoint> whenGone) {
-        this.transport = links;
-        this.wallClock = wall;
-        this.onRemoved = whenGone;
+    /** @param onRemoved called once for each endpoint that is removed; has to set {@code removedAt} */
+    EndpointRegistry(ExecutorTransport transport, InferenceCoordinator.WallClock wallClock, Consumer<ExecutorEndpoint> onRemoved) {
+        this.transport = transport;
+        this.wallClock = wallClock;
+        this.onRemoved = onRemoved;
     }
 
     Collection<ExecutorEndpoint> all() {
@@ -52,62 +52,63 @@
         return byId.get(executor.id);
     }
 
-    /** Takes in what discovery tells; returns what the module is to hear of it. */
-    List<ExecutorListing> update(RosterUpdateKind form, List<RosterEntry> lines) {
-        if (form != RosterUpdateKind.CHANGES && form != RosterUpdateKind.FAILED) {
+    /** Applies a roster update; returns the listings for the router. */
+    List<ExecutorListing> update(RosterUpdateKind kind, List<RosterEntry> entries) {
+        if (kind != RosterUpdateKind.CHANGES && kind != RosterUpdateKind.FAILED) {
             Map<String, ExecutorEndpoint> missing = new LinkedHashMap<>(byInstance);
-            lines.forEach(line -> missing.remove(line.instance()));
+            entries.forEach(entry -> missing.remove(entry.instance()));
             missing.values().forEach(this::markRemoved);
         }
-        List<RosterEntry> latest = latestOfEachInstance(lines);
-        Map<String, RosterEntry> present = currentEntryByAddress(latest);
+        List<RosterEntry> latest = latestOfEachInstance(entries);
+        Map<String, RosterEntry> current = currentEntryByAddress(latest);
         List<ExecutorListing> listings = new ArrayList<>(latest.size());
-        for (RosterEntry line : latest) {
-            if (claimsAddress(line) && present.get(line.address()) != line) {
-                replaced.put(line.instance(), line);
-                apply(line.asRemoved(), listings);
+        for (RosterEntry entry : latest) {
+            if (claimsAddress(entry) && current.get(entry.address()) != entry) {
+                replaced.put(entry.instance(), entry);
+                apply(entry.asRemoved(), listings);
             } else {
-                apply(line, listings);
+                apply(entry, listings);
             }
         }
         return listings;
     }
 
-    /** Without lines of a start before the latest that is told of the same instance. */
-    private static List<RosterEntry> latestOfEachInstance(List<RosterEntry> lines) {
+    /** The entries without those of an earlier start of the same instance. */
+    private static List<RosterEntry> latestOfEachInstance(List<RosterEntry> entries) {
         Map<String, Double> starts = new HashMap<>();
-        for (RosterEntry line : lines) {
-            if (claimsAddress(line)) {
-                starts.merge(line.instance(), line.startedAt(), Math::max);
+        for (RosterEntry entry : entries) {
+            if (claimsAddress(entry)) {
+                starts.merge(entry.instance(), entry.startedAt(), Math::max);
             }
         }
-        return lines.stream().filter(line -> !claimsAddress(line) || line.startedAt() == starts.get(line.instance())).toList();
+        return entries.stream().filter(entry -> !claimsAddress(entry) || entry.startedAt() == starts.get(entry.instance())).toList();
     }
 
-    private static boolean claimsAddress(RosterEntry line) {
-        return line.state() != ExecutorState.REMOVED && !line.address().isEmpty();
+    /** Whether its process listens at the address. */
+    private static boolean claimsAddress(RosterEntry entry) {
+        return entry.state() != ExecutorState.REMOVED && !entry.address().isEmpty();
     }
 
-    /** Of lines that have the same address, the one whose process listens there. */
-    private Map<String, RosterEntry> currentEntryByAddress(List<RosterEntry> lines) {
-        Map<String, RosterEntry> present = new HashMap<>();
-        for (RosterEntry line : lines) {
-            if (claimsAddress(line) && !wasReplaced(line)) {
-                present.merge(line.address(), line, this::laterStart);
+    /** For each address, the entry whose process listens there. */
+    private Map<String, RosterEntry> currentEntryByAddress(List<RosterEntry> entries) {
+        Map<String, RosterEntry> current = new HashMap<>();
+        for (RosterEntry entry : entries) {
+            if (claimsAddress(entry) && !wasReplaced(entry)) {
+                current.merge(entry.address(), entry, this::laterStart);
             }
         }
-        return present;
+        return current;
     }
 
-    /** Whether another instance has had this one's address since that start of it. */
-    private boolean wasReplaced(RosterEntry line) {
-        RosterEntry before = replaced.get(line.instance());
-        ExecutorEndpoint holder = byAddress.get(line.address());
-        boolean taken = holder != null && !holder.isRemoved() && !holder.instance.equals(line.instance());
-        return taken && before != null && before.address().equals(line.address()) && line.startedAt() <= before.startedAt();
+    /** Whether another instance has taken over the address since the start given in the entry. */
+    private boolean wasReplaced(RosterEntry entry) {
+        RosterEntry previous = replaced.get(entry.instance());
+        ExecutorEndpoint holder = byAddress.get(entry.address());
+        boolean takenOver = holder != null && !holder.isRemoved() && !holder.instance.equals(entry.instance());
+        return takenOver && previous != null && previous.address().equals(entry.address()) && entry.startedAt() <= previous.startedAt();
     }
 
-    /** The later start; where the starts tell nothing, the instance that was not met there before. */
+    /** The entry with the later start; with equal starts, the instance that was not at the address before. */
     private RosterEntry laterStart(RosterEntry one, RosterEntry other) {
         if (one.startedAt() != other.startedAt()) {
             return one.startedAt() > other.startedAt() ? one : other;
@@ -116,79 +117,81 @@
         return holder != null && holder.instance.equals(other.instance()) ? one : other;
     }
 
-    private void apply(RosterEntry line, List<ExecutorListing> listings) {
-        ExecutorEndpoint place = endpointFor(line, listings);
-        ExecutorEndpoint before = claimsAddress(line) ? byAddress.put(place.address, place) : null;
-        boolean takesOver = before != null && before != place && !before.isRemoved();
+    /** Applies one entry and adds the resulting listings. */
+    private void apply(RosterEntry entry, List<ExecutorListing> listings) {
+        ExecutorEndpoint endpoint = endpointFor(entry, listings);
+        ExecutorEndpoint previous = claimsAddress(entry) ? byAddress.put(endpoint.address, endpoint) : null;
+        boolean takesOver = previous != null && previous != endpoint && !previous.isRemoved();
         if (takesOver) {
-            replaced.put(before.instance, before.rosterEntry);
-            markRemoved(before);
-            listings.add(listing(before, null));
+            replaced.put(previous.instance, previous.rosterEntry);
+            markRemoved(previous);
+            listings.add(listing(previous, null));
         }
-        if (place.rosterEntry == null || place.rosterEntry.startedAt() != line.startedAt() || place.isRemoved()) {
-            place.processIdentity.reset();
+        if (endpoint.rosterEntry == null || endpoint.rosterEntry.startedAt() != entry.startedAt() || endpoint.isRemoved()) {
+            endpoint.processIdentity.reset();
         }
-        place.rosterEntry = line;
-        place.removedAt = line.state() == ExecutorState.REMOVED ? place.removedAt : Double.NaN;
-        listings.add(listing(place, takesOver ? before.executor : null));
-        if (line.state() == ExecutorState.REMOVED) {
-            markRemoved(place);
+        endpoint.rosterEntry = entry;
+        endpoint.removedAt = entry.state() == ExecutorState.REMOVED ? endpoint.removedAt : Double.NaN;
+        listings.add(listing(endpoint, takesOver ? previous.executor : null));
+        if (entry.state() == ExecutorState.REMOVED) {
+            markRemoved(endpoint);
         }
     }
 
-    /** Its place, or a new one where discovery has it at another address now: nothing more goes to the old one. */
-    private ExecutorEndpoint endpointFor(RosterEntry line, List<ExecutorListing> listings) {
-        ExecutorEndpoint known = byInstance.get(line.instance());
+    /** The endpoint of an instance; a new one where its address has changed, and nothing more is sent to the old one. */
+    private ExecutorEndpoint endpointFor(RosterEntry entry, List<ExecutorListing> listings) {
+        ExecutorEndpoint known = byInstance.get(entry.instance());
         if (known == null) {
-            return add(new ExecutorEndpoint(line.instance(), line.address()), null);
+            return add(new ExecutorEndpoint(entry.instance(), entry.address()), null);
         }
-        if (line.state() == ExecutorState.REMOVED || line.address().isEmpty() || known.address.equals(line.address())) {
+        if (entry.state() == ExecutorState.REMOVED || entry.address().isEmpty() || known.address.equals(entry.address())) {
             return known;
         }
         if (known.rosterEntry != null) {
             known.rosterEntry = known.rosterEntry.asRemoved();
-            listings.add(listing(known, null)); // another address is another process
+            listings.add(listing(known, null)); // another address means another process
         }
         transport.closeWhenIdle(known);
         byAddress.remove(known.address, known);
-        return add(new ExecutorEndpoint(line.instance(), line.address()), known.executor);
+        return add(new ExecutorEndpoint(entry.instance(), entry.address()), known.executor);
     }
 
-    private ExecutorEndpoint add(ExecutorEndpoint place, Executor executor) {
-        place.executor = executor != null ? executor : new Executor(place.id);
-        byInstance.put(place.instance, place);
-        byId.put(place.id, place);
-        return place;
+    private ExecutorEndpoint add(ExecutorEndpoint endpoint, Executor executor) {
+        endpoint.executor = executor != null ? executor : new Executor(endpoint.id);
+        byInstance.put(endpoint.instance, endpoint);
+        byId.put(endpoint.id, endpoint);
+        return endpoint;
     }
 
-    private void markRemoved(ExecutorEndpoint place) {
-        if (place.rosterEntry != null) {
-            place.rosterEntry = place.rosterEntry.asRemoved();
+    private void markRemoved(ExecutorEndpoint endpoint) {
+        if (endpoint.rosterEntry != null) {
+            endpoint.rosterEntry = endpoint.rosterEntry.asRemoved();
         }
-        byAddress.remove(place.address, place);
-        transport.closeWhenIdle(place);
-        if (Double.isNaN(place.removedAt)) {
-            onRemoved.accept(place);
+        byAddress.remove(endpoint.address, endpoint);
+        transport.closeWhenIdle(endpoint);
+        if (Double.isNaN(endpoint.removedAt)) {
+            onRemoved.accept(endpoint);
         }
     }
 
-    /** Lets go of a place that has gone. */
-    void discardRemoved(ExecutorEndpoint place) {
-        if (byInstance.remove(place.instance, place)) {
-            byId.remove(place.id, place);
+    /** Discards a removed endpoint. */
+    void discardRemoved(ExecutorEndpoint endpoint) {
+        if (byInstance.remove(endpoint.instance, endpoint)) {
+            byId.remove(endpoint.id, endpoint);
         }
     }
 
-    ExecutorListing listing(ExecutorEndpoint place, Executor replaces) {
-        RosterEntry line = place.rosterEntry;
-        return new ExecutorListing(place.executor, line.size(), place.startedAt(wallClock), line.state(), line.location(), line.kind(),
-                line.cell(), replaces);
+    /** @param replaces the executor whose address this one has taken over, null for none */
+    ExecutorListing listing(ExecutorEndpoint endpoint, Executor replaces) {
+        RosterEntry entry = endpoint.rosterEntry;
+        return new ExecutorListing(endpoint.executor, entry.size(), endpoint.startedAt(wallClock), entry.state(), entry.location(),
+                entry.kind(), entry.cell(), replaces);
     }
 
     /**
-     * Where the executor can be asked that was met at that address, null where another one is there now.
+     * The endpoint to send an outcome inquiry to; null where another instance now has the address.
      *
-     * @param instance its name; empty where it was not recorded
+     * @param instance name of the instance; empty where it was not recorded
      */
     ExecutorEndpoint inquiryTarget(String instance, String address) {
         ExecutorEndpoint holder = byAddress.get(address);
--- a/gateway/src/main/java/gradereach/desk/ExecutorEndpoint.java
+++ b/gateway/src/main/java/gradereach/desk/ExecutorEndpoint.java
@@ -4,25 +4,25 @@
 import gradereach.ledger.Recipient;
 import gradereach.state.Executor;
 
-/** Where an executor is met, and its present object in the module. Of the deciding thread, but for {@code link}. */
+/** An executor's instance and address, with its current {@link Executor} in the router. Confined to the decision thread unless noted. */
 public final class ExecutorEndpoint {
-    /** By which the roster knows it: its address may become another's once it has gone. */
+    /** Its name in the roster. Its address may be reused by another instance after it is removed. */
     public final String instance;
     /** {@code host:port}. */
     public final String address;
     public final long id;
-    /** Replaced when the module starts anew. */
+    /** Replaced together with the router. */
     Executor executor;
-    /** As discovery told it last; read by the executor link's threads as well. */
+    /** Its latest roster entry; also read by the transport's threads. */
     volatile RosterEntry rosterEntry;
-    /** Its start as discovery told it, and the same in module time: converted once, since the wall clock may be stepped. */
+    /** The listed start time, and the same in monotonic time: converted once, since the wall clock may be stepped. */
     private double startedAtUnixMillis;
     private double startedAtMonotonic;
-    /** Since when it has gone, module time; NaN where it has not. */
+    /** When it was removed, monotonic time; NaN where it is not removed. */
     double removedAt = Double.NaN;
-    /** Which process was last heard there. */
+    /** The process that last replied from this address. */
     final ProcessIdentity processIdentity = new ProcessIdentity();
-    /** The executor link's own; the deciding thread only carries it. */
+    /** The transport's connections to this endpoint; used by the transport only. */
     public volatile Object connections;
 
     public ExecutorEndpoint(String instance, String address) {
@@ -31,32 +31,32 @@
         this.id = idOf(instance);
     }
 
-    /** As an intention names it: with the process that was last heard there. */
+    /** The recipient recorded with a forward intent: the endpoint, with the process that last replied from it. */
     Recipient asRecipient() {
         return new Recipient(instance, address, processIdentity.number());
     }
 
-    /** The roster's word for what it is, 0 where untold. */
+    /** The executor kind given by the roster, 0 where it gives none. */
     public int kind() {
         return rosterEntry == null ? 0 : rosterEntry.kind();
     }
 
-    /** Whether the roster has it as one that takes inferences and orders. */
+    /** Whether the roster lists it as accepting inferences and load orders. Any thread. */
     public boolean ready() {
         return rosterEntry != null && rosterEntry.state() == ExecutorState.READY;
     }
 
-    /** The start of its process as discovery told it, Unix milliseconds; NaN where it told nothing of it. */
+    /** The listed start time of its process, Unix milliseconds; NaN where it was never listed. */
     double listedStart() {
-        RosterEntry told = rosterEntry;
-        return told == null ? Double.NaN : told.startedAt();
+        RosterEntry entry = rosterEntry;
+        return entry == null ? Double.NaN : entry.startedAt();
     }
 
-    /** When it started, module time; 0 for long ago. */
-    double startedAt(InferenceCoordinator.WallClock wall) {
+    /** When it started, monotonic time; 0 for long ago. */
+    double startedAt(InferenceCoordinator.WallClock wallClock) {
         if (rosterEntry.startedAt() != startedAtUnixMillis) {
             startedAtUnixMillis = rosterEntry.startedAt();
-            startedAtMonotonic = startedAtUnixMillis > 0 ? wall.toMonotonic(startedAtUnixMillis) : 0;
+            startedAtMonotonic = startedAtUnixMillis > 0 ? wallClock.toMonotonic(startedAtUnixMillis) : 0;
         }
         return startedAtMonotonic;
     }
--- a/gateway/src/main/java/gradereach/desk/ExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/desk/ExecutorTransport.java
@@ -3,37 +3,41 @@
 import gradereach.inquiry.InquiryScheduler;
 import java.util.function.DoubleConsumer;
 
-/** The way to the executors. Called by the deciding thread; nothing here may block or call back at once. */
+/** Sends requests to executors. Called on the decision thread; methods must not block, and must not call back before they return. */
 public interface ExecutorTransport {
-    /** Its end comes to {@link Desk#ended}, exactly one that counts; one that is read in parts to {@link Desk#started} before. */
-    void forward(InFlightForward flight);
+    /**
+     * Sends a forward. Its end is reported to {@link InferenceCoordinator#onForwardEnded}, where only the first report counts;
+     * the start of a streamed answer is reported to {@link InferenceCoordinator#onAnswerStarted} before.
+     */
+    void forward(InFlightForward forward);
 
-    /** Nobody waits for the answer any more; the executor is told. */
-    void cancel(InFlightForward flight);
+    /** Cancels a forward whose answer is no longer waited for; the executor is notified. */
+    void cancel(InFlightForward forward);
 
-    /** Its end comes to {@link Desk#ordered}. */
+    /** Sends a load order or status query; its end is reported to {@link InferenceCoordinator#onLoadOrderEnded}. */
     void sendLoadOrder(LoadOrder order);
 
-    void unloadIdle(ExecutorEndpoint place, String model);
+    /** Asks an executor to unload the idle copies of a model; no reply is awaited. */
+    void unloadIdle(ExecutorEndpoint endpoint, String model);
 
-    /** Its end comes to {@link Desk#probed}. */
+    /** Sends a probe; its end is reported to {@link InferenceCoordinator#onProbeEnded}. */
     void sendProbe(Probe probe);
 
-    /** What an executor says of a forward that was sent to it. */
+    /** Receives an executor's reply to an outcome inquiry. */
     interface InquiryCallback {
         /**
-         * {@code process} is the number by which its process tells itself from any other, NaN where untold; {@code output}
-         * its answer if finished.
+         * @param processNumber the number that identifies the process that replied, NaN where it reports none
+         * @param output the answer of a finished forward
          */
-        void onReply(InquiryScheduler.OutcomeReply what, double process, byte[] output);
+        void onReply(InquiryScheduler.OutcomeReply reply, double processNumber, byte[] output);
     }
 
-    /** Asks what became of a forward; told on the deciding thread. */
-    void inquire(ExecutorEndpoint place, String forward, InquiryCallback then);
+    /** Asks an executor for the outcome of a forward; the callback runs on the decision thread. */
+    void inquire(ExecutorEndpoint endpoint, String forwardId, InquiryCallback callback);
 
-    /** Asks an executor which process it is: the number that it tells, NaN where it tells none; on the deciding thread. */
-    void requestProcessId(ExecutorEndpoint place, DoubleConsumer then);
+    /** Asks an executor for its process number, NaN where it reports none; the callback runs on the decision thread. */
+    void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback);
 
-    /** Closes idle connections. */
-    void closeWhenIdle(ExecutorEndpoint place);
+    /** Closes idle connections at once, and the others when they become idle. */
+    void closeWhenIdle(ExecutorEndpoint endpoint);
 }
--- a/gateway/src/main/java/gradereach/desk/InFlightForward.java
+++ b/gateway/src/main/java/gradereach/desk/InFlightForward.java
@@ -4,44 +4,45 @@
 import gradereach.state.Forward;
 import java.util.List;
 
-/** One forward on its way: the module's object and what the sockets need. */
+/** One forward from the router's decision until its end, with what the transport needs to send it. */
 public final class InFlightForward {
     final InferenceState inferenceState;
     final Forward forward;
     final double deadline;
     private final double leaseEndsAt;
-    /** The start of the process that it is meant for, as discovery told it. */
+    /** The start time of the target process, as listed in the roster when this was created. */
     private final double targetProcessStart;
     long timer;
     boolean ended;
-    /** Handed to the links; before that its intent waits to be durable. */
+    /** Handed to the transport; false while its intent is not yet durable. */
     boolean sent;
     boolean intentRecorded;
-    /** The process that it was intended for; null where no intention is recorded. */
+    /** The process it was intended for; null where no intent is recorded. */
     Recipient recipient;
-    /** Its answer has started and is read by a client. */
+    /** Its streamed answer has started. */
     boolean answerStarted;
     public final ExecutorEndpoint endpoint;
-    /** The link's own, guarded by it. */
+    /** The transport's handle of the request, guarded by the transport. */
     public Object stream;
-    /** Set by the deciding thread when it no longer waits: a link that has not sent it yet need not. */
+    /** Set by the decision thread when it no longer waits for the end; the transport need not send it any more. */
     public volatile boolean cancelled;
 
-    /** @param leaseEndsAt when its executor's lease ends by what was known as it was decided, module time */
-    InFlightForward(InferenceState life, Forward forward, ExecutorEndpoint place, double stopAt, double leaseEndsAt) {
+    /** @param leaseEndsAt when its executor's lease ends, as known at the time of the decision; monotonic time */
+    InFlightForward(InferenceState inferenceState, Forward forward, ExecutorEndpoint endpoint, double deadline, double leaseEndsAt) {
         this.leaseEndsAt = leaseEndsAt;
-        targetProcessStart = place.listedStart();
-        this.inferenceState = life;
+        targetProcessStart = endpoint.listedStart();
+        this.inferenceState = inferenceState;
         this.forward = forward;
-        this.endpoint = place;
-        this.deadline = stopAt;
+        this.endpoint = endpoint;
+        this.deadline = deadline;
     }
 
+    /** What is sent to the executor. */
     public InferenceInput input() {
         return inferenceState.input;
     }
 
-    /** The message's id, as its client gave it. */
+    /** The message's id, as given by its client. */
     public String messageId() {
         return inferenceState.entry.id;
     }
@@ -50,27 +51,27 @@
         return inferenceState.inference.group.name();
     }
 
-    /** Whether anybody waits for its end: not after its client has left, nor once it is answered or given up. */
+    /** Whether its end is still waited for: false once it has ended or is cancelled, or its inference is done. */
     public boolean isAwaited() {
         return !ended && !cancelled && !inferenceState.inference.done;
     }
 
-    /** Whether the process that it is meant for is still the one that discovery has there. */
+    /** Whether the roster still lists the process that this was meant for at the endpoint. */
     public boolean targetsCurrentProcess() {
         return Double.compare(targetProcessStart, endpoint.listedStart()) == 0;
     }
 
-    /** When it is given up, module time. */
+    /** When it times out, monotonic time. */
     public double deadline() {
         return deadline;
     }
 
-    /** From when on it must not be written any more: its time is up, or its executor may drain unheard; module time. */
+    /** When it must no longer be written, monotonic time: it has timed out, or its executor may drain unnoticed. */
     public double sendDeadline() {
         return Math.min(deadline, leaseEndsAt);
     }
 
-    /** The forwards of the same inference, this one included. */
+    /** All forwards of the same inference, including this one. */
     public List<InFlightForward> forwardsOfInference() {
         return inferenceState.forwards;
     }
@@ -79,17 +80,18 @@
         return inferenceState.model.name();
     }
 
-    /** Whether whoever asks takes the answer in parts, and the model group answers so. */
+    /** Whether the answer can be streamed: the model group streams, and an observer accepts it. */
     public boolean acceptsStreaming() {
-        return inferenceState.model.group().streaming() && inferenceState.entry.observers.stream().anyMatch(AnswerObserver::acceptsStreaming);
+        return inferenceState.model.group().streaming()
+                && inferenceState.entry.observers.stream().anyMatch(AnswerObserver::acceptsStreaming);
     }
 
-    /** By which executors know a repeat: the customer and the message, not the forward. */
+    /** The key by which executors detect a repeat. It identifies the customer and the message, not the forward. */
     public String dedupKey() {
         return inferenceState.dedupKey;
     }
 
-    /** Names this one forward in logs and transcripts. */
+    /** Identifies this forward in logs, transcripts and outcome inquiries. */
     public String forwardId() {
         return inferenceState.dedupKey + "#" + inferenceState.frontEnd + "-" + inferenceState.inference.id + "-" + forward.number;
     }
--- a/gateway/src/main/java/gradereach/desk/InferenceState.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceState.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An inference taken, from its message to its final answer and the end of its last forward. */
+/** State of an accepted inference, until its final answer is delivered and its last forward has ended. */
 public final class InferenceState {
     final Inference inference;
     final ModelCatalog.Entry model;
@@ -18,83 +18,84 @@
     final String frontEnd;
     final String dedupKey;
     final int routerGeneration;
-    /** When its client's time is really up; the module is told earlier where the ledger needs time. */
+    /** When the client stops waiting, monotonic time; the router gets an earlier deadline, to leave time for commit and delivery. */
     final double clientDeadline;
-    /** By the ledger's time; names the promise of an answer by webhook. */
+    /** When it was accepted, in ledger time; identifies the promise of an answer by webhook. */
     final double acceptedAtLedgerTime;
-    /** An answer by webhook was promised for this life: one is sent, however many asked so. */
+    /** An answer by webhook was promised for this inference: it is sent once, however many requests asked for it. */
     public boolean answerPromised;
     final List<InFlightForward> forwards = new ArrayList<>(2);
     long timer;
-    /** The answer that has started, null before. */
+    /** The streamed answer; null until it has started. */
     AnswerStream<?> answerStream;
     double answerStartedAt = Double.NaN;
-    /** A life of the same message before this one may have run: what is known of this one's forwards is not all. */
+    /** An earlier inference of the same message may have run, so this one's forwards alone do not prove that nothing ran. */
     boolean earlierInferenceMayHaveRun;
-    /** Who reads it; null once that one has left. */
+    /** The observer that reads the streamed answer; null once it has disconnected. */
     AnswerObserver streamReader;
-    /** It was returned, in more parts than are kept for the record. */
+    /** A streamed answer was returned that is too long to be recorded. */
     boolean streamTooLongToRecord;
-    /** Decided, and not to leave before it is durable; null where nothing waits. */
+    /** Answer that is decided and delivered once it is durable; null where none is pending. */
     FinalAnswer pendingAnswer;
     FinalAnswer answer;
 
-    InferenceState(Inference inference, ModelCatalog.Entry model, InferenceInput input, MessageStore.Entry memory, String frontEnd,
-            String mark, int era, double clientLeavesAt,
-            double takenInLedger) {
+    InferenceState(Inference inference, ModelCatalog.Entry model, InferenceInput input, MessageStore.Entry entry, String frontEnd,
+            String dedupKey, int routerGeneration, double clientDeadline, double acceptedAtLedgerTime) {
         this.inference = inference;
         this.model = model;
         this.input = input;
-        this.entry = memory;
+        this.entry = entry;
         this.frontEnd = frontEnd;
-        this.dedupKey = mark;
-        this.routerGeneration = era;
-        this.clientDeadline = clientLeavesAt;
-        this.acceptedAtLedgerTime = takenInLedger;
+        this.dedupKey = dedupKey;
+        this.routerGeneration = routerGeneration;
+        this.clientDeadline = clientDeadline;
+        this.acceptedAtLedgerTime = acceptedAtLedgerTime;
     }
 
-    /** When the first forward left that may have run, NaN where none may. Module time. */
+    /** When the first forward that may have run was sent, NaN where none may have run; monotonic time. */
     double mayHaveRunSince() {
-        for (InFlightForward f : forwards) {
-            // What has not left when its inference is done never leaves.
-            boolean leaves = f.sent || !f.ended && !inference.done;
-            if (leaves && (f.forward.outcome == null || !f.forward.outcome.provesNotRun)) {
-                return f.forward.sentAt;
+        for (InFlightForward forward : forwards) {
+            // A forward that was not sent before its inference was done is never sent.
+            boolean sentOrPending = forward.sent || !forward.ended && !inference.done;
+            if (sentOrPending && (forward.forward.outcome == null || !forward.forward.outcome.provesNotRun)) {
+                return forward.forward.sentAt;
             }
         }
         return Double.NaN;
     }
 
-    /** Whether it may have run, and executors that drop its repeats may have forgotten it when one comes. */
+    /** Whether it may have run, and the dedup window is closed by the time a client's repeat can arrive. */
     boolean dedupWindowClosed(double now) {
         double repeatedAt = now + MessageStore.CLIENT_REPEAT_DELAY;
         return inference.group.retrySafety() == RetrySafety.DEDUPED && repeatedAt >= mayHaveRunSince() + inference.group.dedupWindow();
     }
 
-    /** Forwards that may have run, with when they left. */
+    /** Forwards that may have run, with the times at which they were sent. */
     List<InquiryScheduler.InquiredForward> unresolvedForwards() {
-        List<InquiryScheduler.InquiredForward> open = new ArrayList<>(1);
-        for (InFlightForward f : forwards) {
-            if (f.sent && (f.forward.outcome == null || !f.forward.outcome.provesNotRun)) {
-                open.add(new InquiryScheduler.InquiredForward(f.recipient, f.forwardId(), f.forward.sentAt));
+        List<InquiryScheduler.InquiredForward> unresolved = new ArrayList<>(1);
+        for (InFlightForward forward : forwards) {
+            if (forward.sent && (forward.forward.outcome == null || !forward.forward.outcome.provesNotRun)) {
+                unresolved.add(new InquiryScheduler.InquiredForward(forward.recipient, forward.forwardId(), forward.forward.sentAt));
             }
         }
-        return open;
+        return unresolved;
     }
 
+    /** Whether its answer is delivered and all its forwards have ended. */
     boolean isFinished() {
         if (!inference.done || pendingAnswer != null) {
             return false;
         }
-        for (InFlightForward f : forwards) {
-            if (!f.ended) {
+        for (InFlightForward forward : forwards) {
+            if (!forward.ended) {
                 return false;
             }
         }
         return true;
     }
 
-    // What the log's line and the measures tell.
+    // ---- read by the inference log, the measures and the outbox ----------------------------------------------
+
     public ModelGroup modelGroup() {
         return inference.group;
     }
@@ -103,12 +104,12 @@
         return model.id();
     }
 
-    /** Beyond its customer's quota when it came. */
+    /** Whether it exceeded its customer's quota when it was accepted. */
     public boolean overQuota() {
         return inference.overQuota;
     }
 
-    /** When its answer started to flow, NaN for one that came whole. */
+    /** When its streamed answer started, NaN for an answer that is not streamed; monotonic time. */
     public double answerStartedAt() {
         return answerStartedAt;
     }
@@ -117,7 +118,7 @@
         return entry.id;
     }
 
-    /** When it was taken, by the ledger's time. */
+    /** When it was accepted, in ledger time. */
     public double acceptedAtLedgerTime() {
         return acceptedAtLedgerTime;
     }
@@ -134,6 +135,7 @@
         return entry.group.name();
     }
 
+    /** Index of its customer. */
     public int customer() {
         return entry.customer;
     }
@@ -146,19 +148,22 @@
         return forwards.size();
     }
 
+    /** When the first byte of its message was received, monotonic time. */
     public double acceptedAt() {
         return inference.acceptedAt;
     }
 
-    /** When the first forward left, NaN without one. */
+    /** When its first forward was decided, NaN without one; monotonic time. */
     public double firstForwardSentAt() {
         return forwards.isEmpty() ? Double.NaN : forwards.get(0).forward.sentAt;
     }
 
+    /** Address of the last executor it was forwarded to; empty without one. */
     public String lastExecutorAddress() {
         return forwards.isEmpty() ? "" : forwards.get(forwards.size() - 1).endpoint.address;
     }
 
+    /** The recorded answer; null where it has none. */
     public FinalAnswer answer() {
         return answer;
     }
--- a/gateway/src/main/java/gradereach/desk/Ledger.java
+++ b/gateway/src/main/java/gradereach/desk/Ledger.java
@@ -4,33 +4,34 @@
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.LedgerTime;
 
-/** What must survive the process. Called by the deciding thread; must not block. */
+/** The durable log of what must survive the process. Called on the decision thread; must not block. */
 public interface Ledger {
-    /** Told at a later moment, on the deciding thread. */
+    /** Called in a later event batch, on the decision thread. */
     interface AppendCallback {
-        /** {@code durable} false where the ledger cannot be written. */
+        /** @param durable false where the ledger cannot be written */
         void onComplete(boolean durable);
     }
 
-    /** Whether messages that need it may be taken. */
+    /** Whether messages that need the ledger may be accepted. */
     boolean isWritable();
 
-    /** Milliseconds that a commit takes at present, on the safe side. */
+    /** Conservative estimate of the current commit time, milliseconds. */
     double commitMargin();
 
-    void append(LedgerRecord record, AppendCallback then);
+    /** Appends a record; the callback is called once it is durable or has failed. */
+    void append(LedgerRecord record, AppendCallback callback);
 
-    /** How far it has got, durably ({@link LedgerPosition}). */
+    /** The durable position ({@link LedgerPosition}). */
     default long position() {
         return LedgerPosition.UNKNOWN;
     }
 
-    /** The time that its records carry. */
+    /** The clock of its records. */
     default LedgerTime time() {
         return LedgerTime.MONOTONIC;
     }
 
-    /** Keeps nothing: what a restart may forget. */
+    /** For front ends that keep nothing over a restart. */
     Ledger NONE = new Ledger() {
         @Override
         public boolean isWritable() {
@@ -43,7 +44,7 @@
         }
 
         @Override
-        public void append(LedgerRecord record, AppendCallback then) {
+        public void append(LedgerRecord record, AppendCallback callback) {
             throw new IllegalStateException("there is no ledger");
         }
     };
--- a/gateway/src/main/java/gradereach/desk/LedgerRecovery.java
+++ b/gateway/src/main/java/gradereach/desk/LedgerRecovery.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Takes over at a start what the ledger tells: each message stands as it did, with its recorded answer, proven not to have
- * run, or unknown. What is unknown is asked about, and what was promised is answered.
+ * Restores messages from the ledger at startup. Each message has its recorded answer, is proven not to have run, or has an
+ * unknown outcome. Unknown outcomes are inquired, and promised answers are delivered.
  */
 final class LedgerRecovery {
     private static final String OUTCOME_UNKNOWN = "this front end was restarted; whether it took effect is unknown";
@@ -26,52 +26,57 @@
     private final Map<String, ModelGroup> groups = new HashMap<>();
 
     /**
-     * @param customers names by index
-     * @param groups as the deployment has them now
+     * @param customers names by customer index
+     * @param groups the model groups of the current deployment
      */
-    LedgerRecovery(Ledger ledger, MessageStore memory, AnswerFormat words, OutcomeInquiries inquiries, InferenceCoordinator.PromisedAnswerDelivery owed,
-            List<String> customers, List<ModelGroup> groups) {
+    LedgerRecovery(Ledger ledger, MessageStore messageStore, AnswerFormat answerFormat, OutcomeInquiries inquiries,
+            InferenceCoordinator.PromisedAnswerDelivery promisedAnswers, List<String> customers, List<ModelGroup> groups) {
         this.ledger = ledger;
-        this.messageStore = memory;
-        this.answerFormat = words;
+        this.messageStore = messageStore;
+        this.answerFormat = answerFormat;
         this.inquiries = inquiries;
-        this.promisedAnswers = owed;
+        this.promisedAnswers = promisedAnswers;
         for (int i = 0; i < customers.size(); i++) {
             this.customers.put(customers.get(i), i);
         }
         groups.forEach(group -> this.groups.put(group.name(), group));
     }
 
-    /** @param kept milliseconds for which messages are remembered */
-    void recover(LedgerState book, double at, double kept) {
-        messageStore.markExpiredUpTo(book.forgottenUpTo());
-        for (LedgerState.Message message : book.messages()) {
+    /**
+     * Restores the messages whose customer and model group are still in the deployment.
+     *
+     * @param retention milliseconds for which messages are stored
+     */
+    void recover(LedgerState ledgerState, double at, double retention) {
+        messageStore.markExpiredUpTo(ledgerState.forgottenUpTo());
+        for (LedgerState.Message message : ledgerState.messages()) {
             boolean inDeployment = customers.containsKey(message.customer) && groups.containsKey(message.group());
             if (inDeployment) {
-                recover(message, at, kept);
+                recover(message, at, retention);
             }
         }
     }
 
-    private void recover(LedgerState.Message message, double at, double kept) {
+    private void recover(LedgerState.Message message, double at, double retention) {
         double lastAt = ledger.time().toMonotonic(message.lastRecordedAt());
-        double until = (Double.isNaN(lastAt) ? at : lastAt) + kept;
-        if (until <= at) {
+        double expiresAt = (Double.isNaN(lastAt) ? at : lastAt) + retention;
+        if (expiresAt <= at) {
             messageStore.markExpiredUpTo(message.signedAt());
-            return; // too old to be played again
+            return; // too old to be replayed
         }
         ModelGroup group = groups.get(message.group());
         MessageStore.Entry entry = messageStore.restore(customers.get(message.customer), message.id, message.digestHigh(),
-                message.digestLow(), group, until, message.signedAt(), mayHaveRunSince(message), restoredAnswer(message));
+                message.digestLow(), group, expiresAt, message.signedAt(), mayHaveRunSince(message), restoredAnswer(message));
         if (message.isDeliveryPending()) {
             answerPromised(message, entry, at);
         }
         if (message.hasUnknownOutcome() && InferenceCoordinator.restrictsRepeats(group)) {
-            inquiries.startInquiries(entry, message.model(), message.unresolvedForwards().stream().map(this::forwarded).toList(), true);
+            inquiries.startInquiries(entry, message.model(),
+                    message.unresolvedForwards().stream().map(this::inquiredForward).toList(), true);
         }
     }
 
-    /** Null where nothing of it may have run. */
+    /** The answer of a restored message; null where nothing of it may have run. */
     private FinalAnswer restoredAnswer(LedgerState.Message message) {
         return mayHaveRun(message) ? answerFormat.failed(message.id, 504, OUTCOME_UNKNOWN, false) : message.answer();
     }
@@ -80,26 +85,31 @@
         return message.state() == LedgerState.MessageState.MAY_HAVE_RUN;
     }
 
-    /** Where there is no answer yet: what did not run, or may run again, is shed; else it is asked about first. */
+    /**
+     * Delivers a promised answer. A message without one is shed where it did not run or may run again; otherwise its outcome is
+     * inquired first.
+     */
     private void answerPromised(LedgerState.Message message, MessageStore.Entry entry, double at) {
-        AnswerObserver asker = promisedAnswers.observerFor(entry.customer, message.id, message.promisedAt(), message.deliveryAttempts());
+        AnswerObserver observer = promisedAnswers.observerFor(entry.customer, message.id, message.promisedAt(),
+                message.deliveryAttempts());
         if (message.state() == LedgerState.MessageState.ANSWERED) {
-            asker.onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, at));
+            observer.onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, at));
         } else if (mayHaveRun(message) && InferenceCoordinator.restrictsRepeats(entry.group)) {
-            entry.observers.add(asker);
+            entry.observers.add(observer);
         } else {
-            asker.onFinalAnswer(answerFormat.shed(message.id, NOT_ANSWERED, 0));
+            observer.onFinalAnswer(answerFormat.shed(message.id, NOT_ANSWERED, 0));
         }
     }
 
-    /** Module time; minus infinity where no clock tells how long ago it was, NaN where nothing may have run. */
+    /** Monotonic time; minus infinity where no clock can date it, NaN where nothing may have run. */
     private double mayHaveRunSince(LedgerState.Message message) {
         double since = ledger.time().toMonotonic(message.uncertainSince());
         boolean ageUnknown = Double.isNaN(since) && !Double.isNaN(message.uncertainSince());
         return ageUnknown ? Double.NEGATIVE_INFINITY : since;
     }
 
-    private InquiryScheduler.InquiredForward forwarded(LedgerState.UnresolvedForward open) {
-        return new InquiryScheduler.InquiredForward(open.recipient(), open.forwardId(), ledger.time().toMonotonic(open.intendedAt()));
+    private InquiryScheduler.InquiredForward inquiredForward(LedgerState.UnresolvedForward forward) {
+        return new InquiryScheduler.InquiredForward(forward.recipient(), forward.forwardId(),
+                ledger.time().toMonotonic(forward.intendedAt()));
     }
 }
--- a/gateway/src/main/java/gradereach/desk/LoadOrder.java
+++ b/gateway/src/main/java/gradereach/desk/LoadOrder.java
@@ -2,47 +2,48 @@
 
 import gradereach.state.Model;
 
-/** A load order or a question on its way to an executor. */
+/** A load order or status query to an executor. */
 public final class LoadOrder {
     public final ExecutorEndpoint endpoint;
     public final String modelName;
-    /** Copies to hold; 0 only asks. */
+    /** Copies to hold loaded; 0 for a status query. */
     public final int copies;
-    /** How long the executor may take, milliseconds. */
+    /** Milliseconds after which the reply is no longer waited for. */
     public final double timeout;
     final Model model;
     final int routerGeneration;
     final double sentAt;
     private final double leaseEndsAt;
-    /** The start of the process that it is meant for, as discovery told it. */
+    /** The start time of the target process, as listed in the roster when this was created. */
     private final double targetProcessStart;
     long timer;
     volatile boolean ended;
 
-    /** @param leaseEndsAt when its executor's lease ends by what was known as it was decided, module time */
-    LoadOrder(ExecutorEndpoint place, String modelName, Model model, int copies, int era, double sentAt, double patience, double leaseEndsAt) {
+    /** @param leaseEndsAt when its executor's lease ends, as known at the time of the decision; monotonic time */
+    LoadOrder(ExecutorEndpoint endpoint, String modelName, Model model, int copies, int routerGeneration, double sentAt,
+            double timeout, double leaseEndsAt) {
         this.leaseEndsAt = leaseEndsAt;
-        targetProcessStart = place.listedStart();
-        this.endpoint = place;
+        targetProcessStart = endpoint.listedStart();
+        this.endpoint = endpoint;
         this.modelName = modelName;
         this.model = model;
         this.copies = copies;
-        this.routerGeneration = era;
+        this.routerGeneration = routerGeneration;
         this.sentAt = sentAt;
-        this.timeout = patience;
+        this.timeout = timeout;
     }
 
-    /** From when on it must not be written any more, as its executor may drain unheard; a question may always be. */
+    /** When it must no longer be written, since its executor may drain unnoticed; a status query may be written at any time. */
     public double sendDeadline() {
         return copies > 0 ? leaseEndsAt : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether the process that it is meant for is still the one that discovery has there. */
+    /** Whether the roster still lists the process that this was meant for at the endpoint. */
     public boolean targetsCurrentProcess() {
         return Double.compare(targetProcessStart, endpoint.listedStart()) == 0;
     }
 
-    /** Whether its end is still waited for: a link that has not sent it yet need not, once it is not. */
+    /** Whether its end is still waited for; otherwise the transport need not send it any more. */
     public boolean isAwaited() {
         return !ended;
     }
--- a/gateway/src/main/java/gradereach/desk/Probe.java
+++ b/gateway/src/main/java/gradereach/desk/Probe.java
@@ -2,25 +2,25 @@
 
 import gradereach.state.Executor;
 
-/** One question to an executor whether it is ready: an answer to it tells nothing of a later one. */
+/** One readiness check of an executor. Its answer counts for this probe only, not for a later one. */
 public final class Probe {
     public final ExecutorEndpoint endpoint;
-    /** As the module knew it when the probe was sent. */
+    /** The endpoint's executor at the time the probe was sent. */
     final Executor executor;
     final int routerGeneration;
     final double sentAt;
     long timer;
     private volatile boolean ended;
 
-    /** @param sentAt module time */
-    public Probe(ExecutorEndpoint place, int era, double sentAt) {
-        this.endpoint = place;
-        this.executor = place.executor;
-        this.routerGeneration = era;
+    /** @param sentAt monotonic time */
+    public Probe(ExecutorEndpoint endpoint, int routerGeneration, double sentAt) {
+        this.endpoint = endpoint;
+        this.executor = endpoint.executor;
+        this.routerGeneration = routerGeneration;
         this.sentAt = sentAt;
     }
 
-    /** Whether its end is still waited for: a link that has not sent it yet need not, once it is not. */
+    /** Whether its end is still waited for; otherwise the transport need not send it any more. */
     public boolean isAwaited() {
         return !ended;
     }
--- a/gateway/src/main/java/gradereach/desk/Timers.java
+++ b/gateway/src/main/java/gradereach/desk/Timers.java
@@ -1,10 +1,15 @@
 package gradereach.desk;
 
-/** Alarms of the deciding thread; due ones come back through {@link Desk#due}. */
+/** Timers of the decision thread; those that expire are passed to {@link InferenceCoordinator#onTimer}. */
 public interface Timers {
-    /** {@code at} is module time in milliseconds; the result, with the same object, cancels it. */
-    long schedule(double at, Object whom);
+    /**
+     * Schedules a timer.
+     *
+     * @param at monotonic time in milliseconds
+     * @return the timer's id, which cancels it together with the same target
+     */
+    long schedule(double at, Object target);
 
-    /** Without effect where it fired. */
-    void cancel(long timer, Object whom);
+    /** Cancels a timer; without effect where it has already fired. */
+    void cancel(long timer, Object target);
 }
