--- a/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
+++ b/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
@@ -16,158 +16,161 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A new id at an address whose old id was never told to be gone: its process is the one that listens there. */
+/** A new instance is listed at an address whose old instance was never reported as removed: the new process listens there. */
 class AddressTakeoverTest {
     private static final String ADDRESS = "10.0.0.1:80";
-    /** Three quarters of the fall multiple times the fall time, at the start share of a cold executor (rule 4). */
+    /** Work in milliseconds: three quarters of overload factor x overload time, at the initial share of a cold executor (rule 4). */
     private static final double RATION = 0.75 * 3 * 1000 * 0.2;
-    /** Milliseconds that an inference of the group is expected to take: a quarter of its SLO time. */
+    /** Expected milliseconds of one inference of the group: a quarter of its SLO time. */
     private static final double EXPECTED = 100;
 
-    /** How discovery tells of the new id. */
+    /** How the roster reports the new instance. */
     enum RosterDelivery {
         AN_EVENT, AN_EVENT_WITH_BOTH, A_LIST_OLD_FIRST, A_LIST_NEW_FIRST;
 
-        void deliverTo(CoordinatorHarness stage, double startedAt) {
+        void deliverTo(CoordinatorHarness harness, double startedAt) {
             RosterEntry old = rosterEntry("s-old", ADDRESS, 0, ExecutorState.READY);
-            RosterEntry present = rosterEntry("s-new", ADDRESS, startedAt, ExecutorState.READY);
+            RosterEntry current = rosterEntry("s-new", ADDRESS, startedAt, ExecutorState.READY);
             switch (this) {
-                case AN_EVENT -> stage.updateRoster(RosterUpdateKind.CHANGES, present);
-                case AN_EVENT_WITH_BOTH -> stage.updateRoster(RosterUpdateKind.CHANGES, present, old);
-                case A_LIST_OLD_FIRST -> stage.updateRoster(RosterUpdateKind.FULL, old, present);
-                default -> stage.updateRoster(RosterUpdateKind.FULL, present, old);
+                case AN_EVENT -> harness.updateRoster(RosterUpdateKind.CHANGES, current);
+                case AN_EVENT_WITH_BOTH -> harness.updateRoster(RosterUpdateKind.CHANGES, current, old);
+                case A_LIST_OLD_FIRST -> harness.updateRoster(RosterUpdateKind.FULL, old, current);
+                default -> harness.updateRoster(RosterUpdateKind.FULL, current, old);
             }
         }
     }
 
-    private static RosterEntry rosterEntry(String instance, String address, double startedAt, ExecutorState standing) {
-        return new RosterEntry(instance, address, 1, startedAt, standing, 0, 0, 0);
+    private static RosterEntry rosterEntry(String instance, String address, double startedAt, ExecutorState state) {
+        return new RosterEntry(instance, address, 1, startedAt, state, 0, 0, 0);
     }
 
-    private static CoordinatorHarness withOldInstance(CoordinatorHarness stage) {
-        stage.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-old", ADDRESS, 0, ExecutorState.READY));
-        return stage;
+    private static CoordinatorHarness withOldInstance(CoordinatorHarness harness) {
+        harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-old", ADDRESS, 0, ExecutorState.READY));
+        return harness;
     }
 
-    /** Ten inferences come; where anything of them goes within that time, orders and questions answered with a copy. */
-    private static List<String> sentFor(CoordinatorHarness stage, double span, String ids) {
-        int before = stage.forwards.size();
+    /** Sends ten inferences, and returns what is sent to executors within that time; all load orders are answered with a copy. */
+    private static List<String> sentFor(CoordinatorHarness harness, double duration, String idPrefix) {
+        int forwardsBefore = harness.forwards.size();
         List<String> sent = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            stage.sendMessage(ids + i, CoordinatorHarness.RETRIABLE, i);
+            harness.sendMessage(idPrefix + i, CoordinatorHarness.RETRIABLE, i);
         }
-        for (double until = stage.now + span; stage.now < until; stage.advanceTo(stage.now + 5)) {
-            stage.orders.stream().filter(order -> order.copies > 0).forEach(order -> sent.add("order " + order.endpoint.instance));
-            stage.answerLoadOrders(1);
+        for (double until = harness.now + duration; harness.now < until; harness.advanceTo(harness.now + 5)) {
+            harness.orders.stream().filter(order -> order.copies > 0).forEach(order -> sent.add("order " + order.endpoint.instance));
+            harness.answerLoadOrders(1);
         }
-        stage.forwards.stream().skip(before).forEach(flight -> sent.add("forward " + flight.endpoint.instance));
+        harness.forwards.stream().skip(forwardsBefore).forEach(forward -> sent.add("forward " + forward.endpoint.instance));
         return sent;
     }
 
-    /** Guards against work for a cold process outside its ration (rule 4), sent to it under the id of a warm one. */
+    /** Guards against exceeding the work allowed for a cold process (rule 4) by sending to it as the old, warm instance. */
     @ParameterizedTest
     @CsvSource({"AN_EVENT, nothing", "AN_EVENT_WITH_BOTH, nothing", "A_LIST_OLD_FIRST, nothing", "A_LIST_NEW_FIRST, nothing",
         "AN_EVENT, list repeats it", "A_LIST_NEW_FIRST, list repeats it", "AN_EVENT, event repeats it", "AN_EVENT, gone"})
-    void nothingIsSentToTheOldInstance(RosterDelivery told, String oldIdLater) {
-        CoordinatorHarness stage = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
-        Client client = stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        InFlightForward out = stage.awaitForward();
-        double startedAt = stage.now;
-        told.deliverTo(stage, startedAt);
-        List<String> sent = new ArrayList<>(sentFor(stage, 300, "b"));
-        stage.endForward(out, Outcome.RETURNED);
+    void nothingIsSentToTheOldInstance(RosterDelivery delivery, String oldInstanceLater) {
+        CoordinatorHarness harness = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        Client client = harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        InFlightForward openForward = harness.awaitForward();
+        double startedAt = harness.now;
+        delivery.deliverTo(harness, startedAt);
+        List<String> sent = new ArrayList<>(sentFor(harness, 300, "b"));
+        harness.endForward(openForward, Outcome.RETURNED);
         assertEquals("1 RETURNED", client.received());
-        switch (oldIdLater) {
-            case "list repeats it" -> RosterDelivery.A_LIST_OLD_FIRST.deliverTo(stage, startedAt);
-            case "event repeats it" -> stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", ADDRESS, 0, ExecutorState.READY));
-            case "gone" -> stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", ADDRESS, 0, ExecutorState.REMOVED));
+        switch (oldInstanceLater) {
+            case "list repeats it" -> RosterDelivery.A_LIST_OLD_FIRST.deliverTo(harness, startedAt);
+            case "event repeats it" -> harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", ADDRESS, 0,
+                    ExecutorState.READY));
+            case "gone" -> harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", ADDRESS, 0, ExecutorState.REMOVED));
             default -> { }
         }
-        sent.addAll(sentFor(stage, 600, "c"));
-        assertEquals(List.of(), sent.stream().filter(what -> what.endsWith("s-old")).toList());
+        sent.addAll(sentFor(harness, 600, "c"));
+        assertEquals(List.of(), sent.stream().filter(item -> item.endsWith("s-old")).toList());
         long forwards = sent.stream().filter("forward s-new"::equals).count();
         assertTrue(forwards > 0 && forwards * EXPECTED <= RATION, forwards + " forwards in the first second");
-        assertFalse(stage.maySendTo("s-old"));
-        assertTrue(stage.maySendTo("s-new"));
+        assertFalse(harness.maySendTo("s-old"));
+        assertTrue(harness.maySendTo("s-new"));
     }
 
-    /** Guards against an answer of the old id's process that makes the new one count as holding its copy. */
+    /** Guards against an answer of the old instance that makes the new one count as holding the copy. */
     @Test
     void answerOfTheOldInstanceReachesItsClientButDoesNotWarmTheNewOne() {
-        CoordinatorHarness stage = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
-        Client client = stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        InFlightForward out = stage.awaitForward();
-        stage.orders.clear();
-        RosterDelivery.AN_EVENT.deliverTo(stage, stage.now);
-        stage.endForward(out, Outcome.RETURNED);
+        CoordinatorHarness harness = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        Client client = harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        InFlightForward openForward = harness.awaitForward();
+        harness.orders.clear();
+        RosterDelivery.AN_EVENT.deliverTo(harness, harness.now);
+        harness.endForward(openForward, Outcome.RETURNED);
         assertEquals("1 RETURNED", client.received());
-        stage.sendMessage("b", CoordinatorHarness.RETRIABLE, 2);
-        assertEquals(List.of(out), stage.forwards, "a forward to a copy that nobody has told of");
-        assertEquals(List.of("s-new"), stage.orders.stream().map(order -> order.endpoint.instance).distinct().toList());
+        harness.sendMessage("b", CoordinatorHarness.RETRIABLE, 2);
+        assertEquals(List.of(openForward), harness.forwards, "a forward to a copy that was never reported");
+        assertEquals(List.of("s-new"), harness.orders.stream().map(order -> order.endpoint.instance).distinct().toList());
     }
 
-    /** Guards against a new process that is probed, and proven ready, under the old id while the roster cannot tell. */
+    /** Guards against a new process that is probed and proven ready as the old instance while the roster is out of date. */
     @ParameterizedTest
     @EnumSource
-    void oldInstanceIsNeitherProbedNorProvenReady(RosterDelivery told) {
-        CoordinatorHarness stage = withOldInstance(CoordinatorHarness.withProbes(UnaryOperator.identity()));
-        stage.expireRoster();
-        stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        for (; stage.probesSent() == 0; stage.advanceTo(stage.now + 5)) {
-            stage.answerLoadOrders(0);
+    void oldInstanceIsNeitherProbedNorProvenReady(RosterDelivery delivery) {
+        CoordinatorHarness harness = withOldInstance(CoordinatorHarness.withProbes(UnaryOperator.identity()));
+        harness.expireRoster();
+        harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        for (; harness.probesSent() == 0; harness.advanceTo(harness.now + 5)) {
+            harness.answerLoadOrders(0);
         }
-        told.deliverTo(stage, stage.now);
-        stage.answerProbe(0, Outcome.RETURNED, null);
-        assertFalse(stage.maySendTo("s-old"), "by the answer to a probe from before");
-        assertFalse(stage.maySendTo("s-new"), "by the answer to a probe of the old id");
-        for (double until = stage.now + 700; stage.now < until; stage.advanceTo(stage.now + 5)) {
-            stage.answerLoadOrders(0);
+        delivery.deliverTo(harness, harness.now);
+        harness.answerProbe(0, Outcome.RETURNED, null);
+        assertFalse(harness.maySendTo("s-old"), "by the answer to a probe sent before the takeover");
+        assertFalse(harness.maySendTo("s-new"), "by the answer to a probe of the old instance");
+        for (double until = harness.now + 700; harness.now < until; harness.advanceTo(harness.now + 5)) {
+            harness.answerLoadOrders(0);
         }
         List<String> probed = new ArrayList<>();
-        for (int n = 1; n < stage.probesSent(); n++) {
-            probed.add(stage.probeTarget(n));
+        for (int n = 1; n < harness.probesSent(); n++) {
+            probed.add(harness.probeTarget(n));
         }
         assertEquals(List.of("s-new " + ADDRESS), probed.stream().distinct().toList());
     }
 
-    /** Guards against the same where the new id is known from elsewhere, or is first told of as it drains. */
+    /** The same, where the new instance was known at another address before, or is first listed as draining. */
     @ParameterizedTest
     @CsvSource({"true, READY", "true, DRAINING", "false, DRAINING"})
-    void movedOrDrainingInstanceTakesOverTheAddress(boolean moves, ExecutorState standing) {
-        CoordinatorHarness stage = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
-        if (moves) {
-            stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", "10.0.0.2:80", 0, ExecutorState.READY));
+    void movedOrDrainingInstanceTakesOverTheAddress(boolean knownElsewhere, ExecutorState state) {
+        CoordinatorHarness harness = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        if (knownElsewhere) {
+            harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", "10.0.0.2:80", 0, ExecutorState.READY));
         }
-        stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", ADDRESS, stage.now, standing));
-        assertEquals(List.of(false, standing == ExecutorState.READY), List.of(stage.maySendTo("s-old"), stage.maySendTo("s-new")));
+        harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", ADDRESS, harness.now, state));
+        assertEquals(List.of(false, state == ExecutorState.READY), List.of(harness.maySendTo("s-old"), harness.maySendTo("s-new")));
     }
 
-    /** Guards against one id twice in a list: its later start is the present process, whichever line comes last. */
+    /** An instance listed twice: the entry with the later start is the current process, in whichever order they come. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void duplicateInstanceInAListUsesItsLatestStart(boolean presentFirst) {
-        CoordinatorHarness stage = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
-        RosterEntry before = rosterEntry("s-old", ADDRESS, 0, ExecutorState.READY);
-        RosterEntry present = rosterEntry("s-old", "10.0.0.2:80", stage.now, ExecutorState.READY);
-        stage.updateRoster(RosterUpdateKind.FULL, presentFirst ? present : before, presentFirst ? before : present);
-        assertEquals("10.0.0.2:80", stage.endpointOf("s-old").address);
-        assertTrue(stage.maySendTo("s-old"));
+    void duplicateInstanceInAListUsesItsLatestStart(boolean currentFirst) {
+        CoordinatorHarness harness = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        RosterEntry previous = rosterEntry("s-old", ADDRESS, 0, ExecutorState.READY);
+        RosterEntry current = rosterEntry("s-old", "10.0.0.2:80", harness.now, ExecutorState.READY);
+        harness.updateRoster(RosterUpdateKind.FULL, currentFirst ? current : previous, currentFirst ? previous : current);
+        assertEquals("10.0.0.2:80", harness.endpointOf("s-old").address);
+        assertTrue(harness.maySendTo("s-old"));
     }
 
-    /** Guards against ids that are shut out for good: the old one starts anew there, or elsewhere, or two are exchanged. */
+    /** Guards against excluding an instance for good: the old one starts again there or elsewhere, or two swap their addresses. */
     @ParameterizedTest
     @CsvSource({"starts again there, true, false", "moves to a free address, true, true", "exchange, true, true"})
-    void replacedInstanceCanReturn(String how, boolean old, boolean present) {
-        CoordinatorHarness stage = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
-        if (how.equals("exchange")) {
-            stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", "10.0.0.2:80", 0, ExecutorState.READY));
-            stage.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-new", ADDRESS, 0, ExecutorState.READY), rosterEntry("s-old", "10.0.0.2:80", 0, ExecutorState.READY));
+    void replacedInstanceCanReturn(String way, boolean old, boolean current) {
+        CoordinatorHarness harness = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
+        if (way.equals("exchange")) {
+            harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", "10.0.0.2:80", 0, ExecutorState.READY));
+            harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-new", ADDRESS, 0, ExecutorState.READY),
+                    rosterEntry("s-old", "10.0.0.2:80", 0, ExecutorState.READY));
         } else {
-            RosterDelivery.AN_EVENT.deliverTo(stage, stage.now);
-            stage.advanceTo(stage.now + 2000);
-            boolean there = how.equals("starts again there");
-            stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", there ? ADDRESS : "10.0.0.2:80", stage.now, ExecutorState.READY));
+            RosterDelivery.AN_EVENT.deliverTo(harness, harness.now);
+            harness.advanceTo(harness.now + 2000);
+            boolean sameAddress = way.equals("starts again there");
+            harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", sameAddress ? ADDRESS : "10.0.0.2:80", harness.now,
+                    ExecutorState.READY));
         }
-        assertEquals(List.of(old, present), List.of(stage.maySendTo("s-old"), stage.maySendTo("s-new")));
+        assertEquals(List.of(old, current), List.of(harness.maySendTo("s-old"), harness.maySendTo("s-new")));
     }
 }
--- a/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
+++ b/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
@@ -34,39 +34,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * One reservation at three front ends, explored: every schedule that deviates from the plain one at up to two points
- * (commits, peers' messages, executor, client's repeat to another front end, a crash and its restart, time-outs, lost
- * and cut links). In none may it run twice, and all returned answers are one.
+ * Explores one non-retriable inference at three front ends: every schedule that deviates from the default one at up to two
+ * points (commits, peer messages, the executor, a client's repeat to another front end, a crash and restart, timeouts, lost
+ * messages). In no schedule may it run twice, and all returned answers have to be the same.
  */
 class ClaimExplorationTest {
     private static final List<String> NAMES = List.of("fe-a", "fe-b", "fe-c");
 
-    /** What can be planted. */
-    enum Bug { NONE, ACKNOWLEDGES_EARLY, KEEPER_LOSES_CLAIMS, LISTS_DIFFER, NO_CLAIMS }
+    /** Bugs that can be injected. */
+    enum Bug { NONE, ACKNOWLEDGES_EARLY, REPLICA_LOSES_CLAIMS, LISTS_DIFFER, NO_CLAIMS }
 
-    /** Forwards at once and fails at the end of forwards: the decisions are not what is explored here. */
-    private static Router forwardAtOnce(RouterActions out, Executor[] ready) {
+    /** A router that forwards at once, and sheds or fails when the forward ends without an answer; its decisions are not tested here. */
+    private static Router forwardAtOnce(RouterActions actions, Executor[] ready) {
         List<Inference> waiting = new ArrayList<>();
         return (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class},
-                (proxy, called, args) -> {
-                    switch (called.getName()) {
+                (proxy, invoked, args) -> {
+                    switch (invoked.getName()) {
                         case "onInferenceAccepted" -> waiting.add((Inference) args[0]);
                         case "onRosterUpdate" -> ready[0] = ((gradereach.api.ExecutorListing) ((List<?>) args[1]).get(0)).executor();
                         case "onForwardEnded" -> {
-                            Forward fwd = (Forward) args[0];
+                            Forward forward = (Forward) args[0];
                             if (!((ForwardResult) args[1]).inferenceDone()) {
-                                if (fwd.inference.mayHaveRun()) {
-                                    out.fail(fwd.inference);
+                                if (forward.inference.mayHaveRun()) {
+                                    actions.fail(forward.inference);
                                 } else {
-                                    out.shed(fwd.inference, 0);
+                                    actions.shed(forward.inference, 0);
                                 }
                             }
                         }
                         case "endBatch" -> {
-                            for (Inference inf : List.copyOf(waiting)) {
-                                waiting.remove(inf);
-                                if (!inf.done) {
-                                    out.sendForward(inf, ready[0], inf.deadlineAt);
+                            for (Inference inference : List.copyOf(waiting)) {
+                                waiting.remove(inference);
+                                if (!inference.done) {
+                                    actions.sendForward(inference, ready[0], inference.deadlineAt);
                                 }
                             }
                         }
@@ -76,13 +76,13 @@
                 });
     }
 
-    /** A front end with what survives it. */
+    /** A front end, with its ledger that survives a crash. */
     private final class FrontEnd {
         final String name;
         final ManualCommitLedger ledger = new ManualCommitLedger();
-        CoordinatorHarness stage;
-        ClaimTable book;
-        ClaimCoordinator rounds;
+        CoordinatorHarness harness;
+        ClaimTable claimTable;
+        ClaimCoordinator claimCoordinator;
         int incarnation;
         int forwardsCollected;
 
@@ -93,48 +93,53 @@
 
         void start() {
             incarnation++;
-            LedgerState read = ledger.replay();
-            book = new ClaimTable(100, 1e9);
-            if (bug != Bug.KEEPER_LOSES_CLAIMS) {
-                read.claims().forEach(c -> book.restore(c.customer(), c.id(), c.claimant(), c.signedAt(), 1e18));
+            LedgerState recovered = ledger.replay();
+            claimTable = new ClaimTable(100, 1e9);
+            if (bug != Bug.REPLICA_LOSES_CLAIMS) {
+                recovered.claims().forEach(claim -> claimTable.restore(claim.customer(), claim.id(), claim.claimant(), claim.signedAt(),
+                        1e18));
             }
-            rounds = new ClaimCoordinator(List.of(new FrontEndSet(bug == Bug.LISTS_DIFFER ? List.of(name) : NAMES, 3)), (long) incarnation << 32);
+            claimCoordinator = new ClaimCoordinator(List.of(new FrontEndSet(bug == Bug.LISTS_DIFFER ? List.of(name) : NAMES, 3)),
+                    (long) incarnation << 32);
             Executor[] ready = new Executor[1];
-            CoordinatorHarness[] made = new CoordinatorHarness[1];
-            made[0] = new CoordinatorHarness(1, 100, 1000, real -> forwardAtOnce(made[0] == null ? outletOfRouter(real) : made[0].coordinator, ready), ledger,
-                    bug == Bug.NO_CLAIMS ? ClaimService.ALONE : claims());
-            stage = made[0];
-            stage.now = now;
-            stage.coordinator.recover(read, now, 1e9, CoordinatorHarness.GROUPS, Long.MIN_VALUE, (c, i, of, t) -> null);
-            stage.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, 0));
+            CoordinatorHarness[] created = new CoordinatorHarness[1];
+            created[0] = new CoordinatorHarness(1, 100, 1000, real ->
+                    forwardAtOnce(created[0] == null ? actionsOf(real) : created[0].coordinator, ready), ledger,
+                    bug == Bug.NO_CLAIMS ? ClaimService.ALONE : claimService());
+            harness = created[0];
+            harness.now = now;
+            harness.coordinator.recover(recovered, now, 1e9, CoordinatorHarness.GROUPS, Long.MIN_VALUE,
+                    (customer, id, promisedAt, attempts) -> null);
+            harness.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, 0));
             forwardsCollected = 0;
         }
 
-        private ClaimService claims() {
-            int mine = incarnation;
+        private ClaimService claimService() {
+            int startedIn = incarnation;
             return new ClaimService() {
                 @Override
-                public void claim(MessageIdentity message, double patience, ClaimCallback then) {
-                    List<ReplicaRequest> out = new ArrayList<>();
-                    Round round = rounds.startRound(message, out);
-                    openRounds.add(new OpenRound(FrontEnd.this, mine, round, then));
-                    post(out, round, then);
+                public void claim(MessageIdentity identity, double patience, ClaimCallback callback) {
+                    List<ReplicaRequest> outgoing = new ArrayList<>();
+                    Round round = claimCoordinator.startRound(identity, outgoing);
+                    openRounds.add(new OpenRound(FrontEnd.this, startedIn, round, callback));
+                    post(outgoing, round, callback);
                 }
 
-                private void post(List<ReplicaRequest> out, Round round, ClaimCallback then) {
-                    out.forEach(m -> messagesInFlight.add(new PeerMessage(FrontEnd.this, mine, m, round, then)));
+                private void post(List<ReplicaRequest> outgoing, Round round, ClaimCallback callback) {
+                    outgoing.forEach(replicaRequest -> messagesInFlight.add(new PeerMessage(FrontEnd.this, startedIn, replicaRequest, round,
+                            callback)));
                 }
 
                 @Override
-                public void relayToHolder(IncomingMessage arrival, String holder) {
+                public void relayToHolder(IncomingMessage message, String holder) {
                     relays++;
-                    FrontEnd to = frontEnds.get(holder);
-                    if (to == null || to.stage == null) {
-                        arrival.observer().onFinalAnswer(FinalAnswer.failed(arrival.id(), 504, "unreached", true));
+                    FrontEnd receiver = frontEnds.get(holder);
+                    if (receiver == null || receiver.harness == null) {
+                        message.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, "unreachable", true));
                     } else {
                         deferred.add(() -> {
-                            if (to.stage != null) {
-                                to.stage.runBatch(now, () -> to.stage.coordinator.onMessage(arrival));
+                            if (receiver.harness != null) {
+                                receiver.harness.runBatch(now, () -> receiver.harness.coordinator.onMessage(message));
                             }
                         });
                     }
@@ -142,18 +147,19 @@
             };
         }
 
-        void onReply(PeerMessage letter, boolean granted, String holder) {
-            List<ReplicaRequest> out = new ArrayList<>();
-            boolean was = letter.round.result() != null;
-            rounds.handleReply(letter.round, letter.message.replica(), granted, holder, out);
-            out.forEach(m -> messagesInFlight.add(new PeerMessage(this, incarnation, m, letter.round, letter.callback)));
-            if (!was && letter.round.result() != null) {
-                stage.runBatch(now, () -> letter.callback.onResult(letter.round.result()));
+        void onReply(PeerMessage request, boolean granted, String holder) {
+            List<ReplicaRequest> outgoing = new ArrayList<>();
+            boolean alreadyDecided = request.round.result() != null;
+            claimCoordinator.handleReply(request.round, request.message.replica(), granted, holder, outgoing);
+            outgoing.forEach(replicaRequest -> messagesInFlight.add(new PeerMessage(this, incarnation, replicaRequest, request.round,
+                    request.callback)));
+            if (!alreadyDecided && request.round.result() != null) {
+                harness.runBatch(now, () -> request.callback.onResult(request.round.result()));
             }
         }
     }
 
-    private static RouterActions outletOfRouter(Router real) {
+    private static RouterActions actionsOf(Router real) {
         try {
             var field = real.getClass().getDeclaredField("actions");
             field.setAccessible(true);
@@ -165,7 +171,8 @@
 
     private record OpenRound(FrontEnd frontEnd, int incarnation, Round round, ClaimService.ClaimCallback callback) { }
 
-    private record PeerMessage(FrontEnd sender, int incarnation, ReplicaRequest message, Round round, ClaimService.ClaimCallback callback) { }
+    private record PeerMessage(FrontEnd sender, int incarnation, ReplicaRequest message, Round round,
+            ClaimService.ClaimCallback callback) { }
 
     private record Reply(PeerMessage request, boolean granted, String holder) { }
 
@@ -199,171 +206,175 @@
         runs = 0;
         crashes = 0;
         violation = null;
-        NAMES.forEach(n -> frontEnds.put(n, new FrontEnd(n)));
+        NAMES.forEach(name -> frontEnds.put(name, new FrontEnd(name)));
         frontEnds.values().forEach(FrontEnd::start);
     }
 
-    /** What can happen now, the plain course first. */
+    /** The steps that are possible now, those of the default schedule first. */
     private List<Runnable> enabledSteps() {
-        List<Runnable> can = new ArrayList<>();
+        List<Runnable> steps = new ArrayList<>();
         if (!deferred.isEmpty()) {
-            can.add(() -> deferred.poll().run());
+            steps.add(() -> deferred.poll().run());
         }
-        for (FrontEnd front : frontEnds.values()) {
-            if (front.stage == null) {
-                can.add(front::start);
-            } else if (front.ledger.hasPending()) {
-                can.add(() -> front.ledger.commit(front.stage, true));
+        for (FrontEnd frontEnd : frontEnds.values()) {
+            if (frontEnd.harness == null) {
+                steps.add(frontEnd::start);
+            } else if (frontEnd.ledger.hasPending()) {
+                steps.add(() -> frontEnd.ledger.commit(frontEnd.harness, true));
             }
         }
-        for (PeerMessage letter : messagesInFlight) {
-            can.add(() -> deliver(letter));
+        for (PeerMessage request : messagesInFlight) {
+            steps.add(() -> deliver(request));
         }
         for (Reply reply : replies) {
-            can.add(() -> {
+            steps.add(() -> {
                 replies.remove(reply);
-                FrontEnd to = reply.request.sender;
-                if (to.stage != null && to.incarnation == reply.request.incarnation && !reply.request.message.release()) {
-                    to.onReply(reply.request, reply.granted, reply.holder);
+                FrontEnd receiver = reply.request.sender;
+                if (receiver.harness != null && receiver.incarnation == reply.request.incarnation && !reply.request.message.release()) {
+                    receiver.onReply(reply.request, reply.granted, reply.holder);
                 }
             });
         }
-        for (InFlightForward flight : atExecutor) {
-            can.add(() -> {
-                atExecutor.remove(flight);
-                runAtExecutor.add(flight);
+        for (InFlightForward forward : atExecutor) {
+            steps.add(() -> {
+                atExecutor.remove(forward);
+                runAtExecutor.add(forward);
                 runs++;
             });
         }
-        for (InFlightForward flight : runAtExecutor) {
-            can.add(() -> {
-                runAtExecutor.remove(flight);
-                for (FrontEnd front : frontEnds.values()) {
-                    if (front.stage != null && front.stage.forwards.contains(flight)) {
-                        front.stage.endForward(flight, Outcome.RETURNED);
+        for (InFlightForward forward : runAtExecutor) {
+            steps.add(() -> {
+                runAtExecutor.remove(forward);
+                for (FrontEnd frontEnd : frontEnds.values()) {
+                    if (frontEnd.harness != null && frontEnd.harness.forwards.contains(forward)) {
+                        frontEnd.harness.endForward(forward, Outcome.RETURNED);
                     }
                 }
             });
         }
         if (!clientSends.isEmpty()) {
-            can.add(() -> {
-                FrontEnd to = frontEnds.get(NAMES.get(clientSends.remove(0)));
-                if (to.stage != null) {
-                    CoordinatorHarness.Client client = to.stage.new Client();
+            steps.add(() -> {
+                FrontEnd receiver = frontEnds.get(NAMES.get(clientSends.remove(0)));
+                if (receiver.harness != null) {
+                    CoordinatorHarness.Client client = receiver.harness.new Client();
                     clients.add(client);
-                    to.stage.runBatch(now, () -> to.stage.coordinator.onMessage(to.stage.incomingMessage("a", CoordinatorHarness.NON_RETRIABLE, 1, 0, client)));
+                    receiver.harness.runBatch(now, () -> receiver.harness.coordinator.onMessage(receiver.harness.incomingMessage("a",
+                            CoordinatorHarness.NON_RETRIABLE, 1, 0, client)));
                 }
             });
         }
-        for (FrontEnd front : frontEnds.values()) {
-            if (front.stage != null && crashes < 1 && !clients.isEmpty()) {
-                can.add(() -> {
+        for (FrontEnd frontEnd : frontEnds.values()) {
+            if (frontEnd.harness != null && crashes < 1 && !clients.isEmpty()) {
+                steps.add(() -> {
                     crashes++;
-                    front.stage = null;
-                    front.ledger.crash();
+                    frontEnd.harness = null;
+                    frontEnd.ledger.crash();
                 });
             }
         }
-        for (PeerMessage letter : messagesInFlight) {
-            can.add(() -> messagesInFlight.remove(letter)); // lost
+        for (PeerMessage request : messagesInFlight) {
+            steps.add(() -> messagesInFlight.remove(request)); // the message is lost
         }
-        for (OpenRound o : openRounds) {
-            if (o.round.result() == null && o.frontEnd.stage != null && o.frontEnd.incarnation == o.incarnation) {
-                can.add(() -> {
-                    List<ReplicaRequest> out = new ArrayList<>();
-                    o.frontEnd.rounds.handleTimeout(o.round, out);
-                    out.forEach(m -> messagesInFlight.add(new PeerMessage(o.frontEnd, o.incarnation, m, o.round, o.callback)));
-                    o.frontEnd.stage.runBatch(now, () -> o.callback.onResult(o.round.result()));
+        for (OpenRound openRound : openRounds) {
+            if (openRound.round.result() == null && openRound.frontEnd.harness != null
+                    && openRound.frontEnd.incarnation == openRound.incarnation) {
+                steps.add(() -> {
+                    List<ReplicaRequest> outgoing = new ArrayList<>();
+                    openRound.frontEnd.claimCoordinator.handleTimeout(openRound.round, outgoing);
+                    outgoing.forEach(message -> messagesInFlight.add(new PeerMessage(openRound.frontEnd, openRound.incarnation, message,
+                            openRound.round, openRound.callback)));
+                    openRound.frontEnd.harness.runBatch(now, () -> openRound.callback.onResult(openRound.round.result()));
                 });
             }
         }
-        return can;
+        return steps;
     }
 
-    private void deliver(PeerMessage letter) {
-        messagesInFlight.remove(letter);
-        FrontEnd keeper = frontEnds.get(letter.message.replica());
-        if (keeper.stage == null) {
-            replies.add(new Reply(letter, false, null));
+    private void deliver(PeerMessage request) {
+        messagesInFlight.remove(request);
+        FrontEnd replica = frontEnds.get(request.message.replica());
+        if (replica.harness == null) {
+            replies.add(new Reply(request, false, null));
             return;
         }
-        ReplicaRequest m = letter.message;
-        if (m.release()) {
-            keeper.book.release(m.message().customer(), m.message().id(), letter.sender.name, m.round());
+        ReplicaRequest message = request.message;
+        if (message.release()) {
+            replica.claimTable.release(message.message().customer(), message.message().id(), request.sender.name, message.round());
             return;
         }
-        ClaimTable.ClaimReply word = keeper.book.claim(m.message(), letter.sender.name, m.round(), now, 0);
-        if (!word.granted()) {
-            replies.add(new Reply(letter, false, word.holder()));
+        ClaimTable.ClaimReply grant = replica.claimTable.claim(message.message(), request.sender.name, message.round(), now, 0);
+        if (!grant.granted()) {
+            replies.add(new Reply(request, false, grant.holder()));
             return;
         }
-        keeper.ledger.append(new LedgerRecord.ClaimGranted(m.message().customer(), m.message().id(), now, 0, 0, letter.sender.name),
-                durable -> replies.add(new Reply(letter, durable, null)));
+        replica.ledger.append(new LedgerRecord.ClaimGranted(message.message().customer(), message.message().id(), now, 0, 0,
+                request.sender.name), durable -> replies.add(new Reply(request, durable, null)));
     }
 
     private void collectAndCheck() {
-        for (FrontEnd front : frontEnds.values()) {
-            if (front.stage != null) {
-                for (; front.forwardsCollected < front.stage.forwards.size(); front.forwardsCollected++) {
-                    atExecutor.add(front.stage.forwards.get(front.forwardsCollected));
+        for (FrontEnd frontEnd : frontEnds.values()) {
+            if (frontEnd.harness != null) {
+                for (; frontEnd.forwardsCollected < frontEnd.harness.forwards.size(); frontEnd.forwardsCollected++) {
+                    atExecutor.add(frontEnd.harness.forwards.get(frontEnd.forwardsCollected));
                 }
             }
         }
-        List<String> returned = clients.stream().flatMap(c -> c.answers.stream())
-                .filter(a -> a.kind() == FinalAnswer.Kind.RETURNED).map(a -> new String(a.body())).distinct().toList();
-        boolean shed = clients.stream().flatMap(c -> c.answers.stream()).anyMatch(a -> a.kind() == FinalAnswer.Kind.SHED);
+        List<String> returned = clients.stream().flatMap(client -> client.answers.stream())
+                .filter(answer -> answer.kind() == FinalAnswer.Kind.RETURNED).map(answer -> new String(answer.body())).distinct().toList();
+        boolean shed = clients.stream().flatMap(client -> client.answers.stream())
+                .anyMatch(answer -> answer.kind() == FinalAnswer.Kind.SHED);
         violation = runs > 1 ? "ran " + runs + " times" : returned.size() > 1 ? "two answers" : shed && runs > 0
                 ? "shed and ran" : violation;
     }
 
-    /** Plays a schedule: at the given steps another choice than the first. Returns how many choices each step had. */
-    private List<Integer> runSchedule(int[] steps, int[] choices) {
+    /** Runs a schedule that takes another choice than the first at the given steps. Returns the number of choices at each step. */
+    private List<Integer> runSchedule(int[] deviatingSteps, int[] choices) {
         reset();
-        List<Integer> width = new ArrayList<>();
+        List<Integer> choiceCounts = new ArrayList<>();
         for (int step = 0; step < 60 && violation == null; step++) {
-            List<Runnable> can = enabledSteps();
-            // A crash or a loss is never the plain course.
-            int plain = defaultChoices(can);
-            width.add(can.size());
+            List<Runnable> steps = enabledSteps();
+            // A crash or a loss is never part of the default schedule.
+            int defaultSteps = defaultChoices(steps);
+            choiceCounts.add(steps.size());
             int choice = 0;
-            for (int i = 0; i < steps.length; i++) {
-                choice = steps[i] == step ? choices[i] : choice;
+            for (int i = 0; i < deviatingSteps.length; i++) {
+                choice = deviatingSteps[i] == step ? choices[i] : choice;
             }
-            if (choice == 0 && plain == 0 || choice >= can.size()) {
+            if (choice == 0 && defaultSteps == 0 || choice >= steps.size()) {
                 break;
             }
-            can.get(choice).run();
+            steps.get(choice).run();
             collectAndCheck();
         }
-        return width;
+        return choiceCounts;
     }
 
-    private int defaultChoices(List<Runnable> can) {
+    private int defaultChoices(List<Runnable> steps) {
         boolean busy = !deferred.isEmpty() || !messagesInFlight.isEmpty() || !replies.isEmpty() || !atExecutor.isEmpty()
                 || !runAtExecutor.isEmpty() || !clientSends.isEmpty()
-                || frontEnds.values().stream().anyMatch(f -> f.stage == null || f.ledger.hasPending());
-        return busy ? can.size() : 0;
+                || frontEnds.values().stream().anyMatch(frontEnd -> frontEnd.harness == null || frontEnd.ledger.hasPending());
+        return busy ? steps.size() : 0;
     }
 
     private String explore() {
-        List<Integer> plain = runSchedule(new int[0], new int[0]);
+        List<Integer> defaultCounts = runSchedule(new int[0], new int[0]);
         if (violation != null) {
             return violation;
         }
         long schedules = 0;
-        for (int first = 0; first < plain.size(); first++) {
-            for (int a = 1; a < plain.get(first); a++) {
-                List<Integer> width = runSchedule(new int[] {first}, new int[] {a});
+        for (int first = 0; first < defaultCounts.size(); first++) {
+            for (int firstChoice = 1; firstChoice < defaultCounts.get(first); firstChoice++) {
+                List<Integer> choiceCounts = runSchedule(new int[] {first}, new int[] {firstChoice});
                 schedules++;
                 if (violation != null) {
-                    return violation + " at " + first + ":" + a;
+                    return violation + " at " + first + ":" + firstChoice;
                 }
-                for (int second = first + 1; second < width.size(); second++) {
-                    for (int b = 1; b < width.get(second); b++) {
-                        runSchedule(new int[] {first, second}, new int[] {a, b});
+                for (int second = first + 1; second < choiceCounts.size(); second++) {
+                    for (int secondChoice = 1; secondChoice < choiceCounts.get(second); secondChoice++) {
+                        runSchedule(new int[] {first, second}, new int[] {firstChoice, secondChoice});
                         schedules++;
                         if (violation != null) {
-                            return violation + " at " + Arrays.asList(first, a, second, b);
+                            return violation + " at " + Arrays.asList(first, firstChoice, second, secondChoice);
                         }
                     }
                 }
@@ -383,13 +394,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"ACKNOWLEDGES_EARLY", "KEEPER_LOSES_CLAIMS", "LISTS_DIFFER", "NO_CLAIMS"})
-    void injectedBugIsFound(Bug planted) {
-        bug = planted;
+    @CsvSource({"ACKNOWLEDGES_EARLY", "REPLICA_LOSES_CLAIMS", "LISTS_DIFFER", "NO_CLAIMS"})
+    void injectedBugIsFound(Bug injected) {
+        bug = injected;
         assertNotNull(explore());
     }
 
-    /** The plain course: one run, one answer at whichever front end it is asked for. */
+    /** The default schedule: one run, and one answer at whichever front end receives the message. */
     @Test
     void theSameMessageAtAnotherFrontEndGetsTheSameAnswer() {
         runSchedule(new int[0], new int[0]);
--- a/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
+++ b/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
@@ -32,29 +32,34 @@
 import java.util.function.DoubleConsumer;
 import java.util.function.UnaryOperator;
 
-/** A desk with the real module in virtual time: links, timers and clients are the test's. */
-final class CoordinatorHarness implements ExecutorTransport, Timers, InferenceCoordinator.InferenceListener, InferenceCoordinator.WallClock {
+/** A coordinator with the real router in virtual time. The test provides the transport, the timers and the clients. */
+final class CoordinatorHarness implements ExecutorTransport, Timers, InferenceCoordinator.InferenceListener,
+        InferenceCoordinator.WallClock {
     static final ModelGroup RETRIABLE = group("quick", RetrySafety.RETRIABLE, DedupScope.ALL);
     static final ModelGroup NON_RETRIABLE = group("booking", RetrySafety.NON_RETRIABLE, DedupScope.ALL);
     static final ModelGroup DEDUPED = group("marked", RetrySafety.DEDUPED, DedupScope.ALL);
     static final ModelGroup DEDUPED_IN_LOCATION = group("marked-there", RetrySafety.DEDUPED, DedupScope.LOCATION);
     static final ModelGroup DEDUPED_IN_CELL = group("marked-in-cell", RetrySafety.DEDUPED, DedupScope.CELL);
-    /** Its window closes before its client's time is up. */
-    static final ModelGroup DEDUPED_SHORT_WINDOW = new ModelGroup("marked-briefly", RetrySafety.DEDUPED, DedupScope.ALL, 100, 400, 0, 1000, 1, 0.2, false);
-    /** Answered in parts; as the two above otherwise. */
-    static final ModelGroup STREAMED_RETRIABLE = new ModelGroup("told", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1, 0.2, true);
-    static final ModelGroup STREAMED_NON_RETRIABLE = new ModelGroup("signed", RetrySafety.NON_RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1, 0.2, true);
-    static final List<ModelGroup> GROUPS = List.of(RETRIABLE, NON_RETRIABLE, DEDUPED, DEDUPED_IN_LOCATION, DEDUPED_IN_CELL, DEDUPED_SHORT_WINDOW, STREAMED_RETRIABLE, STREAMED_NON_RETRIABLE);
+    /** Its dedup window closes before the client's deadline. */
+    static final ModelGroup DEDUPED_SHORT_WINDOW = new ModelGroup("marked-briefly", RetrySafety.DEDUPED, DedupScope.ALL, 100, 400, 0, 1000,
+            1, 0.2, false);
+    /** Groups with streamed answers; otherwise like the first two. */
+    static final ModelGroup STREAMED_RETRIABLE = new ModelGroup("told", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1, 0.2,
+            true);
+    static final ModelGroup STREAMED_NON_RETRIABLE = new ModelGroup("signed", RetrySafety.NON_RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1,
+            0.2, true);
+    static final List<ModelGroup> GROUPS = List.of(RETRIABLE, NON_RETRIABLE, DEDUPED, DEDUPED_IN_LOCATION, DEDUPED_IN_CELL,
+            DEDUPED_SHORT_WINDOW, STREAMED_RETRIABLE, STREAMED_NON_RETRIABLE);
 
     private record ScheduledTimer(double at, long id, Object target) { }
 
-    /** A client that waits. */
+    /** A client that waits for an answer, and records what it receives. */
     final class Client implements AnswerObserver {
         final List<FinalAnswer> answers = new ArrayList<>();
         String rejection;
         InferenceState inferenceState;
         double answeredAt;
-        boolean gone;
+        boolean disconnected;
         AnswerStream<?> answerStream;
 
         @Override
@@ -63,13 +68,13 @@
         }
 
         @Override
-        public void onStreamStarted(AnswerStream<?> begun) {
-            answerStream = begun;
+        public void onStreamStarted(AnswerStream<?> stream) {
+            answerStream = stream;
         }
 
         @Override
         public boolean isDisconnected() {
-            return gone;
+            return disconnected;
         }
 
         @Override
@@ -79,15 +84,16 @@
         }
 
         @Override
-        public void onRejected(int status, String word, String why) {
-            rejection = status + " " + word;
+        public void onRejected(int status, String errorCode, String detail) {
+            rejection = status + " " + errorCode;
         }
 
         @Override
-        public void onAccepted(InferenceState taken) {
-            inferenceState = taken;
+        public void onAccepted(InferenceState state) {
+            inferenceState = state;
         }
 
+        /** The rejection, or the number of answers with the kind of the first. */
         String received() {
             return rejection != null ? rejection : answers.size() + (answers.isEmpty() ? "" : " " + answers.get(0).kind());
         }
@@ -97,7 +103,7 @@
     final List<InFlightForward> forwards = new ArrayList<>();
     final List<LoadOrder> orders = new ArrayList<>();
     private final List<Probe> probes = new ArrayList<>();
-    final List<String> said = new ArrayList<>();
+    final List<String> routerFailures = new ArrayList<>();
     final MessageStore messageStore;
     final InferenceCoordinator coordinator;
     int sentAfterAnswers;
@@ -106,50 +112,50 @@
             Comparator.comparingDouble(ScheduledTimer::at).thenComparingLong(ScheduledTimer::id));
     private final Map<Long, ScheduledTimer> activeTimers = new HashMap<>();
     private long nextTimerId;
-    /** Milliseconds by which the wall clock was stepped. */
+    /** Milliseconds by which the wall clock differs from the monotonic time. */
     double wallClockOffset;
-    /** The next timer cannot be set: an exception where no module is at work. */
+    /** Makes scheduling the next timer throw, outside the router. */
     boolean nextTimerFails;
 
-    private static ModelGroup group(String name, RetrySafety repeat, DedupScope scope) {
-        return new ModelGroup(name, repeat, scope, 1500, 400, 0, 1000, 1, 0.2, false);
+    private static ModelGroup group(String name, RetrySafety retrySafety, DedupScope scope) {
+        return new ModelGroup(name, retrySafety, scope, 1500, 400, 0, 1000, 1, 0.2, false);
     }
 
-    CoordinatorHarness(long seed, int held, int remembered, UnaryOperator<Router> around) {
-        this(seed, held, remembered, around, Ledger.NONE, ClaimService.ALONE);
+    CoordinatorHarness(long seed, int maxInferences, int maxMessages, UnaryOperator<Router> routerWrapper) {
+        this(seed, maxInferences, maxMessages, routerWrapper, Ledger.NONE, ClaimService.ALONE);
     }
 
-    CoordinatorHarness(long seed, int held, int remembered, UnaryOperator<Router> around, Ledger ledger,
-            ClaimService claims) {
-        this(seed, held, remembered, around, ledger, claims, false);
+    CoordinatorHarness(long seed, int maxInferences, int maxMessages, UnaryOperator<Router> routerWrapper, Ledger ledger,
+            ClaimService claimService) {
+        this(seed, maxInferences, maxMessages, routerWrapper, ledger, claimService, false);
     }
 
-    /** Executors may be probed, and the test answers the probes. */
-    static CoordinatorHarness withProbes(UnaryOperator<Router> around) {
-        return new CoordinatorHarness(1, 100, 1000, around, Ledger.NONE, ClaimService.ALONE, true);
+    /** A harness whose router sends probes, which the test answers. */
+    static CoordinatorHarness withProbes(UnaryOperator<Router> routerWrapper) {
+        return new CoordinatorHarness(1, 100, 1000, routerWrapper, Ledger.NONE, ClaimService.ALONE, true);
     }
 
-    private CoordinatorHarness(long seed, int held, int remembered, UnaryOperator<Router> around, Ledger ledger,
-            ClaimService claims, boolean probes) {
-        Random chance = new Random(seed);
-        messageStore = new MessageStore(remembered, 10_000, 600_000, 1000, seed);
+    private CoordinatorHarness(long seed, int maxInferences, int maxMessages, UnaryOperator<Router> routerWrapper, Ledger ledger,
+            ClaimService claimService, boolean probes) {
+        Random random = new Random(seed);
+        messageStore = new MessageStore(maxMessages, 10_000, 600_000, 1000, seed);
         LoadingRules loading = new LoadingRules(true, false, 10_000, 3000, 0, List.of());
-        ForwardRules forwarding = new ForwardRules(4, false, true, 250, 8, 1000, true, 500);
-        ColdStartRule cold = new ColdStartRule(0.2, 5000, 3, 1000);
-        coordinator = new InferenceCoordinator("fe", outlet -> around.apply(createRouter(outlet, new Random(chance.nextLong()), loading, forwarding,
-                cold, probes)), this, this, this, this, messageStore, ledger, claims,
-                new InquiryScheduler(30_000, 4, 100), AnswerFormat.WEBHOOK, new InferenceCoordinator.AdmissionLimits(held, 50, 3), loading, forwarding, cold,
-                List.of("yard", "shop"), counts);
+        ForwardRules forwardRules = new ForwardRules(4, false, true, 250, 8, 1000, true, 500);
+        ColdStartRule coldStartRule = new ColdStartRule(0.2, 5000, 3, 1000);
+        coordinator = new InferenceCoordinator("fe", actions -> routerWrapper.apply(createRouter(actions, new Random(random.nextLong()),
+                loading, forwardRules, coldStartRule, probes)), this, this, this, this, messageStore, ledger, claimService,
+                new InquiryScheduler(30_000, 4, 100), AnswerFormat.WEBHOOK, new InferenceCoordinator.AdmissionLimits(maxInferences, 50, 3),
+                loading, forwardRules, coldStartRule, List.of("yard", "shop"), counts);
     }
 
-    private static Router createRouter(RouterActions outlet, Random chance, LoadingRules loading, ForwardRules forwarding,
-            ColdStartRule cold, boolean probes) {
-        return new Policy(outlet, chance, new FrontEndSettings(0, 1, 0, false, probes, false, 0, 0, 2), GROUPS,
-                List.of(), 1, cold, new LoadOrderBudget(0, 0, 0), loading, forwarding);
+    private static Router createRouter(RouterActions actions, Random random, LoadingRules loading, ForwardRules forwardRules,
+            ColdStartRule coldStartRule, boolean probes) {
+        return new Policy(actions, random, new FrontEndSettings(0, 1, 0, false, probes, false, 0, 0, 2), GROUPS,
+                List.of(), 1, coldStartRule, new LoadOrderBudget(0, 0, 0), loading, forwardRules);
     }
 
-    static ModelCatalog.Entry model(ModelGroup group, int n) {
-        return new ModelCatalog.Entry(group.name() + n, ModelCatalog.hash(group.name() + n), group, 100, 4, 50);
+    static ModelCatalog.Entry model(ModelGroup group, int number) {
+        return new ModelCatalog.Entry(group.name() + number, ModelCatalog.hash(group.name() + number), group, 100, 4, 50);
     }
 
     void runBatch(double time, Runnable events) {
@@ -159,7 +165,7 @@
         coordinator.endBatch();
     }
 
-    /** Lets time pass, timer by timer. */
+    /** Advances the virtual time, firing the timers one by one. */
     void advanceTo(double until) {
         while (coordinator.hasDeferredEvents() || !timerQueue.isEmpty() && timerQueue.peek().at <= until) {
             if (coordinator.hasDeferredEvents()) {
@@ -178,46 +184,47 @@
         return activeTimers.size();
     }
 
-    void updateRoster(RosterUpdateKind form, RosterEntry... lines) {
-        runBatch(now, () -> coordinator.onRosterUpdate(form, List.of(lines)));
+    void updateRoster(RosterUpdateKind kind, RosterEntry... lines) {
+        runBatch(now, () -> coordinator.onRosterUpdate(kind, List.of(entries)));
     }
 
-    static RosterEntry rosterEntry(int n, ExecutorState standing, double startedAt) {
-        return new RosterEntry("10.0.0." + n + ":80", 1, startedAt, standing, n % 2, 0, 0);
+    static RosterEntry rosterEntry(int number, ExecutorState state, double startedAt) {
+        return new RosterEntry("10.0.0." + number + ":80", 1, startedAt, state, number % 2, 0, 0);
     }
 
-    Client sendMessage(String id, ModelGroup group, long body) {
+    Client sendMessage(String id, ModelGroup group, long digest) {
         Client client = new Client();
-        runBatch(now, () -> coordinator.onMessage(incomingMessage(id, group, body, 0, client)));
+        runBatch(now, () -> coordinator.onMessage(incomingMessage(id, group, digest, 0, client)));
         return client;
     }
 
-    IncomingMessage incomingMessage(String id, ModelGroup group, long body, int model, Client client) {
-        return new IncomingMessage(0, id, body, 0, model(group, model), new InferenceInput(new byte[0], null), 0, now, (long) (now / 1000), null, client);
+    IncomingMessage incomingMessage(String id, ModelGroup group, long digest, int model, Client client) {
+        return new IncomingMessage(0, id, digest, 0, model(group, model), new InferenceInput(new byte[0], null), 0, now,
+                (long) (now / 1000), null, client);
     }
 
-    /** Every load order and question is answered with that many copies. */
+    /** Answers all open load orders and status queries with that number of loaded copies. */
     void answerLoadOrders(int copies) {
-        advanceTo(now); // what was asked for before an order is told before its answer
+        advanceTo(now); // deferred events come before the answers
         for (LoadOrder order : List.copyOf(orders)) {
             orders.remove(order);
             runBatch(now, () -> coordinator.onLoadOrderEnded(order, Outcome.RETURNED, copies));
         }
     }
 
-    /** Its first part has come. */
-    AnswerStream<String> startAnswer(InFlightForward flight) {
-        AnswerStream<String> flow = new AnswerStream<>(() -> { }, new AnswerStream.Limits(1000, 100, 1000, counts));
-        flow.put("first", 5);
-        runBatch(now, () -> coordinator.onAnswerStarted(flight, flow));
-        return flow;
+    /** The first part of its streamed answer arrives. */
+    AnswerStream<String> startAnswer(InFlightForward forward) {
+        AnswerStream<String> stream = new AnswerStream<>(() -> { }, new AnswerStream.Limits(1000, 100, 1000, counts));
+        stream.put("first", 5);
+        runBatch(now, () -> coordinator.onAnswerStarted(forward, stream));
+        return stream;
     }
 
-    void endForward(InFlightForward flight, Outcome outcome) {
-        runBatch(now, () -> coordinator.onForwardEnded(flight, outcome, LoadStatus.ALREADY_LOADED, 0, null, "{}".getBytes()));
+    void endForward(InFlightForward forward, Outcome outcome) {
+        runBatch(now, () -> coordinator.onForwardEnded(forward, outcome, LoadStatus.ALREADY_LOADED, 0, null, "{}".getBytes()));
     }
 
-    /** The one flight out, after everything asked has been said to stand. */
+    /** The latest forward once all load orders are answered as loaded; null where it has ended. */
     InFlightForward awaitForward() {
         for (int i = 0; i < 20; i++) {
             answerLoadOrders(1);
@@ -228,13 +235,13 @@
     }
 
     @Override
-    public void forward(InFlightForward flight) {
-        sentAfterAnswers += flight.inferenceState.answer == null ? 0 : 1;
-        forwards.add(flight);
+    public void forward(InFlightForward forward) {
+        sentAfterAnswers += forward.inferenceState.answer == null ? 0 : 1;
+        forwards.add(forward);
     }
 
     @Override
-    public void cancel(InFlightForward flight) { }
+    public void cancel(InFlightForward forward) { }
 
     @Override
     public void sendLoadOrder(LoadOrder order) {
@@ -242,7 +249,7 @@
     }
 
     @Override
-    public void unloadIdle(ExecutorEndpoint place, String model) { }
+    public void unloadIdle(ExecutorEndpoint endpoint, String model) { }
 
     @Override
     public void sendProbe(Probe probe) {
@@ -253,94 +260,94 @@
         return probes.size();
     }
 
-    /** Where the n-th probe went: instance and address. */
-    String probeTarget(int n) {
-        return probes.get(n).endpoint.instance + " " + probes.get(n).endpoint.address;
+    /** Instance and address to which the n-th probe was sent. */
+    String probeTarget(int number) {
+        return probes.get(number).endpoint.instance + " " + probes.get(number).endpoint.address;
     }
 
-    double probeSentAt(int n) {
-        return probes.get(n).sentAt;
+    double probeSentAt(int number) {
+        return probes.get(number).sentAt;
     }
 
-    /** The n-th probe's answer comes in. */
-    void answerProbe(int n, Outcome outcome, ExecutorReport report) {
-        Probe sent = probes.get(n);
+    /** The n-th probe's answer arrives. */
+    void answerProbe(int number, Outcome outcome, ExecutorReport report) {
+        Probe sent = probes.get(number);
         runBatch(now, () -> coordinator.onProbeEnded(sent, outcome, report));
     }
 
-    /** The roster no longer tells who is ready: from now on only probes prove it. */
+    /** The roster is no longer known to be complete: from now on only probes prove that an executor is ready. */
     void expireRoster() {
         runBatch(now, () -> coordinator.onRosterConfirmed(now - 1000, now - 1000));
     }
 
-    /** The present place of an instance; null where it has none. */
+    /** The current endpoint of an instance; null where it has none. */
     ExecutorEndpoint endpointOf(String instance) {
-        return coordinator.endpoints().stream().filter(place -> place.instance.equals(instance)).findFirst().orElse(null);
+        return coordinator.endpoints().stream().filter(endpoint -> endpoint.instance.equals(instance)).findFirst().orElse(null);
     }
 
     boolean maySendTo(String instance) {
-        ExecutorEndpoint place = endpointOf(instance);
-        return place != null && coordinator.maySendTo(place, now);
+        ExecutorEndpoint endpoint = endpointOf(instance);
+        return endpoint != null && coordinator.maySendTo(endpoint, now);
     }
 
     final List<String> inquiries = new ArrayList<>();
     InquiryCallback lastInquiry;
 
     @Override
-    public void inquire(ExecutorEndpoint place, String forward, InquiryCallback then) {
-        inquiries.add(place.address + " " + forward);
-        lastInquiry = then;
-        openInquiries.add(new SentInquiry(place.address, then));
+    public void inquire(ExecutorEndpoint endpoint, String forwardId, InquiryCallback callback) {
+        inquiries.add(endpoint.address + " " + forwardId);
+        lastInquiry = callback;
+        openInquiries.add(new SentInquiry(endpoint.address, callback));
     }
 
     private record SentInquiry(String address, InquiryCallback callback) { }
 
     private final List<SentInquiry> openInquiries = new ArrayList<>();
 
-    /** What executors at that address were asked since is answered; {@code upSince} as their clock has it. */
-    void answerInquiries(String address, InquiryScheduler.OutcomeReply what, double upSince) {
-        List<SentInquiry> open = openInquiries.stream().filter(question -> question.address.equals(address)).toList();
-        openInquiries.removeAll(open);
-        open.forEach(question -> runBatch(now, () -> question.callback.onReply(what, upSince, "{}".getBytes())));
+    /** Answers all open inquiries sent to that address. */
+    void answerInquiries(String address, InquiryScheduler.OutcomeReply reply, double processNumber) {
+        List<SentInquiry> toAnswer = openInquiries.stream().filter(inquiry -> inquiry.address.equals(address)).toList();
+        openInquiries.removeAll(toAnswer);
+        toAnswer.forEach(inquiry -> runBatch(now, () -> inquiry.callback.onReply(reply, processNumber, "{}".getBytes())));
     }
 
-    /** The start that every executor's process tells of itself. */
+    /** The process number that every executor reports. */
     double processNumber;
 
     @Override
-    public void requestProcessId(ExecutorEndpoint place, DoubleConsumer then) {
-        schedule(now, (Runnable) () -> then.accept(processNumber));
+    public void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback) {
+        schedule(now, (Runnable) () -> callback.accept(processNumber));
     }
 
     @Override
-    public void closeWhenIdle(ExecutorEndpoint place) { }
+    public void closeWhenIdle(ExecutorEndpoint endpoint) { }
 
     @Override
-    public long schedule(double at, Object whom) {
+    public long schedule(double at, Object target) {
         if (nextTimerFails) {
             nextTimerFails = false;
-            throw new IllegalStateException("planted");
+            throw new IllegalStateException("injected");
         }
-        ScheduledTimer alarm = new ScheduledTimer(Math.max(at, now), nextTimerId++, whom);
-        timerQueue.add(alarm);
-        activeTimers.put(alarm.id, alarm);
-        return alarm.id;
+        ScheduledTimer timer = new ScheduledTimer(Math.max(at, now), nextTimerId++, target);
+        timerQueue.add(timer);
+        activeTimers.put(timer.id, timer);
+        return timer.id;
     }
 
     @Override
-    public void cancel(long timer, Object whom) {
-        ScheduledTimer alarm = activeTimers.get(timer);
-        if (alarm != null && alarm.target == whom) {
-            activeTimers.remove(timer);
+    public void cancel(long id, Object target) {
+        ScheduledTimer timer = activeTimers.get(id);
+        if (timer != null && timer.target == target) {
+            activeTimers.remove(id);
         }
     }
 
     @Override
-    public void onInferenceEnded(InferenceState life, double at) { }
+    public void onInferenceEnded(InferenceState state, double at) { }
 
     @Override
-    public void onRouterFailed(RuntimeException why, String during, int inferences) {
-        said.add(during + ": " + why.getMessage() + ", " + inferences);
+    public void onRouterFailed(RuntimeException failure, String event, int inferences) {
+        routerFailures.add(event + ": " + failure.getMessage() + ", " + inferences);
     }
 
     @Override
@@ -352,12 +359,12 @@
     }
 
     @Override
-    public double toUnixMillis(double moduleTime) {
-        return moduleTime + wallClockOffset;
+    public double toUnixMillis(double monotonicTime) {
+        return monotonicTime + wallClockOffset;
     }
 
     @Override
-    public Instant toInstant(double moduleTime) {
-        return Instant.ofEpochMilli((long) toUnixMillis(moduleTime));
+    public Instant toInstant(double monotonicTime) {
+        return Instant.ofEpochMilli((long) toUnixMillis(monotonicTime));
     }
 }
--- a/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
+++ b/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the desk puts off (a listing, a removal, a forward whose intent waits) meets a roster that has changed since. */
+/** Deferred actions (a listing, a removal, a forward that waits for its intent) after the roster has changed meanwhile. */
 class DeferredActionsTest {
     private static final double EXPECTED = 100;
     private static final double FALL_TIME = 1000;
@@ -24,103 +24,107 @@
     private double startedAt;
     private int messagesSent;
 
-    private RosterEntry rosterEntry(String address, ExecutorState standing) {
-        return new RosterEntry("s-1", address, 1, startedAt, standing, 0, 0, 0);
+    private RosterEntry rosterEntry(String address, ExecutorState state) {
+        return new RosterEntry("s-1", address, 1, startedAt, state, 0, 0, 0);
     }
 
-    /** Its one executor has just started, and the front end a while ago. */
-    private CoordinatorHarness startWithColdExecutor(UnaryOperator<Router> around) {
-        CoordinatorHarness stage = new CoordinatorHarness(1, 100, 1000, around, ledger, ClaimService.ALONE);
-        stage.updateRoster(RosterUpdateKind.FULL);
-        stage.advanceTo(stage.now + 1500);
-        startedAt = stage.now;
-        stage.updateRoster(RosterUpdateKind.FULL, rosterEntry("10.0.0.1:80", ExecutorState.READY));
-        return stage;
+    /** The only executor has just started; the front end has been running for a while. */
+    private CoordinatorHarness startWithColdExecutor(UnaryOperator<Router> routerWrapper) {
+        CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, routerWrapper, ledger, ClaimService.ALONE);
+        harness.updateRoster(RosterUpdateKind.FULL);
+        harness.advanceTo(harness.now + 1500);
+        startedAt = harness.now;
+        harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("10.0.0.1:80", ExecutorState.READY));
+        return harness;
     }
 
     private static UnaryOperator<Router> failingFirstRouter() {
-        int[] made = {0};
-        return real -> made[0]++ == 0 ? InferenceCoordinatorTest.failingOnCall(real, "onInferenceCancelled", 1) : real;
+        int[] routersCreated = {0};
+        return real -> routersCreated[0]++ == 0 ? InferenceCoordinatorTest.failingOnCall(real, "onInferenceCancelled", 1) : real;
     }
 
-    private Client sendMessages(CoordinatorHarness stage, double span) {
-        Client last = null;
+    private Client sendMessages(CoordinatorHarness harness, double duration) {
+        Client lastClient = null;
         for (int i = 0; i < 10; i++) {
-            last = stage.sendMessage("w" + messagesSent++, CoordinatorHarness.RETRIABLE, i);
+            lastClient = harness.sendMessage("w" + messagesSent++, CoordinatorHarness.RETRIABLE, i);
         }
-        for (double until = stage.now + span; stage.now < until; stage.advanceTo(stage.now + 5)) {
-            stage.answerLoadOrders(1);
+        for (double until = harness.now + duration; harness.now < until; harness.advanceTo(harness.now + 5)) {
+            harness.answerLoadOrders(1);
         }
-        return last;
+        return lastClient;
     }
 
-    /** Three quarters of the fall multiple times the window, at the share that a cold executor has as it begins. */
-    private void assertColdRationKept(CoordinatorHarness stage) {
-        double first = stage.forwards.get(0).forward.sentAt;
-        double ration = 0.75 * 3 * FALL_TIME * (0.2 + 0.8 * (first - startedAt) / WARM_WITHIN);
-        long sent = stage.forwards.stream().filter(flight -> flight.forward.sentAt < first + FALL_TIME).count();
-        assertTrue(sent * EXPECTED <= ration, sent + " forwards within the fall time, ration " + ration);
+    /** The limit is three quarters of overload factor x overload time, at the cold executor's share at the first forward. */
+    private void assertColdRationKept(CoordinatorHarness harness) {
+        double first = harness.forwards.get(0).forward.sentAt;
+        double budget = 0.75 * 3 * FALL_TIME * (0.2 + 0.8 * (first - startedAt) / WARM_WITHIN);
+        long sent = harness.forwards.stream().filter(forward -> forward.forward.sentAt < first + FALL_TIME).count();
+        assertTrue(sent * EXPECTED <= budget, sent + " forwards within the overload time, budget " + budget);
     }
 
-    /** Guards against a second ration in one window (rule 4): a list tells a fresh module of an executor that waits. */
+    /** Guards against twice the cold budget in one window (rule 4): a roster update lists a deferred executor to a new router. */
     @ParameterizedTest
     @ValueSource(strings = {"FULL", "CHANGES"})
     void rosterDoesNotListADeferredColdExecutorToANewRouter(RosterUpdateKind form) {
-        CoordinatorHarness stage = startWithColdExecutor(failingFirstRouter());
-        Client client = sendMessages(stage, 200);
-        stage.runBatch(stage.now, () -> stage.coordinator.onClientDisconnected(client.inferenceState, client));
-        assertEquals(1, stage.said.size());
-        stage.updateRoster(form, rosterEntry("10.0.0.1:80", ExecutorState.READY));
-        sendMessages(stage, 300);
-        assertColdRationKept(stage);
+        CoordinatorHarness harness = startWithColdExecutor(failingFirstRouter());
+        Client client = sendMessages(harness, 200);
+        harness.runBatch(harness.now, () -> harness.coordinator.onClientDisconnected(client.inferenceState, client));
+        assertEquals(1, harness.routerFailures.size());
+        harness.updateRoster(form, rosterEntry("10.0.0.1:80", ExecutorState.READY));
+        sendMessages(harness, 300);
+        assertColdRationKept(harness);
     }
 
-    /** Guards against an instance that is taken for gone for good: it moved while its listing was put off. */
+    /** Guards against an instance that counts as removed for good because it moved while its listing was deferred. */
     @Test
     void instanceThatMovesWhileDeferredStaysReady() {
-        CoordinatorHarness stage = startWithColdExecutor(failingFirstRouter());
-        Client client = stage.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        stage.runBatch(stage.now, () -> stage.coordinator.onClientDisconnected(client.inferenceState, client));
-        assertEquals(1, stage.said.size());
-        stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.9:80", ExecutorState.READY));
-        stage.advanceTo(stage.now + FALL_TIME + 100);
-        assertTrue(stage.maySendTo("s-1"));
+        CoordinatorHarness harness = startWithColdExecutor(failingFirstRouter());
+        Client client = harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        harness.runBatch(harness.now, () -> harness.coordinator.onClientDisconnected(client.inferenceState, client));
+        assertEquals(1, harness.routerFailures.size());
+        harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.9:80", ExecutorState.READY));
+        harness.advanceTo(harness.now + FALL_TIME + 100);
+        assertTrue(harness.maySendTo("s-1"));
     }
 
-    /** Guards against a second ration in one window (rule 4): what is sent lately goes with a place removed too early. */
+    /** Guards against twice the cold budget in one window (rule 4): an endpoint discarded too early loses its recent work. */
     @Test
     void endpointIsDiscardedAWindowAfterItsLastRemoval() {
-        CoordinatorHarness stage = startWithColdExecutor(UnaryOperator.identity());
-        stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.REMOVED));
-        stage.advanceTo(stage.now + 700);
-        stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.READY));
-        sendMessages(stage, 200);
-        stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.REMOVED));
-        stage.advanceTo(stage.now + 150);
-        stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.READY));
-        sendMessages(stage, 300);
-        assertColdRationKept(stage);
+        CoordinatorHarness harness = startWithColdExecutor(UnaryOperator.identity());
+        harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.REMOVED));
+        harness.advanceTo(harness.now + 700);
+        harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.READY));
+        sendMessages(harness, 200);
+        harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.REMOVED));
+        harness.advanceTo(harness.now + 150);
+        harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.READY));
+        sendMessages(harness, 300);
+        assertColdRationKept(harness);
     }
 
-    /** Guards against sends to who drains (rule 3), is cold (rule 4) or not there, decided before it was told: the disk is slow. */
+    /**
+     * Guards against sending to an executor that drains (rule 3), is cold (rule 4) or was removed or moved, because the forward
+     * was decided before that and waited for a slow disk.
+     */
     @ParameterizedTest
     @CsvSource({"10.0.0.1:80, DRAINING, 0", "10.0.0.1:80, REMOVED, 0", "10.0.0.9:80, READY, 0", "10.0.0.1:80, READY, 100"})
-    void forwardIsNotSentIfTheExecutorChangedWhileItsIntentWasWritten(String address, ExecutorState standing, double startsLater) {
-        CoordinatorHarness stage = startWithColdExecutor(UnaryOperator.identity());
-        stage.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        for (; !ledger.hasPending(); stage.advanceTo(stage.now + 5)) {
-            stage.answerLoadOrders(1);
+    void forwardIsNotSentIfTheExecutorChangedWhileItsIntentWasWritten(String address, ExecutorState state, double startShift) {
+        CoordinatorHarness harness = startWithColdExecutor(UnaryOperator.identity());
+        harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        for (; !ledger.hasPending(); harness.advanceTo(harness.now + 5)) {
+            harness.answerLoadOrders(1);
         }
-        startedAt += startsLater;
-        stage.updateRoster(RosterUpdateKind.CHANGES, rosterEntry(address, standing));
-        stage.advanceTo(stage.now + 600);
-        ledger.commit(stage, true);
-        assertEquals(List.of(), stage.forwards.stream().map(flight -> flight.endpoint.address).toList());
-        for (double until = stage.now + CoordinatorHarness.NON_RETRIABLE.routeTimeout(); stage.now < until; stage.advanceTo(stage.now + 5)) {
+        startedAt += startShift;
+        harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry(address, state));
+        harness.advanceTo(harness.now + 600);
+        ledger.commit(harness, true);
+        assertEquals(List.of(), harness.forwards.stream().map(forward -> forward.endpoint.address).toList());
+        for (double until = harness.now + CoordinatorHarness.NON_RETRIABLE.routeTimeout(); harness.now < until;
+                harness.advanceTo(harness.now + 5)) {
             while (ledger.hasPending()) {
-                ledger.commit(stage, true);
+                ledger.commit(harness, true);
             }
         }
-        assertEquals(0, stage.coordinator.openInferenceCount());
+        assertEquals(0, harness.coordinator.openInferenceCount());
     }
 }
--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -32,46 +32,47 @@
 class InferenceCoordinatorTest {
     private final CoordinatorHarness harness = harness(UnaryOperator.identity());
 
-    private static CoordinatorHarness harness(UnaryOperator<Router> around) {
-        CoordinatorHarness made = new CoordinatorHarness(1, 100, 1000, around);
-        made.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, 0), CoordinatorHarness.rosterEntry(2, ExecutorState.READY, 0));
-        return made;
+    private static CoordinatorHarness harness(UnaryOperator<Router> routerWrapper) {
+        CoordinatorHarness created = new CoordinatorHarness(1, 100, 1000, routerWrapper);
+        created.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, 0),
+                CoordinatorHarness.rosterEntry(2, ExecutorState.READY, 0));
+        return created;
     }
 
     private static ModelGroup group(String name) {
-        return CoordinatorHarness.GROUPS.stream().filter(g -> g.name().equals(name)).findFirst().orElseThrow();
+        return CoordinatorHarness.GROUPS.stream().filter(group -> group.name().equals(name)).findFirst().orElseThrow();
     }
 
-    /** Throws on the n-th call of a method. */
+    /** A router that throws on the n-th call of a method. */
     static Router failingOnCall(Router real, String method, int n) {
         int[] calls = {0};
         return (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class},
-                (proxy, called, args) -> {
-                    if (called.getName().equals(method) && ++calls[0] == n) {
-                        throw new IllegalStateException("planted");
+                (proxy, invoked, args) -> {
+                    if (invoked.getName().equals(method) && ++calls[0] == n) {
+                        throw new IllegalStateException("injected");
                     }
-                    return called.invoke(real, args);
+                    return invoked.invoke(real, args);
                 });
     }
 
-    /** Guards against refusals that are planned for a quiet machine and reach their clients late from a busy one. */
+    /** Guards against answers that reach clients after their deadline, because the delay of a busy machine is not allowed for. */
     @Test
     void shedsEarlierWhenAnswersAreDelayed() {
         harness.updateRoster(RosterUpdateKind.FULL);
         harness.coordinator.answerDelay().recordWriteDelay(40, harness.now);
         Client client = harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        double clientLeavesAt = harness.now + CoordinatorHarness.RETRIABLE.routeTimeout();
-        harness.advanceTo(clientLeavesAt);
+        double clientDeadline = harness.now + CoordinatorHarness.RETRIABLE.routeTimeout();
+        harness.advanceTo(clientDeadline);
         assertEquals("1 SHED", client.received());
-        assertTrue(client.answeredAt <= clientLeavesAt - 40, client.answeredAt + " of " + clientLeavesAt);
+        assertTrue(client.answeredAt <= clientDeadline - 40, client.answeredAt + " of " + clientDeadline);
     }
 
-    /** Guards against telling a caller of missing room where an executor had its inference and did not answer in time. */
+    /** Guards against reporting missing capacity where an executor had the inference and did not answer in time. */
     @ParameterizedTest
     @CsvSource({"true, no answer from an executor within its time", "false, no room for it within its time"})
-    void shedAnswerSaysWhetherTheInferenceWasForwarded(boolean out, String detail) {
+    void shedAnswerSaysWhetherTheInferenceWasForwarded(boolean forwarded, String detail) {
         Client client = harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        if (out) {
+        if (forwarded) {
             assertNotNull(harness.awaitForward());
         }
         harness.advanceTo(harness.now + CoordinatorHarness.RETRIABLE.routeTimeout());
@@ -95,7 +96,7 @@
         assertEquals(2, harness.coordinator.endpoints().size());
     }
 
-    /** Discovery has the same instance at another address: nothing more goes to the old one. */
+    /** The roster lists an instance at a new address: nothing more is sent to the old one. */
     @Test
     void movedInstanceIsReachedAtItsNewAddress() {
         harness.updateRoster(RosterUpdateKind.FULL, new RosterEntry("s-1", "10.0.0.1:80", 1, 0, ExecutorState.READY, 0, 0, 0));
@@ -112,7 +113,7 @@
         assertEquals(0, harness.coordinator.openInferenceCount());
     }
 
-    /** Its start is converted once: a step of the wall clock, or a rounding, is no new start. */
+    /** The start time is converted once: neither a step of the wall clock nor rounding is taken for a restart. */
     @Test
     void wallClockStepIsNotAnExecutorRestart() {
         harness.updateRoster(RosterUpdateKind.CHANGES, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, harness.now - 500));
@@ -124,31 +125,31 @@
 
     @Test
     void failureToAcceptAMessageAffectsOnlyThatMessage() {
-        Client broken = harness.new Client();
+        Client failing = harness.new Client();
         harness.nextTimerFails = true;
         assertThrows(IllegalStateException.class, () -> harness.runBatch(harness.now,
-                () -> harness.coordinator.onMessage(harness.incomingMessage("a", CoordinatorHarness.RETRIABLE, 1, 0, broken))));
-        assertEquals("500 internal-error", broken.received());
+                () -> harness.coordinator.onMessage(harness.incomingMessage("a", CoordinatorHarness.RETRIABLE, 1, 0, failing))));
+        assertEquals("500 internal-error", failing.received());
         Client next = harness.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
         harness.endForward(harness.awaitForward(), Outcome.RETURNED);
         assertEquals("1 RETURNED", next.received());
         harness.advanceTo(harness.now + 2000);
-        assertEquals(List.of(), broken.answers);
+        assertEquals(List.of(), failing.answers);
     }
 
-    /** It lay unread while the process stood still: nothing of it is sent any more. */
+    /** The message was not read in time, since the process was suspended: nothing of it is sent. */
     @Test
     void messagePastItsDeadlineIsShedAtOnce() {
         Client late = harness.new Client();
-        IncomingMessage arrival = harness.incomingMessage("a", CoordinatorHarness.RETRIABLE, 1, 0, late);
+        IncomingMessage message = harness.incomingMessage("a", CoordinatorHarness.RETRIABLE, 1, 0, late);
         harness.now += 1000;
-        harness.runBatch(harness.now, () -> harness.coordinator.onMessage(arrival));
+        harness.runBatch(harness.now, () -> harness.coordinator.onMessage(message));
         assertEquals("1 SHED", late.received());
         assertEquals(0, harness.coordinator.openInferenceCount());
         assertEquals(List.of(), harness.forwards);
     }
 
-    /** A late thread: the module's last moment and the client's time come at once. What never ran is shed, not failed. */
+    /** The thread is late, so the router's deadline and the client's expire together: an inference that never ran is shed, not failed. */
     @Test
     void lateTimeoutStillLetsTheRouterDecide() {
         harness.updateRoster(RosterUpdateKind.FULL);
@@ -163,12 +164,12 @@
     @Test
     void repeatedMessageIsOneInferenceWithOneAnswer() {
         Client first = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        Client joins = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        Client other = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 2);
+        Client joined = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        Client mismatch = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 2);
         harness.endForward(harness.awaitForward(), Outcome.RETURNED);
         Client after = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         assertEquals(List.of("1 RETURNED", "1 RETURNED", "409 other-body", "1 RETURNED"),
-                List.of(first.received(), joins.received(), other.received(), after.received()));
+                List.of(first.received(), joined.received(), mismatch.received(), after.received()));
         assertSame(first.answers.get(0), after.answers.get(0));
         assertEquals(1, harness.forwards.size());
         assertEquals(0, harness.coordinator.openInferenceCount());
@@ -176,25 +177,25 @@
 
     @ParameterizedTest
     @CsvSource({
-        // group, how its only forward ends, later, what the same message is then: run again, answered as before or as unknown
+        // group, how its only forward ends, milliseconds until the repeat, its result: runs again, recorded or unknown answer
         "quick, TIMED_OUT, 0, again", "quick, TIMED_OUT, 30000, again", "booking, TIMED_OUT, 0, recorded",
         "booking, TIMED_OUT, 30000, recorded", "marked, TIMED_OUT, 0, again", "marked, TIMED_OUT, 2000, unknown",
         "marked-there, TIMED_OUT, 0, recorded", "booking, RETURNED, 0, recorded", "quick, RETURNED, 30000, recorded",
         "quick, RETURNED, 601000, again", "booking, RETURNED, 601000, again",
     })
-    void repeatRunsAgainOnlyWhereRule2Allows(String name, Outcome outcome, double later, String what) {
+    void repeatRunsAgainOnlyWhereRule2Allows(String name, Outcome outcome, double delay, String expected) {
         Client first = harness.sendMessage("a", group(name), 1);
-        InFlightForward flight = harness.awaitForward();
+        InFlightForward forward = harness.awaitForward();
         if (outcome == Outcome.RETURNED) {
-            harness.endForward(flight, outcome);
+            harness.endForward(forward, outcome);
         } else {
             harness.advanceTo(harness.now + 1100);
         }
         assertEquals(1, first.answers.size());
-        harness.now += later;
+        harness.now += delay;
         Client again = harness.sendMessage("a", group(name), 1);
-        assertEquals(what.equals("again"), again.answers.isEmpty());
-        if (what.equals("unknown")) {
+        assertEquals(expected.equals("again"), again.answers.isEmpty());
+        if (expected.equals("unknown")) {
             assertTrue(first.answers.get(0).repeatHarmless(), "its window was open");
             assertEquals("1 FAILED", again.received());
             assertFalse(again.answers.get(0).repeatHarmless(), "its window has closed");
@@ -203,7 +204,7 @@
         }
     }
 
-    /** What a deduped message's second life may do ends with the window of its first forward. */
+    /** The second inference of a deduped message must end within the dedup window of the first forward. */
     @Test
     void secondInferenceStaysWithinTheDedupWindowOfTheFirst() {
         harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
@@ -213,7 +214,7 @@
         assertEquals(first + 1500, again.inferenceState.inference.deadlineAt, 1e-6);
         harness.updateRoster(RosterUpdateKind.FULL);
         harness.advanceTo(harness.now + 2000);
-        // Nothing of it ran, but its first life may have: no word that a repeat is harmless.
+        // The second inference did not run, but the first may have: the answer must not call a repeat harmless.
         assertEquals("1 FAILED", again.received());
         harness.advanceTo(harness.now + 10);
         assertSame(again.answers.get(0), harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1).answers.get(0));
@@ -221,13 +222,13 @@
 
     @ParameterizedTest
     @CsvSource({
-        // group, whether its forward is out, what the same message is after its client left
+        // group, whether it was forwarded, the result of a repeat after its clients disconnected
         "quick, true, again", "booking, true, recorded", "booking, false, again", "marked, true, again",
     })
-    void inferenceEndsWhenItsLastClientDisconnects(String name, boolean out, String what) {
+    void inferenceEndsWhenItsLastClientDisconnects(String name, boolean forwarded, String expected) {
         Client client = harness.sendMessage("a", group(name), 1);
         Client second = harness.sendMessage("a", group(name), 1);
-        if (out) {
+        if (forwarded) {
             harness.awaitForward();
         }
         harness.runBatch(harness.now, () -> harness.coordinator.onClientDisconnected(client.inferenceState, client));
@@ -235,252 +236,259 @@
         harness.runBatch(harness.now, () -> harness.coordinator.onClientDisconnected(second.inferenceState, second));
         harness.advanceTo(harness.now + 1);
         assertEquals(0, harness.coordinator.openInferenceCount());
-        assertEquals(out ? 1 : 0, harness.counts.value("forwards_ended_cancelled"));
+        assertEquals(forwarded ? 1 : 0, harness.counts.value("forwards_ended_cancelled"));
         Client again = harness.sendMessage("a", group(name), 1);
-        assertEquals(what.equals("again") ? "0" : "1 FAILED", again.received());
+        assertEquals(expected.equals("again") ? "0" : "1 FAILED", again.received());
         assertTrue(client.answers.isEmpty());
     }
 
     @Test
     void admissionLimitsShedBeforeAcceptance() {
-        CoordinatorHarness small = new CoordinatorHarness(1, 2, 3, UnaryOperator.identity());
-        assertEquals("0", small.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1).received());
-        assertEquals("0", small.sendMessage("b", CoordinatorHarness.RETRIABLE, 1).received());
-        Client held = small.sendMessage("c", CoordinatorHarness.NON_RETRIABLE, 1);
-        assertEquals("1 SHED", held.received());
-        assertEquals(1000, held.answers.get(0).retryAfterMillis());
-        small.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        small.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        assertEquals("429 too-many-repeats", small.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1).received());
-        small.advanceTo(small.now + 1100);
-        // Three remembered at most: what is retriable is forgotten first, what is not never.
+        CoordinatorHarness limited = new CoordinatorHarness(1, 2, 3, UnaryOperator.identity());
+        assertEquals("0", limited.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1).received());
+        assertEquals("0", limited.sendMessage("b", CoordinatorHarness.RETRIABLE, 1).received());
+        Client overLimit = limited.sendMessage("c", CoordinatorHarness.NON_RETRIABLE, 1);
+        assertEquals("1 SHED", overLimit.received());
+        assertEquals(1000, overLimit.answers.get(0).retryAfterMillis());
+        limited.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        limited.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        assertEquals("429 too-many-repeats", limited.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1).received());
+        limited.advanceTo(limited.now + 1100);
+        // At most three messages are stored: retriable ones are evicted first, the others never.
         for (String id : List.of("d", "e")) {
-            small.sendMessage(id, CoordinatorHarness.NON_RETRIABLE, 1);
-            small.advanceTo(small.now + 1100);
+            limited.sendMessage(id, CoordinatorHarness.NON_RETRIABLE, 1);
+            limited.advanceTo(limited.now + 1100);
         }
-        assertEquals(3, small.messageStore.size());
-        assertEquals(1, small.messageStore.evictedCount());
-        assertEquals("409 other-body", small.sendMessage("b", CoordinatorHarness.RETRIABLE, 2).received());
-        assertEquals("1 SHED", small.sendMessage("f", CoordinatorHarness.NON_RETRIABLE, 1).received());
-        assertEquals("1 SHED", small.sendMessage("f", CoordinatorHarness.RETRIABLE, 1).received());
+        assertEquals(3, limited.messageStore.size());
+        assertEquals(1, limited.messageStore.evictedCount());
+        assertEquals("409 other-body", limited.sendMessage("b", CoordinatorHarness.RETRIABLE, 2).received());
+        assertEquals("1 SHED", limited.sendMessage("f", CoordinatorHarness.NON_RETRIABLE, 1).received());
+        assertEquals("1 SHED", limited.sendMessage("f", CoordinatorHarness.RETRIABLE, 1).received());
     }
 
     @Test
     void answerAfterItsForwardEndedIsCountedAndDropped() {
         Client client = harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        InFlightForward flight = harness.awaitForward();
+        InFlightForward forward = harness.awaitForward();
         harness.advanceTo(harness.now + 1100);
         FinalAnswer given = client.answers.get(0);
-        harness.endForward(flight, Outcome.RETURNED);
+        harness.endForward(forward, Outcome.RETURNED);
         assertEquals(1, harness.counts.value("late_answers_dropped"));
         assertEquals(List.of(given), client.answers);
     }
 
-    /** A module that forgets an inference: the desk still answers it in time. */
+    /** A router that ignores an inference: the coordinator answers it at its deadline. */
     @Test
     void inferenceIgnoredByTheRouterIsAnsweredAtItsDeadline() {
-        CoordinatorHarness deaf = harness(real -> (Router) Proxy.newProxyInstance(Router.class.getClassLoader(),
+        CoordinatorHarness ignoring = harness(real -> (Router) Proxy.newProxyInstance(Router.class.getClassLoader(),
                 new Class<?>[] {Router.class}, (p, called, args) ->
                         called.getName().equals("onInferenceAccepted") ? null : called.invoke(real, args)));
-        double start = deaf.now;
-        Client client = deaf.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        deaf.advanceTo(start + 5000);
+        double start = ignoring.now;
+        Client client = ignoring.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        ignoring.advanceTo(start + 5000);
         assertEquals("1 FAILED", client.received());
         assertEquals(start + 1000, client.answeredAt, 1e-6);
-        assertEquals(1, deaf.counts.value("answers_overdue"));
+        assertEquals(1, ignoring.counts.value("answers_overdue"));
     }
 
     @ParameterizedTest
     @CsvSource({"quick, false, 1 SHED", "quick, true, 1 SHED", "booking, false, 1 SHED", "booking, true, 1 FAILED",
         "marked, true, 1 SHED", "marked-there, true, 1 FAILED"})
-    void routerFailureEndsItsInferencesByTheRules(String name, boolean out, String heard) {
-        int[] made = {0};
-        CoordinatorHarness breaking = harness(real -> made[0]++ == 0 ? failingOnCall(real, "onProbeEnded", 1) : real);
-        Client client = breaking.sendMessage("a", group(name), 1);
-        InFlightForward flight = out ? breaking.awaitForward() : null;
-        breaking.runBatch(breaking.now, () -> {
-            ExecutorEndpoint place = breaking.coordinator.endpoints().iterator().next();
-            breaking.coordinator.onProbeEnded(new Probe(place, 0, breaking.now), Outcome.RETURNED, null);
+    void routerFailureEndsItsInferencesByTheRules(String name, boolean forwarded, String expected) {
+        int[] routersCreated = {0};
+        CoordinatorHarness failing = harness(real -> routersCreated[0]++ == 0 ? failingOnCall(real, "onProbeEnded", 1) : real);
+        Client client = failing.sendMessage("a", group(name), 1);
+        InFlightForward forward = forwarded ? failing.awaitForward() : null;
+        failing.runBatch(failing.now, () -> {
+            ExecutorEndpoint endpoint = failing.coordinator.endpoints().iterator().next();
+            failing.coordinator.onProbeEnded(new Probe(endpoint, 0, failing.now), Outcome.RETURNED, null);
         });
-        assertEquals(List.of("probed: planted, 1"), breaking.said);
-        assertEquals(heard, client.received());
-        assertEquals(0, breaking.coordinator.openInferenceCount());
-        if (flight != null) {
-            breaking.endForward(flight, Outcome.RETURNED);
+        assertEquals(List.of("probed: injected, 1"), failing.routerFailures);
+        assertEquals(expected, client.received());
+        assertEquals(0, failing.coordinator.openInferenceCount());
+        if (forward != null) {
+            failing.endForward(forward, Outcome.RETURNED);
             assertEquals(1, client.answers.size());
         }
-        breaking.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
-        assertNotNull(breaking.awaitForward());
+        failing.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
+        assertNotNull(failing.awaitForward());
     }
 
-    /** A fresh module does not know what its predecessor sent to cold executors: it hears of them later. */
+    /** A new router does not know what its predecessor sent to cold executors, so it is told of them later. */
     @Test
     void newRouterLearnsOfColdExecutorsOnlyAfterTheirWindow() {
-        int[] made = {0};
-        CoordinatorHarness breaking = new CoordinatorHarness(1, 100, 1000, real -> made[0]++ == 0 ? failingOnCall(real, "onInferenceCancelled", 1) : real);
-        breaking.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, breaking.now - 10));
-        Client client = breaking.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        breaking.runBatch(breaking.now, () -> breaking.coordinator.onClientDisconnected(client.inferenceState, client));
-        breaking.orders.clear();
-        breaking.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
-        breaking.advanceTo(breaking.now + 900);
-        assertTrue(breaking.orders.isEmpty());
-        breaking.sendMessage("c", CoordinatorHarness.RETRIABLE, 1);
-        breaking.advanceTo(breaking.now + 200);
-        assertEquals(1, breaking.orders.size());
+        int[] routersCreated = {0};
+        CoordinatorHarness failing = new CoordinatorHarness(1, 100, 1000, real -> routersCreated[0]++ == 0
+                ? failingOnCall(real, "onInferenceCancelled", 1) : real);
+        failing.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, failing.now - 10));
+        Client client = failing.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
+        failing.runBatch(failing.now, () -> failing.coordinator.onClientDisconnected(client.inferenceState, client));
+        failing.orders.clear();
+        failing.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
+        failing.advanceTo(failing.now + 900);
+        assertTrue(failing.orders.isEmpty());
+        failing.sendMessage("c", CoordinatorHarness.RETRIABLE, 1);
+        failing.advanceTo(failing.now + 200);
+        assertEquals(1, failing.orders.size());
     }
 
     /**
-     * Random executors, clients, repeats, leavers, rosters and module failures, with the real module: every message
-     * taken has one answer in time, nothing is sent after it, what must not run twice does not, nothing is left over.
+     * Random executors, clients, repeats, disconnects, roster updates and router failures, with the real router. Every
+     * accepted message gets exactly one answer in time, nothing is sent after it, a non-retriable message does not run twice,
+     * and no inference or timer is left over.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void rulesHoldUnderRandomEvents(long seed) {
-        Random chance = new Random(seed);
-        CoordinatorHarness all = new CoordinatorHarness(seed, 200, 400, real -> seed % 4 == 0 ? failingOnCall(real, "onForwardEnded", 60) : real);
+        Random random = new Random(seed);
+        CoordinatorHarness underTest = new CoordinatorHarness(seed, 200, 400, real -> seed % 4 == 0
+                ? failingOnCall(real, "onForwardEnded", 60) : real);
         Map<String, Integer> runs = new HashMap<>();
         Map<Client, Double> deadline = new HashMap<>();
-        List<Client> gone = new ArrayList<>();
+        List<Client> disconnected = new ArrayList<>();
         List<Client> clients = new ArrayList<>();
-        List<InFlightForward> open = new ArrayList<>();
+        List<InFlightForward> inFlight = new ArrayList<>();
         Map<InFlightForward, Boolean> ran = new HashMap<>();
-        RosterEntry[] lines = new RosterEntry[6];
-        for (int i = 0; i < lines.length; i++) {
-            lines[i] = CoordinatorHarness.rosterEntry(i, ExecutorState.READY, chance.nextBoolean() ? 0 : all.now);
+        RosterEntry[] entries = new RosterEntry[6];
+        for (int i = 0; i < entries.length; i++) {
+            entries[i] = CoordinatorHarness.rosterEntry(i, ExecutorState.READY, random.nextBoolean() ? 0 : underTest.now);
         }
-        all.updateRoster(RosterUpdateKind.FULL, lines);
-        int seen = 0;
+        underTest.updateRoster(RosterUpdateKind.FULL, entries);
+        int collected = 0;
         int messages = 0;
         for (int step = 0; step < 6000; step++) {
-            all.advanceTo(all.now + chance.nextDouble() * 4);
-            for (; seen < all.forwards.size(); seen++) {
-                InFlightForward flight = all.forwards.get(seen);
-                open.add(flight);
-                boolean begins = chance.nextInt(5) > 0;
-                ran.put(flight, begins);
-                if (begins) {
-                    int count = runs.merge(flight.dedupKey(), 1, Integer::sum);
-                    assertTrue(count == 1 || flight.inferenceState.inference.group.retrySafety() != RetrySafety.NON_RETRIABLE,
-                            flight.dedupKey() + " ran twice");
+            underTest.advanceTo(underTest.now + random.nextDouble() * 4);
+            for (; collected < underTest.forwards.size(); collected++) {
+                InFlightForward forward = underTest.forwards.get(collected);
+                inFlight.add(forward);
+                boolean starts = random.nextInt(5) > 0;
+                ran.put(forward, starts);
+                if (starts) {
+                    int count = runs.merge(forward.dedupKey(), 1, Integer::sum);
+                    assertTrue(count == 1 || forward.inferenceState.inference.group.retrySafety() != RetrySafety.NON_RETRIABLE,
+                            forward.dedupKey() + " ran twice");
                 }
             }
-            int what = chance.nextInt(20);
-            if (what < 7) {
-                ModelGroup group = CoordinatorHarness.GROUPS.get(chance.nextInt(4));
-                String id = group.name() + (chance.nextInt(6) == 0 ? chance.nextInt(messages + 1) : messages++);
-                Client client = all.new Client();
-                all.runBatch(all.now, () -> all.coordinator.onMessage(all.incomingMessage(id, group, 1, chance.nextInt(5), client)));
+            int event = random.nextInt(20);
+            if (event < 7) {
+                ModelGroup group = CoordinatorHarness.GROUPS.get(random.nextInt(4));
+                String id = group.name() + (random.nextInt(6) == 0 ? random.nextInt(messages + 1) : messages++);
+                Client client = underTest.new Client();
+                underTest.runBatch(underTest.now, () -> underTest.coordinator.onMessage(underTest.incomingMessage(id, group, 1,
+                        random.nextInt(5), client)));
                 clients.add(client);
-                deadline.put(client, all.now + 1000);
-            } else if (what < 14 && !open.isEmpty()) {
-                InFlightForward flight = open.remove(chance.nextInt(open.size()));
-                Outcome outcome = !ran.get(flight)
+                deadline.put(client, underTest.now + 1000);
+            } else if (event < 14 && !inFlight.isEmpty()) {
+                InFlightForward forward = inFlight.remove(random.nextInt(inFlight.size()));
+                Outcome outcome = !ran.get(forward)
                         ? List.of(Outcome.FULL, Outcome.MISS, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
-                                .get(chance.nextInt(4))
+                                .get(random.nextInt(4))
                         : List.of(Outcome.RETURNED, Outcome.RETURNED, Outcome.RETURNED, Outcome.ERROR, Outcome.RESET)
-                                .get(chance.nextInt(5));
-                all.endForward(flight, outcome);
-            } else if (what < 17 && !all.orders.isEmpty()) {
-                LoadOrder order = all.orders.remove(chance.nextInt(all.orders.size()));
-                Outcome outcome = chance.nextInt(4) == 0 ? Outcome.FULL : Outcome.RETURNED;
-                all.runBatch(all.now, () -> all.coordinator.onLoadOrderEnded(order, outcome, Math.max(order.copies, chance.nextInt(2))));
-            } else if (what == 17 && !clients.isEmpty()) {
-                Client client = clients.get(chance.nextInt(clients.size()));
+                                .get(random.nextInt(5));
+                underTest.endForward(forward, outcome);
+            } else if (event < 17 && !underTest.orders.isEmpty()) {
+                LoadOrder order = underTest.orders.remove(random.nextInt(underTest.orders.size()));
+                Outcome outcome = random.nextInt(4) == 0 ? Outcome.FULL : Outcome.RETURNED;
+                underTest.runBatch(underTest.now, () -> underTest.coordinator.onLoadOrderEnded(order, outcome, Math.max(order.copies,
+                        random.nextInt(2))));
+            } else if (event == 17 && !clients.isEmpty()) {
+                Client client = clients.get(random.nextInt(clients.size()));
                 if (client.inferenceState != null && client.answers.isEmpty()) {
-                    gone.add(client);
-                    all.runBatch(all.now, () -> all.coordinator.onClientDisconnected(client.inferenceState, client));
+                    disconnected.add(client);
+                    underTest.runBatch(underTest.now, () -> underTest.coordinator.onClientDisconnected(client.inferenceState, client));
                 }
-            } else if (what == 18) {
-                int i = chance.nextInt(lines.length);
-                ExecutorState standing = ExecutorState.values()[chance.nextInt(3)];
-                lines[i] = CoordinatorHarness.rosterEntry(i, standing, standing == ExecutorState.READY ? all.now : lines[i].startedAt());
-                all.updateRoster(RosterUpdateKind.CHANGES, lines[i]);
-            } else if (what == 19 && chance.nextInt(50) == 0) {
-                all.advanceTo(all.now + 5000);
+            } else if (event == 18) {
+                int i = random.nextInt(entries.length);
+                ExecutorState state = ExecutorState.values()[random.nextInt(3)];
+                entries[i] = CoordinatorHarness.rosterEntry(i, state, state == ExecutorState.READY ? underTest.now
+                        : entries[i].startedAt());
+                underTest.updateRoster(RosterUpdateKind.CHANGES, entries[i]);
+            } else if (event == 19 && random.nextInt(50) == 0) {
+                underTest.advanceTo(underTest.now + 5000);
             }
         }
-        all.advanceTo(all.now + 20_000);
+        underTest.advanceTo(underTest.now + 20_000);
         for (Client client : clients) {
-            assertTrue(client.answers.size() + (client.rejection == null ? 0 : 1) == 1 || gone.contains(client),
-                    "an inference without its one answer: " + client.received());
+            assertTrue(client.answers.size() + (client.rejection == null ? 0 : 1) == 1 || disconnected.contains(client),
+                    "an inference without exactly one answer: " + client.received());
             assertTrue(client.answers.isEmpty() || client.answeredAt <= deadline.get(client), "late");
         }
-        assertEquals(0, all.sentAfterAnswers);
-        assertEquals(0, all.coordinator.openInferenceCount());
-        assertEquals(0, all.counts.value("answers_overdue"));
-        assertTrue(all.messageStore.size() <= 400);
-        assertTrue(all.activeTimerCount() < 60, all.activeTimerCount() + " timers are left");
-        assertEquals(seed % 4 == 0, all.counts.value("module_failures") > 0);
-        assertNull(all.forwards.stream().filter(f -> !f.ended).findAny().orElse(null));
+        assertEquals(0, underTest.sentAfterAnswers);
+        assertEquals(0, underTest.coordinator.openInferenceCount());
+        assertEquals(0, underTest.counts.value("answers_overdue"));
+        assertTrue(underTest.messageStore.size() <= 400);
+        assertTrue(underTest.activeTimerCount() < 60, underTest.activeTimerCount() + " timers are left");
+        assertEquals(seed % 4 == 0, underTest.counts.value("module_failures") > 0);
+        assertNull(underTest.forwards.stream().filter(forward -> !forward.ended).findAny().orElse(null));
     }
 
-    /** Found by bad-day-kills: a client left while keepers were asked, and its forward left 55 ms later. */
+    /** Guards against a forward for a client that disconnected during the claim; in the bad-day-kills rehearsal one left 55 ms later. */
     @ParameterizedTest
     @CsvSource({"GRANTED, true, 0", "GRANTED, false, 1", "HELD_BY_OTHER, true, 0", "UNKNOWN, true, 0"})
-    void clientThatDisconnectsDuringTheClaimIsNotServed(ClaimService.ClaimStatus kind, boolean leaves, int forwards) {
-        ClaimService.ClaimCallback[] asked = new ClaimService.ClaimCallback[1];
-        ClaimService claims = new ClaimService() {
+    void clientThatDisconnectsDuringTheClaimIsNotServed(ClaimService.ClaimStatus status, boolean disconnects, int forwards) {
+        ClaimService.ClaimCallback[] callbacks = new ClaimService.ClaimCallback[1];
+        ClaimService claimService = new ClaimService() {
             @Override
-            public void claim(MessageIdentity message, double patience, ClaimCallback then) {
-                asked[0] = then;
+            public void claim(MessageIdentity message, double timeout, ClaimCallback callback) {
+                callbacks[0] = callback;
             }
 
             @Override
-            public void relayToHolder(IncomingMessage arrival, String holder) {
-                throw new AssertionError("handed on for nobody");
+            public void relayToHolder(IncomingMessage message, String holder) {
+                throw new AssertionError("relayed for a disconnected client");
             }
         };
-        CoordinatorHarness stage = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), Ledger.NONE, claims);
-        stage.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, 0));
-        Client client = stage.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        client.gone = leaves;
-        stage.runBatch(stage.now, () -> asked[0].onResult(new ClaimService.ClaimResult(kind, "fe-2/x")));
+        CoordinatorHarness claiming = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), Ledger.NONE, claimService);
+        claiming.updateRoster(RosterUpdateKind.FULL, CoordinatorHarness.rosterEntry(1, ExecutorState.READY, 0));
+        Client client = claiming.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        client.disconnected = disconnects;
+        claiming.runBatch(claiming.now, () -> callbacks[0].onResult(new ClaimService.ClaimResult(status, "fe-2/x")));
         for (int i = 0; i < 5; i++) {
-            stage.answerLoadOrders(1);
-            stage.advanceTo(stage.now + 2);
+            claiming.answerLoadOrders(1);
+            claiming.advanceTo(claiming.now + 2);
         }
-        assertEquals(forwards, stage.forwards.size());
-        assertEquals(forwards, stage.coordinator.openInferenceCount());
+        assertEquals(forwards, claiming.forwards.size());
+        assertEquals(forwards, claiming.coordinator.openInferenceCount());
     }
 
-    /** An answer that has started has no time-out: it ends as it ends, and nothing else is sent for it. */
+    /** A streamed answer that has started has no timeout: it ends as its forward ends, and nothing else is sent for it. */
     @ParameterizedTest
     @CsvSource({"told, RETURNED, 1 RETURNED", "told, RESET, 1 FAILED", "told, ERROR, 1 FAILED", "signed, RETURNED, 1 RETURNED",
         "signed, RESET, 1 FAILED"})
-    void startedAnswerHasNoTimeout(String name, Outcome outcome, String heard) {
+    void startedAnswerHasNoTimeout(String name, Outcome outcome, String expected) {
         Client client = harness.sendMessage("a", group(name), 1);
-        InFlightForward flight = harness.awaitForward();
-        AnswerStream<String> flow = harness.startAnswer(flight);
-        assertSame(flow, client.answerStream);
+        InFlightForward forward = harness.awaitForward();
+        AnswerStream<String> stream = harness.startAnswer(forward);
+        assertSame(stream, client.answerStream);
         harness.advanceTo(harness.now + 30_000);
         assertEquals("0", client.received());
-        harness.endForward(flight, outcome);
-        assertEquals(heard, client.received());
+        harness.endForward(forward, outcome);
+        assertEquals(expected, client.received());
         harness.advanceTo(harness.now + 5000);
-        assertEquals(List.of(1, 0L, 0), List.of(harness.forwards.size(), harness.counts.value("answers_overdue"), harness.coordinator.openInferenceCount()));
+        assertEquals(List.of(1, 0L, 0), List.of(harness.forwards.size(), harness.counts.value("answers_overdue"),
+                harness.coordinator.openInferenceCount()));
     }
 
-    /** Who reads may leave: alone, its executor is told; beside others, the parts go on to the record. */
+    /** The reader of a stream disconnects: as the only client it cancels the forward, otherwise the parts are still recorded. */
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void streamReaderMayDisconnect(boolean others) {
         Client reader = harness.sendMessage("a", CoordinatorHarness.STREAMED_RETRIABLE, 1);
-        InFlightForward flight = harness.awaitForward();
-        AnswerStream<String> flow = harness.startAnswer(flight);
-        Client joins = others ? harness.sendMessage("a", CoordinatorHarness.STREAMED_RETRIABLE, 1) : null;
+        InFlightForward forward = harness.awaitForward();
+        AnswerStream<String> stream = harness.startAnswer(forward);
+        Client joined = others ? harness.sendMessage("a", CoordinatorHarness.STREAMED_RETRIABLE, 1) : null;
         harness.runBatch(harness.now, () -> harness.coordinator.onClientDisconnected(reader.inferenceState, reader));
-        assertTrue(flow.wantsMore() && !flow.hasBufferedParts(), "parts wait for nobody");
-        assertEquals(!others, flight.ended);
-        assertEquals(!others, flight.cancelled);
+        assertTrue(stream.wantsMore() && !stream.hasBufferedParts(), "parts are buffered without a reader");
+        assertEquals(!others, forward.ended);
+        assertEquals(!others, forward.cancelled);
         if (others) {
-            harness.endForward(flight, Outcome.RETURNED);
-            assertEquals("1 RETURNED", joins.received());
+            harness.endForward(forward, Outcome.RETURNED);
+            assertEquals("1 RETURNED", joined.received());
         }
         assertEquals(0, harness.coordinator.openInferenceCount());
     }
 
-    /** The first part of one that has ended meanwhile, or of a second one, starts nothing. */
+    /** The first part of a forward that has ended does not start an answer. */
     @Test
     void lateAnswerStartIsDiscarded() {
         Client client = harness.sendMessage("a", CoordinatorHarness.STREAMED_RETRIABLE, 1);
@@ -488,47 +496,48 @@
         harness.endForward(first, Outcome.ERROR);
         AnswerStream<String> late = harness.startAnswer(first);
         InFlightForward second = harness.awaitForward();
-        AnswerStream<String> flow = harness.startAnswer(second);
+        AnswerStream<String> stream = harness.startAnswer(second);
         assertTrue(late.wantsMore() && !late.hasBufferedParts());
-        assertSame(flow, client.answerStream);
+        assertSame(stream, client.answerStream);
         assertEquals(1, harness.counts.value("answers_started"));
     }
 
-    /** A part that was told holds until its time and over a module's fall; then nothing of what is shared is ours. */
+    /** A share stays valid until its expiry, also over a router failure; after that the share is 0. */
     @Test
     void shareExpiresAndSurvivesARouterFailure() {
-        List<Double> told = new ArrayList<>();
-        UnaryOperator<Router> noting = real -> (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class},
+        List<Double> shares = new ArrayList<>();
+        UnaryOperator<Router> recording = real -> (Router) Proxy.newProxyInstance(Router.class.getClassLoader(),
+                new Class<?>[] {Router.class},
                 (proxy, called, args) -> {
                     if (called.getName().equals("onShareChanged")) {
-                        told.add((Double) args[0]);
+                        shares.add((Double) args[0]);
                     }
                     return called.invoke(real, args);
                 });
-        CoordinatorHarness shared = harness(real -> noting.apply(failingOnCall(real, "onInferenceAccepted", 2)));
+        CoordinatorHarness shared = harness(real -> recording.apply(failingOnCall(real, "onInferenceAccepted", 2)));
         shared.runBatch(shared.now, () -> shared.coordinator.share(0.25, shared.now + 500));
         shared.advanceTo(shared.now + 400);
         shared.runBatch(shared.now, () -> shared.coordinator.share(0.5, shared.now + 500));
         shared.advanceTo(shared.now + 300);
         shared.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
         shared.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
-        assertEquals(List.of(0.25, 0.5, 0.5), told, "told anew to the fresh module");
+        assertEquals(List.of(0.25, 0.5, 0.5), shares, "passed to the new router as well");
         shared.advanceTo(shared.now + 300);
-        assertEquals(List.of(0.25, 0.5, 0.5, 0.0), told);
+        assertEquals(List.of(0.25, 0.5, 0.5, 0.0), shares);
     }
 
-    /** The module breaks: what has started needs no more of it. */
+    /** The router fails: a started answer does not need it any more. */
     @Test
     void startedAnswerSurvivesARouterFailure() {
-        CoordinatorHarness broken = harness(real -> failingOnCall(real, "onInferenceAccepted", 3));
-        Client client = broken.sendMessage("a", CoordinatorHarness.STREAMED_RETRIABLE, 1);
-        InFlightForward flight = broken.awaitForward();
-        broken.startAnswer(flight);
-        broken.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
-        broken.sendMessage("c", CoordinatorHarness.RETRIABLE, 1);
-        assertEquals(1, broken.counts.value("module_failures"));
+        CoordinatorHarness failing = harness(real -> failingOnCall(real, "onInferenceAccepted", 3));
+        Client client = failing.sendMessage("a", CoordinatorHarness.STREAMED_RETRIABLE, 1);
+        InFlightForward forward = failing.awaitForward();
+        failing.startAnswer(forward);
+        failing.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
+        failing.sendMessage("c", CoordinatorHarness.RETRIABLE, 1);
+        assertEquals(1, failing.counts.value("module_failures"));
         assertEquals("0", client.received());
-        broken.endForward(flight, Outcome.RETURNED);
+        failing.endForward(forward, Outcome.RETURNED);
         assertEquals("1 RETURNED", client.received());
     }
 }
--- a/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
+++ b/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
@@ -6,20 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A ledger in memory whose commits the test brings about one by one. */
+/** An in-memory ledger whose commits the test triggers one by one. */
 final class ManualCommitLedger implements Ledger {
-    private record Pending(LedgerRecord record, AppendCallback then) { }
+    private record Pending(LedgerRecord record, AppendCallback callback) { }
 
     final List<LedgerRecord> durable = new ArrayList<>();
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
-    boolean usable = true;
+    boolean writable = true;
     double margin;
-    /** A planted bug: says durable before it is. */
+    /** An injected bug: reports records as durable that are not. */
     boolean acknowledgesEarly;
 
     @Override
     public boolean isWritable() {
-        return usable;
+        return writable;
     }
 
     @Override
@@ -28,31 +28,32 @@
     }
 
     @Override
-    public void append(LedgerRecord record, AppendCallback then) {
-        pending.add(new Pending(record, then));
+    public void append(LedgerRecord record, AppendCallback callback) {
+        pending.add(new Pending(record, callback));
     }
 
     boolean hasPending() {
         return !pending.isEmpty();
     }
 
-    /** Commits the oldest; {@code ok} false for a disk that fails. */
-    void commit(CoordinatorHarness stage, boolean ok) {
+    /** Commits the oldest pending record; {@code ok} is false for a failing disk. */
+    void commit(CoordinatorHarness harness, boolean ok) {
         Pending next = pending.poll();
         if (ok && !acknowledgesEarly) {
             durable.add(next.record);
         }
-        stage.runBatch(stage.now, () -> next.then.onComplete(ok));
+        harness.runBatch(harness.now, () -> next.callback.onComplete(ok));
     }
 
-    /** What is in memory only is gone with the process. */
+    /** The process crashes: records that are not durable are lost. */
     void crash() {
         pending.clear();
     }
 
+    /** The state that a restart reads from the durable records. */
     LedgerState replay() {
-        LedgerState book = new LedgerState();
-        durable.forEach(book::apply);
-        return book;
+        LedgerState state = new LedgerState();
+        durable.forEach(state::apply);
+        return state;
     }
 }
--- a/gateway/src/test/java/gradereach/desk/ProcessIdentityTest.java
+++ b/gateway/src/test/java/gradereach/desk/ProcessIdentityTest.java
@@ -10,14 +10,14 @@
 class ProcessIdentityTest {
     private final ProcessIdentity identity = new ProcessIdentity();
 
-    /** Guards against a late answer of the process before, which would name the present one wrongly for good. */
+    /** Guards against a late reply of an earlier process, which would identify the current one wrongly for good. */
     @Test
     void lateAnswerOfAnEarlierProcessIsIgnored() {
         DoubleConsumer late = identity.beginQuery(0);
         identity.reset();
         late.accept(1);
         assertEquals(Double.NaN, identity.number());
-        assertTrue(identity.isQueryDue(1), "the present one is never asked");
+        assertTrue(identity.isQueryDue(1), "the current process is never queried");
     }
 
     @Test
--- a/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A message may have several lives, each with forwards of its own: that one's never ran says nothing of another's. */
+/**
+ * A message may have several inferences with forwards of their own. A proof that the forwards of one never ran proves nothing
+ * for another.
+ */
 class RepeatedInferenceInquiryTest {
     private static final double START = 100_000_000;
     private static final String FIRST = "10.0.0.1:80";
@@ -19,94 +22,97 @@
     private final ManualCommitLedger ledger = new ManualCommitLedger();
 
     private CoordinatorHarness start(double now, RosterEntry... lines) {
-        CoordinatorHarness stage = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
-        stage.now = now;
-        stage.coordinator.recover(ledger.replay(), now, 600_000, CoordinatorHarness.GROUPS, Long.MIN_VALUE, (c, i, of, t) -> null);
-        stage.updateRoster(RosterUpdateKind.FULL, lines);
-        return stage;
+        CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
+        harness.now = now;
+        harness.coordinator.recover(ledger.replay(), now, 600_000, CoordinatorHarness.GROUPS, Long.MIN_VALUE,
+                (customer, id, promisedAt, attempts) -> null);
+        harness.updateRoster(RosterUpdateKind.FULL, entries);
+        return harness;
     }
 
-    private static RosterEntry rosterEntry(String instance, String address, ExecutorState standing) {
-        return new RosterEntry(instance, address, 1, 0, standing, 1, 0, 0);
+    private static RosterEntry rosterEntry(String instance, String address, ExecutorState state) {
+        return new RosterEntry(instance, address, 1, 0, state, 1, 0, 0);
     }
 
-    private void step(CoordinatorHarness stage, double millis) {
-        stage.answerLoadOrders(1);
-        stage.advanceTo(stage.now + millis);
+    private void step(CoordinatorHarness harness, double millis) {
+        harness.answerLoadOrders(1);
+        harness.advanceTo(harness.now + millis);
         while (ledger.hasPending()) {
-            ledger.commit(stage, true);
+            ledger.commit(harness, true);
         }
     }
 
-    private void advanceTo(CoordinatorHarness stage, double until) {
-        while (stage.now < until) {
-            step(stage, 2);
+    private void advanceTo(CoordinatorHarness harness, double until) {
+        while (harness.now < until) {
+            step(harness, 2);
         }
     }
 
-    /** Until then executors are asked: at one address it has run and no answer comes, at the other it never arrives. */
-    private void answerInquiriesUntil(CoordinatorHarness stage, String ranAt, double until) {
-        while (stage.now < until) {
-            step(stage, 20);
-            stage.answerInquiries(ranAt.equals(FIRST) ? SECOND : FIRST, InquiryScheduler.OutcomeReply.FENCED, 0);
-            stage.answerInquiries(ranAt, InquiryScheduler.OutcomeReply.NOTHING, Double.NaN);
+    /** Answers inquiries until that time: at {@code ranAt} it has run and no reply comes, at the other address it never arrives. */
+    private void answerInquiriesUntil(CoordinatorHarness harness, String ranAt, double until) {
+        while (harness.now < until) {
+            step(harness, 20);
+            harness.answerInquiries(ranAt.equals(FIRST) ? SECOND : FIRST, InquiryScheduler.OutcomeReply.FENCED, 0);
+            harness.answerInquiries(ranAt, InquiryScheduler.OutcomeReply.NOTHING, Double.NaN);
         }
     }
 
-    private void assertNotForwardedAgain(CoordinatorHarness stage) {
-        stage.forwards.clear();
-        CoordinatorHarness.Client again = stage.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        advanceTo(stage, stage.now + 20);
-        assertEquals(0, stage.forwards.size(), "forwarded again long after its window");
-        advanceTo(stage, stage.now + 1500);
+    private void assertNotForwardedAgain(CoordinatorHarness harness) {
+        harness.forwards.clear();
+        CoordinatorHarness.Client again = harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
+        advanceTo(harness, harness.now + 20);
+        assertEquals(0, harness.forwards.size(), "forwarded again long after its dedup window");
+        advanceTo(harness, harness.now + 1500);
         assertNotEquals("1 SHED", again.received());
     }
 
-    /** The client hears nothing of its first forward, and asks again within the window. */
-    private void runSecondInference(CoordinatorHarness stage, double sent) {
-        stage.forwards.clear();
-        stage.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-1", FIRST, ExecutorState.DRAINING), rosterEntry("s-2", SECOND, ExecutorState.READY));
-        CoordinatorHarness.Client client = stage.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        advanceTo(stage, stage.now + 40);
-        assertEquals("s-2", stage.forwards.get(0).endpoint.instance, "where the second life's forward went");
-        advanceTo(stage, sent + 2700);
+    /** The client gets no answer for the first forward, and repeats its message within the dedup window. */
+    private void runSecondInference(CoordinatorHarness harness, double firstSentAt) {
+        harness.forwards.clear();
+        harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-1", FIRST, ExecutorState.DRAINING),
+                rosterEntry("s-2", SECOND, ExecutorState.READY));
+        CoordinatorHarness.Client client = harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
+        advanceTo(harness, harness.now + 40);
+        assertEquals("s-2", harness.forwards.get(0).endpoint.instance, "the second inference's executor");
+        advanceTo(harness, firstSentAt + 2700);
         assertEquals("1 FAILED", client.received());
     }
 
-    /** A message before it, so that who is there has told its process. */
-    private double runFirstInference(CoordinatorHarness stage) {
-        stage.sendMessage("before", CoordinatorHarness.DEDUPED, 2);
-        advanceTo(stage, START + 20);
-        stage.endForward(stage.forwards.get(0), Outcome.RETURNED);
-        advanceTo(stage, START + 30);
-        stage.forwards.clear();
-        stage.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        advanceTo(stage, START + 50);
-        assertEquals("s-1", stage.forwards.get(0).endpoint.instance);
-        return stage.forwards.get(0).forward.sentAt;
+    /** Runs another message first, so that the executor has reported its process number. */
+    private double runFirstInference(CoordinatorHarness harness) {
+        harness.sendMessage("before", CoordinatorHarness.DEDUPED, 2);
+        advanceTo(harness, START + 20);
+        harness.endForward(harness.forwards.get(0), Outcome.RETURNED);
+        advanceTo(harness, START + 30);
+        harness.forwards.clear();
+        harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
+        advanceTo(harness, START + 50);
+        assertEquals("s-1", harness.forwards.get(0).endpoint.instance);
+        return harness.forwards.get(0).forward.sentAt;
     }
 
     @ParameterizedTest
     @ValueSource(strings = {FIRST, SECOND})
     void withoutARestart(String ranAt) {
-        CoordinatorHarness stage = start(START, rosterEntry("s-1", FIRST, ExecutorState.READY));
-        double sent = runFirstInference(stage);
-        advanceTo(stage, sent + 1100);
-        runSecondInference(stage, sent);
-        answerInquiriesUntil(stage, ranAt, START + 12_000);
-        assertNotForwardedAgain(stage);
+        CoordinatorHarness harness = start(START, rosterEntry("s-1", FIRST, ExecutorState.READY));
+        double firstSentAt = runFirstInference(harness);
+        advanceTo(harness, firstSentAt + 1100);
+        runSecondInference(harness, firstSentAt);
+        answerInquiriesUntil(harness, ranAt, START + 12_000);
+        assertNotForwardedAgain(harness);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {FIRST, SECOND})
     void acrossARestart(String ranAt) {
-        double sent = runFirstInference(start(START, rosterEntry("s-1", FIRST, ExecutorState.READY)));
+        double firstSentAt = runFirstInference(start(START, rosterEntry("s-1", FIRST, ExecutorState.READY)));
         ledger.crash();
-        CoordinatorHarness second = start(sent + 500, rosterEntry("s-1", FIRST, ExecutorState.DRAINING), rosterEntry("s-2", SECOND, ExecutorState.READY));
+        CoordinatorHarness second = start(firstSentAt + 500, rosterEntry("s-1", FIRST, ExecutorState.DRAINING),
+                rosterEntry("s-2", SECOND, ExecutorState.READY));
         second.sendMessage("warmer", CoordinatorHarness.DEDUPED, 3);
-        advanceTo(second, sent + 540);
-        second.forwards.forEach(flight -> second.endForward(flight, Outcome.RETURNED));
-        runSecondInference(second, sent);
+        advanceTo(second, firstSentAt + 540);
+        second.forwards.forEach(forward -> second.endForward(forward, Outcome.RETURNED));
+        runSecondInference(second, firstSentAt);
         answerInquiriesUntil(second, ranAt, START + 12_000);
         assertNotForwardedAgain(second);
     }
--- a/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whom a front end asks after its restart what became of a forward, and whose clock it believes. The process that was
- * sent the forward says that it is up since 0, any other process something else; {@code Stage.now} is the real time.
+ * Outcome inquiries after a restart of the front end: which executor is asked, and which clocks count. The process to which
+ * the forward was sent reports process number 0, any other process another number. {@code CoordinatorHarness.now} is the
+ * real time.
  */
 class RestartInquiryTest {
     private static final double START = 100_000_000;
@@ -33,134 +34,138 @@
         return new RosterEntry(instance, address, 1, 0, ExecutorState.READY, 1, 0, 0);
     }
 
-    private CoordinatorHarness start(double now, double wallStep, RosterEntry... lines) {
-        CoordinatorHarness stage = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
-        stage.now = now;
-        stage.wallClockOffset = wallStep;
-        stage.coordinator.recover(ledger.replay(), now, 600_000, CoordinatorHarness.GROUPS, Long.MIN_VALUE, (c, i, of, t) -> null);
-        stage.updateRoster(RosterUpdateKind.FULL, lines);
-        return stage;
+    private CoordinatorHarness start(double now, double clockOffset, RosterEntry... lines) {
+        CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
+        harness.now = now;
+        harness.wallClockOffset = clockOffset;
+        harness.coordinator.recover(ledger.replay(), now, 600_000, CoordinatorHarness.GROUPS, Long.MIN_VALUE,
+                (customer, id, promisedAt, attempts) -> null);
+        harness.updateRoster(RosterUpdateKind.FULL, entries);
+        return harness;
     }
 
-    /** As far as it gets with a disk that commits at once. */
-    private void advanceWithCommits(CoordinatorHarness stage) {
+    /** Advances 20 milliseconds with a disk that commits at once. */
+    private void advanceWithCommits(CoordinatorHarness harness) {
         for (int i = 0; i < 10; i++) {
-            step(stage, 2);
+            step(harness, 2);
         }
     }
 
-    private void step(CoordinatorHarness stage, double millis) {
-        stage.answerLoadOrders(1);
-        stage.advanceTo(stage.now + millis);
+    private void step(CoordinatorHarness harness, double millis) {
+        harness.answerLoadOrders(1);
+        harness.advanceTo(harness.now + millis);
         while (ledger.hasPending()) {
-            ledger.commit(stage, true);
+            ledger.commit(harness, true);
         }
     }
 
-    /** A front end whose one forward is out, at T. */
-    private CoordinatorHarness startWithOpenForward(ModelGroup group, double wallStep, RosterEntry to) {
-        CoordinatorHarness stage = start(START, wallStep, to);
-        stage.sendMessage("a", group, 1);
-        advanceWithCommits(stage);
-        assertEquals(1, stage.forwards.size(), "its forward did not leave");
-        return stage;
+    /** A front end whose only forward was sent at START. */
+    private CoordinatorHarness startWithOpenForward(ModelGroup group, double clockOffset, RosterEntry target) {
+        CoordinatorHarness harness = start(START, clockOffset, target);
+        harness.sendMessage("a", group, 1);
+        advanceWithCommits(harness);
+        assertEquals(1, harness.forwards.size(), "the forward was not sent");
+        return harness;
     }
 
-    /** Time passes; who is at that address and is asked says this. */
-    private void answerInquiriesUntil(CoordinatorHarness stage, double until, InquiryScheduler.OutcomeReply what, double upSince) {
-        while (stage.now < until) {
-            step(stage, 50);
-            stage.answerInquiries(ADDRESS, what, upSince);
+    /** Advances to that time; the executor at the address answers all inquiries with this reply. */
+    private void answerInquiriesUntil(CoordinatorHarness harness, double end, InquiryScheduler.OutcomeReply reply, double processNumber) {
+        while (harness.now < end) {
+            step(harness, 50);
+            harness.answerInquiries(ADDRESS, reply, processNumber);
         }
     }
 
-    private void assertNotRunAgain(CoordinatorHarness stage, Client... clients) {
-        advanceWithCommits(stage);
-        assertEquals(List.of(), stage.forwards.stream().map(f -> f.endpoint.instance + " " + f.forwardId()).toList(), "forwarded again");
+    private void assertNotRunAgain(CoordinatorHarness harness, Client... clients) {
+        advanceWithCommits(harness);
+        assertEquals(List.of(), harness.forwards.stream().map(forward -> forward.endpoint.instance + " " + forward.forwardId()).toList(),
+                "forwarded again");
         for (Client client : clients) {
             assertNotEquals("1 SHED", client.received());
             assertTrue(client.answers.stream().noneMatch(FinalAnswer::repeatHarmless), client.received() + " with a harmless repeat");
         }
     }
 
-    /** Another instance stands where the forward went: it knows nothing of it, however long it runs. */
+    /** Another instance is at the address to which the forward was sent: it knows nothing of it, however long it has been up. */
     @ParameterizedTest
     @CsvSource({"UNSEEN, 0", "UNSEEN, 500", "UNSEEN, 99999999", "UNSEEN, 100003000", "UNSEEN, NaN",
         "FENCED, 0", "FENCED, 500", "FENCED, 99999999", "FENCED, 100003000", "FENCED, NaN"})
-    void anotherInstanceAtTheAddressProvesNothing(InquiryScheduler.OutcomeReply what, double upSince) {
+    void anotherInstanceAtTheAddressProvesNothing(InquiryScheduler.OutcomeReply reply, double processNumber) {
         startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
         ledger.crash();
         CoordinatorHarness second = start(START + 6000, 0, rosterEntry("s-other", ADDRESS));
-        Client waits = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + 18_000, what, upSince);
+        Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        answerInquiriesUntil(second, START + 18_000, reply, processNumber);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + 20_000, what, upSince);
-        assertNotRunAgain(second, waits, again);
+        answerInquiriesUntil(second, START + 20_000, reply, processNumber);
+        assertNotRunAgain(second, waiting, again);
         assertEquals("1 FAILED", again.received());
     }
 
-    /** The executor restarted three seconds after the intention, and has never seen it. */
+    /** The executor restarted three seconds after the intent was recorded, and has never seen the forward. */
     @ParameterizedTest
     @CsvSource({
-        // our clock's error as it is intended and after our restart, the executor's clock's error
+        // this front end's clock error at the intent and after the restart, the executor's clock error
         "UNSEEN, 3600000, 3600000, 0", "UNSEEN, 10000, 0, 0", "UNSEEN, 0, 0, -7000", "UNSEEN, -3600000, -3600000, -3700000",
         "UNSEEN, 0, 0, 0", "UNSEEN, -10000, -10000, 0", "FENCED, 3600000, 3600000, 0", "FENCED, 10000, 0, 0",
         "FENCED, 0, 0, -7000", "FENCED, -3600000, -3600000, -3700000", "FENCED, 0, 0, 0", "FENCED, -10000, -10000, 0",
     })
-    void processStartedLaterProvesNothingWhateverTheClocksShow(InquiryScheduler.OutcomeReply what, double before, double after,
-            double executors) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, before, SENT_TO);
+    void processStartedLaterProvesNothingWhateverTheClocksShow(InquiryScheduler.OutcomeReply reply, double clockErrorBefore,
+            double clockErrorAfter, double executorClockError) {
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, SENT_TO);
         ledger.crash();
-        CoordinatorHarness second = start(START + 6000, after, SENT_TO);
-        Client waits = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + 25_000, what, START + 3000 + executors);
+        CoordinatorHarness second = start(START + 6000, clockErrorAfter, SENT_TO);
+        Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        answerInquiriesUntil(second, START + 25_000, reply, START + 3000 + executorClockError);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + 27_000, what, START + 3000 + executors);
-        assertNotRunAgain(second, waits, again);
+        answerInquiriesUntil(second, START + 27_000, reply, START + 3000 + executorClockError);
+        assertNotRunAgain(second, waiting, again);
         assertEquals("1 FAILED", again.received());
     }
 
-    /** A forward that this life gave up on is asked about as well. */
+    /** A forward that timed out without a restart is inquired as well. */
     @ParameterizedTest
     @CsvSource({"UNSEEN, s-other, 0, 500", "UNSEEN, s-1, 10000, 3000", "UNSEEN, s-1, 0, -7000",
         "FENCED, s-other, 0, 500", "FENCED, s-1, 10000, 3000", "FENCED, s-1, 0, -7000"})
-    void laterProcessProvesNothingWithoutARestart(InquiryScheduler.OutcomeReply what, String thenThere, double after, double upSince) {
-        CoordinatorHarness stage = startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
-        answerInquiriesUntil(stage, START + 1500, InquiryScheduler.OutcomeReply.NOTHING, 0);
-        stage.updateRoster(RosterUpdateKind.FULL);
-        stage.wallClockOffset = after;
-        stage.updateRoster(RosterUpdateKind.FULL, rosterEntry(thenThere, ADDRESS));
-        stage.forwards.clear();
-        answerInquiriesUntil(stage, START + 20_000, what, thenThere.equals("s-other") ? upSince : START + upSince);
-        Client again = stage.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        assertNotRunAgain(stage, again);
+    void laterProcessProvesNothingWithoutARestart(InquiryScheduler.OutcomeReply reply, String laterInstance, double clockErrorAfter,
+            double processNumber) {
+        CoordinatorHarness harness = startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
+        answerInquiriesUntil(harness, START + 1500, InquiryScheduler.OutcomeReply.NOTHING, 0);
+        harness.updateRoster(RosterUpdateKind.FULL);
+        harness.wallClockOffset = clockErrorAfter;
+        harness.updateRoster(RosterUpdateKind.FULL, rosterEntry(laterInstance, ADDRESS));
+        harness.forwards.clear();
+        answerInquiriesUntil(harness, START + 20_000, reply, laterInstance.equals("s-other") ? processNumber : START + processNumber);
+        Client again = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        assertNotRunAgain(harness, again);
         assertEquals("1 FAILED", again.received());
     }
 
-    /** A minute later the same process has forgotten (after 30 s), though by our clock no time has passed. */
+    /** A minute later the same process has discarded the outcome (after 30 s), though no time has passed by this front end's clock. */
     @ParameterizedTest
     @CsvSource({"UNSEEN, 0, -60000", "UNSEEN, 60000, 0", "UNSEEN, 30000, -30000",
         "FENCED, 0, -60000", "FENCED, 60000, 0", "FENCED, 30000, -30000"})
-    void processProvesNothingOnceItsOutcomeRetentionIsOver(InquiryScheduler.OutcomeReply what, double before, double after) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, before, SENT_TO);
+    void processProvesNothingOnceItsOutcomeRetentionIsOver(InquiryScheduler.OutcomeReply reply, double clockErrorBefore,
+            double clockErrorAfter) {
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, SENT_TO);
         ledger.crash();
-        CoordinatorHarness second = start(START + 60_000, after, SENT_TO);
-        Client waits = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + 75_000, what, 0);
+        CoordinatorHarness second = start(START + 60_000, clockErrorAfter, SENT_TO);
+        Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        answerInquiriesUntil(second, START + 75_000, reply, 0);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + 77_000, what, 0);
-        assertNotRunAgain(second, waits, again);
+        answerInquiriesUntil(second, START + 77_000, reply, 0);
+        assertNotRunAgain(second, waiting, again);
     }
 
-    /** Its window (1.5 s) has closed by real time, though not by our clock. */
+    /** The dedup window (1.5 s) has closed in real time, though not by this front end's clock. */
     @ParameterizedTest
     @CsvSource({"0, -10000, 10000", "10000, 0, 6000", "0, -1400, 2000"})
-    void closedDedupWindowStaysClosedWhateverTheClockShows(double before, double after, double later) {
-        startWithOpenForward(CoordinatorHarness.DEDUPED, before, SENT_TO);
+    void closedDedupWindowStaysClosedWhateverTheClockShows(double clockErrorBefore, double clockErrorAfter, double delay) {
+        startWithOpenForward(CoordinatorHarness.DEDUPED, clockErrorBefore, SENT_TO);
         ledger.crash();
-        CoordinatorHarness second = start(START + later, after, SENT_TO);
+        CoordinatorHarness second = start(START + delay, clockErrorAfter, SENT_TO);
         Client again = second.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        answerInquiriesUntil(second, START + later + 2000, InquiryScheduler.OutcomeReply.NOTHING, 0);
+        answerInquiriesUntil(second, START + delay + 2000, InquiryScheduler.OutcomeReply.NOTHING, 0);
         assertNotRunAgain(second, again);
         assertEquals("1 FAILED", again.received());
     }
@@ -175,51 +180,53 @@
         assertEquals(1, second.forwards.size());
     }
 
-    /** What the process that was sent it says is believed, whatever our clock shows. */
+    /** A reply of the process to which the forward was sent counts, whatever this front end's clock shows. */
     @ParameterizedTest
     @CsvSource({"FINISHED, 0, 0", "FENCED, 0, 0", "FENCED, 3600000, 3600000", "FENCED, 20000, 0", "FINISHED, 20000, 0"})
-    void replyOfTheTargetProcessCountsWhateverTheClockShows(InquiryScheduler.OutcomeReply what, double before, double after) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, before, SENT_TO);
+    void replyOfTheTargetProcessCountsWhateverTheClockShows(InquiryScheduler.OutcomeReply reply, double clockErrorBefore,
+            double clockErrorAfter) {
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, SENT_TO);
         ledger.crash();
-        CoordinatorHarness second = start(START + 6000, after, SENT_TO);
-        Client waits = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + 17_000, what, 0);
+        CoordinatorHarness second = start(START + 6000, clockErrorAfter, SENT_TO);
+        Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        answerInquiriesUntil(second, START + 17_000, reply, 0);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         advanceWithCommits(second);
-        if (what == InquiryScheduler.OutcomeReply.FINISHED) {
-            assertEquals("1 RETURNED 1 RETURNED", waits.received() + " " + again.received());
+        if (reply == InquiryScheduler.OutcomeReply.FINISHED) {
+            assertEquals("1 RETURNED 1 RETURNED", waiting.received() + " " + again.received());
         }
-        assertEquals(what == InquiryScheduler.OutcomeReply.FINISHED ? 0 : 1, second.forwards.size(), waits.received() + ", " + again.received());
+        assertEquals(reply == InquiryScheduler.OutcomeReply.FINISHED ? 0 : 1, second.forwards.size(),
+                waiting.received() + ", " + again.received());
     }
 
-    /** What a process had not seen when it was asked it may have seen before its answer came in. */
+    /** A process that had not seen the forward when it was asked may have seen it before its reply arrived. */
     @Test
     void inquiryReplyCountsAsOfTheTimeItWasSent() {
         startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
         ledger.crash();
         CoordinatorHarness second = start(START + 100, 0, SENT_TO);
         second.advanceTo(START + 5500);
-        Client waits = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        second.answerInquiries(ADDRESS, InquiryScheduler.OutcomeReply.UNSEEN, 0); // asked at T + 200
+        Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        second.answerInquiries(ADDRESS, InquiryScheduler.OutcomeReply.UNSEEN, 0); // the inquiry was sent at START + 200
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        assertNotRunAgain(second, waits, again);
+        assertNotRunAgain(second, waiting, again);
     }
 
-    /** Its process has not seen it and does not promise to refuse it: it may read it later still. */
+    /** The process has not seen the forward and does not promise to refuse it, so it may still read it later. */
     @ParameterizedTest
     @ValueSource(doubles = {6000, 12_000, 29_000})
-    void unseenProvesNothingWithoutAFence(double until) {
+    void unseenProvesNothingWithoutAFence(double end) {
         startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
         ledger.crash();
         CoordinatorHarness second = start(START + 100, 0, SENT_TO);
-        answerInquiriesUntil(second, START + until - 500, InquiryScheduler.OutcomeReply.UNSEEN, 0);
-        Client waits = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + until, InquiryScheduler.OutcomeReply.UNSEEN, 0);
+        answerInquiriesUntil(second, START + end - 500, InquiryScheduler.OutcomeReply.UNSEEN, 0);
+        Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        answerInquiriesUntil(second, START + end, InquiryScheduler.OutcomeReply.UNSEEN, 0);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        assertNotRunAgain(second, waits, again);
+        assertNotRunAgain(second, waiting, again);
     }
 
-    /** Its intention waited for the disk: it left 900 ms later, and may arrive for five seconds from then on. */
+    /** The intent waited for the disk, so the forward was sent 900 ms later and may arrive up to five seconds after that. */
     @Test
     void forwardMayArriveForFiveSecondsAfterItWasSent() {
         CoordinatorHarness first = start(START, 0, SENT_TO);
@@ -230,20 +237,20 @@
         while (ledger.hasPending()) {
             ledger.commit(first, true);
         }
-        assertEquals(1, first.forwards.size(), "its forward did not leave");
+        assertEquals(1, first.forwards.size(), "the forward was not sent");
         ledger.crash();
         CoordinatorHarness second = start(START + 1200, 0, SENT_TO);
         answerInquiriesUntil(second, START + 4900, InquiryScheduler.OutcomeReply.UNSEEN, 0);
-        Client waits = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
+        Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         answerInquiriesUntil(second, START + 5850, InquiryScheduler.OutcomeReply.UNSEEN, 0);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        assertNotRunAgain(second, waits, again);
+        assertNotRunAgain(second, waiting, again);
     }
 
-    /** Its next life forwards it to another executor: each forward is asked about where it went. */
+    /** The next inference of the message is forwarded to another executor: each forward is inquired at its own executor. */
     @ParameterizedTest
     @ValueSource(strings = {"UNSEEN", "FENCED"})
-    void forwardsOfTwoInferencesAreInquiredSeparately(InquiryScheduler.OutcomeReply what) {
+    void forwardsOfTwoInferencesAreInquiredSeparately(InquiryScheduler.OutcomeReply reply) {
         startWithOpenForward(CoordinatorHarness.DEDUPED, 0, SENT_TO);
         ledger.crash();
         CoordinatorHarness second = start(START + 200, 0, rosterEntry("s-2", "10.0.0.2:80"));
@@ -252,24 +259,24 @@
         assertEquals("s-2", second.forwards.get(0).endpoint.instance);
         ledger.crash();
         CoordinatorHarness third = start(START + 6000, 0, SENT_TO, rosterEntry("s-2", "10.0.0.2:80"));
-        Client waits = third.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        answerInquiriesUntil(third, START + 16_000, what, 0);
+        Client waiting = third.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
+        answerInquiriesUntil(third, START + 16_000, reply, 0);
         Client again = third.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        assertNotRunAgain(third, waits, again);
+        assertNotRunAgain(third, waiting, again);
     }
 
-    /** Who is only asked is none that discovery told of. */
+    /** An executor that is only asked does not become a listed one. */
     @ParameterizedTest
     @ValueSource(strings = {"s-1", "s-other"})
-    void inquiriesAddNoEndpoints(String thenThere) {
+    void inquiriesAddNoEndpoints(String laterInstance) {
         startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
         ledger.crash();
-        CoordinatorHarness second = start(START + 6000, 0, rosterEntry(thenThere, ADDRESS));
+        CoordinatorHarness second = start(START + 6000, 0, rosterEntry(laterInstance, ADDRESS));
         answerInquiriesUntil(second, START + 40_000, InquiryScheduler.OutcomeReply.NOTHING, 0);
-        assertEquals(List.of(thenThere), second.coordinator.endpoints().stream().map(place -> place.instance).toList());
+        assertEquals(List.of(laterInstance), second.coordinator.endpoints().stream().map(place -> place.instance).toList());
     }
 
-    /** Our clock is an hour ahead at the restart, and set right after it: the same message is still no new one. */
+    /** The clock is an hour ahead at the restart and is corrected after it: the same message is still not a new one. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void messageExpiredByAWrongClockIsNotAcceptedAsNew(boolean answered) {
@@ -282,8 +289,8 @@
         CoordinatorHarness second = start(START + 6000, 3_600_000, SENT_TO);
         second.wallClockOffset = 0;
         Client replayed = second.new Client();
-        second.runBatch(second.now, () -> second.coordinator.onMessage(new IncomingMessage(0, "a", 1, 0, CoordinatorHarness.model(CoordinatorHarness.NON_RETRIABLE, 0),
-                new InferenceInput(new byte[0], null), 0, second.now, (long) (START / 1000), null, replayed)));
+        second.runBatch(second.now, () -> second.coordinator.onMessage(new IncomingMessage(0, "a", 1, 0,
+                CoordinatorHarness.model(CoordinatorHarness.NON_RETRIABLE, 0), new InferenceInput(new byte[0], null), 0, second.now, (long) (START / 1000), null, replayed)));
         answerInquiriesUntil(second, START + 8000, InquiryScheduler.OutcomeReply.NOTHING, 0);
         advanceWithCommits(second);
         assertEquals(0, second.forwards.size(), "forwarded again");
--- a/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
+++ b/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
@@ -38,12 +38,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What waits for an I/O thread that stands still is written only if it still may be. */
+/** A request that waits for a blocked I/O thread is written only if it may still be sent by then. */
 @Timeout(30)
 class SendLeaseTest {
     private static final double ROSTER_VALIDITY = 200;
     private static final double NO_LIMIT = 1e9;
-    /** The stage's grace of rule 3, and what the module keeps of it for the way. */
+    /** Milliseconds: the drain grace of rule 3 in the harness, and the router's safety margin for transmission. */
     private static final double GRACE = 500;
     private static final double MARGIN = 25;
 
@@ -58,7 +58,7 @@
 
     @BeforeEach
     void start() throws InterruptedException {
-        InetSocketAddress at = (InetSocketAddress) new ServerBootstrap().group(peer).channel(NioServerSocketChannel.class)
+        InetSocketAddress socketAddress = (InetSocketAddress) new ServerBootstrap().group(peer).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel connection) {
@@ -71,7 +71,7 @@
                                 }));
                     }
                 }).bind("127.0.0.1", 0).sync().channel().localAddress();
-        address = "127.0.0.1:" + at.getPort();
+        address = "127.0.0.1:" + socketAddress.getPort();
         Http2ConnectionPool.Limits bounds = new Http2ConnectionPool.Limits(1, 10, 5000, NO_LIMIT, 1000, 1 << 16);
         transport = new HttpExecutorTransport("fe", Set.of(), loop, NioSocketChannel.class, bounds, bounds,
                 new AnswerStream.Limits(1000, 100, 1000, harness.counts), new Counts(), () -> time, events::add);
@@ -94,68 +94,69 @@
         }
     }
 
-    /** Returns when the lease of the one executor ends. */
-    private double listAsReady(double rosterLasts) {
+    /** Lists the executor as ready; returns when its lease ends. */
+    private double listAsReady(double validity) {
         harness.updateRoster(RosterUpdateKind.FULL, new RosterEntry(address, address, 1, 0, ExecutorState.READY, 0, 0, 0));
-        double until = harness.now + rosterLasts;
+        double until = harness.now + validity;
         harness.runBatch(harness.now, () -> harness.coordinator.onRosterConfirmed(harness.now, until));
         return until + GRACE - MARGIN;
     }
 
-    /** Hands it to the links while their thread stands still, and lets that go on at that time. */
-    private void writeAt(double writes, Runnable handOver) throws InterruptedException {
-        CountDownLatch goesOn = new CountDownLatch(1);
+    /** Hands a request to the transport while its thread is blocked, and unblocks the thread at the given time. */
+    private void writeAt(double writeTime, Runnable handOver) throws InterruptedException {
+        CountDownLatch unblock = new CountDownLatch(1);
         loop.execute(() -> {
             try {
-                goesOn.await();
+                unblock.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
         time = harness.now;
         handOver.run();
-        time = writes;
-        goesOn.countDown();
+        time = writeTime;
+        unblock.countDown();
         Consumer<InferenceCoordinator> end = events.take();
         harness.runBatch(time, () -> end.accept(harness.coordinator));
     }
 
-    /** Guards against a forward that is written after its executor's lease (rule 3) or its own time has run out. */
+    /** Guards against a forward that is written after its executor's lease (rule 3) or its own deadline. */
     @ParameterizedTest
     @CsvSource({"lease, -1, 1", "lease, 1, 0", "time, -1, 1", "time, 1, 0"})
-    void forwardIsWrittenOnlyWithinItsLeaseAndDeadline(String limit, double after, int arrives) throws Exception {
+    void forwardIsWrittenOnlyWithinItsLeaseAndDeadline(String limit, double offset, int expectedRequests) throws Exception {
         double leaseEnds = listAsReady(limit.equals("lease") ? ROSTER_VALIDITY : NO_LIMIT);
         harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        InFlightForward flight = harness.awaitForward();
-        double ends = limit.equals("lease") ? leaseEnds : flight.deadline();
-        assertEquals(Math.min(leaseEnds, flight.deadline()), ends);
-        writeAt(ends + after, () -> transport.forward(flight));
-        assertEquals(arrives, arrived.get());
+        InFlightForward forward = harness.awaitForward();
+        double ends = limit.equals("lease") ? leaseEnds : forward.deadline();
+        assertEquals(Math.min(leaseEnds, forward.deadline()), ends);
+        writeAt(ends + offset, () -> transport.forward(forward));
+        assertEquals(expectedRequests, arrived.get());
     }
 
-    /** The same of a load order; a question may be asked at any time. */
+    /** The same for a load order; a status query may be sent at any time. */
     @ParameterizedTest
     @CsvSource({"order, -1, 1", "order, 1, 0", "question, 1, 1"})
-    void loadOrderIsWrittenOnlyWithinItsLease(String what, double after, int arrives) throws Exception {
+    void loadOrderIsWrittenOnlyWithinItsLease(String kind, double offset, int expectedRequests) throws Exception {
         double leaseEnds = listAsReady(ROSTER_VALIDITY);
         harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        while (what.equals("order") && harness.orders.stream().noneMatch(order -> order.copies > 0)) {
+        while (kind.equals("order") && harness.orders.stream().noneMatch(order -> order.copies > 0)) {
             harness.answerLoadOrders(0);
             harness.advanceTo(harness.now + 5);
         }
-        LoadOrder order = harness.orders.stream().filter(each -> each.copies > 0 == what.equals("order")).findFirst().orElseThrow();
-        writeAt(leaseEnds + after, () -> transport.sendLoadOrder(order));
-        assertEquals(arrives, arrived.get());
+        LoadOrder order = harness.orders.stream().filter(candidate -> candidate.copies > 0 == kind.equals("order")).findFirst()
+                .orElseThrow();
+        writeAt(leaseEnds + offset, () -> transport.sendLoadOrder(order));
+        assertEquals(expectedRequests, arrived.get());
     }
 
-    /** Guards against a forward for a warm process that is written to the cold one which took its place (rule 4). */
+    /** Guards against a forward for a warm process that is written to the cold process that replaced it (rule 4). */
     @Test
     void forwardIsNotWrittenToAReplacedProcess() throws Exception {
         listAsReady(NO_LIMIT);
         harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
-        InFlightForward flight = harness.awaitForward();
+        InFlightForward forward = harness.awaitForward();
         writeAt(harness.now + 1, () -> {
-            transport.forward(flight);
+            transport.forward(forward);
             harness.updateRoster(RosterUpdateKind.CHANGES, new RosterEntry(address, address, 1, harness.now, ExecutorState.READY, 0, 0, 0));
         });
         assertEquals(0, arrived.get());
