--- a/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
+++ b/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
@@ -20,9 +20,9 @@
 class AddressTakeoverTest {
     private static final String ADDRESS = "10.0.0.1:80";
     /** Work in milliseconds: three quarters of overload factor x overload time, at the initial share of a cold executor (rule 4). */
-    private static final double RATION = 0.75 * 3 * 1000 * 0.2;
+    private static final double COLD_BUDGET = 0.75 * 3 * 1000 * 0.2;
     /** Expected milliseconds of one inference of the group: a quarter of its SLO time. */
-    private static final double EXPECTED = 100;
+    private static final double EXPECTED_MILLIS = 100;
 
     /** How the roster reports the new instance. */
     enum RosterDelivery {
@@ -87,7 +87,7 @@
         sent.addAll(sentFor(harness, 600, "c"));
         assertEquals(List.of(), sent.stream().filter(item -> item.endsWith("s-old")).toList());
         long forwards = sent.stream().filter("forward s-new"::equals).count();
-        assertTrue(forwards > 0 && forwards * EXPECTED <= RATION, forwards + " forwards in the first second");
+        assertTrue(forwards > 0 && forwards * EXPECTED_MILLIS <= COLD_BUDGET, forwards + " forwards in the first second");
         assertFalse(harness.maySendTo("s-old"));
         assertTrue(harness.maySendTo("s-new"));
     }
--- a/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
+++ b/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
@@ -184,7 +184,7 @@
         return activeTimers.size();
     }
 
-    void updateRoster(RosterUpdateKind kind, RosterEntry... lines) {
+    void updateRoster(RosterUpdateKind kind, RosterEntry... entries) {
         runBatch(now, () -> coordinator.onRosterUpdate(kind, List.of(entries)));
     }
 
--- a/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
+++ b/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
@@ -16,9 +16,9 @@
 
 /** Deferred actions (a listing, a removal, a forward that waits for its intent) after the roster has changed meanwhile. */
 class DeferredActionsTest {
-    private static final double EXPECTED = 100;
-    private static final double FALL_TIME = 1000;
-    private static final double WARM_WITHIN = 5000;
+    private static final double EXPECTED_MILLIS = 100;
+    private static final double OVERLOAD_TIME = 1000;
+    private static final double WARM_UP_TIME = 5000;
 
     private final ManualCommitLedger ledger = new ManualCommitLedger();
     private double startedAt;
@@ -55,24 +55,24 @@
     }
 
     /** The limit is three quarters of overload factor x overload time, at the cold executor's share at the first forward. */
-    private void assertColdRationKept(CoordinatorHarness harness) {
+    private void assertColdBudgetKept(CoordinatorHarness harness) {
         double first = harness.forwards.get(0).forward.sentAt;
-        double budget = 0.75 * 3 * FALL_TIME * (0.2 + 0.8 * (first - startedAt) / WARM_WITHIN);
-        long sent = harness.forwards.stream().filter(forward -> forward.forward.sentAt < first + FALL_TIME).count();
-        assertTrue(sent * EXPECTED <= budget, sent + " forwards within the overload time, budget " + budget);
+        double budget = 0.75 * 3 * OVERLOAD_TIME * (0.2 + 0.8 * (first - startedAt) / WARM_UP_TIME);
+        long sent = harness.forwards.stream().filter(forward -> forward.forward.sentAt < first + OVERLOAD_TIME).count();
+        assertTrue(sent * EXPECTED_MILLIS <= budget, sent + " forwards within the overload time, budget " + budget);
     }
 
     /** Guards against twice the cold budget in one window (rule 4): a roster update lists a deferred executor to a new router. */
     @ParameterizedTest
     @ValueSource(strings = {"FULL", "CHANGES"})
-    void rosterDoesNotListADeferredColdExecutorToANewRouter(RosterUpdateKind form) {
+    void rosterDoesNotListADeferredColdExecutorToANewRouter(RosterUpdateKind kind) {
         CoordinatorHarness harness = startWithColdExecutor(failingFirstRouter());
         Client client = sendMessages(harness, 200);
         harness.runBatch(harness.now, () -> harness.coordinator.onClientDisconnected(client.inferenceState, client));
         assertEquals(1, harness.routerFailures.size());
-        harness.updateRoster(form, rosterEntry("10.0.0.1:80", ExecutorState.READY));
+        harness.updateRoster(kind, rosterEntry("10.0.0.1:80", ExecutorState.READY));
         sendMessages(harness, 300);
-        assertColdRationKept(harness);
+        assertColdBudgetKept(harness);
     }
 
     /** Guards against an instance that counts as removed for good because it moved while its listing was deferred. */
@@ -83,7 +83,7 @@
         harness.runBatch(harness.now, () -> harness.coordinator.onClientDisconnected(client.inferenceState, client));
         assertEquals(1, harness.routerFailures.size());
         harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.9:80", ExecutorState.READY));
-        harness.advanceTo(harness.now + FALL_TIME + 100);
+        harness.advanceTo(harness.now + OVERLOAD_TIME + 100);
         assertTrue(harness.maySendTo("s-1"));
     }
 
@@ -99,7 +99,7 @@
         harness.advanceTo(harness.now + 150);
         harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("10.0.0.1:80", ExecutorState.READY));
         sendMessages(harness, 300);
-        assertColdRationKept(harness);
+        assertColdBudgetKept(harness);
     }
 
     /**
--- a/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
@@ -21,7 +21,7 @@
     private static final String SECOND = "10.0.0.2:80";
     private final ManualCommitLedger ledger = new ManualCommitLedger();
 
-    private CoordinatorHarness start(double now, RosterEntry... lines) {
+    private CoordinatorHarness start(double now, RosterEntry... entries) {
         CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
         harness.now = now;
         harness.coordinator.recover(ledger.replay(), now, 600_000, CoordinatorHarness.GROUPS, Long.MIN_VALUE,
--- a/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
@@ -34,7 +34,7 @@
         return new RosterEntry(instance, address, 1, 0, ExecutorState.READY, 1, 0, 0);
     }
 
-    private CoordinatorHarness start(double now, double clockOffset, RosterEntry... lines) {
+    private CoordinatorHarness start(double now, double clockOffset, RosterEntry... entries) {
         CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
         harness.now = now;
         harness.wallClockOffset = clockOffset;
@@ -273,7 +273,7 @@
         ledger.crash();
         CoordinatorHarness second = start(START + 6000, 0, rosterEntry(laterInstance, ADDRESS));
         answerInquiriesUntil(second, START + 40_000, InquiryScheduler.OutcomeReply.NOTHING, 0);
-        assertEquals(List.of(laterInstance), second.coordinator.endpoints().stream().map(place -> place.instance).toList());
+        assertEquals(List.of(laterInstance), second.coordinator.endpoints().stream().map(endpoint -> endpoint.instance).toList());
     }
 
     /** The clock is an hour ahead at the restart and is corrected after it: the same message is still not a new one. */
@@ -290,7 +290,8 @@
         second.wallClockOffset = 0;
         Client replayed = second.new Client();
         second.runBatch(second.now, () -> second.coordinator.onMessage(new IncomingMessage(0, "a", 1, 0,
-                CoordinatorHarness.model(CoordinatorHarness.NON_RETRIABLE, 0), new InferenceInput(new byte[0], null), 0, second.now, (long) (START / 1000), null, replayed)));
+                CoordinatorHarness.model(CoordinatorHarness.NON_RETRIABLE, 0), new InferenceInput(new byte[0], null), 0, second.now,
+                (long) (START / 1000), null, replayed)));
         answerInquiriesUntil(second, START + 8000, InquiryScheduler.OutcomeReply.NOTHING, 0);
         advanceWithCommits(second);
         assertEquals(0, second.forwards.size(), "forwarded again");
--- a/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
+++ b/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
@@ -51,7 +51,7 @@
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MultiThreadIoEventLoopGroup peer = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<Consumer<InferenceCoordinator>> events = new LinkedBlockingQueue<>();
-    private final AtomicInteger arrived = new AtomicInteger();
+    private final AtomicInteger requestsReceived = new AtomicInteger();
     private volatile double time;
     private HttpExecutorTransport transport;
     private String address;
@@ -72,8 +72,8 @@
                     }
                 }).bind("127.0.0.1", 0).sync().channel().localAddress();
         address = "127.0.0.1:" + socketAddress.getPort();
-        Http2ConnectionPool.Limits bounds = new Http2ConnectionPool.Limits(1, 10, 5000, NO_LIMIT, 1000, 1 << 16);
-        transport = new HttpExecutorTransport("fe", Set.of(), loop, NioSocketChannel.class, bounds, bounds,
+        Http2ConnectionPool.Limits limits = new Http2ConnectionPool.Limits(1, 10, 5000, NO_LIMIT, 1000, 1 << 16);
+        transport = new HttpExecutorTransport("fe", Set.of(), loop, NioSocketChannel.class, limits, limits,
                 new AnswerStream.Limits(1000, 100, 1000, harness.counts), new Counts(), () -> time, events::add);
     }
 
@@ -87,7 +87,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object frame) {
             if (frame instanceof Http2HeadersFrame) {
-                arrived.incrementAndGet();
+                requestsReceived.incrementAndGet();
                 ctx.writeAndFlush(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().status("200"), true));
             }
             ReferenceCountUtil.release(frame);
@@ -130,7 +130,7 @@
         double ends = limit.equals("lease") ? leaseEnds : forward.deadline();
         assertEquals(Math.min(leaseEnds, forward.deadline()), ends);
         writeAt(ends + offset, () -> transport.forward(forward));
-        assertEquals(expectedRequests, arrived.get());
+        assertEquals(expectedRequests, requestsReceived.get());
     }
 
     /** The same for a load order; a status query may be sent at any time. */
@@ -146,7 +146,7 @@
         LoadOrder order = harness.orders.stream().filter(candidate -> candidate.copies > 0 == kind.equals("order")).findFirst()
                 .orElseThrow();
         writeAt(leaseEnds + offset, () -> transport.sendLoadOrder(order));
-        assertEquals(expectedRequests, arrived.get());
+        assertEquals(expectedRequests, requestsReceived.get());
     }
 
     /** Guards against a forward for a warm process that is written to the cold process that replaced it (rule 4). */
@@ -159,6 +159,6 @@
             transport.forward(forward);
             harness.updateRoster(RosterUpdateKind.CHANGES, new RosterEntry(address, address, 1, harness.now, ExecutorState.READY, 0, 0, 0));
         });
-        assertEquals(0, arrived.get());
+        assertEquals(0, requestsReceived.get());
     }
 }
--- a/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
+++ b/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
@@ -44,8 +44,8 @@
     }
 
     /** The router's view of an executor and of one model's copies there. */
-    private record ExecutorView(int copies, double shunnedUntil, double distrust, double limit, double took, double answers,
-            ExecutorReport report, double provenReadyAt, double refusedAt, double disconnectedAt) { }
+    private record ExecutorView(int copies, double backoffUntil, double suspicion, double concurrencyLimit, double slowdownSum,
+            double answerCount, ExecutorReport report, double readyProbeSentAt, double notReadyProbeSentAt, double disconnectedAt) { }
 
     private static RosterEntry rosterEntry(String address, double startedAt, ExecutorState state) {
         return new RosterEntry("s-1", address, 1, startedAt, state, 0, 0, 0);
@@ -133,8 +133,8 @@
         change.deliverTo(harness);
         ExecutorView viewBefore = viewOf(harness, client);
         assertEquals(0, viewBefore.copies);
-        harness.runBatch(harness.now, () -> harness.coordinator.onForwardEnded(earlierForward, lateOutcome, LoadStatus.ALREADY_LOADED, 3, REPORT,
-                "{}".getBytes()));
+        harness.runBatch(harness.now, () -> harness.coordinator.onForwardEnded(earlierForward, lateOutcome, LoadStatus.ALREADY_LOADED, 3,
+                REPORT, "{}".getBytes()));
         assertEquals(expected, client.received());
         assertEquals(viewBefore, viewOf(harness, client));
         assertCurrentProcessServes(harness, change);
