--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -29,6 +29,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** The coordinator with the real router in virtual time: repeats, deadlines, limits, disconnects and router failures. */
 class InferenceCoordinatorTest {
     private final CoordinatorHarness harness = harness(UnaryOperator.identity());
 
