--- a/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
+++ b/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
@@ -11,17 +11,23 @@
 import java.util.TreeSet;
 
 /**
- * Claims that this front end has under way: state and decisions, no I/O. A message is ours when a majority of its
- * keepers has granted it, in every list that is in force; somebody else's when a majority cannot be had any more because
- * another holds it; and unknown when time is up or keepers cannot be asked. What was not won is given back, so that two
- * that split the keepers do not block each other for good.
+ * Runs the quorum rounds by which this front end claims messages; state and decisions only, no I/O. A claim is won once a
+ * majority of the message's replicas has granted it, in every active front end set. It is lost when a majority can no longer be
+ * reached because another front end holds the claim, and unknown on a timeout or when replicas cannot be reached. A claim that
+ * was not won is released, so that two front ends that split the replicas do not block each other forever.
  */
 public final class ClaimCoordinator {
-    /** Something to be sent to a keeper. */
+    /**
+     * A request to one replica.
+     *
+     * @param release whether the claim is released rather than made
+     * @param round number of the round
+     */
     public record ReplicaRequest(String replica, boolean release, MessageIdentity message, long round) { }
 
-    /** One claim under way. */
+    /** One claim in progress. */
     public final class Round {
+        /** The number of the round, which grows with every claim of this front end. */
         public final long number;
         private final MessageIdentity message;
         private final List<List<String>> replicaSets = new ArrayList<>();
@@ -31,18 +37,18 @@
         private final Map<String, Integer> holders = new HashMap<>();
         private ClaimResult result;
 
-        private Round(long number, MessageIdentity about) {
+        private Round(long number, MessageIdentity message) {
             this.number = number;
-            this.message = about;
+            this.message = message;
         }
 
-        /** Null while it is open. */
+        /** The result of the claim; null while the round is open. */
         public ClaimResult result() {
             return result;
         }
 
-        private ReplicaRequest request(String keeper, boolean release) {
-            return new ReplicaRequest(keeper, release, message, number);
+        private ReplicaRequest request(String replica, boolean release) {
+            return new ReplicaRequest(replica, release, message, number);
         }
     }
 
@@ -50,75 +56,79 @@
     private long lastRound;
 
     /**
-     * @param lists the lists in force: one, or, while it is changed, the old and the new
-     * @param firstRound above every round of an earlier life of this front end
+     * @param frontEndSets the active sets: one, or the old and the new one while the set is being changed
+     * @param firstRound above every round of earlier runs of this front end
      */
-    public ClaimCoordinator(List<FrontEndSet> lists, long firstRound) {
-        this.frontEndSets = lists;
+    public ClaimCoordinator(List<FrontEndSet> frontEndSets, long firstRound) {
+        this.frontEndSets = frontEndSets;
         lastRound = firstRound;
     }
 
-    /** Begins; {@code out} gets what is to be sent. */
-    public Round startRound(MessageIdentity about, List<ReplicaRequest> out) {
-        Round round = new Round(++lastRound, about);
-        for (FrontEndSet list : frontEndSets) {
-            List<String> keepers = list.replicas(about.customer(), about.id());
-            round.replicaSets.add(keepers);
-            round.contacted.addAll(keepers);
+    /** Starts a round and adds the requests to be sent to {@code out}. */
+    public Round startRound(MessageIdentity message, List<ReplicaRequest> out) {
+        Round round = new Round(++lastRound, message);
+        for (FrontEndSet frontEndSet : frontEndSets) {
+            List<String> replicas = frontEndSet.replicas(message.customer(), message.id());
+            round.replicaSets.add(replicas);
+            round.contacted.addAll(replicas);
         }
-        round.contacted.forEach(keeper -> out.add(round.request(keeper, false)));
+        round.contacted.forEach(replica -> out.add(round.request(replica, false)));
         return round;
     }
 
-    /** A keeper's word: granted, or held by another; neither where it has no room, refuses or cannot be reached. */
-    public void handleReply(Round round, String keeper, boolean granted, String holder, List<ReplicaRequest> out) {
-        if (!round.replied.add(keeper)) {
+    /**
+     * Handles a replica's reply.
+     *
+     * @param holder who holds the claim instead; null if it was granted, or if the replica is full, refused or was not reached
+     */
+    public void handleReply(Round round, String replica, boolean granted, String holder, List<ReplicaRequest> out) {
+        if (!round.replied.add(replica)) {
             return;
         }
         if (granted) {
-            round.granted.add(keeper);
+            round.granted.add(replica);
         } else if (holder != null) {
             round.holders.merge(holder, 1, Integer::sum);
         }
         if (round.result != null) {
             if (granted && round.result.status() != ClaimStatus.GRANTED) {
-                out.add(round.request(keeper, true));
+                out.add(round.request(replica, true));
             }
             return;
         }
         boolean won = true;
         boolean lost = false;
         for (int i = 0; i < frontEndSets.size(); i++) {
-            int got = 0;
-            int open = 0;
+            int grants = 0;
+            int outstanding = 0;
             for (String name : round.replicaSets.get(i)) {
-                got += round.granted.contains(name) ? 1 : 0;
-                open += round.replied.contains(name) ? 0 : 1;
+                grants += round.granted.contains(name) ? 1 : 0;
+                outstanding += round.replied.contains(name) ? 0 : 1;
             }
-            won &= got >= frontEndSets.get(i).majority();
-            lost |= got + open < frontEndSets.get(i).majority();
+            won &= grants >= frontEndSets.get(i).majority();
+            lost |= grants + outstanding < frontEndSets.get(i).majority();
         }
         if (won) {
             round.result = new ClaimResult(ClaimStatus.GRANTED, null);
         } else if (lost) {
-            decide(round, out);
+            endWithoutMajority(round, out);
         }
     }
 
-    /** Time is up: what is not won by now is not ours. */
+    /** Ends the round on a timeout; a claim that was not won by then is not won at all. */
     public void handleTimeout(Round round, List<ReplicaRequest> out) {
         if (round.result == null) {
-            decide(round, out);
+            endWithoutMajority(round, out);
         }
     }
 
-    private void decide(Round round, List<ReplicaRequest> out) {
+    private void endWithoutMajority(Round round, List<ReplicaRequest> out) {
         String holder = null;
-        for (Map.Entry<String, Integer> h : new java.util.TreeMap<>(round.holders).entrySet()) {
-            holder = holder == null || h.getValue() > round.holders.get(holder) ? h.getKey() : holder;
+        for (Map.Entry<String, Integer> entry : new java.util.TreeMap<>(round.holders).entrySet()) {
+            holder = holder == null || entry.getValue() > round.holders.get(holder) ? entry.getKey() : holder;
         }
         round.result = new ClaimResult(holder != null ? ClaimStatus.HELD_BY_OTHER : ClaimStatus.UNKNOWN, holder);
-        // Also to those that have not answered: their grant may be on its way.
-        round.contacted.forEach(keeper -> out.add(round.request(keeper, true)));
+        // Also to replicas that have not replied: their grant may be in flight.
+        round.contacted.forEach(replica -> out.add(round.request(replica, true)));
     }
 }
--- a/gateway/src/main/java/gradereach/claims/ClaimTable.java
+++ b/gateway/src/main/java/gradereach/claims/ClaimTable.java
@@ -7,17 +7,18 @@
 import java.util.Map;
 
 /**
- * What one front end keeps for others: which front end a message belongs to. A claim is granted once and then only to
- * the same claimant; it ends with the time for which messages are remembered, or when its claimant gives it back. A
- * claimant is a front end with its ledger: one that lost its ledger does not get its old claims back. What has ended leaves
- * the latest signed timestamp among it behind: whoever claims a message that is not known and was signed no later is
- * granted nothing, since it may be one of those.
+ * The claims that one front end stores as a replica: which front end owns a message. A claim is granted once, and again only to the
+ * same claimant. It expires with the retention of messages, or ends when its claimant releases it. A claimant is identified by its
+ * front end and its ledger, so a front end that lost its ledger does not get its old claims back. The table remembers the latest
+ * signed timestamp among expired claims: a claim of an unknown message that was signed no later is refused, because that message
+ * may be one of the expired ones.
  */
 public final class ClaimTable {
     private record Key(String customer, String id) { }
 
     /** A granted claim. */
     public static final class Claim {
+        /** The front end with its ledger to which the claim was granted. */
         public final String claimant;
         private final long signedAt;
         final double expiresAt;
@@ -25,18 +26,20 @@
         private long round;
         private boolean released;
 
-        Claim(Key key, String claimant, long round, long signedAt, double until) {
+        Claim(Key key, String claimant, long round, long signedAt, double expiresAt) {
             this.key = key;
             this.claimant = claimant;
             this.round = round;
             this.signedAt = signedAt;
-            this.expiresAt = until;
+            this.expiresAt = expiresAt;
         }
     }
 
     /**
-     * The keeper's word: granted, or to whom it was granted before; null holder and not granted: no room, or it cannot be known
-     * any more to whom.
+     * The reply to a claim. If it is neither granted nor has a holder, the table is full, or the holder is no longer known.
+     *
+     * @param holder the claimant to which it was granted before; null for none
+     * @param newlyGranted whether the claim was not in the table before
      */
     public record ClaimReply(boolean granted, String holder, boolean newlyGranted) { }
 
@@ -46,20 +49,20 @@
     private final int maxClaims;
     private final double retention;
     private final Map<Key, Claim> claims = new HashMap<>();
-    private final ArrayDeque<Claim> byExpiry = new ArrayDeque<>();
-    /** How far claimants' ledgers had got; a few for each front end, which has one and may lose it. */
-    private final Map<String, Long> recordPosition = new HashMap<>();
-    /** The latest signed timestamp among claims that are no longer known, Unix seconds; NOTHING_FORGOTTEN for none. */
+    private final ArrayDeque<Claim> expiryQueue = new ArrayDeque<>();
+    /** Last known ledger position by claimant; a front end that loses its ledger appears again with a new one. */
+    private final Map<String, Long> positions = new HashMap<>();
+    /** The latest signed timestamp among claims that are no longer known, in Unix seconds; NOTHING_FORGOTTEN for none. */
     private long forgottenUpTo = NOTHING_FORGOTTEN;
 
-    /** {@code kept} in milliseconds. */
-    public ClaimTable(int most, double kept) {
-        this.maxClaims = most;
-        this.retention = kept;
+    /** @param retention milliseconds for which claims are kept */
+    public ClaimTable(int maxClaims, double retention) {
+        this.maxClaims = maxClaims;
+        this.retention = retention;
     }
 
     /**
-     * Claims of messages that were signed then at the latest are no longer known.
+     * Notes that claims of messages signed at {@code signedAt} or earlier may no longer be known.
      *
      * @param signedAt Unix seconds
      */
@@ -68,73 +71,76 @@
     }
 
     /**
+     * Grants or refuses a claim.
+     *
      * @param round grows with every claim that a claimant makes
-     * @param signableUntil the latest timestamp that a message can carry now, Unix seconds
+     * @param latestSignedAt the latest timestamp that a message can carry now, in Unix seconds
      */
-    public ClaimReply claim(MessageIdentity message, String claimant, long round, double now, long signableUntil) {
+    public ClaimReply claim(MessageIdentity message, String claimant, long round, double now, long latestSignedAt) {
         expire(now);
         Key key = new Key(message.customer(), message.id());
-        Claim there = claims.get(key);
-        if (there != null) {
-            if (!there.claimant.equals(claimant)) {
-                return new ClaimReply(false, there.claimant, false);
+        Claim existing = claims.get(key);
+        if (existing != null) {
+            if (!existing.claimant.equals(claimant)) {
+                return new ClaimReply(false, existing.claimant, false);
             }
-            there.round = Math.max(there.round, round);
+            existing.round = Math.max(existing.round, round);
             return new ClaimReply(true, null, false);
         }
         boolean mayBeForgotten = forgottenUpTo != NOTHING_FORGOTTEN && message.signedAt() <= forgottenUpTo;
         if (mayBeForgotten || claims.size() >= maxClaims) {
             return new ClaimReply(false, null, false);
         }
-        put(new Claim(key, claimant, round, message.withDefaultSignedAt(signableUntil).signedAt(), now + retention));
+        put(new Claim(key, claimant, round, message.withDefaultSignedAt(latestSignedAt).signedAt(), now + retention));
         return new ClaimReply(true, null, true);
     }
 
-    /** As the ledger tells it after a restart. Its round is not known: no release reaches it, which is safe. */
-    public void restore(String customer, String id, String claimant, long signedAt, double until) {
-        put(new Claim(new Key(customer, id), claimant, Long.MAX_VALUE, signedAt, until));
+    /** Restores a claim from the ledger after a restart. Its round is unknown, so that no release matches it; that is safe. */
+    public void restore(String customer, String id, String claimant, long signedAt, double expiresAt) {
+        put(new Claim(new Key(customer, id), claimant, Long.MAX_VALUE, signedAt, expiresAt));
     }
 
     private void put(Claim claim) {
         claims.put(claim.key, claim);
-        byExpiry.add(claim);
+        expiryQueue.add(claim);
     }
 
-    /** A claimant that did not get enough keepers gives its claim back; a later claim of its own is not touched. */
+    /** Releases a claim that did not get a majority; a later claim of the same claimant is kept. */
     public void release(String customer, String id, String claimant, long round) {
-        Claim there = claims.get(new Key(customer, id));
-        if (there != null && there.claimant.equals(claimant) && there.round <= round) {
-            there.released = true;
-            claims.remove(there.key);
+        Claim existing = claims.get(new Key(customer, id));
+        if (existing != null && existing.claimant.equals(claimant) && existing.round <= round) {
+            existing.released = true;
+            claims.remove(existing.key);
         }
     }
 
     private void expire(double now) {
-        while (!byExpiry.isEmpty() && (byExpiry.peek().released || byExpiry.peek().expiresAt <= now)) {
-            Claim old = byExpiry.poll();
-            if (!old.released) {
-                claims.remove(old.key, old);
-                markForgottenUpTo(old.signedAt);
+        while (!expiryQueue.isEmpty() && (expiryQueue.peek().released || expiryQueue.peek().expiresAt <= now)) {
+            Claim oldest = expiryQueue.poll();
+            if (!oldest.released) {
+                claims.remove(oldest.key, oldest);
+                markForgottenUpTo(oldest.signedAt);
             }
         }
     }
 
     /**
-     * A claimant's ledger had got so far.
+     * Records the ledger position of a claimant; it never decreases.
      *
      * @param position see {@link LedgerPosition}
      */
     public void recordPosition(String claimant, long position) {
-        if (recordPosition.size() < MAX_CLAIMANTS || recordPosition.containsKey(claimant)) {
-            recordPosition.merge(claimant, position, Math::max);
+        if (positions.size() < MAX_CLAIMANTS || positions.containsKey(claimant)) {
+            positions.merge(claimant, position, Math::max);
         }
     }
 
-    /** How far a claimant's ledger is known to have got. */
+    /** The highest known ledger position of a claimant; {@link LedgerPosition#UNKNOWN} for none. */
     public long lastKnownPosition(String claimant) {
-        return recordPosition.getOrDefault(claimant, LedgerPosition.UNKNOWN);
+        return positions.getOrDefault(claimant, LedgerPosition.UNKNOWN);
     }
 
+    /** The number of claims. */
     public int size() {
         return claims.size();
     }
--- a/gateway/src/main/java/gradereach/claims/FrontEndSet.java
+++ b/gateway/src/main/java/gradereach/claims/FrontEndSet.java
@@ -6,36 +6,40 @@
 import java.util.List;
 
 /**
- * Who the front ends are, and which of them keep whose claims: for each message the first few in rendezvous order
- * (highest random weight), so that the keepers of an id are the same for all who have the same list, and a change of the
- * list moves few of them.
+ * A set of front ends and the placement of claims on them: the replicas of a message are the first few in the order of rendezvous
+ * hashing (highest random weight). All front ends with the same set agree on them, and a change of the set moves few claims.
+ *
+ * @param names names of the front ends, kept sorted
+ * @param replicationFactor replicas of each claim
  */
 public record FrontEndSet(List<String> names, int replicationFactor) {
     public FrontEndSet {
         names = names.stream().sorted().toList();
     }
 
-    /** Tells lists apart. */
+    /** A hash by which two sets are compared. */
     public long digest() {
         return ModelCatalog.hash(String.join("\n", names) + "\n" + replicationFactor);
     }
 
+    /** The front ends that store the claim of a message. */
     public List<String> replicas(String customer, String id) {
-        long message = ModelCatalog.hash(customer + "\n" + id);
-        List<String> order = new ArrayList<>(names);
-        order.sort(Comparator.comparingLong((String name) -> mix(message ^ ModelCatalog.hash(name))).reversed()
+        long messageHash = ModelCatalog.hash(customer + "\n" + id);
+        List<String> ranking = new ArrayList<>(names);
+        ranking.sort(Comparator.comparingLong((String name) -> mix(messageHash ^ ModelCatalog.hash(name))).reversed()
                 .thenComparing(name -> name));
-        return order.subList(0, Math.min(replicationFactor, order.size()));
+        return ranking.subList(0, Math.min(replicationFactor, ranking.size()));
     }
 
-    /** So many of the keepers of an id that any two sets of them share one. */
+    /** How many of a message's replicas form a majority: any two majorities share a replica. */
     public int majority() {
         return Math.min(replicationFactor, names.size()) / 2 + 1;
     }
 
-    private static long mix(long h) {
-        h = (h ^ h >>> 33) * 0xff51afd7ed558ccdL;
-        h = (h ^ h >>> 33) * 0xc4ceb9fe1a85ec53L;
-        return h ^ h >>> 33;
+    /** MurmurHash3's 64-bit finalizer. */
+    private static long mix(long hash) {
+        hash = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
+        hash = (hash ^ hash >>> 33) * 0xc4ceb9fe1a85ec53L;
+        return hash ^ hash >>> 33;
     }
 }
--- a/gateway/src/main/java/gradereach/claims/PeerClaims.java
+++ b/gateway/src/main/java/gradereach/claims/PeerClaims.java
@@ -42,21 +42,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Claims among front ends over HTTP/2: {@code POST /v1/claims} to the keepers' peer listeners, each message a webhook
- * (Standard Webhooks) signed with the peers' shared key. All state is the deciding thread's; sockets only carry.
+ * Claims among front ends over HTTP/2: {@code POST /v1/claims} to the peer listeners of the replicas. Each request is a webhook
+ * (Standard Webhooks) signed with the key that the peers share. All state belongs to the decision thread; I/O threads only pass
+ * requests and replies on.
  */
 public final class PeerClaims implements ClaimService {
-    /** One front end as its peers reach it. */
+    /**
+     * The addresses of one front end.
+     *
+     * @param peerAddress its listener for peers
+     * @param clientAddress its listener for clients
+     */
     public record Peer(String name, InetSocketAddress peerAddress, InetSocketAddress clientAddress) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Http2ConnectionPool.Limits BOUNDS = new Http2ConnectionPool.Limits(2, 500, 250, 30_000, 16 << 20, 1 << 20);
+    private static final Http2ConnectionPool.Limits POOL_LIMITS = new Http2ConnectionPool.Limits(2, 500, 250, 30_000, 16 << 20, 1 << 20);
     private static final Logger LOG = LoggerFactory.getLogger(PeerClaims.class);
     private static final String SIGNED_AT = "signed_at";
     private static final String POSITION = "position";
-    /** A connection and a trip, or the connect time-out. */
+    /** Covers a connect and a round trip, or the connect timeout. */
     private static final long POSITION_TIMEOUT_MILLIS = 1000;
-    private static final double FORWARDING_MARGIN_MILLIS = 20; // the answer still has to cross to the client
+    private static final double RELAY_MARGIN_MILLIS = 20; // the answer still has to reach the client
 
     private final String ownName;
     private final List<Long> digests;
@@ -72,126 +78,133 @@
     private final Map<String, Http2ConnectionPool> peerPools = new HashMap<>();
     private final Map<String, Http2ConnectionPool> clientPools = new HashMap<>();
     private final LongAdder won;
-    private final LongAdder ownedByOthers;
+    private final LongAdder heldByOthers;
     private final LongAdder unknown;
     private final LongAdder granted;
     private final LongAdder refused;
-    private final LongAdder forwardedMessages;
+    private final LongAdder relayedMessages;
     private final Counts.Limit storedClaims;
     private ClaimCoordinator coordinator;
     private String claimant;
     private long messagesSent;
 
-    /** @param lists the lists in force; {@code copies} keepers for each message in each */
-    public PeerClaims(String me, List<Peer> all, List<FrontEndSet> lists, WebhookKey key, Ledger ledger, ClaimTable book,
-            Timers timers, DoubleSupplier clock, LongSupplier unixMillis, EventLoopGroup loops,
-            Class<? extends Channel> channelType, Consumer<Consumer<InferenceCoordinator>> toDesk, Counts counts) {
-        this.ownName = me;
-        this.frontEndSets = lists;
-        this.digests = lists.stream().map(FrontEndSet::digest).toList();
+    /** @param frontEndSets the active sets of front ends, which place the claims */
+    public PeerClaims(String ownName, List<Peer> peers, List<FrontEndSet> frontEndSets, WebhookKey key, Ledger ledger,
+            ClaimTable claimTable, Timers timers, DoubleSupplier clock, LongSupplier unixMillis, EventLoopGroup loops,
+            Class<? extends Channel> channelType, Consumer<Consumer<InferenceCoordinator>> decisionThread, Counts counts) {
+        this.ownName = ownName;
+        this.frontEndSets = frontEndSets;
+        this.digests = frontEndSets.stream().map(FrontEndSet::digest).toList();
         this.key = key;
         this.keyRing = new KeyRing(List.of(List.of(key)));
         this.ledger = ledger;
-        this.claimTable = book;
+        this.claimTable = claimTable;
         this.timers = timers;
         this.clock = clock;
         this.unixMillis = unixMillis;
-        this.decisionThread = toDesk;
-        Http2ConnectionPool.Metrics tally = new Http2ConnectionPool.Metrics(counts, "peer");
-        for (Peer peer : all) {
-            if (!peer.name.equals(me)) {
-                peerPools.put(peer.name, new Http2ConnectionPool(peer.peerAddress, loops.next(), channelType, BOUNDS, tally, clock));
-                clientPools.put(peer.name, new Http2ConnectionPool(peer.clientAddress, loops.next(), channelType, BOUNDS, tally, clock));
+        this.decisionThread = decisionThread;
+        Http2ConnectionPool.Metrics metrics = new Http2ConnectionPool.Metrics(counts, "peer");
+        for (Peer peer : peers) {
+            if (!peer.name.equals(ownName)) {
+                peerPools.put(peer.name,
+                        new Http2ConnectionPool(peer.peerAddress, loops.next(), channelType, POOL_LIMITS, metrics, clock));
+                clientPools.put(peer.name,
+                        new Http2ConnectionPool(peer.clientAddress, loops.next(), channelType, POOL_LIMITS, metrics, clock));
             }
         }
         won = counts.counter("claims_won");
-        ownedByOthers = counts.counter("claims_of_others");
+        heldByOthers = counts.counter("claims_of_others");
         unknown = counts.counter("claims_unknown");
         granted = counts.counter("claims_granted");
         refused = counts.counter("claims_refused");
-        forwardedMessages = counts.counter("messages_handed_on");
+        relayedMessages = counts.counter("messages_handed_on");
         storedClaims = counts.limit("claims_kept", Long.MAX_VALUE);
     }
 
     /**
-     * Before the first moment: who this front end is, with its ledger, and what it keeps.
+     * Restores the claims that this front end stores as a replica. Called once, before any claim.
      *
-     * @param life grows with every start
+     * @param ledgerIdentity identity of this front end's ledger, part of its name as a claimant
+     * @param run grows with every start of this front end
+     * @param retention milliseconds for which claims are kept
      */
-    public void recover(String ledgerIdentity, long life, LedgerState ledgerBook, double keptFor) {
+    public void recover(String ledgerIdentity, long run, LedgerState ledgerState, double retention) {
         claimant = ownName + "/" + ledgerIdentity;
-        coordinator = new ClaimCoordinator(frontEndSets, life << 32);
-        for (LedgerState.Claim claim : ledgerBook.claims()) {
+        coordinator = new ClaimCoordinator(frontEndSets, run << 32);
+        for (LedgerState.Claim claim : ledgerState.claims()) {
             double now = clock.getAsDouble();
-            double at = ledger.time().toMonotonic(claim.grantedAt());
-            double until = (Double.isNaN(at) ? now : at) + keptFor;
-            if (until > now) {
-                claimTable.restore(claim.customer(), claim.id(), claim.claimant(), claim.signedAt(), until);
+            double grantedAt = ledger.time().toMonotonic(claim.grantedAt());
+            double expiresAt = (Double.isNaN(grantedAt) ? now : grantedAt) + retention;
+            if (expiresAt > now) {
+                claimTable.restore(claim.customer(), claim.id(), claim.claimant(), claim.signedAt(), expiresAt);
             } else {
                 claimTable.markForgottenUpTo(claim.signedAt());
             }
         }
-        claimTable.markForgottenUpTo(ledgerBook.claimsForgottenUpTo());
-        ledgerBook.claimantPositions().forEach(claimTable::recordPosition);
+        claimTable.markForgottenUpTo(ledgerState.claimsForgottenUpTo());
+        ledgerState.claimantPositions().forEach(claimTable::recordPosition);
     }
 
     // ---- as claimant -------------------------------------------------------------------------------------
 
     @Override
-    public void claim(MessageIdentity message, double patience, ClaimCallback then) {
-        List<ReplicaRequest> out = new ArrayList<>();
-        Round round = coordinator.startRound(message, out);
-        Runnable timeUp = () -> {
-            List<ReplicaRequest> more = new ArrayList<>();
-            boolean was = round.result() != null;
-            coordinator.handleTimeout(round, more);
-            send(more, round, then);
-            if (!was) {
-                reportResult(round, then);
+    public void claim(MessageIdentity message, double timeout, ClaimCallback callback) {
+        List<ReplicaRequest> requests = new ArrayList<>();
+        Round round = coordinator.startRound(message, requests);
+        Runnable onTimeout = () -> {
+            List<ReplicaRequest> releases = new ArrayList<>();
+            boolean wasDecided = round.result() != null;
+            coordinator.handleTimeout(round, releases);
+            send(releases, round, callback);
+            if (!wasDecided) {
+                reportResult(round, callback);
             }
         };
-        timers.schedule(clock.getAsDouble() + patience, timeUp);
-        send(out, round, then);
+        timers.schedule(clock.getAsDouble() + timeout, onTimeout);
+        send(requests, round, callback);
     }
 
-    private void reportResult(Round round, ClaimCallback then) {
-        (round.result().status() == ClaimStatus.GRANTED ? won : round.result().status() == ClaimStatus.HELD_BY_OTHER ? ownedByOthers : unknown).increment();
-        then.onResult(round.result());
+    private void reportResult(Round round, ClaimCallback callback) {
+        (round.result().status() == ClaimStatus.GRANTED ? won
+                : round.result().status() == ClaimStatus.HELD_BY_OTHER ? heldByOthers : unknown).increment();
+        callback.onResult(round.result());
     }
 
-    private void handleReply(Round round, ClaimCallback then, String keeper, boolean yes, String holder) {
-        List<ReplicaRequest> more = new ArrayList<>();
-        boolean was = round.result() != null;
-        coordinator.handleReply(round, keeper, yes, holder, more);
-        send(more, round, then);
-        if (!was && round.result() != null) {
-            reportResult(round, then);
+    private void handleReply(Round round, ClaimCallback callback, String replica, boolean replicaGranted, String holder) {
+        List<ReplicaRequest> releases = new ArrayList<>();
+        boolean wasDecided = round.result() != null;
+        coordinator.handleReply(round, replica, replicaGranted, holder, releases);
+        send(releases, round, callback);
+        if (!wasDecided && round.result() != null) {
+            reportResult(round, callback);
         }
     }
 
-    private void send(List<ReplicaRequest> out, Round round, ClaimCallback then) {
-        for (ReplicaRequest m : out) {
-            if (m.replica().equals(ownName)) {
-                handleAsReplica(m.release(), m.message(), new Claimant(claimant, ledger.position()), m.round(), word -> decisionThread.accept(desk -> handleReply(round, then, ownName, word.granted(), word.holder())));
+    private void send(List<ReplicaRequest> requests, Round round, ClaimCallback callback) {
+        for (ReplicaRequest request : requests) {
+            if (request.replica().equals(ownName)) {
+                handleAsReplica(request.release(), request.message(), new Claimant(claimant, ledger.position()), request.round(),
+                        reply -> decisionThread.accept(
+                                inferences -> handleReply(round, callback, ownName, reply.granted(), reply.holder())));
                 continue;
             }
-            ObjectNode body = JSON.createObjectNode().put("claimant", claimant).put("release", m.release())
-                    .put("customer", m.message().customer()).put("id", m.message().id()).put("round", m.round())
-                    .put("digest_high", m.message().digestHigh()).put("digest_low", m.message().digestLow())
-                    .put(SIGNED_AT, m.message().signedAt()).put(POSITION, ledger.position());
+            ObjectNode body = JSON.createObjectNode().put("claimant", claimant).put("release", request.release())
+                    .put("customer", request.message().customer()).put("id", request.message().id()).put("round", request.round())
+                    .put("digest_high", request.message().digestHigh()).put("digest_low", request.message().digestLow())
+                    .put(SIGNED_AT, request.message().signedAt()).put(POSITION, ledger.position());
             digests.forEach(body.putArray("lists")::add);
-            post(m.replica(), PeerServer.CLAIMS_PATH, body, (end, status, headers, answer) -> {
-                if (m.release()) {
+            post(request.replica(), PeerServer.CLAIMS_PATH, body, (result, status, headers, replyBody) -> {
+                if (request.release()) {
                     return;
                 }
-                boolean yes = end == ExchangeResult.ANSWERED && status == 200;
-                String holder = end == ExchangeResult.ANSWERED && status == 409 ? holder(answer) : null;
-                decisionThread.accept(desk -> handleReply(round, then, m.replica(), yes, holder));
+                boolean replicaGranted = result == ExchangeResult.ANSWERED && status == 200;
+                String holder = result == ExchangeResult.ANSWERED && status == 409 ? holder(replyBody) : null;
+                decisionThread.accept(inferences -> handleReply(round, callback, request.replica(), replicaGranted, holder));
             });
         }
     }
 
-    private void post(String peer, String path, ObjectNode body, ExchangeListener then) {
+    private void post(String peer, String path, ObjectNode body, ExchangeListener listener) {
         byte[] bytes;
         try {
             bytes = JSON.writeValueAsBytes(body);
@@ -199,116 +212,123 @@
             throw new IllegalStateException(e);
         }
         String messageId = "claim-" + ownName + "-" + messagesSent++;
-        long at = unixMillis.getAsLong() / 1000;
-        peerPools.get(peer).send("POST", path, bytes, then, "content-type", "application/json", "webhook-id", messageId,
-                "webhook-timestamp", Long.toString(at), "webhook-signature", KeyRing.signatureHeader(List.of(key), messageId, at, bytes));
+        long timestamp = unixMillis.getAsLong() / 1000;
+        peerPools.get(peer).send("POST", path, bytes, listener, "content-type", "application/json", "webhook-id", messageId,
+                "webhook-timestamp", Long.toString(timestamp), "webhook-signature",
+                KeyRing.signatureHeader(List.of(key), messageId, timestamp, bytes));
     }
 
     /**
-     * Before the first moment: how far peers know this front end's ledger to have got. Those that cannot be asked now know
-     * nothing, and neither do those of an earlier version.
+     * Asks the peers for the last position of this front end's ledger that they know of, and waits for their replies. Called once,
+     * before recovery. Peers that cannot be reached and peers of an earlier version count as knowing nothing.
      */
     public long queryPeersForPosition(String ledgerIdentity) throws InterruptedException {
         ObjectNode body = JSON.createObjectNode().put("claimant", ownName + "/" + ledgerIdentity);
-        List<CompletableFuture<Long>> answers = new ArrayList<>();
+        List<CompletableFuture<Long>> positions = new ArrayList<>();
         for (String peer : peerPools.keySet()) {
-            CompletableFuture<Long> told = new CompletableFuture<>();
-            answers.add(told);
-            post(peer, PeerServer.POSITIONS_PATH, body, (end, status, headers, answer) -> told.complete(
-                    end == ExchangeResult.ANSWERED && status == 200 ? position(answer) : LedgerPosition.UNKNOWN));
+            CompletableFuture<Long> reported = new CompletableFuture<>();
+            positions.add(reported);
+            post(peer, PeerServer.POSITIONS_PATH, body, (result, status, headers, replyBody) -> reported.complete(
+                    result == ExchangeResult.ANSWERED && status == 200 ? position(replyBody) : LedgerPosition.UNKNOWN));
         }
-        CompletableFuture<Void> all = CompletableFuture.allOf(answers.toArray(new CompletableFuture<?>[0]));
+        CompletableFuture<Void> allReplies = CompletableFuture.allOf(positions.toArray(new CompletableFuture<?>[0]));
         try {
-            all.get(POSITION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            allReplies.get(POSITION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException | ExecutionException e) {
-            LOG.atWarn().log("not all peers told in time how far this ledger had got");
+            LOG.atWarn().log("not all peers reported the last known position of this ledger in time");
         }
-        return answers.stream().mapToLong(told -> told.getNow(LedgerPosition.UNKNOWN)).max().orElse(LedgerPosition.UNKNOWN);
+        return positions.stream().mapToLong(reported -> reported.getNow(LedgerPosition.UNKNOWN)).max().orElse(LedgerPosition.UNKNOWN);
     }
 
-    private static long position(byte[] answer) {
+    private static long position(byte[] replyBody) {
         try {
-            return JSON.readTree(answer).path(POSITION).asLong(LedgerPosition.UNKNOWN);
+            return JSON.readTree(replyBody).path(POSITION).asLong(LedgerPosition.UNKNOWN);
         } catch (IOException e) {
             return LedgerPosition.UNKNOWN;
         }
     }
 
-    private static String holder(byte[] answer) {
+    private static String holder(byte[] replyBody) {
         try {
-            String holder = JSON.readTree(answer).path("holder").asText("");
+            String holder = JSON.readTree(replyBody).path("holder").asText("");
             return holder.isEmpty() ? null : holder;
         } catch (IOException e) {
             return null;
         }
     }
 
-    // ---- as keeper ---------------------------------------------------------------------------------------
+    // ---- as replica --------------------------------------------------------------------------------------
 
-    /** Whether a peer's message is signed by the shared key. Any thread. */
+    /** Whether a peer's request is signed with the shared key. Called from any thread. */
     boolean hasValidSignature(String id, String timestamp, String signature, byte[] body) {
         return keyRing.verify(id, timestamp, signature, body, unixMillis.getAsLong() / 1000, 0).rejection() == null;
     }
 
-    /** A peer asks how far its ledger is known to have got; {@code reply} gets a body. From any thread. */
-    void handlePositionQuery(JsonNode message, Consumer<String> reply) {
-        decisionThread.accept(desk -> {
-            long position = claimTable.lastKnownPosition(message.path("claimant").asText());
+    /** Handles a peer's query for the last known position of its ledger; {@code reply} gets the body. Called from any thread. */
+    void handlePositionQuery(JsonNode request, Consumer<String> reply) {
+        decisionThread.accept(inferences -> {
+            long position = claimTable.lastKnownPosition(request.path("claimant").asText());
             reply.accept("{\"" + POSITION + "\":" + position + "}");
         });
     }
 
-    /** A peer's claim or release; {@code reply} gets an HTTP status and a body. From any thread. */
-    void handleRequest(JsonNode m, java.util.function.BiConsumer<Integer, String> reply) {
-        boolean known = false;
-        for (JsonNode digest : m.path("lists")) {
-            known |= digests.contains(digest.asLong());
+    /** Handles a peer's claim or release; {@code reply} gets the HTTP status and the body. Called from any thread. */
+    void handleRequest(JsonNode request, java.util.function.BiConsumer<Integer, String> reply) {
+        boolean sameSet = false;
+        for (JsonNode digest : request.path("lists")) {
+            sameSet |= digests.contains(digest.asLong());
         }
-        if (!known) {
+        if (!sameSet) {
             refused.increment();
             reply.accept(412, "{\"refused\":\"another list of front ends\"}");
             return;
         }
-        MessageIdentity about = new MessageIdentity(m.path("customer").asText(), m.path("id").asText(),
-                m.path("digest_high").asLong(), m.path("digest_low").asLong(),
-                m.path(SIGNED_AT).asLong(MessageIdentity.SIGNED_AT_UNKNOWN));
-        Claimant who = new Claimant(m.path("claimant").asText(), m.path(POSITION).asLong(LedgerPosition.UNKNOWN));
-        decisionThread.accept(desk -> handleAsReplica(m.path("release").asBoolean(), about, who, m.path("round").asLong(), word -> {
-                    if (word.granted()) {
+        MessageIdentity message = new MessageIdentity(request.path("customer").asText(), request.path("id").asText(),
+                request.path("digest_high").asLong(), request.path("digest_low").asLong(),
+                request.path(SIGNED_AT).asLong(MessageIdentity.SIGNED_AT_UNKNOWN));
+        Claimant requester = new Claimant(request.path("claimant").asText(), request.path(POSITION).asLong(LedgerPosition.UNKNOWN));
+        decisionThread.accept(inferences -> handleAsReplica(request.path("release").asBoolean(), message, requester,
+                request.path("round").asLong(), claimReply -> {
+                    if (claimReply.granted()) {
                         reply.accept(200, "{}");
-                    } else if (word.holder() != null) {
-                        reply.accept(409, "{\"holder\":\"" + word.holder() + "\"}");
+                    } else if (claimReply.holder() != null) {
+                        reply.accept(409, "{\"holder\":\"" + claimReply.holder() + "\"}");
                     } else {
                         reply.accept(503, "{}");
                     }
                 }));
     }
 
-    /** A front end with its ledger, and how far that had got. */
+    /**
+     * The front end, with its ledger, that sent a request.
+     *
+     * @param position position of that ledger ({@link LedgerPosition})
+     */
     private record Claimant(String name, long position) { }
 
-    private void handleAsReplica(boolean release, MessageIdentity about, Claimant who, long round, Consumer<ClaimReply> reply) {
+    private void handleAsReplica(boolean release, MessageIdentity message, Claimant requester, long round, Consumer<ClaimReply> reply) {
         double now = clock.getAsDouble();
-        claimTable.recordPosition(who.name, who.position);
+        claimTable.recordPosition(requester.name, requester.position);
         if (release) {
-            claimTable.release(about.customer(), about.id(), who.name, round);
+            claimTable.release(message.customer(), message.id(), requester.name, round);
             reply.accept(new ClaimReply(true, null, false));
             return;
         }
-        long signableUntil = unixMillis.getAsLong() / 1000 + LedgerRecord.SIGNED_TIMESTAMP_TOLERANCE_SECONDS;
-        ClaimReply word = claimTable.claim(about, who.name, round, now, signableUntil);
+        long latestSignedAt = unixMillis.getAsLong() / 1000 + LedgerRecord.SIGNED_TIMESTAMP_TOLERANCE_SECONDS;
+        ClaimReply claimReply = claimTable.claim(message, requester.name, round, now, latestSignedAt);
         storedClaims.inUse(claimTable.size());
-        if (!word.granted()) {
+        if (!claimReply.granted()) {
             refused.increment();
-            reply.accept(word);
+            reply.accept(claimReply);
             return;
         }
-        // Also where it was granted before: that record may still be on its way to the disk.
-        ledger.append(new LedgerRecord.ClaimGranted(about.customer(), about.id(), ledger.time().fromMonotonic(now), about.digestHigh(),
-                about.digestLow(), who.name, about.withDefaultSignedAt(signableUntil).signedAt(), who.position), durable -> {
+        // Also if it was granted before: that record may not be durable yet.
+        ledger.append(new LedgerRecord.ClaimGranted(message.customer(), message.id(), ledger.time().fromMonotonic(now),
+                message.digestHigh(), message.digestLow(), requester.name, message.withDefaultSignedAt(latestSignedAt).signedAt(),
+                requester.position), durable -> {
                     if (durable) {
                         granted.increment();
-                        reply.accept(word);
+                        reply.accept(claimReply);
                     } else {
                         refused.increment();
                         reply.accept(new ClaimReply(false, null, false));
@@ -316,43 +336,43 @@
                 });
     }
 
-    // ---- handing on --------------------------------------------------------------------------------------
+    // ---- relaying to the holder --------------------------------------------------------------------------
 
     private static final String HOLDER_UNREACHABLE = "another front end has it and cannot be asked; whether it ran is unknown";
 
     private static final String HELD_ELSEWHERE = "another front end has it; the same message is answered there: ";
 
     @Override
-    public void relayToHolder(IncomingMessage arrival, String holder) {
-        Http2ConnectionPool front = clientPools.get(holder.substring(0, Math.max(0, holder.indexOf('/'))));
-        if (front == null) {
-            // Of a list that is no longer in force, or of this very front end with a ledger that is gone.
-            arrival.observer().onFinalAnswer(FinalAnswer.failed(arrival.id(), 504, HOLDER_UNREACHABLE, true));
+    public void relayToHolder(IncomingMessage message, String holder) {
+        Http2ConnectionPool holderPool = clientPools.get(holder.substring(0, Math.max(0, holder.indexOf('/'))));
+        if (holderPool == null) {
+            // The holder is of a front end set that is no longer active, or is this front end with a ledger that it lost.
+            arrival.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true));
             return;
         }
-        IncomingMessage.SignedBody signed = arrival.signedBody();
-        if (signed == null) {
-            // Came by gRPC, and front ends hand on webhooks only: its client finds the holder by asking again.
-            arrival.observer().onFinalAnswer(FinalAnswer.failed(arrival.id(), 504, HELD_ELSEWHERE + holder, true));
+        IncomingMessage.SignedBody signedBody = message.signedBody();
+        if (signedBody == null) {
+            // It came by gRPC, and only webhooks are relayed: its client reaches the holder by repeating the message.
+            arrival.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HELD_ELSEWHERE + holder, true));
             return;
         }
-        forwardedMessages.increment();
+        relayedMessages.increment();
         Http2ConnectionPool.Request[] request = new Http2ConnectionPool.Request[1];
-        request[0] = front.send("POST", "/v1/inferences", signed.body(), (end, status, headers, body) -> {
-            FinalAnswer answer = end == ExchangeResult.ANSWERED && (status == 200 || status >= 500)
+        request[0] = holderPool.send("POST", "/v1/inferences", signedBody.body(), (result, status, headers, body) -> {
+            FinalAnswer answer = result == ExchangeResult.ANSWERED && (status == 200 || status >= 500)
                     ? new FinalAnswer(status == 200 ? FinalAnswer.Kind.RETURNED : status == 503
                             ? FinalAnswer.Kind.SHED : FinalAnswer.Kind.FAILED, status, body, retryAfterMillis(headers), true)
-                    : FinalAnswer.failed(arrival.id(), 504, HOLDER_UNREACHABLE, true);
-            decisionThread.accept(desk -> arrival.observer().onFinalAnswer(answer));
-        }, "content-type", "application/json", "webhook-id", arrival.id(), "webhook-timestamp",
-                Long.toString(arrival.signedAt()), "webhook-signature", signed.signature());
-        double budget = arrival.model().group().routeTimeout();
-        budget = arrival.clientTimeout() > 0 ? Math.min(budget, arrival.clientTimeout()) : budget;
-        timers.schedule(arrival.receivedAt() + budget - FORWARDING_MARGIN_MILLIS, (Runnable) () -> request[0].cancel());
+                    : FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true);
+            decisionThread.accept(inferences -> message.observer().onFinalAnswer(answer));
+        }, "content-type", "application/json", "webhook-id", message.id(), "webhook-timestamp",
+                Long.toString(message.signedAt()), "webhook-signature", signedBody.signature());
+        double timeout = message.model().group().routeTimeout();
+        timeout = message.clientTimeout() > 0 ? Math.min(timeout, message.clientTimeout()) : timeout;
+        timers.schedule(message.receivedAt() + timeout - RELAY_MARGIN_MILLIS, (Runnable) () -> request[0].cancel());
     }
 
     private static double retryAfterMillis(io.netty.handler.codec.http2.Http2Headers headers) {
-        CharSequence told = headers == null ? null : headers.get("retry-after");
-        return told != null && told.toString().matches("\\d{1,5}") ? Integer.parseInt(told.toString()) * 1000d : 0;
+        CharSequence seconds = headers == null ? null : headers.get("retry-after");
+        return seconds != null && seconds.toString().matches("\\d{1,5}") ? Integer.parseInt(seconds.toString()) * 1000d : 0;
     }
 }
--- a/gateway/src/main/java/gradereach/claims/PeerServer.java
+++ b/gateway/src/main/java/gradereach/claims/PeerServer.java
@@ -30,11 +30,11 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** Listens for other front ends' claims; HTTP/2 without TLS, prior knowledge. */
+/** The HTTP/2 server for claims of other front ends; cleartext with prior knowledge. */
 public final class PeerServer implements AutoCloseable {
     static final String CLAIMS_PATH = "/v1/claims";
     static final String POSITIONS_PATH = "/v1/positions";
-    private static final int MAX_BODY_BYTES = 8192; // names and numbers only
+    private static final int MAX_BODY_BYTES = 8192; // requests hold only names and numbers
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final PeerClaims claims;
@@ -43,28 +43,30 @@
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private Channel listener;
 
-    public PeerServer(PeerClaims claims, int mostConnections, Counts counts) {
+    /** @param maxConnections limit of open connections; further ones are closed at once */
+    public PeerServer(PeerClaims claims, int maxConnections, Counts counts) {
         this.claims = claims;
-        connections = counts.limit("peer_connections", mostConnections);
+        connections = counts.limit("peer_connections", maxConnections);
         invalidSignatures = counts.limit("peer_messages_not_signed", Long.MAX_VALUE);
     }
 
-    public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
+    /** Binds the listener and returns the address that it got. */
+    public InetSocketAddress listen(InetSocketAddress address, EventLoopGroup boss, EventLoopGroup workers,
             Class<? extends ServerChannel> type) throws InterruptedException {
         listener = new ServerBootstrap().group(boss, workers).channel(type).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
+                    protected void initChannel(Channel channel) {
                         if (!connections.tryAcquire(1)) {
-                            ch.close();
+                            channel.close();
                             return;
                         }
-                        channels.add(ch);
-                        ch.closeFuture().addListener(closed -> connections.release(1));
-                        ch.pipeline().addLast(Http2FrameCodecBuilder.forServer().initialSettings(
+                        channels.add(channel);
+                        channel.closeFuture().addListener(closed -> connections.release(1));
+                        channel.pipeline().addLast(Http2FrameCodecBuilder.forServer().initialSettings(
                                 Http2Settings.defaultSettings().maxConcurrentStreams(1000).maxHeaderListSize(8192))
                                 .build());
-                        ch.pipeline().addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
+                        channel.pipeline().addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel stream) {
                                 stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true),
@@ -72,46 +74,48 @@
                             }
                         }));
                     }
-                }).bind(at).sync().channel();
+                }).bind(address).sync().channel();
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Checks the signature of a request, passes it to {@link PeerClaims} and writes the response. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             byte[] body = ByteBufUtil.getBytes(request.content());
-            boolean asksForPosition = request.uri().equals(POSITIONS_PATH);
-            if (!(request.uri().equals(CLAIMS_PATH) || asksForPosition) || !claims.hasValidSignature(request.headers().get("webhook-id"),
-                    request.headers().get("webhook-timestamp"), request.headers().get("webhook-signature"), body)) {
+            boolean isPositionQuery = request.uri().equals(POSITIONS_PATH);
+            if (!(request.uri().equals(CLAIMS_PATH) || isPositionQuery)
+                    || !claims.hasValidSignature(request.headers().get("webhook-id"), request.headers().get("webhook-timestamp"),
+                    request.headers().get("webhook-signature"), body)) {
                 invalidSignatures.recordRejection();
-                respond(ctx, 401, "{}");
+                respond(context, 401, "{}");
                 return;
             }
             JsonNode message;
             try {
                 message = JSON.readTree(body);
             } catch (IOException e) {
-                respond(ctx, 400, "{}");
+                respond(context, 400, "{}");
                 return;
             }
-            if (asksForPosition) {
-                claims.handlePositionQuery(message, text -> ctx.executor().execute(() -> respond(ctx, 200, text)));
+            if (isPositionQuery) {
+                claims.handlePositionQuery(message, text -> context.executor().execute(() -> respond(context, 200, text)));
                 return;
             }
-            claims.handleRequest(message, (status, text) -> ctx.executor().execute(() -> respond(ctx, status, text)));
+            claims.handleRequest(message, (status, text) -> context.executor().execute(() -> respond(context, status, text)));
         }
 
-        private void respond(ChannelHandlerContext ctx, int status, String text) {
+        private void respond(ChannelHandlerContext context, int status, String text) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
             response.headers().set("content-type", "application/json").setInt("content-length", bytes.length);
-            ctx.writeAndFlush(response);
+            context.writeAndFlush(response);
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
     }
 
--- a/gateway/src/main/java/gradereach/ledger/CommitDelay.java
+++ b/gateway/src/main/java/gradereach/ledger/CommitDelay.java
@@ -2,10 +2,10 @@
 
 import gradereach.delay.RecentDelay;
 
-/** How long a commit may take. What must be durable before it leaves needs its deadline that much earlier. */
+/** How long a commit may take. The deadline of whatever must be durable before it is sent is moved forward by as much. */
 public final class CommitDelay extends RecentDelay {
-    private static final double DECAY_MILLIS = 10_000; // a slow spell of a disk lasts seconds; then it is forgotten
-    private static final double MAX_MILLIS = 500; // a longer one is not waited for, or nothing would be taken
+    private static final double DECAY_MILLIS = 10_000; // a disk is slow for some seconds at a time
+    private static final double MAX_MILLIS = 500; // with a larger margin no message could be accepted
 
     public CommitDelay() {
         super(DECAY_MILLIS, MAX_MILLIS);
--- a/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
+++ b/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * Which segments may go, and which records must be written anew first: state and decisions of compaction, no I/O. A
- * segment may go when its youngest record is older than messages are remembered for; what in it is still open (no end
- * known, or an answer owed) is carried into the present segment before.
+ * Plans the compaction of a ledger: which segments can be removed, and which of their records must be rewritten before; state and
+ * decisions only, no I/O. A segment can be removed when its latest record is older than the retention. Messages that are still open
+ * (outcome unknown, or a delivery pending) are rewritten to the current segment first.
  */
 public final class CompactionPlanner {
     private record Key(String customer, String id) { }
 
-    /** The records that still tell all of an open message, and the oldest segment that holds one. */
+    /** The records that still determine an open message, and the oldest segment that holds one of them. */
     private static final class OpenMessage {
         final List<LedgerRecord> records = new ArrayList<>(2);
         long segment;
@@ -28,54 +28,54 @@
     private final double retention;
     private final int maxOpenMessages;
     private final Map<Key, OpenMessage> openMessages = new LinkedHashMap<>();
-    private final TreeMap<Long, Double> latestTimestamp = new TreeMap<>();
+    private final TreeMap<Long, Double> latestTimestamps = new TreeMap<>();
     private final Map<Long, Long> latestSignedAt = new HashMap<>();
     private final Map<Long, Long> latestClaimSignedAt = new HashMap<>();
     private long discardedOpenMessages;
 
     /**
-     * @param kept milliseconds for which messages are remembered
-     * @param mostOpen open messages carried at most; older ones beyond it go with their segment, counted
+     * @param retention milliseconds for which messages are remembered
+     * @param maxOpenMessages open messages that are tracked at most; beyond it the oldest one is discarded with its segment, and counted
      */
-    public CompactionPlanner(double kept, int mostOpen) {
-        this.retention = kept;
-        this.maxOpenMessages = mostOpen;
+    public CompactionPlanner(double retention, int maxOpenMessages) {
+        this.retention = retention;
+        this.maxOpenMessages = maxOpenMessages;
     }
 
-    /** A record was written into that segment. */
+    /** Takes note of a record that was written to a segment. */
     public void recordWritten(LedgerRecord record, long segment) {
-        latestTimestamp.merge(segment, record.timestamp(), Math::max);
+        latestTimestamps.merge(segment, record.timestamp(), Math::max);
         if (record instanceof LedgerRecord.ForwardIntended intended) {
             latestSignedAt.merge(segment, intended.signedAt(), Math::max);
         }
         if (record instanceof LedgerRecord.ClaimGranted claimed) {
             latestClaimSignedAt.merge(segment, claimed.signedAt(), Math::max);
-            return; // kept as long as any message, and no longer
+            return; // claims have the same retention as messages and are never rewritten
         }
         Key key = new Key(record.customer(), record.id());
-        OpenMessage carry = openMessages.computeIfAbsent(key, k -> {
-            OpenMessage made = new OpenMessage();
-            made.segment = segment;
-            return made;
+        OpenMessage message = openMessages.computeIfAbsent(key, k -> {
+            OpenMessage opened = new OpenMessage();
+            opened.segment = segment;
+            return opened;
         });
         if (record instanceof LedgerRecord.ProvenNotRun) {
-            carry.records.removeIf(r -> r instanceof LedgerRecord.ForwardIntended);
-            carry.ended = true;
+            message.records.removeIf(earlier -> earlier instanceof LedgerRecord.ForwardIntended);
+            message.ended = true;
         } else if (record instanceof LedgerRecord.Answered r) {
-            carry.records.removeIf(x -> x instanceof LedgerRecord.Answered);
-            carry.ended |= r.answer().kind() == FinalAnswer.Kind.RETURNED || carry.promisedAt > carry.deliveredPromiseAt;
-            carry.records.add(r);
+            message.records.removeIf(earlier -> earlier instanceof LedgerRecord.Answered);
+            message.ended |= r.answer().kind() == FinalAnswer.Kind.RETURNED || message.promisedAt > message.deliveredPromiseAt;
+            message.records.add(r);
         } else if (record instanceof LedgerRecord.DeliveryAttempted r) {
-            carry.records.removeIf(x -> x instanceof LedgerRecord.DeliveryAttempted);
-            carry.deliveredPromiseAt = r.finished() ? Math.max(carry.deliveredPromiseAt, r.promisedAt()) : carry.deliveredPromiseAt;
-            carry.records.add(r);
+            message.records.removeIf(earlier -> earlier instanceof LedgerRecord.DeliveryAttempted);
+            message.deliveredPromiseAt = r.finished() ? Math.max(message.deliveredPromiseAt, r.promisedAt()) : message.deliveredPromiseAt;
+            message.records.add(r);
         } else {
-            carry.ended = false;
-            carry.promisedAt = record instanceof LedgerRecord.DeliveryPromised ? Math.max(carry.promisedAt, record.timestamp())
-                    : carry.promisedAt;
-            carry.records.add(record);
+            message.ended = false;
+            message.promisedAt = record instanceof LedgerRecord.DeliveryPromised ? Math.max(message.promisedAt, record.timestamp())
+                    : message.promisedAt;
+            message.records.add(record);
         }
-        if (carry.ended && carry.promisedAt <= carry.deliveredPromiseAt) {
+        if (message.ended && message.promisedAt <= message.deliveredPromiseAt) {
             openMessages.remove(key);
         } else if (openMessages.size() > maxOpenMessages) {
             openMessages.remove(openMessages.keySet().iterator().next());
@@ -83,10 +83,10 @@
         }
     }
 
-    /** The oldest segment that may go now, -1 for none; never the present one. */
-    public long oldestRemovableSegment(double now, long present) {
-        Map.Entry<Long, Double> oldest = latestTimestamp.firstEntry();
-        return oldest != null && oldest.getKey() < present && oldest.getValue() < now - retention ? oldest.getKey() : -1;
+    /** The oldest segment if it can be removed now, -1 otherwise; never the current one. */
+    public long oldestRemovableSegment(double now, long current) {
+        Map.Entry<Long, Double> oldest = latestTimestamps.firstEntry();
+        return oldest != null && oldest.getKey() < current && oldest.getValue() < now - retention ? oldest.getKey() : -1;
     }
 
     /** Milliseconds for which messages are remembered. */
@@ -94,44 +94,46 @@
         return retention;
     }
 
-    /** The latest time among all records, minus infinity where there are none. */
+    /** The latest timestamp of all records; minus infinity without any. */
     public double latestTimestamp() {
-        return latestTimestamp.values().stream().mapToDouble(at -> at).max().orElse(Double.NEGATIVE_INFINITY);
+        return latestTimestamps.values().stream().mapToDouble(timestamp -> timestamp).max().orElse(Double.NEGATIVE_INFINITY);
     }
 
-    /** What must be written anew before that segment goes. */
-    public List<LedgerRecord> recordsToRewrite(long segment, long present) {
-        List<LedgerRecord> out = new ArrayList<>();
-        for (OpenMessage carry : openMessages.values()) {
-            if (carry.segment <= segment) {
-                carry.segment = present;
-                out.addAll(carry.records);
+    /** The records that must be rewritten to the current segment before that segment is removed. */
+    public List<LedgerRecord> recordsToRewrite(long segment, long current) {
+        List<LedgerRecord> records = new ArrayList<>();
+        for (OpenMessage message : openMessages.values()) {
+            if (message.segment <= segment) {
+                message.segment = current;
+                records.addAll(message.records);
             }
         }
-        return out;
+        return records;
     }
 
-    /** The latest signed timestamp, Unix seconds, among its intentions; Long.MIN_VALUE for none. */
+    /** The latest signed timestamp among the segment's forward intents, in Unix seconds; Long.MIN_VALUE for none. */
     public long latestSignedAt(long segment) {
         return latestSignedAt.getOrDefault(segment, Long.MIN_VALUE);
     }
 
-    /** The latest signed timestamp, Unix seconds, among its claims; Long.MIN_VALUE for none. */
+    /** The latest signed timestamp among the segment's claims, in Unix seconds; Long.MIN_VALUE for none. */
     public long latestClaimSignedAt(long segment) {
         return latestClaimSignedAt.getOrDefault(segment, Long.MIN_VALUE);
     }
 
+    /** Takes note that a segment was removed. */
     public void segmentRemoved(long segment) {
         latestClaimSignedAt.remove(segment);
-        latestTimestamp.remove(segment);
+        latestTimestamps.remove(segment);
         latestSignedAt.remove(segment);
     }
 
-    /** Messages whose end is not known or whose answer is owed. */
+    /** The number of messages whose outcome is unknown or whose delivery is pending. */
     public int openMessages() {
         return openMessages.size();
     }
 
+    /** How many open messages were discarded because there were too many. */
     public long discardedOpenMessages() {
         return discardedOpenMessages;
     }
--- a/gateway/src/main/java/gradereach/ledger/LedgerRecord.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerRecord.java
@@ -3,66 +3,75 @@
 import gradereach.message.FinalAnswer;
 
 /**
- * What the ledger keeps of a message, one step of its life each. {@code at} is in milliseconds by the
- * ledger's time ({@link LedgerTime}). A message is
- * known by its customer's name and its {@code webhook-id}; customers' numbers change with the deployment file.
+ * A record of the ledger: one step in the processing of a message. {@code timestamp} is ledger time in milliseconds
+ * ({@link LedgerTime}). A message is identified by its customer's name and its {@code webhook-id}; the customers' numbers change
+ * with the deployment file.
  */
 public sealed interface LedgerRecord {
-    /** Seconds by which a signed timestamp may lie ahead of its message's coming: the specification's tolerance. */
+    /** Seconds by which a signed timestamp may be ahead of the message's arrival: the tolerance of Standard Webhooks. */
     long SIGNED_TIMESTAMP_TOLERANCE_SECONDS = 300;
     double MILLIS_PER_SECOND = 1000;
 
-    /** The latest timestamp that a message can have carried at such Unix milliseconds, Unix seconds. */
-    static long latestPossibleSignedAt(double at) {
-        return (long) (at / MILLIS_PER_SECOND) + SIGNED_TIMESTAMP_TOLERANCE_SECONDS;
+    /** The latest signed timestamp, in Unix seconds, that a message can have carried at that Unix time in milliseconds. */
+    static long latestPossibleSignedAt(double unixMillis) {
+        return (long) (unixMillis / MILLIS_PER_SECOND) + SIGNED_TIMESTAMP_TOLERANCE_SECONDS;
     }
 
+    /** The customer's name. */
     String customer();
 
+    /** The message's {@code webhook-id}. */
     String id();
 
+    /** When it was written, in ledger time. */
     double timestamp();
 
     /**
-     * A forward is about to leave: from here on it may have run.
+     * A forward is about to be sent: from here on it may have run.
      *
-     * @param signedAt the message's signed timestamp, Unix seconds
+     * @param signedAt the message's signed timestamp, in Unix seconds
      */
     record ForwardIntended(String customer, String id, double timestamp, long digestHigh, long digestLow, String group, String model,
             Recipient recipient, String forwardId, long signedAt) implements LedgerRecord {
-        /** As it was written before processes and timestamps were recorded. */
-        public ForwardIntended(String customer, String id, double at, long digestHigh, long digestLow, String group, String model,
-                String address, String forward) {
-            this(customer, id, at, digestHigh, digestLow, group, model, new Recipient("", address, Double.NaN), forward,
-                    latestPossibleSignedAt(at));
+        /** As written by versions that did not record processes and signed timestamps. */
+        public ForwardIntended(String customer, String id, double timestamp, long digestHigh, long digestLow, String group, String model,
+                String address, String forwardId) {
+            this(customer, id, timestamp, digestHigh, digestLow, group, model, new Recipient("", address, Double.NaN), forwardId,
+                    latestPossibleSignedAt(timestamp));
         }
     }
 
     /** Every forward so far is proven not to have run. */
     record ProvenNotRun(String customer, String id, double timestamp) implements LedgerRecord { }
 
-    /** Its final answer, as it leaves. */
+    /** The final answer, as it is sent. */
     record Answered(String customer, String id, double timestamp, FinalAnswer answer) implements LedgerRecord { }
 
-    /** An answer by webhook was promised; {@code at} names the promise. */
+    /** An answer by webhook was promised; {@code timestamp} identifies the promise. */
     record DeliveryPromised(String customer, String id, double timestamp, long digestHigh, long digestLow, String group)
             implements LedgerRecord { }
 
-    /** The answer promised at {@code of} was tried to be delivered; {@code over} where no further try follows. */
+    /**
+     * A delivery of the promised answer was attempted.
+     *
+     * @param promisedAt timestamp of the promise
+     * @param attempts attempts so far
+     * @param finished whether no further attempt follows
+     */
     record DeliveryAttempted(String customer, String id, double timestamp, double promisedAt, int attempts, boolean finished)
             implements LedgerRecord { }
 
     /**
-     * As a keeper: the message belongs to that front end and no other.
+     * Written as a replica: the claim of a message was granted to that claimant.
      *
-     * @param signedAt the message's signed timestamp, Unix seconds
-     * @param claimantPosition how far the claimant's ledger had got as it claimed ({@link LedgerPosition})
+     * @param signedAt the message's signed timestamp, in Unix seconds
+     * @param claimantPosition position of the claimant's ledger when it made the claim ({@link LedgerPosition})
      */
     record ClaimGranted(String customer, String id, double timestamp, long digestHigh, long digestLow, String claimant, long signedAt,
             long claimantPosition) implements LedgerRecord {
-        /** As it was written before timestamps and positions were recorded. */
-        public ClaimGranted(String customer, String id, double at, long digestHigh, long digestLow, String claimant) {
-            this(customer, id, at, digestHigh, digestLow, claimant, latestPossibleSignedAt(at), LedgerPosition.UNKNOWN);
+        /** As written by versions that did not record signed timestamps and positions. */
+        public ClaimGranted(String customer, String id, double timestamp, long digestHigh, long digestLow, String claimant) {
+            this(customer, id, timestamp, digestHigh, digestLow, claimant, latestPossibleSignedAt(timestamp), LedgerPosition.UNKNOWN);
         }
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/LedgerState.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerState.java
@@ -8,26 +8,30 @@
 import java.util.Map;
 
 /**
- * What the records of a ledger add up to: the state machine of docs/ledger.md. Order within one message matters, order
- * between messages does not.
+ * The state of each message and claim as given by a ledger's records: the state machine of docs/ledger.md. The order of records
+ * matters within one message, not between messages.
  */
 public final class LedgerState {
-    /** Where a message stands after a crash. */
+    /** The state of a message after a crash. */
     public enum MessageState {
-        /** Promised only: nothing of it left. */
+        /** Only promised an answer: no forward was sent. */
         TAKEN,
-        /** A forward's intent is durable and nothing after it: it may have run. */
+        /** The intent of a forward is durable and nothing after it: the forward may have run. */
         MAY_HAVE_RUN,
+        /** Every forward is proven not to have run. */
         PROVEN_NOT_RUN,
+        /** The final answer is durable. */
         ANSWERED
     }
 
-    /** A forward whose end is not known. */
+    /** A forward whose outcome is unknown. */
     public record UnresolvedForward(Recipient recipient, String forwardId, double intendedAt) { }
 
-    /** One message. */
+    /** The state of one message. */
     public static final class Message {
+        /** The customer's name. */
         public final String customer;
+        /** The message's {@code webhook-id}. */
         public final String id;
         MessageState state = MessageState.TAKEN;
         long digestHigh;
@@ -49,45 +53,52 @@
             this.id = id;
         }
 
+        /** Its state as of the last record. */
         public MessageState state() {
             return state;
         }
 
+        /** First half of its body's digest. */
         public long digestHigh() {
             return digestHigh;
         }
 
+        /** Second half of its body's digest. */
         public long digestLow() {
             return digestLow;
         }
 
+        /** Name of its model group. */
         public String group() {
             return group;
         }
 
+        /** Name of its model; empty without a forward's intent. */
         public String model() {
             return model;
         }
 
-        /** Unix milliseconds of its first record. */
+        /** The timestamp of its first record. */
         public double firstRecordedAt() {
             return firstRecordedAt;
         }
 
+        /** The timestamp of its latest record. */
         public double lastRecordedAt() {
             return lastRecordedAt;
         }
 
-        /** Unix milliseconds of the first intent that was not disproved; NaN for none. */
+        /** The timestamp of the first intent that was not proven not to have run; NaN for none. */
         public double uncertainSince() {
             return uncertainSince;
         }
 
-        /** Its signed timestamp, Unix seconds; Long.MIN_VALUE where nothing of it was intended. */
+        /** Its signed timestamp in Unix seconds; Long.MIN_VALUE without a forward's intent. */
         public long signedAt() {
             return signedAt;
         }
 
+        /** Its final answer; null for none. */
         public FinalAnswer answer() {
             return answer;
         }
@@ -97,21 +108,22 @@
             return unresolvedForwards;
         }
 
-        /** An answer by webhook is owed. */
+        /** Whether an answer by webhook was promised and is not delivered yet. */
         public boolean isDeliveryPending() {
             return promisedAt > deliveredPromiseAt;
         }
 
-        /** Names the promise that is owed. */
+        /** The timestamp of the latest promise, which identifies it; minus infinity for none. */
         public double promisedAt() {
             return promisedAt;
         }
 
+        /** Attempts so far to deliver the promised answer. */
         public int deliveryAttempts() {
             return deliveryAttempts;
         }
 
-        /** Whether nobody knows what became of it. */
+        /** Whether it may have run without a known outcome. */
         public boolean hasUnknownOutcome() {
             return state == MessageState.MAY_HAVE_RUN
                     || state == MessageState.ANSWERED && answer.kind() == FinalAnswer.Kind.FAILED && !unresolvedForwards.isEmpty();
@@ -120,39 +132,42 @@
 
     private record Key(String customer, String id) { }
 
-    /** The latest signed timestamp among messages that are no longer on record, Unix seconds; Long.MIN_VALUE for none. */
+    /** The latest signed timestamp among messages that are no longer on record, in Unix seconds; Long.MIN_VALUE for none. */
     private long forgottenUpTo = Long.MIN_VALUE;
 
-    /** Another front end's message of which this one is a keeper. */
+    /** A claim that this front end stores as a replica. */
     public record Claim(String customer, String id, double grantedAt, long digestHigh, long digestLow, String claimant, long signedAt) { }
 
-    /** The latest signed timestamp among claims that are no longer on record, Unix seconds; Long.MIN_VALUE for none. */
+    /** The latest signed timestamp among claims that are no longer on record, in Unix seconds; Long.MIN_VALUE for none. */
     private long claimsForgottenUpTo = Long.MIN_VALUE;
 
-    /** How far claimants' ledgers had got, as their claims told. */
+    /** Ledger positions by claimant, as recorded with their claims. */
     private final Map<String, Long> claimantPositions = new HashMap<>();
     private final Map<Key, Message> messages = new LinkedHashMap<>();
     private final Map<Key, Claim> claims = new LinkedHashMap<>();
     private final List<String> anomalies = new ArrayList<>();
 
-    /** Messages that were signed then at the latest are no longer on record. */
+    /** Notes that messages signed at that time or earlier, in Unix seconds, may no longer be on record. */
     public void markForgottenUpTo(long signedAt) {
         forgottenUpTo = Math.max(forgottenUpTo, signedAt);
     }
 
+    /** The latest signed timestamp among messages that are no longer on record, in Unix seconds. */
     public long forgottenUpTo() {
         return forgottenUpTo;
     }
 
-    /** Claims of messages that were signed then at the latest are no longer on record. */
+    /** Notes that claims of messages signed at that time or earlier, in Unix seconds, may no longer be on record. */
     public void markClaimsForgottenUpTo(long signedAt) {
         claimsForgottenUpTo = Math.max(claimsForgottenUpTo, signedAt);
     }
 
+    /** The latest signed timestamp among claims that are no longer on record, in Unix seconds. */
     public long claimsForgottenUpTo() {
         return claimsForgottenUpTo;
     }
 
+    /** Applies the next record. */
     public void apply(LedgerRecord record) {
         Key key = new Key(record.customer(), record.id());
         if (record instanceof LedgerRecord.ClaimGranted r) {
@@ -160,82 +175,94 @@
             claims.put(key, new Claim(r.customer(), r.id(), r.timestamp(), r.digestHigh(), r.digestLow(), r.claimant(), r.signedAt()));
             return;
         }
-        Message m = messages.computeIfAbsent(key, k -> new Message(k.customer, k.id));
-        m.firstRecordedAt = Double.isNaN(m.firstRecordedAt) ? record.timestamp() : Math.min(m.firstRecordedAt, record.timestamp());
-        double before = m.lastRecordedAt;
-        m.lastRecordedAt = Math.max(m.lastRecordedAt, record.timestamp());
+        Message message = messages.computeIfAbsent(key, k -> new Message(k.customer, k.id));
+        message.firstRecordedAt = Double.isNaN(message.firstRecordedAt) ? record.timestamp()
+                : Math.min(message.firstRecordedAt, record.timestamp());
+        double lastRecordedBefore = message.lastRecordedAt;
+        message.lastRecordedAt = Math.max(message.lastRecordedAt, record.timestamp());
         if (record instanceof LedgerRecord.ForwardIntended r) {
-            // Not where it is read a second time: a compaction that was cut short leaves both copies.
-            if (m.state == MessageState.ANSWERED && m.answer.kind() == FinalAnswer.Kind.RETURNED && r.timestamp() >= before) {
-                anomalies.add(r.customer() + "/" + r.id() + ": a forward was intended after its answer");
+            // Not for a record that is read twice: an interrupted compaction leaves both copies.
+            if (message.state == MessageState.ANSWERED && message.answer.kind() == FinalAnswer.Kind.RETURNED
+                    && r.timestamp() >= lastRecordedBefore) {
+                anomalies.add(r.customer() + "/" + r.id() + ": intent of a forward after the answer was returned");
             }
-            m.state = MessageState.MAY_HAVE_RUN;
-            m.digestHigh = r.digestHigh();
-            m.digestLow = r.digestLow();
-            m.group = r.group();
-            m.model = r.model();
-            m.signedAt = Math.max(m.signedAt, r.signedAt());
-            m.uncertainSince = Double.isNaN(m.uncertainSince) ? r.timestamp() : m.uncertainSince;
-            UnresolvedForward open = new UnresolvedForward(r.recipient(), r.forwardId(), r.timestamp());
-            if (!m.unresolvedForwards.contains(open)) { // names are given anew in every life, so a name alone is not one forward
-                m.unresolvedForwards.add(open);
+            message.state = MessageState.MAY_HAVE_RUN;
+            message.digestHigh = r.digestHigh();
+            message.digestLow = r.digestLow();
+            message.group = r.group();
+            message.model = r.model();
+            message.signedAt = Math.max(message.signedAt, r.signedAt());
+            message.uncertainSince = Double.isNaN(message.uncertainSince) ? r.timestamp() : message.uncertainSince;
+            UnresolvedForward forward = new UnresolvedForward(r.recipient(), r.forwardId(), r.timestamp());
+            // Forward ids are reused after a restart, so the id alone does not identify a forward.
+            if (!message.unresolvedForwards.contains(forward)) {
+                message.unresolvedForwards.add(forward);
             }
         } else if (record instanceof LedgerRecord.ProvenNotRun) {
-            m.state = MessageState.PROVEN_NOT_RUN;
-            m.uncertainSince = Double.NaN;
-            m.unresolvedForwards.clear();
-            m.answer = null;
+            message.state = MessageState.PROVEN_NOT_RUN;
+            message.uncertainSince = Double.NaN;
+            message.unresolvedForwards.clear();
+            message.answer = null;
         } else if (record instanceof LedgerRecord.Answered r) {
-            // What is known may become more, never less: a returned answer stays.
-            if (m.state != MessageState.ANSWERED || m.answer.kind() != FinalAnswer.Kind.RETURNED) {
-                m.state = MessageState.ANSWERED;
-                m.answer = r.answer();
+            // A returned answer is never replaced by a less certain one.
+            if (message.state != MessageState.ANSWERED || message.answer.kind() != FinalAnswer.Kind.RETURNED) {
+                message.state = MessageState.ANSWERED;
+                message.answer = r.answer();
             }
         } else if (record instanceof LedgerRecord.DeliveryPromised r) {
-            m.deliveryAttempts = r.timestamp() > m.promisedAt ? 0 : m.deliveryAttempts;
-            m.promisedAt = Math.max(m.promisedAt, r.timestamp());
-            m.digestHigh = r.digestHigh();
-            m.digestLow = r.digestLow();
-            m.group = r.group();
+            message.deliveryAttempts = r.timestamp() > message.promisedAt ? 0 : message.deliveryAttempts;
+            message.promisedAt = Math.max(message.promisedAt, r.timestamp());
+            message.digestHigh = r.digestHigh();
+            message.digestLow = r.digestLow();
+            message.group = r.group();
         } else if (record instanceof LedgerRecord.DeliveryAttempted r) {
-            m.deliveryAttempts = r.promisedAt() == m.promisedAt ? Math.max(m.deliveryAttempts, r.attempts()) : m.deliveryAttempts;
-            m.deliveredPromiseAt = r.finished() ? Math.max(m.deliveredPromiseAt, r.promisedAt()) : m.deliveredPromiseAt;
+            message.deliveryAttempts = r.promisedAt() == message.promisedAt ? Math.max(message.deliveryAttempts, r.attempts())
+                    : message.deliveryAttempts;
+            message.deliveredPromiseAt = r.finished() ? Math.max(message.deliveredPromiseAt, r.promisedAt()) : message.deliveredPromiseAt;
         }
     }
 
-    /** Whether a record must stay: its message may come again, nobody knows its end, or its answer is owed. */
-    public boolean isNeeded(LedgerRecord record, double youngerThan) {
+    /**
+     * Whether a record must be kept: its message may be sent again, its outcome is unknown, or its delivery is pending.
+     *
+     * @param cutoff ledger time from which on messages and claims are remembered
+     */
+    public boolean isNeeded(LedgerRecord record, double cutoff) {
         Key key = new Key(record.customer(), record.id());
         if (record instanceof LedgerRecord.ClaimGranted) {
             Claim claim = claims.get(key);
-            return claim.grantedAt() >= youngerThan && record.timestamp() == claim.grantedAt();
+            return claim.grantedAt() >= cutoff && record.timestamp() == claim.grantedAt();
         }
         Message message = messages.get(key);
-        return message.lastRecordedAt >= youngerThan || message.hasUnknownOutcome() || message.isDeliveryPending();
+        return message.lastRecordedAt >= cutoff || message.hasUnknownOutcome() || message.isDeliveryPending();
     }
 
+    /** All messages, in the order of their first record. */
     public Iterable<Message> messages() {
         return messages.values();
     }
 
+    /** The state of that message; null if it is not on record. */
     public Message find(String customer, String id) {
         return messages.get(new Key(customer, id));
     }
 
-    /** How far the ledgers of those who claimed had got, by claimant. */
+    /** Highest recorded ledger position by claimant. */
     public Map<String, Long> claimantPositions() {
         return claimantPositions;
     }
 
+    /** The claims that this front end stores as a replica. */
     public Iterable<Claim> claims() {
         return claims.values();
     }
 
+    /** The number of messages. */
     public int size() {
         return messages.size();
     }
 
-    /** Sequences that no proper run writes, each in a line. */
+    /** Sequences of records that a correct front end never writes, a line each. */
     public List<String> anomalies() {
         return anomalies;
     }
--- a/gateway/src/main/java/gradereach/ledger/LedgerTime.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerTime.java
@@ -1,26 +1,26 @@
 package gradereach.ledger;
 
-/** The time that a ledger's records carry, in milliseconds, and what is known of spans between them. */
+/** The clock of a ledger's records, in milliseconds, and its relation to the monotonic time of this process. */
 @FunctionalInterface
 public interface LedgerTime {
-    /** Of a ledger that does not outlive the process: module time itself. */
+    /** Monotonic time itself, for a ledger that does not outlive the process. */
     LedgerTime MONOTONIC = () -> Double.NaN;
 
-    /** The time now; may be asked by any thread. */
+    /** The present time. Called from any thread. */
     double now();
 
-    /** Since when spans are known: what is dated earlier may be of any age. */
+    /** From when on durations are known: an earlier record may be of any age. */
     default double knownSince() {
         return Double.NEGATIVE_INFINITY;
     }
 
-    /** The time of a record that is written at that module time. */
-    default double fromMonotonic(double moduleTime) {
-        return moduleTime;
+    /** The timestamp of a record that is written at that monotonic time. */
+    default double fromMonotonic(double monotonicTime) {
+        return monotonicTime;
     }
 
-    /** Module time of a record's time; NaN where the span since then is not known. */
-    default double toMonotonic(double time) {
-        return time;
+    /** The monotonic time of a record's timestamp; NaN if the duration since then is not known. */
+    default double toMonotonic(double timestamp) {
+        return timestamp;
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/RecordCodec.java
+++ b/gateway/src/main/java/gradereach/ledger/RecordCodec.java
@@ -7,27 +7,30 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records as frames: u32 payload length, u32 CRC-32C (RFC 3720, appendix B.4) over length and payload, payload. The
- * length is under the sum, so that a flipped bit in it is not taken for another length. Big-endian.
+ * Encodes records as frames: u32 payload length, u32 CRC-32C (RFC 3720, appendix B.4) over length and payload, payload; big-endian.
+ * The checksum covers the length, so that a flipped bit in it is detected and not taken for another length.
  */
 public final class RecordCodec {
+    /** Length and checksum of a frame. */
     public static final int HEADER_BYTES = 8;
-    /** An answer and its names; a longer one is damage. */
+    /** Enough for an answer and its names; a longer payload is damage. */
     static final int MAX_PAYLOAD_BYTES = 32 << 20;
 
-    /** A frame that is none; {@code torn} where the bytes end before it does. */
+    /** Bytes that are no valid frame. */
     public static final class InvalidFrameException extends Exception {
         private static final long serialVersionUID = 1L;
+        /** Whether the bytes end before the frame does. */
         public final boolean truncated;
 
-        InvalidFrameException(String what, boolean torn) {
-            super(what, null, false, false);
-            this.truncated = torn;
+        InvalidFrameException(String message, boolean truncated) {
+            super(message, null, false, false);
+            this.truncated = truncated;
         }
     }
 
     private RecordCodec() { }
 
+    /** A record as a frame. */
     public static byte[] encode(LedgerRecord record) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + maxPayloadBytes(record));
         out.position(HEADER_BYTES);
@@ -63,80 +66,81 @@
         return frame;
     }
 
-    private static int checksum(byte[] in, int at, int length) {
+    private static int checksum(byte[] in, int offset, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(in, at, 4);
-        crc.update(in, at + HEADER_BYTES, length);
+        crc.update(in, offset, 4);
+        crc.update(in, offset + HEADER_BYTES, length);
         return (int) crc.getValue();
     }
 
-    /** The length of the whole frame at a place, checked against its sum. */
-    public static int checkFrame(byte[] in, int at, int end) throws InvalidFrameException {
-        if (end - at < HEADER_BYTES) {
-            throw new InvalidFrameException("head cut off", true);
+    /** Verifies the checksum of the frame at an offset, and returns the length of the frame. */
+    public static int checkFrame(byte[] in, int offset, int end) throws InvalidFrameException {
+        if (end - offset < HEADER_BYTES) {
+            throw new InvalidFrameException("truncated header", true);
         }
-        ByteBuffer head = ByteBuffer.wrap(in);
-        int length = head.getInt(at);
+        ByteBuffer header = ByteBuffer.wrap(in);
+        int length = header.getInt(offset);
         if (length < 9 || length > MAX_PAYLOAD_BYTES) {
-            throw new InvalidFrameException("length " + length, false);
+            throw new InvalidFrameException("invalid payload length " + length, false);
         }
-        if (end - at - HEADER_BYTES < length) {
-            throw new InvalidFrameException("payload cut off", true);
+        if (end - offset - HEADER_BYTES < length) {
+            throw new InvalidFrameException("truncated payload", true);
         }
-        if (head.getInt(at + 4) != checksum(in, at, length)) {
-            throw new InvalidFrameException("sum does not fit", false);
+        if (header.getInt(offset + 4) != checksum(in, offset, length)) {
+            throw new InvalidFrameException("checksum mismatch", false);
         }
         return HEADER_BYTES + length;
     }
 
-    /** The record of a frame that was checked. */
-    public static LedgerRecord decode(byte[] in, int at) throws InvalidFrameException {
-        ByteBuffer from = ByteBuffer.wrap(in, at + HEADER_BYTES, ByteBuffer.wrap(in).getInt(at));
+    /** Decodes the record of a frame that {@link #checkFrame} has verified. */
+    public static LedgerRecord decode(byte[] in, int offset) throws InvalidFrameException {
+        ByteBuffer from = ByteBuffer.wrap(in, offset + HEADER_BYTES, ByteBuffer.wrap(in).getInt(offset));
         try {
             int type = from.get();
-            double time = from.getDouble();
+            double timestamp = from.getDouble();
             String customer = readText(from);
             String id = readText(from);
             return switch (type) {
-                case 1 -> new LedgerRecord.ForwardIntended(customer, id, time, from.getLong(), from.getLong(), readText(from),
+                case 1 -> new LedgerRecord.ForwardIntended(customer, id, timestamp, from.getLong(), from.getLong(), readText(from),
                         readText(from), readText(from), readText(from));
-                case 2 -> new LedgerRecord.ProvenNotRun(customer, id, time);
+                case 2 -> new LedgerRecord.ProvenNotRun(customer, id, timestamp);
                 case 3 -> {
                     FinalAnswer.Kind kind = FinalAnswer.Kind.values()[from.get()];
                     int status = from.getShort();
-                    double pause = from.getDouble();
-                    boolean harmless = from.get() != 0;
+                    double retryAfterMillis = from.getDouble();
+                    boolean repeatHarmless = from.get() != 0;
                     byte[] body = new byte[from.getInt()];
                     from.get(body);
-                    yield new LedgerRecord.Answered(customer, id, time,
-                            new FinalAnswer(kind, status, body, pause, harmless));
+                    yield new LedgerRecord.Answered(customer, id, timestamp,
+                            new FinalAnswer(kind, status, body, retryAfterMillis, repeatHarmless));
                 }
-                case 4 -> new LedgerRecord.DeliveryPromised(customer, id, time, from.getLong(), from.getLong(), readText(from));
-                case 5 -> new LedgerRecord.DeliveryAttempted(customer, id, time, from.getDouble(), from.getInt(),
+                case 4 -> new LedgerRecord.DeliveryPromised(customer, id, timestamp, from.getLong(), from.getLong(), readText(from));
+                case 5 -> new LedgerRecord.DeliveryAttempted(customer, id, timestamp, from.getDouble(), from.getInt(),
                         from.get() != 0);
-                case 6 -> new LedgerRecord.ClaimGranted(customer, id, time, from.getLong(), from.getLong(), readText(from));
-                case 7 -> readForwardIntended(from, customer, id, time);
-                case 8 -> new LedgerRecord.ClaimGranted(customer, id, time, from.getLong(), from.getLong(), readText(from), from.getLong(), from.getLong());
-                default -> throw new InvalidFrameException("type " + type, false);
+                case 6 -> new LedgerRecord.ClaimGranted(customer, id, timestamp, from.getLong(), from.getLong(), readText(from));
+                case 7 -> readForwardIntended(from, customer, id, timestamp);
+                case 8 -> new LedgerRecord.ClaimGranted(customer, id, timestamp, from.getLong(), from.getLong(), readText(from),
+                        from.getLong(), from.getLong());
+                default -> throw new InvalidFrameException("unknown record type " + type, false);
             };
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
-            throw new InvalidFrameException("payload too short for its type", false);
+            throw new InvalidFrameException("payload too short for its record type", false);
         }
     }
 
-    private static LedgerRecord readForwardIntended(ByteBuffer from, String customer, String id, double time) {
+    private static LedgerRecord readForwardIntended(ByteBuffer from, String customer, String id, double timestamp) {
         long digestHigh = from.getLong();
         long digestLow = from.getLong();
         String group = readText(from);
         String model = readText(from);
         String address = readText(from);
-        String forward = readText(from);
+        String forwardId = readText(from);
         Recipient recipient = new Recipient(readText(from), address, from.getDouble());
-        return new LedgerRecord.ForwardIntended(customer, id, time, digestHigh, digestLow, group, model, recipient, forward,
+        return new LedgerRecord.ForwardIntended(customer, id, timestamp, digestHigh, digestLow, group, model, recipient, forwardId,
                 from.getLong());
     }
 
-    /** Types 1 and 6 are an intention and a claim as earlier versions wrote them. */
+    /** Types 1 and 6 are the intents and claims of earlier versions. */
     private static int type(LedgerRecord record) {
         if (record instanceof LedgerRecord.ForwardIntended) {
             return 7;
@@ -150,7 +154,7 @@
         return record instanceof LedgerRecord.DeliveryAttempted ? 5 : 8;
     }
 
-    /** At least what it takes: three bytes a character of all names, and the fixed parts. */
+    /** An upper bound of the payload's length: up to three bytes of UTF-8 a character, and the fixed parts. */
     private static int maxPayloadBytes(LedgerRecord record) {
         int size = 64 + 3 * (record.customer().length() + record.id().length());
         if (record instanceof LedgerRecord.ForwardIntended r) {
--- a/gateway/src/main/java/gradereach/ledger/SegmentScanner.java
+++ b/gateway/src/main/java/gradereach/ledger/SegmentScanner.java
@@ -6,12 +6,17 @@
 import java.util.function.Consumer;
 
 /**
- * Reads a segment's bytes and tells what it could not read. Nothing is guessed: bytes that are no frame are passed over
- * up to the next whole one, and named. What follows the last whole frame is a torn tail if it lies beyond what was
- * known to be durable, and damage otherwise.
+ * Reads the records of a segment and reports what could not be read. Bytes that are no valid frame are skipped up to the next valid
+ * one, and reported as damage. Bytes after the last valid frame are a torn tail if they lie beyond what was known to be durable, and
+ * damage otherwise.
  */
 public final class SegmentScanner {
-    /** A stretch of bytes that held no record. */
+    /**
+     * A range of bytes that held no valid record.
+     *
+     * @param from first byte
+     * @param to first byte after it
+     */
     public record Damage(String segment, long from, long to, String reason) {
         @Override
         public String toString() {
@@ -19,59 +24,68 @@
         }
     }
 
-    /** What a scan found: damage, the end of the last whole frame, and how many bytes of a torn tail follow it. */
+    /**
+     * The result of a scan.
+     *
+     * @param validLength offset of the end of the last valid frame
+     * @param tornBytes bytes after it
+     */
     public record Result(List<Damage> damage, int validLength, int tornBytes, int recordCount) { }
 
     private SegmentScanner() { }
 
     /**
-     * @param start where the first frame begins
-     * @param end where the bytes end
-     * @param durable up to where the segment was known to be on disk, -1 where all of it was
+     * Scans the bytes of a segment.
+     *
+     * @param start offset of the first frame
+     * @param end offset of the end of the bytes
+     * @param durable offset up to which the segment was known to be durable; -1 if all of it was
+     * @param each takes each valid record
      */
     public static Result scan(String segment, byte[] bytes, int start, int end, long durable,
             Consumer<LedgerRecord> each) {
         List<Damage> damage = new ArrayList<>();
-        int at = start;
-        int good = start;
-        int records = 0;
-        while (at < end) {
-            InvalidFrameException bad;
+        int offset = start;
+        int validLength = start;
+        int recordCount = 0;
+        while (offset < end) {
+            InvalidFrameException invalid;
             try {
-                int length = RecordCodec.checkFrame(bytes, at, end);
-                each.accept(RecordCodec.decode(bytes, at));
-                records++;
-                at += length;
-                good = at;
+                int length = RecordCodec.checkFrame(bytes, offset, end);
+                each.accept(RecordCodec.decode(bytes, offset));
+                recordCount++;
+                offset += length;
+                validLength = offset;
                 continue;
             } catch (InvalidFrameException e) {
-                bad = e;
+                invalid = e;
             }
-            int next = findNextFrame(bytes, at + 1, end);
+            int next = findNextFrame(bytes, offset + 1, end);
             if (next < 0) {
-                if (durable < 0 || good < durable) {
-                    damage.add(new Damage(segment, at, durable < 0 ? end : durable, bad.getMessage()));
+                if (durable < 0 || validLength < durable) {
+                    damage.add(new Damage(segment, offset, durable < 0 ? end : durable, invalid.getMessage()));
                 }
                 break;
             }
-            damage.add(new Damage(segment, at, next, bad.getMessage()));
-            at = next;
+            damage.add(new Damage(segment, offset, next, invalid.getMessage()));
+            offset = next;
         }
-        if (at >= end && durable > end) {
-            damage.add(new Damage(segment, end, durable, "the file ends before what was written"));
+        if (offset >= end && durable > end) {
+            damage.add(new Damage(segment, end, durable, "the file is shorter than its durable length"));
         }
-        return new Result(damage, good, end - good, records);
+        return new Result(damage, validLength, end - validLength, recordCount);
     }
 
+    /** The offset of the next valid frame; -1 for none. */
     private static int findNextFrame(byte[] bytes, int from, int end) {
-        for (int at = from; at <= end - RecordCodec.HEADER_BYTES; at++) {
-            // The first byte of a length is 0 or 1: a cheap look before a sum over what may be megabytes.
-            if (bytes[at] == 0 || bytes[at] == 1) {
+        for (int offset = from; offset <= end - RecordCodec.HEADER_BYTES; offset++) {
+            // The first byte of a length is 0 or 1: checked first, because a checksum may run over megabytes.
+            if (bytes[offset] == 0 || bytes[offset] == 1) {
                 try {
-                    RecordCodec.checkFrame(bytes, at, end);
-                    return at;
+                    RecordCodec.checkFrame(bytes, offset, end);
+                    return offset;
                 } catch (InvalidFrameException e) {
-                    // not here
+                    // no valid frame at this offset
                 }
             }
         }
--- a/gateway/src/main/java/gradereach/ledger/disk/AtomicTextFile.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/AtomicTextFile.java
@@ -7,31 +7,31 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A small file of a ledger's folder that is replaced as a whole: cut at any step, it holds the old text or the new one. */
+/** A small file of a ledger's folder that is replaced atomically: after a crash at any step it holds the old text or the new one. */
 final class AtomicTextFile {
     private AtomicTextFile() { }
 
-    /** Null where there is none. */
+    /** The text of the file; null if it does not exist. */
     static String read(Path folder, String name) throws IOException {
         Path file = folder.resolve(name);
         return Files.exists(file) ? Files.readString(file).strip() : null;
     }
 
-    /** Makes the file that the next {@link #write} gives its text and its name. */
+    /** Creates the temporary file that the next {@link #write} fills and renames. */
     static Path createTemporary(Path folder, String name) throws IOException {
-        Path fresh = folder.resolve(name + ".new");
-        Files.deleteIfExists(fresh);
-        return Files.createFile(fresh);
+        Path temporary = folder.resolve(name + ".new");
+        Files.deleteIfExists(temporary);
+        return Files.createFile(temporary);
     }
 
-    /** Durable when it returns. */
+    /** Replaces the text of the file; durable on return. */
     static void write(Path folder, String name, String text) throws IOException {
-        Path fresh = folder.resolve(name + ".new");
-        Files.writeString(fresh, text);
-        try (FileChannel file = FileChannel.open(fresh, StandardOpenOption.WRITE)) {
-            file.force(true);
+        Path temporary = folder.resolve(name + ".new");
+        Files.writeString(temporary, text);
+        try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.WRITE)) {
+            channel.force(true);
         }
-        Files.move(fresh, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         LedgerFolder.syncFolder(folder);
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/Disk.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/Disk.java
@@ -8,27 +8,32 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The few things that a ledger asks of a disk; tests put faults here. */
+/** The file system operations that a ledger needs; tests inject faults here. */
 public interface Disk {
-    /** A file that is only appended to. */
+    /** An append-only file. */
     interface Appender extends Closeable {
+        /** Appends all of the bytes. */
         void write(ByteBuffer bytes) throws IOException;
 
+        /** Makes what was written durable. */
         void force() throws IOException;
 
+        /** Cuts the file to that length. */
         void truncate(long length) throws IOException;
     }
 
+    /** Creates a file whose name is durable on return; fails if it exists. */
     Appender create(Path file) throws IOException;
 
-    /** Bytes that may still be written. */
+    /** The bytes that can still be written on the folder's file system. */
     long usableSpace(Path folder) throws IOException;
 
+    /** The operating system's file system. */
     Disk FILE_SYSTEM = new Disk() {
         @Override
         public Appender create(Path file) throws IOException {
             FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-            // The name must be durable before anything in the file is said to be.
+            // The file's name must be durable before any of its content counts as durable.
             try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
                 folder.force(true);
             } catch (IOException e) {
--- a/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
@@ -23,43 +23,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An append-only ledger with group commit: one thread writes whatever waits, forces it once, and then tells all of it.
- * Whatever goes wrong on the disk makes it unusable until a fresh segment can be written; nothing that was told durable
- * depends on a file that failed (an fsync that failed says nothing about what a second one would).
+ * An append-only ledger with group commit: one thread writes all queued records, forces them once and then notifies their writers.
+ * Any disk error makes the ledger unwritable until a new segment can be written. No record that was reported durable depends on a file
+ * that failed, because the result of an fsync after a failed one has no meaning.
  */
 public final class DiskLedger implements Ledger, Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(DiskLedger.class);
-    /** Records of one commit at most: about a megabyte, written in less time than a force takes. */
+    /** Limit of records in one commit: about a megabyte, which takes less time to write than to force. */
     private static final int MAX_BATCH_RECORDS = 2048;
     private static final long RETRY_NANOS = 500_000_000L;
     private static final long MAINTENANCE_NANOS = 1_000_000_000L;
 
     /**
-     * @param segmentBytes size at which the next segment begins
-     * @param reserve bytes of free disk below which nothing more is taken
-     * @param mostWaiting records that may wait to be written
+     * Limits of a ledger.
+     *
+     * @param segmentBytes size at which the next segment is started
+     * @param minFreeBytes free disk space below which the ledger accepts no records
+     * @param maxQueuedRecords records that can be queued for writing
      */
     public record Limits(long segmentBytes, long minFreeBytes, int maxQueuedRecords) { }
 
-    private record Pending(LedgerRecord record, AppendCallback then) { }
+    /** A queued record. */
+    private record Pending(LedgerRecord record, AppendCallback callback) { }
 
     private LedgerFolder folder;
     private final Disk disk;
     private final Limits limits;
     private final CompactionPlanner compactionPlanner;
     private final LedgerTime time;
-    /** Takes the answers of one commit to the deciding thread. */
+    /** Runs callbacks on the decision thread. */
     private final Consumer<Runnable> decisionThread;
     private final MpscArrayQueue<Pending> queue;
     private final CommitDelay commitDelay = new CommitDelay();
-    private final Counts.Limit waitingLimit;
+    private final Counts.Limit queuedRecords;
     private final LongAdder records;
     private final LongAdder commits;
     private final LongAdder failures;
-    private final LongAdder marksFailed;
+    private final LongAdder failedTailMarks;
     private final LongAdder bytesWritten;
     private final LongAdder compactedSegments;
-    private final Counts.Limit openLimit;
+    private final Counts.Limit openMessages;
     private final Thread thread;
     private final List<Pending> batch = new ArrayList<>();
     private ByteBuffer buffer = ByteBuffer.allocateDirect(1 << 20);
@@ -68,28 +71,28 @@
     private long writtenBytes;
     private long durableBytes;
     private volatile long position = LedgerPosition.UNKNOWN;
-    private volatile boolean usable;
+    private volatile boolean writable;
     private volatile boolean closing;
     private volatile boolean asleep;
     private volatile double currentMargin;
     private long lastMaintenanceAt;
     private long failedAt;
 
-    /** @param tell takes the ends of a commit to the deciding thread */
-    public DiskLedger(Disk disk, Limits bounds, CompactionPlanner carry, LedgerTime time, Consumer<Runnable> tell,
+    /** @param decisionThread runs the callbacks of a commit on the decision thread */
+    public DiskLedger(Disk disk, Limits limits, CompactionPlanner compactionPlanner, LedgerTime time, Consumer<Runnable> decisionThread,
             Counts counts) {
         this.disk = disk;
-        this.limits = bounds;
-        this.compactionPlanner = carry;
+        this.limits = limits;
+        this.compactionPlanner = compactionPlanner;
         this.time = time;
-        this.decisionThread = tell;
-        queue = new MpscArrayQueue<>(bounds.maxQueuedRecords);
-        waitingLimit = counts.limit("ledger_records_waiting", queue.capacity());
-        openLimit = counts.limit("ledger_messages_open", Long.MAX_VALUE);
+        this.decisionThread = decisionThread;
+        queue = new MpscArrayQueue<>(limits.maxQueuedRecords);
+        queuedRecords = counts.limit("ledger_records_waiting", queue.capacity());
+        openMessages = counts.limit("ledger_messages_open", Long.MAX_VALUE);
         records = counts.counter("ledger_records");
         commits = counts.counter("ledger_commits");
         failures = counts.counter("ledger_failures");
-        marksFailed = counts.counter("ledger_marks_failed");
+        failedTailMarks = counts.counter("ledger_marks_failed");
         bytesWritten = counts.counter("ledger_bytes_written");
         compactedSegments = counts.counter("ledger_segments_compacted");
         thread = new Thread(this::run, "ledger");
@@ -97,12 +100,12 @@
     }
 
     /**
-     * Makes the first segment; where that fails the ledger is unusable for now and tries on.
+     * Creates the first segment and starts the writer thread. If the segment cannot be created, the ledger is not writable and retries.
      *
-     * @param nextSegment its number, above all that are there
+     * @param nextSegment number of the segment, higher than all existing ones
      */
-    public void start(LedgerFolder opened, long nextSegment) {
-        folder = opened;
+    public void start(LedgerFolder ledgerFolder, long nextSegment) {
+        folder = ledgerFolder;
         currentSegment = nextSegment - 1;
         startNextSegment();
         thread.start();
@@ -110,7 +113,7 @@
 
     @Override
     public boolean isWritable() {
-        return usable && queue.size() < queue.capacity() / 2;
+        return writable && queue.size() < queue.capacity() / 2;
     }
 
     @Override
@@ -129,10 +132,10 @@
     }
 
     @Override
-    public void append(LedgerRecord record, AppendCallback then) {
-        if (!usable || !queue.offer(new Pending(record, then))) {
-            waitingLimit.recordRejection();
-            decisionThread.accept(() -> then.onComplete(false));
+    public void append(LedgerRecord record, AppendCallback callback) {
+        if (!writable || !queue.offer(new Pending(record, callback))) {
+            queuedRecords.recordRejection();
+            decisionThread.accept(() -> callback.onComplete(false));
             return;
         }
         java.lang.invoke.VarHandle.fullFence();
@@ -160,6 +163,7 @@
         }
     }
 
+    /** Sleeps until a record is queued or maintenance is due. */
     private void waitForRecords() {
         asleep = true;
         java.lang.invoke.VarHandle.fullFence();
@@ -169,9 +173,10 @@
         asleep = false;
     }
 
+    /** Writes the batch and notifies its callbacks. */
     private void commit() {
         boolean durable = appender != null;
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         if (durable) {
             try {
                 write(batch.stream().map(Pending::record).toList());
@@ -180,23 +185,23 @@
                 handleFailure("write", e);
             }
         }
-        waitingLimit.inUse(queue.size());
-        List<Pending> told = List.copyOf(batch);
-        boolean all = durable;
-        double took = (System.nanoTime() - began) / 1e6;
-        commitDelay.recordDelay(took, began / 1e6);
+        queuedRecords.inUse(queue.size());
+        List<Pending> committed = List.copyOf(batch);
+        boolean allDurable = durable;
+        double elapsedMillis = (System.nanoTime() - startedAt) / 1e6;
+        commitDelay.recordDelay(elapsedMillis, startedAt / 1e6);
         currentMargin = commitDelay.margin(System.nanoTime() / 1e6);
-        decisionThread.accept(() -> told.forEach(p -> p.then.onComplete(all)));
+        decisionThread.accept(() -> committed.forEach(pending -> pending.callback.onComplete(allDurable)));
         if (durable && writtenBytes >= limits.segmentBytes) {
             startNextSegment();
         }
     }
 
-    /** Appends and forces: everything or nothing counts as durable. */
-    private void write(List<LedgerRecord> some) throws IOException {
-        long before = writtenBytes;
+    /** Appends and forces the records; all of them or none count as durable. */
+    private void write(List<LedgerRecord> batchRecords) throws IOException {
+        long writtenBefore = writtenBytes;
         buffer.clear();
-        for (LedgerRecord record : some) {
+        for (LedgerRecord record : batchRecords) {
             byte[] frame = RecordCodec.encode(record);
             if (frame.length > buffer.remaining()) {
                 flush();
@@ -209,13 +214,13 @@
         flush();
         appender.force();
         advanceDurable();
-        bytesWritten.add(writtenBytes - before);
-        records.add(some.size());
+        bytesWritten.add(writtenBytes - writtenBefore);
+        records.add(batchRecords.size());
         commits.increment();
-        for (LedgerRecord record : some) {
+        for (LedgerRecord record : batchRecords) {
             compactionPlanner.recordWritten(record, currentSegment);
         }
-        openLimit.inUse(compactionPlanner.openMessages());
+        openMessages.inUse(compactionPlanner.openMessages());
     }
 
     private void flush() throws IOException {
@@ -226,50 +231,51 @@
         buffer.clear();
     }
 
-    private void handleFailure(String what, IOException e) {
-        usable = false;
+    /** Makes the ledger unwritable and gives the current segment up. */
+    private void handleFailure(String operation, IOException e) {
+        writable = false;
         failures.increment();
         failedAt = System.nanoTime();
-        LOG.atError().addKeyValue("segment", currentSegment).log("ledger {} failed, what needs it is shed: {}", what,
-                String.valueOf(e.getMessage()));
+        LOG.atError().addKeyValue("segment", currentSegment).log("ledger {} failed, inferences that need the ledger are shed: {}",
+                operation, String.valueOf(e.getMessage()));
         if (appender != null) {
             abandonSegment(appender);
             appender = null;
         }
     }
 
-    /** What was never told durable must not come back as if it had been, and a segment that holds nothing must not stay. */
-    private void abandonSegment(Disk.Appender given) {
-        try (given) {
-            given.truncate(durableBytes);
+    /** Cuts off records that were not reported durable, so that they are not restored later, and deletes a segment without records. */
+    private void abandonSegment(Disk.Appender failed) {
+        try (failed) {
+            failed.truncate(durableBytes);
             if (durableBytes == 0) {
                 Files.deleteIfExists(folder.segmentPath(currentSegment));
             }
-            given.force();
+            failed.force();
         } catch (IOException e) {
-            // It is found as damage at the next start, and what it may concern is answered as unknown.
-            LOG.atError().addKeyValue("segment", currentSegment).log("ledger: what was not written whole stays: {}",
+            // The next start reports it as damage and answers the messages that it may affect as unknown.
+            LOG.atError().addKeyValue("segment", currentSegment).log("ledger: cannot cut off an incomplete write: {}",
                     String.valueOf(e.getMessage()));
         }
     }
 
-    /** All that was written is durable. */
+    /** Takes note that all that was written is durable. */
     private void advanceDurable() {
         durableBytes = writtenBytes;
         position = LedgerPosition.of(currentSegment, durableBytes);
         updateTailMark();
     }
 
-    /** The mark is a help for the next start: what was forced is durable without it. */
+    /** Updates the tail mark. It only helps the next start: records that were forced are durable without it. */
     private void updateTailMark() {
         try {
-            folder.tailMark(currentSegment, writtenBytes);
+            folder.writeTailMark(currentSegment, writtenBytes);
         } catch (IOException e) {
-            marksFailed.increment();
+            failedTailMarks.increment();
         }
     }
 
-    /** The next segment; the present one is whole and forced by now. */
+    /** Starts the next segment; the current one is complete and forced by then. */
     private void startNextSegment() {
         try {
             if (appender != null) {
@@ -284,12 +290,13 @@
             appender.force();
             folder.saveInodeNumbers(currentSegment);
             advanceDurable();
-            usable = disk.usableSpace(folder.folder) >= limits.minFreeBytes;
+            writable = disk.usableSpace(folder.folder) >= limits.minFreeBytes;
         } catch (IOException e) {
             handleFailure("segment", e);
         }
     }
 
+    /** Retries a failed segment, watches the disk space and compacts. */
     private void maintain(long now) {
         currentMargin = commitDelay.margin(now / 1e6);
         try {
@@ -299,10 +306,11 @@
                 }
                 return;
             }
-            boolean room = disk.usableSpace(folder.folder) >= limits.minFreeBytes;
-            if (usable != room) {
-                LOG.warn(room ? "ledger: there is room again" : "ledger: the disk is nearly full, what needs it is shed");
-                usable = room;
+            boolean enoughSpace = disk.usableSpace(folder.folder) >= limits.minFreeBytes;
+            if (writable != enoughSpace) {
+                LOG.warn(enoughSpace ? "ledger: enough disk space again"
+                        : "ledger: the disk is nearly full, inferences that need the ledger are shed");
+                writable = enoughSpace;
             }
             compact();
         } catch (IOException e) {
@@ -310,20 +318,21 @@
         }
     }
 
+    /** Removes segments that are older than the retention, after their open messages were rewritten. */
     private void compact() throws IOException {
         double now = time.now();
         if (now - compactionPlanner.retention() < time.knownSince()) {
-            return; // nobody knows how old the segments are that were found at the start
+            return; // the age of the segments that were found at the start is not known yet
         }
-        for (long old; (old = compactionPlanner.oldestRemovableSegment(now, currentSegment)) >= 0;) {
-            List<LedgerRecord> carried = compactionPlanner.recordsToRewrite(old, currentSegment);
-            if (!carried.isEmpty()) {
-                write(carried);
+        for (long oldest; (oldest = compactionPlanner.oldestRemovableSegment(now, currentSegment)) >= 0;) {
+            List<LedgerRecord> rewritten = compactionPlanner.recordsToRewrite(oldest, currentSegment);
+            if (!rewritten.isEmpty()) {
+                write(rewritten);
             }
-            folder.raiseForgottenUpTo(compactionPlanner.latestSignedAt(old));
-            folder.raiseClaimsForgottenUpTo(compactionPlanner.latestClaimSignedAt(old));
-            Files.deleteIfExists(folder.segmentPath(old));
-            compactionPlanner.segmentRemoved(old);
+            folder.raiseForgottenUpTo(compactionPlanner.latestSignedAt(oldest));
+            folder.raiseClaimsForgottenUpTo(compactionPlanner.latestClaimSignedAt(oldest));
+            Files.deleteIfExists(folder.segmentPath(oldest));
+            compactionPlanner.segmentRemoved(oldest);
             compactedSegments.increment();
         }
     }
@@ -332,7 +341,7 @@
     public void close() throws IOException {
         closing = true;
         if (folder == null) {
-            return; // it never started
+            return; // it was never started
         }
         LockSupport.unpark(thread);
         try {
--- a/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
@@ -7,13 +7,12 @@
 import java.util.TreeMap;
 
 /**
- * The numbers (inodes) that the file system gave to a ledger's files, as the folder itself keeps them. A folder that was
- * restored from a copy tells the numbers of the files it was copied from, and has others. One that was renamed, or whose owner
- * or mode was changed, has its own still.
+ * The inode numbers of a ledger's files, as listed in a file of the folder itself. A folder that was restored from a copy lists the
+ * inodes of the original files and has others. A folder that was renamed, or whose owner or mode was changed, keeps its inodes.
  */
 final class InodeNumbers {
     private static final String FILE = "files";
-    /** Where the file system has no such numbers, no copy can be told. */
+    /** On a file system without inode numbers, a copy cannot be detected. */
     private static final long NO_INODE = 0;
 
     private final Path folder;
@@ -22,49 +21,49 @@
         this.folder = folder;
     }
 
-    /** Whether a file has another number than the folder tells; not where it tells none, as earlier versions left it. */
+    /** Whether a file has another inode than listed; false without a list, as earlier versions left the folder. */
     boolean haveChanged() throws IOException {
         String text = AtomicTextFile.read(folder, FILE);
         return text != null && !matches(parse(text), current());
     }
 
-    /** A segment may have gone by compaction since; every other difference is one. */
-    private static boolean matches(Map<String, Long> kept, Map<String, Long> present) {
-        return present.entrySet().stream().allMatch(file -> file.getValue().equals(kept.get(file.getKey())));
+    /** A listed segment may have been removed by compaction since; any other difference counts. */
+    private static boolean matches(Map<String, Long> listed, Map<String, Long> actual) {
+        return actual.entrySet().stream().allMatch(file -> file.getValue().equals(listed.get(file.getKey())));
     }
 
-    /** Empty where it cannot be read: then all files differ. */
+    /** The listed inodes by file name; empty if the text cannot be parsed, so that all files differ. */
     private static Map<String, Long> parse(String text) {
-        Map<String, Long> numbers = new TreeMap<>();
+        Map<String, Long> inodes = new TreeMap<>();
         try {
             for (String line : text.lines().toList()) {
-                String[] words = line.split(" ");
-                numbers.put(words[0], Long.parseLong(words[1]));
+                String[] fields = line.split(" ");
+                inodes.put(fields[0], Long.parseLong(fields[1]));
             }
         } catch (RuntimeException e) {
             return Map.of();
         }
-        return numbers;
+        return inodes;
     }
 
-    /** Of the files that stay from the first start on, of this list, and of all segments that hold a record. */
+    /** The inodes of the permanent files, of the list itself, and of all segments that hold a record. */
     private Map<String, Long> current() throws IOException {
-        Map<String, Long> numbers = new TreeMap<>();
-        put(numbers, folder.resolve(LedgerFolder.IDENTITY_FILE));
-        put(numbers, folder.resolve(LedgerFolder.LOCK_FILE));
-        put(numbers, folder.resolve(FILE));
+        Map<String, Long> inodes = new TreeMap<>();
+        put(inodes, folder.resolve(LedgerFolder.IDENTITY_FILE));
+        put(inodes, folder.resolve(LedgerFolder.LOCK_FILE));
+        put(inodes, folder.resolve(FILE));
         for (long segment : LedgerFolder.segmentNumbers(folder)) {
             Path file = LedgerFolder.segmentPath(folder, segment);
             if (Files.size(file) > LedgerFolder.MAGIC.length) {
-                put(numbers, file);
+                put(inodes, file);
             }
         }
-        return numbers;
+        return inodes;
     }
 
-    private static void put(Map<String, Long> numbers, Path file) throws IOException {
+    private static void put(Map<String, Long> inodes, Path file) throws IOException {
         if (Files.exists(file)) {
-            numbers.put(file.getFileName().toString(), inodeOf(file));
+            inodes.put(file.getFileName().toString(), inodeOf(file));
         }
     }
 
@@ -77,16 +76,17 @@
     }
 
     /**
-     * Keeps the numbers as they are, durable when it returns.
+     * Saves the present inodes; durable on return.
      *
-     * @param next the segment that is written next, in a file that has its number already
+     * @param segmentPath path that the next segment will have
+     * @param file the file that becomes the next segment and has its inode already
      */
-    void save(Path next, Path file) throws IOException {
-        Map<String, Long> numbers = current();
-        numbers.put(next.getFileName().toString(), inodeOf(file));
-        numbers.put(FILE, inodeOf(AtomicTextFile.createTemporary(folder, FILE)));
+    void save(Path segmentPath, Path file) throws IOException {
+        Map<String, Long> inodes = current();
+        inodes.put(segmentPath.getFileName().toString(), inodeOf(file));
+        inodes.put(FILE, inodeOf(AtomicTextFile.createTemporary(folder, FILE)));
         StringBuilder text = new StringBuilder();
-        numbers.forEach((name, number) -> text.append(name).append(' ').append(number).append('\n'));
+        inodes.forEach((name, inode) -> text.append(name).append(' ').append(inode).append('\n'));
         AtomicTextFile.write(folder, FILE, text.toString());
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
@@ -9,29 +9,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A ledger's time: Unix milliseconds as the wall clock showed them when the folder was first opened since the machine's
- * start, and from there on by the machine's uptime, over restarts of the process too. No step of the wall clock moves it.
- * How long the machine was down nobody tells: what was written before its start may be of any age.
+ * The clock of a ledger: Unix milliseconds by the wall clock when the folder was first opened after the machine booted, and from
+ * there on by the machine's uptime, also across restarts of the process. Steps of the wall clock do not affect it. How long the
+ * machine was down is not known, so records that were written before it booted may be of any age.
  */
 public final class LedgerClock implements LedgerTime {
     private static final Logger LOG = LoggerFactory.getLogger(LedgerClock.class);
     private static final String FILE = "clock";
 
-    /** What the folder keeps: the ledger's time at one moment of the machine's uptime. */
-    private record Anchor(MachineUptime uptime, double time, double knownSince) {
+    /** Stored in the folder: the ledger time at one reading of the machine's uptime. */
+    private record Anchor(MachineUptime uptime, double ledgerTime, double knownSince) {
         static Anchor parse(String text) {
-            String[] words = text.strip().split(" ");
-            return new Anchor(new MachineUptime(words[0], Double.parseDouble(words[1]), Double.parseDouble(words[4])),
-                    Double.parseDouble(words[2]), Double.parseDouble(words[3]));
+            String[] fields = text.strip().split(" ");
+            return new Anchor(new MachineUptime(fields[0], Double.parseDouble(fields[1]), Double.parseDouble(fields[4])),
+                    Double.parseDouble(fields[2]), Double.parseDouble(fields[3]));
         }
 
         String text() {
-            return uptime.bootId() + " " + uptime.uptimeMillis() + " " + time + " " + knownSince + " " + uptime.monotonicMillis() + "\n";
+            return uptime.bootId() + " " + uptime.uptimeMillis() + " " + ledgerTime + " " + knownSince + " "
+                    + uptime.monotonicMillis() + "\n";
         }
     }
 
-    /** The ledger's time at one moment of module time. */
-    private record Reference(double monotonicTime, double time, double knownSince) { }
+    /** The ledger time at one moment of monotonic time. */
+    private record Reference(double monotonicTime, double ledgerTime, double knownSince) { }
 
     private final DoubleSupplier monotonicClock;
     private final DoubleSupplier wallClock;
@@ -39,57 +40,59 @@
     private volatile Reference reference;
 
     /**
-     * Until it is set it goes by the wall clock, and knows no span.
+     * A clock that follows the wall clock, and knows no durations, until {@link #resume}.
      *
-     * @param moduleClock milliseconds that only go forward
+     * @param monotonicClock milliseconds
      * @param wallClock Unix milliseconds
      */
-    public LedgerClock(DoubleSupplier moduleClock, DoubleSupplier wallClock) {
-        this(moduleClock, wallClock, MachineUptimeReader::readMachine);
+    public LedgerClock(DoubleSupplier monotonicClock, DoubleSupplier wallClock) {
+        this(monotonicClock, wallClock, MachineUptimeReader::readMachine);
     }
 
-    LedgerClock(DoubleSupplier moduleClock, DoubleSupplier wallClock, Supplier<MachineUptime> uptimes) {
-        this.monotonicClock = moduleClock;
+    LedgerClock(DoubleSupplier monotonicClock, DoubleSupplier wallClock, Supplier<MachineUptime> uptimes) {
+        this.monotonicClock = monotonicClock;
         this.wallClock = wallClock;
         this.uptimes = uptimes;
-        double time = wallClock.getAsDouble();
-        reference = new Reference(moduleClock.getAsDouble(), time, time);
+        double wallTime = wallClock.getAsDouble();
+        reference = new Reference(monotonicClock.getAsDouble(), wallTime, wallTime);
     }
 
     /**
-     * Goes on from where the folder's ledger was, before anything is written to it.
+     * Continues the time of the folder's ledger. Called before anything is written to it.
      *
-     * @param youngest the latest time among its records, minus infinity where it holds none
+     * @param latestTimestamp the latest timestamp of its records; minus infinity without any
      */
-    public void resume(Path folder, double youngest) {
+    public void resume(Path folder, double latestTimestamp) {
         MachineUptime uptime = uptimes.get();
         Anchor anchor = read(folder);
         double elapsed = anchor == null ? Double.NaN : uptime.since(anchor.uptime);
-        // Behind its own records it counts another start's uptime, whatever shows it.
-        if (Double.isNaN(elapsed) || anchor.time + elapsed < youngest - MachineUptime.READING_TOLERANCE_MILLIS) {
-            double time = Math.max(wallClock.getAsDouble(), youngest + 1);
-            anchor = new Anchor(uptime, time, time);
+        // A time before the latest record means that the uptime counts from another boot.
+        if (Double.isNaN(elapsed) || anchor.ledgerTime + elapsed < latestTimestamp - MachineUptime.READING_TOLERANCE_MILLIS) {
+            double ledgerTime = Math.max(wallClock.getAsDouble(), latestTimestamp + 1);
+            anchor = new Anchor(uptime, ledgerTime, ledgerTime);
             elapsed = 0;
             write(folder, anchor);
         }
-        reference = new Reference(monotonicClock.getAsDouble(), anchor.time + elapsed, anchor.knownSince);
+        reference = new Reference(monotonicClock.getAsDouble(), anchor.ledgerTime + elapsed, anchor.knownSince);
     }
 
     /**
-     * Of a ledger that no front end has open: what is dated earlier has certainly been kept for so many milliseconds; minus
-     * infinity where nobody can tell.
+     * The ledger time before which records are certainly older than the retention, for a ledger that no front end has open; minus
+     * infinity if that is not known.
+     *
+     * @param retention milliseconds
      */
-    public static double retentionCutoff(Path folder, double kept) {
+    public static double retentionCutoff(Path folder, double retention) {
         Anchor anchor = read(folder);
         double elapsed = anchor == null ? Double.NaN : MachineUptimeReader.readMachine().since(anchor.uptime);
-        boolean known = !Double.isNaN(elapsed) && anchor.time + elapsed - kept >= anchor.knownSince;
-        return known ? anchor.time + elapsed - kept : Double.NEGATIVE_INFINITY;
+        boolean known = !Double.isNaN(elapsed) && anchor.ledgerTime + elapsed - retention >= anchor.knownSince;
+        return known ? anchor.ledgerTime + elapsed - retention : Double.NEGATIVE_INFINITY;
     }
 
-    /** What a ledger's time would be now if it were opened, NaN where nobody can tell. */
+    /** The ledger time now of a ledger that is not open; NaN if it is not known. */
     static double now(Path folder) {
         Anchor anchor = read(folder);
-        return anchor == null ? Double.NaN : anchor.time + MachineUptimeReader.readMachine().since(anchor.uptime);
+        return anchor == null ? Double.NaN : anchor.ledgerTime + MachineUptimeReader.readMachine().since(anchor.uptime);
     }
 
     private static Anchor read(Path folder) {
@@ -97,7 +100,7 @@
             String text = AtomicTextFile.read(folder, FILE);
             return text == null ? null : Anchor.parse(text);
         } catch (IOException | RuntimeException e) {
-            return null; // not whole: the next one knows no span before it
+            return null; // incomplete: without an anchor, durations before the next one are not known
         }
     }
 
@@ -105,7 +108,8 @@
         try {
             AtomicTextFile.write(folder, FILE, anchor.text());
         } catch (IOException e) {
-            LOG.atWarn().log("ledger clock not kept, the next start knows no span before it: {}", String.valueOf(e.getMessage()));
+            LOG.atWarn().log("ledger clock not stored, the next start cannot tell the age of earlier records: {}",
+                    String.valueOf(e.getMessage()));
         }
     }
 
@@ -120,14 +124,14 @@
     }
 
     @Override
-    public double fromMonotonic(double moduleTime) {
-        Reference from = reference;
-        return from.time + (moduleTime - from.monotonicTime);
+    public double fromMonotonic(double monotonicTime) {
+        Reference current = reference;
+        return current.ledgerTime + (monotonicTime - current.monotonicTime);
     }
 
     @Override
-    public double toMonotonic(double time) {
-        Reference from = reference;
-        return time < from.knownSince ? Double.NaN : from.monotonicTime + (time - from.time);
+    public double toMonotonic(double timestamp) {
+        Reference current = reference;
+        return timestamp < current.knownSince ? Double.NaN : current.monotonicTime + (timestamp - current.ledgerTime);
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
@@ -30,10 +30,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * The folder of one front end's ledger: segments {@code NNNNNNNNNNNNNNNN.ledger} (hexadecimal, ascending), the mark
- * {@code tail} of what was durable last, the ledger's own {@code identity}, its {@code clock} ({@link LedgerClock}), what was
- * {@code forgotten} of messages and of claims ({@code forgotten_claims}), the numbers of its {@code files}
- * ({@link FileNumbers}), up to when it is {@code suspect} since it was restored from a copy ({@link RestoredCopy}), and a lock.
+ * The folder of one front end's ledger. It holds the segments {@code NNNNNNNNNNNNNNNN.ledger} (hexadecimal, ascending) and these
+ * files: {@code tail}, the position that was durable last; {@code identity} of the ledger; {@code clock} ({@link LedgerClock});
+ * {@code forgotten} and {@code forgotten_claims}, the latest signed timestamps of removed messages and claims; {@code files}, the
+ * inodes of its files ({@link InodeNumbers}); {@code suspect}, the signed timestamp up to which messages may have been lost by
+ * restoring it from a copy ({@link RestoredCopy}); and {@code lock}.
  */
 public final class LedgerFolder implements Closeable {
     static final byte[] MAGIC = "gradereach ledger 1\n".getBytes(StandardCharsets.US_ASCII);
@@ -45,7 +46,13 @@
     private static final String SUSPECT_FILE = "suspect";
     private static final int TAIL_MARK_BYTES = 20;
 
-    /** What reading it found; {@code damagedAt} is when the youngest damaged segment was last written, Unix milliseconds. */
+    /**
+     * The result of reading a folder.
+     *
+     * @param damagedAt when the latest damaged segment was last modified, in Unix milliseconds; Long.MIN_VALUE without damage
+     * @param bytes total length of all segments
+     * @param nextSegment number for the next segment
+     */
     public record ReadResult(List<Damage> damage, long damagedAt, long tornBytes, int recordCount, long bytes,
             long nextSegment) { }
 
@@ -54,76 +61,76 @@
     private final FileLock lock;
     private final String identity;
     private final InodeNumbers inodeNumbers;
-    private FileChannel tailMark;
+    private FileChannel tailMarkFile;
 
-    /** Opens for a front end; one at a time. */
+    /** Opens the folder for a front end, exclusively. */
     public LedgerFolder(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
         inodeNumbers = new InodeNumbers(folder);
         lockFile = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock got;
+        FileLock acquired;
         try {
-            got = lockFile.tryLock();
+            acquired = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            got = null;
+            acquired = null;
         }
-        if (got == null) {
+        if (acquired == null) {
             lockFile.close();
             throw new IOException(folder + ": another process has this ledger open");
         }
-        lock = got;
+        lock = acquired;
         try {
             identity = readOrCreateIdentity(folder);
             if (inodeNumbers.haveChanged()) {
                 RestoredCopy.recover(this, LedgerPosition.UNKNOWN);
             }
         } catch (IOException | RuntimeException e) {
-            close(); // the next attempt must find it free
+            close(); // otherwise the next attempt would find it locked
             throw e;
         }
     }
 
     private static String readOrCreateIdentity(Path folder) throws IOException {
-        String known = AtomicTextFile.read(folder, IDENTITY_FILE);
-        if (known != null) {
-            return known;
+        String existing = AtomicTextFile.read(folder, IDENTITY_FILE);
+        if (existing != null) {
+            return existing;
         }
-        String fresh = UUID.randomUUID().toString();
-        AtomicTextFile.write(folder, IDENTITY_FILE, fresh);
-        return fresh;
+        String created = UUID.randomUUID().toString();
+        AtomicTextFile.write(folder, IDENTITY_FILE, created);
+        return created;
     }
 
     /**
-     * The latest signed timestamp, Unix seconds, among messages whose segments have been removed: one that was signed no later
-     * and is not known may be one of them. Long.MIN_VALUE for none.
+     * The latest signed timestamp, in Unix seconds, among messages whose segments have been removed: an unknown message that was signed
+     * no later may be one of them. Long.MIN_VALUE for none.
      */
     public long forgottenUpTo() throws IOException {
         return readTimestamp(FORGOTTEN_FILE);
     }
 
-    /** The same of claims that this front end kept for others. */
+    /** The same for the claims that this front end stored as a replica. */
     public long claimsForgottenUpTo() throws IOException {
         return readTimestamp(FORGOTTEN_CLAIMS_FILE);
     }
 
     /**
-     * The latest signed timestamp, Unix seconds, of messages and claims that a restored folder may have lost; Long.MIN_VALUE where
-     * it was not restored.
+     * The latest signed timestamp, in Unix seconds, of messages and claims that a restored folder may have lost; Long.MIN_VALUE if it
+     * was not restored.
      */
     public long suspectUpTo() throws IOException {
         return readTimestamp(SUSPECT_FILE);
     }
 
-    /** Whether that folder was restored from a copy, and no front end has had it open since. */
+    /** Whether the folder was restored from a copy and has not been opened by a front end since. */
     public static boolean isRestoredCopy(Path folder) throws IOException {
         return new InodeNumbers(folder).haveChanged();
     }
 
     /**
-     * Where the ledger had got further than it tells, the folder was restored from a copy, whatever its files look like: as by a
-     * snapshot of the file system.
+     * Treats the folder as restored from a copy if the ledger is behind a position that it is known to have reached. A restored
+     * snapshot of the file system can only be detected so, because its files keep their inodes.
      *
-     * @param known how far it had got, as somebody else knows ({@link LedgerPosition})
+     * @param known the position that peers know ({@link LedgerPosition})
      */
     public void checkAgainstKnownPosition(long known) throws IOException {
         if (known > position()) {
@@ -131,14 +138,14 @@
         }
     }
 
-    /** How far it has got, by what is whole. */
+    /** The position of the end of the last valid frame. */
     private long position() throws IOException {
         List<Long> numbers = segmentNumbers(folder);
         if (numbers.isEmpty()) {
             return LedgerPosition.UNKNOWN;
         }
-        long last = numbers.get(numbers.size() - 1);
-        return LedgerPosition.of(last, SegmentFile.read(folder, last, true, tailMark(folder)).result().validLength());
+        long lastSegment = numbers.get(numbers.size() - 1);
+        return LedgerPosition.of(lastSegment, SegmentFile.read(folder, lastSegment, true, readTailMark(folder)).result().validLength());
     }
 
     private long readTimestamp(String name) throws IOException {
@@ -146,18 +153,19 @@
         return text == null ? Long.MIN_VALUE : Long.parseLong(text);
     }
 
-    /** Notes it before the segment goes that still tells of such a message. */
+    /** Raises the timestamp of removed messages. Called before the segment that holds them is removed. */
     void raiseForgottenUpTo(long signedAt) throws IOException {
         raiseTimestamp(FORGOTTEN_FILE, signedAt);
     }
 
-    /** Notes it before the segment goes that still tells of such a claim. */
+    /** Raises the timestamp of removed claims. Called before the segment that holds them is removed. */
     void raiseClaimsForgottenUpTo(long signedAt) throws IOException {
         raiseTimestamp(FORGOTTEN_CLAIMS_FILE, signedAt);
     }
 
-    void raiseSuspectUpTo(long signedUpTo) throws IOException {
-        raiseTimestamp(SUSPECT_FILE, signedUpTo);
+    /** Raises the timestamp up to which messages and claims may have been lost. */
+    void raiseSuspectUpTo(long signedAt) throws IOException {
+        raiseTimestamp(SUSPECT_FILE, signedAt);
     }
 
     private void raiseTimestamp(String name, long signedAt) throws IOException {
@@ -166,11 +174,12 @@
         }
     }
 
-    /** Tells this ledger from another in the same front end's name: a lost folder has forgotten what it took. */
+    /** A unique id, which differs from that of a ledger that the same front end had before and lost. */
     public String identity() {
         return identity;
     }
 
+    /** The path of a segment, whether it exists or not. */
     Path segmentPath(long number) {
         return segmentPath(folder, number);
     }
@@ -179,36 +188,38 @@
         return folder.resolve(String.format("%016x", number) + SEGMENT_SUFFIX);
     }
 
-    /** Keeps which files the folder consists of, before records are said to be durable in the segment. */
-    void saveInodeNumbers(long next) throws IOException {
-        inodeNumbers.save(segmentPath(next), segmentPath(next));
+    /** Saves the inodes of the folder's files. Called before records in the segment are reported durable. */
+    void saveInodeNumbers(long segment) throws IOException {
+        inodeNumbers.save(segmentPath(segment), segmentPath(segment));
     }
 
+    /** The numbers of all segments, ascending. */
     static List<Long> segmentNumbers(Path folder) throws IOException {
         List<Long> numbers = new ArrayList<>();
         try (var files = Files.list(folder)) {
-            files.map(f -> f.getFileName().toString()).filter(n -> n.matches("[0-9a-f]{16}\\" + SEGMENT_SUFFIX)).sorted()
-                    .forEach(n -> numbers.add(Long.parseUnsignedLong(n.substring(0, 16), 16)));
+            files.map(file -> file.getFileName().toString()).filter(name -> name.matches("[0-9a-f]{16}\\" + SEGMENT_SUFFIX)).sorted()
+                    .forEach(name -> numbers.add(Long.parseUnsignedLong(name.substring(0, 16), 16)));
         }
         return numbers;
     }
 
-    /** Segments read ahead of the one that is taken over: reading and checking costs more than taking over. */
+    /** Segments that are read ahead of the one whose records are processed: reading and verifying takes longer than processing. */
     private static final int READ_AHEAD_SEGMENTS = 3;
 
     /**
-     * Reads all segments, oldest first. With {@code mend} a torn tail of the last one is cut off, so that it is told once.
+     * Reads all segments, oldest first.
      *
-     * @param each a record and the number of its segment
+     * @param repair whether to cut off a torn tail of the last segment, so that it is reported only once
+     * @param each takes a record and the number of its segment
      */
-    public static ReadResult read(Path folder, boolean mend, BiConsumer<LedgerRecord, Long> each) throws IOException {
+    public static ReadResult read(Path folder, boolean repair, BiConsumer<LedgerRecord, Long> each) throws IOException {
         List<Damage> damage = new ArrayList<>();
-        long torn = 0;
-        int records = 0;
-        long total = 0;
+        long tornBytes = 0;
+        int recordCount = 0;
+        long totalBytes = 0;
         long damagedAt = Long.MIN_VALUE;
         List<Long> numbers = segmentNumbers(folder);
-        long[] durable = tailMark(folder);
+        long[] durable = readTailMark(folder);
         ExecutorService readers = Executors.newFixedThreadPool(READ_AHEAD_SEGMENTS);
         try {
             ArrayDeque<Future<SegmentFile>> ahead = new ArrayDeque<>();
@@ -221,22 +232,23 @@
                 }
                 SegmentFile segment = await(ahead.poll());
                 segment.records().forEach(record -> each.accept(record, segment.number()));
-                total += segment.length();
+                totalBytes += segment.length();
                 damage.addAll(segment.result().damage());
-                records += segment.result().recordCount();
-                torn += segment.result().tornBytes();
+                recordCount += segment.result().recordCount();
+                tornBytes += segment.result().tornBytes();
                 if (!segment.result().damage().isEmpty()) {
                     damagedAt = Math.max(damagedAt, segment.lastModifiedAt());
-                } else if (mend && segment.result().validLength() == 0) {
-                    Files.delete(folder.resolve(segment.fileName())); // or it would be taken for damage once others follow
-                } else if (mend && segment.result().tornBytes() > 0) {
+                } else if (repair && segment.result().validLength() == 0) {
+                    Files.delete(folder.resolve(segment.fileName())); // it would count as damage once other segments follow
+                } else if (repair && segment.result().tornBytes() > 0) {
                     SegmentFile.truncate(folder.resolve(segment.fileName()), segment.result().validLength());
                 }
             }
         } finally {
             readers.shutdownNow();
         }
-        return new ReadResult(damage, damagedAt, torn, records, total, numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1);
+        return new ReadResult(damage, damagedAt, tornBytes, recordCount, totalBytes,
+                numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1);
     }
 
     private static SegmentFile await(Future<SegmentFile> read) throws IOException {
@@ -246,67 +258,73 @@
             throw e.getCause() instanceof IOException io ? io : new IOException(e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while the ledger was read");
+            throw new IOException("interrupted while reading the ledger");
         }
     }
 
-    /** What a compaction came to. */
+    /**
+     * The result of a compaction.
+     *
+     * @param readResult what was read before
+     * @param keptRecords records that were kept
+     * @param bytes length of the new segment
+     */
     public record CompactionResult(ReadResult readResult, int keptRecords, long bytes) { }
 
     /**
-     * Writes anew what is still needed, as one segment, and removes the others; of a ledger that no front end has open.
-     * The new segment gets its name when it is whole and durable, so that a cut at any step leaves the old ones or both.
-     * A damaged ledger is left as it is: its segments say what is lost.
+     * Rewrites the records that are still needed to one segment and removes the others, in a ledger that no front end has open. The
+     * new segment is renamed into place once it is complete and durable, so that a crash at any step leaves the old segments or both.
+     * A damaged ledger is not changed, since its segments show what was lost.
      *
-     * @param youngerThan Unix milliseconds: messages older than this and of known end are let go
+     * @param cutoff ledger time: earlier messages with a known outcome are removed
      */
-    public static CompactionResult compact(Path folder, double youngerThan) throws IOException {
+    public static CompactionResult compact(Path folder, double cutoff) throws IOException {
         try (LedgerFolder opened = new LedgerFolder(folder)) {
             List<LedgerRecord> records = new ArrayList<>();
-            LedgerState book = new LedgerState();
-            List<Long> old = segmentNumbers(folder);
-            ReadResult found = read(folder, true, (record, segment) -> {
+            LedgerState state = new LedgerState();
+            List<Long> oldSegments = segmentNumbers(folder);
+            ReadResult readResult = read(folder, true, (record, segment) -> {
                 records.add(record);
-                book.apply(record);
+                state.apply(record);
             });
-            if (!found.damage().isEmpty()) {
-                return new CompactionResult(found, found.recordCount(), found.bytes());
+            if (!readResult.damage().isEmpty()) {
+                return new CompactionResult(readResult, readResult.recordCount(), readResult.bytes());
             }
-            Path fresh = folder.resolve("compacted.new");
-            Files.deleteIfExists(fresh);
-            List<LedgerRecord> kept = records.stream().filter(record -> book.isNeeded(record, youngerThan)).toList();
-            long bytes = writeSegment(fresh, kept);
-            Path segment = opened.segmentPath(found.nextSegment());
-            opened.inodeNumbers.save(segment, fresh);
-            Files.move(fresh, segment, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+            Path temporary = folder.resolve("compacted.new");
+            Files.deleteIfExists(temporary);
+            List<LedgerRecord> kept = records.stream().filter(record -> state.isNeeded(record, cutoff)).toList();
+            long bytes = writeSegment(temporary, kept);
+            Path segment = opened.segmentPath(readResult.nextSegment());
+            opened.inodeNumbers.save(segment, temporary);
+            Files.move(temporary, segment, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
             syncFolder(folder);
-            opened.tailMark(found.nextSegment(), bytes);
-            opened.recordForgotten(kept, records, youngerThan);
-            for (long number : old) {
+            opened.writeTailMark(readResult.nextSegment(), bytes);
+            opened.recordForgotten(kept, records, cutoff);
+            for (long number : oldSegments) {
                 Files.delete(opened.segmentPath(number));
             }
-            return new CompactionResult(found, kept.size(), bytes);
+            return new CompactionResult(readResult, kept.size(), bytes);
         }
     }
 
-    /** What is left out of a compaction leaves its signed timestamps behind. */
-    private void recordForgotten(List<LedgerRecord> kept, List<LedgerRecord> records, double youngerThan) throws IOException {
-        Set<LedgerRecord> stays = Collections.newSetFromMap(new IdentityHashMap<>());
-        stays.addAll(kept);
-        long forgotten = Long.MIN_VALUE;
-        long claimsForgotten = Long.MIN_VALUE;
+    /** Raises the timestamps of removed messages and claims by the records that a compaction left out. */
+    private void recordForgotten(List<LedgerRecord> kept, List<LedgerRecord> records, double cutoff) throws IOException {
+        Set<LedgerRecord> keptRecords = Collections.newSetFromMap(new IdentityHashMap<>());
+        keptRecords.addAll(kept);
+        long latestSignedAt = Long.MIN_VALUE;
+        long latestClaimSignedAt = Long.MIN_VALUE;
         for (LedgerRecord record : records) {
-            if (!stays.contains(record) && record instanceof LedgerRecord.ForwardIntended intended) {
-                forgotten = Math.max(forgotten, intended.signedAt());
-            } else if (record instanceof LedgerRecord.ClaimGranted claimed && claimed.timestamp() < youngerThan) {
-                claimsForgotten = Math.max(claimsForgotten, claimed.signedAt());
+            if (!keptRecords.contains(record) && record instanceof LedgerRecord.ForwardIntended intent) {
+                latestSignedAt = Math.max(latestSignedAt, intent.signedAt());
+            } else if (record instanceof LedgerRecord.ClaimGranted claim && claim.timestamp() < cutoff) {
+                latestClaimSignedAt = Math.max(latestClaimSignedAt, claim.signedAt());
             }
         }
-        raiseForgottenUpTo(forgotten);
-        raiseClaimsForgottenUpTo(claimsForgotten);
+        raiseForgottenUpTo(latestSignedAt);
+        raiseClaimsForgottenUpTo(latestClaimSignedAt);
     }
 
-    /** A new file of whole frames, durable when it returns; its length. */
+    /** Writes the records to a new file, which is durable on return, and returns its length. */
     static long writeSegment(Path file, List<LedgerRecord> records) throws IOException {
         long bytes = MAGIC.length;
         try (Disk.Appender out = Disk.FILE_SYSTEM.create(file)) {
@@ -321,46 +339,46 @@
         return bytes;
     }
 
-    /** The names in the folder are durable when it returns. */
+    /** Makes the names of the folder's files durable. */
     static void syncFolder(Path folder) throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
     }
 
-    /** Segment and length that were durable last; null where the mark is missing or cut. */
-    private static long[] tailMark(Path folder) throws IOException {
+    /** The segment and the length that were durable last; null if the mark is missing or incomplete. */
+    private static long[] readTailMark(Path folder) throws IOException {
         Path file = folder.resolve("tail");
         if (!Files.exists(file) || Files.size(file) < TAIL_MARK_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file));
-        CRC32C sum = new CRC32C();
-        sum.update(in.array(), 0, 16);
-        return (int) sum.getValue() == in.getInt(16) ? new long[] {in.getLong(0), in.getLong(8)} : null;
+        CRC32C checksum = new CRC32C();
+        checksum.update(in.array(), 0, 16);
+        return (int) checksum.getValue() == in.getInt(16) ? new long[] {in.getLong(0), in.getLong(8)} : null;
     }
 
     /**
-     * Notes what is durable. The note itself is not forced: it outlives the process, not the machine, and without it the
-     * tail is merely taken for torn.
+     * Stores the durable length of a segment. The mark itself is not forced: it survives a crash of the process but not of the machine,
+     * and without it the end of the last segment merely counts as torn.
      */
-    void tailMark(long segment, long length) throws IOException {
-        if (tailMark == null) {
-            tailMark = FileChannel.open(folder.resolve("tail"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    void writeTailMark(long segment, long length) throws IOException {
+        if (tailMarkFile == null) {
+            tailMarkFile = FileChannel.open(folder.resolve("tail"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
         ByteBuffer out = ByteBuffer.allocate(TAIL_MARK_BYTES).putLong(segment).putLong(length);
-        CRC32C sum = new CRC32C();
-        sum.update(out.array(), 0, 16);
-        out.putInt((int) sum.getValue()).flip();
+        CRC32C checksum = new CRC32C();
+        checksum.update(out.array(), 0, 16);
+        out.putInt((int) checksum.getValue()).flip();
         while (out.hasRemaining()) {
-            tailMark.write(out, out.position());
+            tailMarkFile.write(out, out.position());
         }
     }
 
     @Override
     public void close() throws IOException {
-        if (tailMark != null) {
-            tailMark.close();
+        if (tailMarkFile != null) {
+            tailMarkFile.close();
         }
         lock.close();
         lockFile.close();
--- a/gateway/src/main/java/gradereach/ledger/disk/MachineUptimeReader.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/MachineUptimeReader.java
@@ -9,37 +9,42 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Reads the machine's uptime from proc(5), where it is certainly the machine's. Two things may show a container an uptime of
- * its own: a file system laid over {@code /proc/uptime}, and a time namespace (time_namespaces(7)), which shifts the
- * monotonic clock as well.
+ * Reads the machine's uptime from proc(5) if it is certainly the machine's. A container may see an uptime of its own for two reasons:
+ * a file system mounted over {@code /proc/uptime}, or a time namespace (time_namespaces(7)), which also shifts the monotonic clock.
  */
 final class MachineUptimeReader {
     private static final double MILLIS_PER_SECOND = 1000;
-    /** Of {@code starttime}: Linux tells it in hundredths of a second on every machine that Java 17 runs on. */
+    /** Unit of {@code starttime}: hundredths of a second on every Linux machine that Java 17 runs on. */
     private static final double MILLIS_PER_TICK = 10;
-    /** Milliseconds by which two readings that are cut to hundredths of a second may cross. */
+    /** Tolerance between two readings that are truncated to hundredths of a second. */
     private static final double ROUNDING_TOLERANCE_MILLIS = 2 * MILLIS_PER_TICK;
-    /** Milliseconds between two monotonic readings that one uptime is read between. */
+    /** Longest time between the monotonic readings before and after an uptime reading. */
     private static final double MAX_READING_GAP_MILLIS = 20;
     private static final int MAX_ATTEMPTS = 100;
-    /** Linux gives the namespace that the machine itself is in this number (PROC_TIME_INIT_INO), and none other ever. */
+    /** The initial time namespace: Linux gives it this fixed inode (PROC_TIME_INIT_INO) and never uses it for another one. */
     private static final String INITIAL_TIME_NAMESPACE = "time:[4026531834]";
-    /** In {@code stat}, counted from the state, which follows the name in brackets. */
+    /** Index of {@code starttime} in {@code stat}, counted from the state, which follows the name in brackets. */
     private static final int START_TIME_FIELD = 19;
 
     private final Path proc;
     private final DoubleSupplier monotonicClock;
 
-    /** @param monotonicClock milliseconds */
+    /**
+     * Reads from another folder than {@code /proc}, for tests.
+     *
+     * @param monotonicClock milliseconds
+     */
     MachineUptimeReader(Path proc, DoubleSupplier monotonicClock) {
         this.proc = proc;
         this.monotonicClock = monotonicClock;
     }
 
+    /** The uptime of this machine; UNKNOWN if it cannot be read. */
     static MachineUptime readMachine() {
         return new MachineUptimeReader(Path.of("/proc"), () -> System.nanoTime() / 1e6).read();
     }
 
+    /** The uptime; UNKNOWN if it cannot be read or is not certainly the machine's. */
     MachineUptime read() {
         try {
             return isInInitialTimeNamespace() && agreesWithThreadStart() ? readBothClocks() : MachineUptime.UNKNOWN;
@@ -51,14 +56,14 @@
         }
     }
 
-    /** Numbers of other namespaces are given anew once they have ended, so that none of them tells one from the next. */
+    /** Inodes of other time namespaces are reused after their end and so do not identify one. */
     private boolean isInInitialTimeNamespace() throws IOException {
         Path namespace = proc.resolve("self/ns/time");
-        boolean kernelHasNone = !Files.exists(namespace, LinkOption.NOFOLLOW_LINKS);
-        return kernelHasNone || Files.readSymbolicLink(namespace).toString().equals(INITIAL_TIME_NAMESPACE);
+        boolean unsupported = !Files.exists(namespace, LinkOption.NOFOLLOW_LINKS);
+        return unsupported || Files.readSymbolicLink(namespace).toString().equals(INITIAL_TIME_NAMESPACE);
     }
 
-    /** Whether {@code uptime} counts from where the kernel counts the start of a thread that starts now. */
+    /** Whether {@code uptime} counts from the same moment as the kernel's start time of a thread that is started now. */
     private boolean agreesWithThreadStart() throws IOException, InterruptedException, ExecutionException {
         double before = readUptimeMillis();
         CompletableFuture<Double> started = new CompletableFuture<>();
@@ -70,7 +75,7 @@
         return start >= before - ROUNDING_TOLERANCE_MILLIS && start <= after + ROUNDING_TOLERANCE_MILLIS;
     }
 
-    /** Milliseconds from the machine's start; NaN where it cannot be read. */
+    /** Start of the current thread in milliseconds since the machine booted; NaN if it cannot be read. */
     private double currentThreadStartMillis() {
         try {
             String stat = Files.readString(proc.resolve("thread-self/stat"));
@@ -86,15 +91,15 @@
         return Double.parseDouble(seconds) * MILLIS_PER_SECOND;
     }
 
-    /** Both clocks at one moment, or as near as a busy machine lets them be read. */
+    /** Reads both clocks close together; retries on a busy machine, and gives UNKNOWN if they stay too far apart. */
     private MachineUptime readBothClocks() throws IOException {
-        String boot = Files.readString(proc.resolve("sys/kernel/random/boot_id")).strip();
+        String bootId = Files.readString(proc.resolve("sys/kernel/random/boot_id")).strip();
         for (int i = 0; i < MAX_ATTEMPTS; i++) {
             double before = monotonicClock.getAsDouble();
             double uptime = readUptimeMillis();
             double after = monotonicClock.getAsDouble();
             if (after - before <= MAX_READING_GAP_MILLIS) {
-                return new MachineUptime(boot, uptime, after);
+                return new MachineUptime(bootId, uptime, after);
             }
         }
         return MachineUptime.UNKNOWN;
--- a/gateway/src/main/java/gradereach/members/DatagramCipher.java
+++ b/gateway/src/main/java/gradereach/members/DatagramCipher.java
@@ -13,9 +13,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Datagrams that only front ends of one cluster can make and read: version, nonce, then AES-GCM (NIST SP 800-38D) over the message,
- * with the cluster's name authenticated beside it. The first key seals, any opens: to rotate, add the new one last everywhere, then
- * put it first, then take the old one away.
+ * Encrypts and authenticates datagrams among the front ends of one cluster: version, nonce, then the message under AES-GCM (NIST SP
+ * 800-38D), with the cluster's name as associated data. The first key encrypts, and any key decrypts. To rotate keys, add the new one
+ * last on every front end, then move it to the front, then remove the old one.
  */
 final class DatagramCipher {
     private static final byte VERSION = 1;
@@ -26,7 +26,7 @@
     private final byte[] associatedData;
     private final SecureRandom random = new SecureRandom();
 
-    /** @param secrets any bytes; a key is drawn from each by SHA-256 */
+    /** @param secrets any bytes; a key is derived from each by SHA-256 */
     DatagramCipher(String cluster, List<byte[]> secrets) {
         this.associatedData = ("gradereach members " + VERSION + " " + cluster).getBytes(StandardCharsets.UTF_8);
         try {
@@ -38,6 +38,7 @@
         }
     }
 
+    /** Encrypts a message as a datagram. */
     byte[] seal(byte[] message) {
         byte[] nonce = new byte[NONCE_BYTES];
         random.nextBytes(nonce);
@@ -45,14 +46,14 @@
             Cipher cipher = Cipher.getInstance("AES/GCM/NoPadding");
             cipher.init(Cipher.ENCRYPT_MODE, keys.get(0), new GCMParameterSpec(TAG_BITS, nonce));
             cipher.updateAAD(associatedData);
-            byte[] sealed = cipher.doFinal(message);
-            return ByteBuffer.allocate(1 + NONCE_BYTES + sealed.length).put(VERSION).put(nonce).put(sealed).array();
+            byte[] encrypted = cipher.doFinal(message);
+            return ByteBuffer.allocate(1 + NONCE_BYTES + encrypted.length).put(VERSION).put(nonce).put(encrypted).array();
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Null for what is of no member of this cluster, or no whole datagram. */
+    /** Decrypts a datagram; null if it is incomplete or not from a member of this cluster. */
     byte[] open(byte[] datagram) {
         if (datagram.length < 1 + NONCE_BYTES + TAG_BITS / 8 || datagram[0] != VERSION) {
             return null;
@@ -65,7 +66,7 @@
                 cipher.updateAAD(associatedData);
                 return cipher.doFinal(datagram, 1 + NONCE_BYTES, datagram.length - 1 - NONCE_BYTES);
             } catch (GeneralSecurityException e) {
-                // the next key, or a stranger
+                // try the next key
             }
         }
         return null;
--- a/gateway/src/main/java/gradereach/members/Membership.java
+++ b/gateway/src/main/java/gradereach/members/Membership.java
@@ -25,33 +25,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries membership over UDP: one thread owns the socket and the three state machines (who is there, the seats that this front end
- * keeps for others, and those that it holds), and tells the deciding thread when its part changes.
+ * Runs membership over UDP. One thread owns the socket and the three state machines: SWIM membership, the seats that this front end
+ * grants as a grantor, and the seats that it holds. It notifies the listener when this front end's share changes.
  */
 public final class Membership implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-    /** Longer than any message of ours: exchanges of everything grow with the members, 60 bytes each. */
+    /** Above the length of any message: full state exchanges grow with the members, by 60 bytes each. */
     private static final int MAX_DATAGRAM_BYTES = 65_000;
     private static final double UNAUTHENTICATED_LOG_INTERVAL_MILLIS = 60_000;
 
     /**
-     * Who and where.
+     * The configuration of a member.
      *
-     * @param keepers addresses of all that keep seats, this one's among them, in one order everywhere
-     * @param lease milliseconds
+     * @param name name of this front end
+     * @param secrets keys of the cluster; the first one encrypts
+     * @param grantors addresses of all grantors, this front end's included, in the same order on every front end
+     * @param seats seats into which shared budgets are divided
+     * @param leaseMillis lease of a seat
      */
-    public record Config(String name, InetSocketAddress listenAddress, String cluster, List<byte[]> secrets, List<String> grantors, int seats,
-            double leaseMillis) { }
+    public record Config(String name, InetSocketAddress listenAddress, String cluster, List<byte[]> secrets, List<String> grantors,
+            int seats, double leaseMillis) { }
 
-    /** Whoever spends what is shared. */
+    /** Notified of this front end's share of the budgets that front ends share. */
     public interface ShareListener {
-        /** {@code part} of all is ours from now on, 0 to 1, and until {@code until} at the longest. */
-        void shareChanged(double part, double until);
+        /**
+         * The share has changed.
+         *
+         * @param share fraction of the shared budgets that this front end may spend, 0 to 1
+         * @param until when the share ends at the latest unless it is renewed, by the clock given to the constructor
+         */
+        void shareChanged(double share, double until);
     }
 
-    /** What is known at one moment, for those who look. */
+    /**
+     * A snapshot for monitoring.
+     *
+     * @param presentCount members that are present, this one included
+     * @param healthScore see {@link Swim#healthScore}
+     */
     public record View(Member self, Collection<Member> members, int presentCount, double share, int healthScore) { }
 
+    /** The traffic that a holder reported last; {@code rate} in inferences a second. */
     private record Traffic(double rate, double reportedAt) { }
 
     private final Config config;
@@ -59,7 +73,7 @@
     private final DatagramSocket socket;
     private final String address;
     private final DoubleSupplier clock;
-    private final DoubleSupplier inferencesTaken;
+    private final DoubleSupplier inferencesAccepted;
     private final ShareListener shareListener;
     private final Random random;
     private final Swim swim;
@@ -76,7 +90,7 @@
     private double unauthenticatedLoggedAt = Double.NEGATIVE_INFINITY;
     private double totalRate;
     private int holderCount = 1;
-    private double lastInferencesTaken;
+    private double lastInferencesAccepted;
     private double ownRate;
     private double rateMeasuredAt;
     private double notifiedShare = -1;
@@ -85,31 +99,33 @@
     private volatile boolean stopping;
 
     /**
-     * @param clock steady, milliseconds
-     * @param taken inferences taken so far
-     * @param spender told when the part of all that is shared changes, or its time
+     * Binds the socket; {@link #start} starts the thread.
+     *
+     * @param clock monotonic, milliseconds
+     * @param inferencesAccepted total of inferences accepted by this front end
+     * @param shareListener notified when the share or its end changes
      */
-    public Membership(Config terms, Random chance, DoubleSupplier clock, DoubleSupplier taken, ShareListener spender, Counts counts)
-            throws IOException {
-        this(terms, new DatagramSocket(terms.listenAddress), chance, clock, taken, spender, counts);
+    public Membership(Config config, Random random, DoubleSupplier clock, DoubleSupplier inferencesAccepted, ShareListener shareListener,
+            Counts counts) throws IOException {
+        this(config, new DatagramSocket(config.listenAddress), random, clock, inferencesAccepted, shareListener, counts);
     }
 
-    Membership(Config terms, DatagramSocket socket, Random chance, DoubleSupplier clock, DoubleSupplier taken, ShareListener spender,
-            Counts counts) {
-        this.config = terms;
+    Membership(Config config, DatagramSocket socket, Random random, DoubleSupplier clock, DoubleSupplier inferencesAccepted,
+            ShareListener shareListener, Counts counts) {
+        this.config = config;
         this.socket = socket;
         this.clock = clock;
-        this.inferencesTaken = taken;
-        this.shareListener = spender;
-        this.random = chance;
-        cipher = new DatagramCipher(terms.cluster, terms.secrets);
+        this.inferencesAccepted = inferencesAccepted;
+        this.shareListener = shareListener;
+        this.random = random;
+        cipher = new DatagramCipher(config.cluster, config.secrets);
         address = socket.getLocalAddress().getHostAddress() + ":" + socket.getLocalPort();
         double now = clock.getAsDouble();
-        long life = System.currentTimeMillis();
-        swim = new Swim(terms.name, address, life, Swim.Timing.LOCAL_NETWORK, chance, now, new Swim.Environment() {
+        long incarnation = System.currentTimeMillis();
+        swim = new Swim(config.name, address, incarnation, Swim.Timing.LOCAL_NETWORK, random, now, new Swim.Environment() {
             @Override
-            public void send(String to, Message message) {
-                Membership.this.send(to, message);
+            public void send(String destination, Message message) {
+                Membership.this.send(destination, message);
             }
 
             @Override
@@ -118,26 +134,29 @@
                         .addKeyValue("incarnation", member.incarnation()).log("member");
             }
         });
-        grantor = new SeatGrantor(terms.seats, terms.leaseMillis, now);
-        // Another life is another holder: what the one before held is its own until it lapses.
-        String ours = SeatHolder.uniqueName(terms.name, new SecureRandom());
-        holder = new SeatHolder(ours, terms.seats, terms.grantors.size(), terms.leaseMillis, chance);
+        grantor = new SeatGrantor(config.seats, config.leaseMillis, now);
+        // Each run is a holder of its own: the seats of the run before stay with that one until their leases expire.
+        String holderName = SeatHolder.uniqueName(config.name, new SecureRandom());
+        holder = new SeatHolder(holderName, config.seats, config.grantors.size(), config.leaseMillis, random);
         unauthenticated = counts.counter("members_strangers");
         sent = counts.counter("members_datagrams_sent");
         unreadable = counts.counter("members_datagrams_unreadable");
         presentCount = counts.limit("members_present", Long.MAX_VALUE);
-        heldSeats = counts.limit("members_seats_held", terms.seats);
+        heldSeats = counts.limit("members_seats_held", config.seats);
         thread.setDaemon(true);
     }
 
+    /** The address of the socket. */
     public String address() {
         return address;
     }
 
+    /** Starts the thread. */
     public void start() {
         thread.start();
     }
 
+    /** The latest snapshot; null until the first one. */
     public View view() {
         return view;
     }
@@ -151,7 +170,7 @@
                 event.run();
             }
             if (now >= joinAt && swim.presentCount() < config.grantors.size()) {
-                // Whoever of the list is not there is asked again now and then: nobody else pings the dead.
+                // Absent grantors are contacted again from time to time: SWIM does not ping dead members.
                 swim.join(config.grantors);
                 joinAt = now + 2000 + 1000 * random.nextDouble();
             }
@@ -160,73 +179,75 @@
                 startRound(now);
             }
             publish(now);
-            double next = Math.min(Math.min(swim.nextTickAt(), holder.nextRoundAt()), now + 100);
+            double nextAt = Math.min(Math.min(swim.nextTickAt(), holder.nextRoundAt()), now + 100);
             try {
-                socket.setSoTimeout((int) Math.max(1, Math.ceil(next - clock.getAsDouble())));
+                socket.setSoTimeout((int) Math.max(1, Math.ceil(nextAt - clock.getAsDouble())));
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
                 handleDatagram(Arrays.copyOf(packet.getData(), packet.getLength()), clock.getAsDouble());
             } catch (SocketTimeoutException e) {
-                // time for what is due
+                // the next action is due
             } catch (IOException e) {
                 if (!stopping) {
-                    LOG.warn("members: {}", e.getMessage());
+                    LOG.warn("cannot receive a membership datagram: {}", e.getMessage());
                 }
             }
         }
     }
 
+    /** Sends a round of seat requests to all grantors, this front end's own included. */
     private void startRound(double now) {
         if (rateMeasuredAt > 0) {
-            double fresh = (inferencesTaken.getAsDouble() - lastInferencesTaken) / Math.max(1, now - rateMeasuredAt) * 1000;
-            ownRate += 0.3 * (fresh - ownRate); // some three leases: shares follow traffic slowly
+            double currentRate = (inferencesAccepted.getAsDouble() - lastInferencesAccepted) / Math.max(1, now - rateMeasuredAt) * 1000;
+            ownRate += 0.3 * (currentRate - ownRate); // smoothed over some three leases, so that shares follow traffic slowly
         }
-        lastInferencesTaken = inferencesTaken.getAsDouble();
+        lastInferencesAccepted = inferencesAccepted.getAsDouble();
         rateMeasuredAt = now;
-        // One inference a second for each keeps an idle front end its part.
-        double part = (ownRate + 1) / Math.max(ownRate + 1, totalRate + holderCount);
-        SeatHolder.Request claim = holder.startRound(part, now);
-        MembershipCodec.SeatRequest words = new MembershipCodec.SeatRequest(holder.name(), address, claim.round(), ownRate, claim.wanted(), claim.released());
-        for (String to : config.grantors) {
-            if (to.equals(address)) {
-                handleResponse(handleRequest(words, now));
+        // One inference a second is added for each front end, so that an idle one keeps a share.
+        double trafficShare = (ownRate + 1) / Math.max(ownRate + 1, totalRate + holderCount);
+        SeatHolder.Request request = holder.startRound(trafficShare, now);
+        MembershipCodec.SeatRequest seatRequest = new MembershipCodec.SeatRequest(holder.name(), address, request.round(), ownRate,
+                request.wanted(), request.released());
+        for (String grantorAddress : config.grantors) {
+            if (grantorAddress.equals(address)) {
+                handleResponse(handleRequest(seatRequest, now));
             } else {
-                send(to, words);
+                send(grantorAddress, seatRequest);
             }
         }
         totalRate = 0;
         holderCount = 1;
     }
 
-    private MembershipCodec.SeatResponse handleRequest(MembershipCodec.SeatRequest claim, double now) {
-        traffic.put(claim.from(), new Traffic(claim.rate(), now));
+    private MembershipCodec.SeatResponse handleRequest(MembershipCodec.SeatRequest request, double now) {
+        traffic.put(request.from(), new Traffic(request.rate(), now));
         traffic.values().removeIf(last -> now - last.reportedAt > 2 * config.leaseMillis);
-        SeatGrantor.Grant grant = grantor.handleRequest(claim.from(), claim.round(), claim.wanted(), claim.released(), now);
-        return grant == null ? null : new MembershipCodec.SeatResponse(address, claim.round(),
+        SeatGrantor.Grant grant = grantor.handleRequest(request.from(), request.round(), request.wanted(), request.released(), now);
+        return grant == null ? null : new MembershipCodec.SeatResponse(address, request.round(),
                 traffic.values().stream().mapToDouble(Traffic::rate).sum(), traffic.size(), grant.granted(), grant.available());
     }
 
-    private void handleResponse(MembershipCodec.SeatResponse granted) {
-        int which = granted == null ? -1 : config.grantors.indexOf(granted.from());
-        if (which >= 0) {
-            totalRate = Math.max(totalRate, granted.totalRate());
-            holderCount = Math.max(holderCount, granted.holderCount());
-            holder.handleGrant(which, granted.round(), new SeatGrantor.Grant(granted.granted(), granted.available()));
+    private void handleResponse(MembershipCodec.SeatResponse response) {
+        int grantorIndex = response == null ? -1 : config.grantors.indexOf(response.from());
+        if (grantorIndex >= 0) {
+            totalRate = Math.max(totalRate, response.totalRate());
+            holderCount = Math.max(holderCount, response.holderCount());
+            holder.handleGrant(grantorIndex, response.round(), new SeatGrantor.Grant(response.granted(), response.available()));
         }
     }
 
-    /** With the time at which the first of its leases ends: should this thread stand still, the spender knows by itself. */
+    /** Notifies the listener with the time at which the first lease ends, so that the share ends even if this thread stalls. */
     private void publish(double now) {
-        double part = holder.share(now);
+        double share = holder.share(now);
         double until = holder.earliestExpiry(now);
-        if (part != notifiedShare || until != notifiedUntil) {
-            notifiedShare = part;
+        if (share != notifiedShare || until != notifiedUntil) {
+            notifiedShare = share;
             notifiedUntil = until;
-            shareListener.shareChanged(part, until);
+            shareListener.shareChanged(share, until);
         }
         presentCount.inUse(swim.presentCount());
-        heldSeats.inUse(Math.round(part * config.seats));
-        view = new View(swim.self(), swim.members(), swim.presentCount(), part, swim.healthScore());
+        heldSeats.inUse(Math.round(share * config.seats));
+        view = new View(swim.self(), swim.members(), swim.presentCount(), share, swim.healthScore());
     }
 
     private void handleDatagram(byte[] datagram, double now) {
@@ -235,40 +256,40 @@
             unauthenticated.increment();
             if (now - unauthenticatedLoggedAt > UNAUTHENTICATED_LOG_INTERVAL_MILLIS) {
                 unauthenticatedLoggedAt = now;
-                LOG.warn("datagrams of strangers: no key of this cluster");
+                LOG.warn("received datagrams that no key of this cluster decrypts");
             }
             return;
         }
         try {
-            Object words = MembershipCodec.decode(message);
-            if (words instanceof Message swims) {
-                swim.handleMessage(swims, now);
-            } else if (words instanceof MembershipCodec.SeatRequest claim) {
-                MembershipCodec.SeatResponse granted = handleRequest(claim, now);
-                if (granted != null) {
-                    send(claim.fromAddress(), granted);
+            Object decoded = MembershipCodec.decode(message);
+            if (decoded instanceof Message swimMessage) {
+                swim.handleMessage(swimMessage, now);
+            } else if (decoded instanceof MembershipCodec.SeatRequest request) {
+                MembershipCodec.SeatResponse response = handleRequest(request, now);
+                if (response != null) {
+                    send(request.fromAddress(), response);
                 }
-            } else if (words instanceof MembershipCodec.SeatResponse granted) {
-                handleResponse(granted);
+            } else if (decoded instanceof MembershipCodec.SeatResponse response) {
+                handleResponse(response);
             }
         } catch (IOException e) {
             unreadable.increment();
         }
     }
 
-    private void send(String to, Object words) {
-        byte[] sealed = cipher.seal(MembershipCodec.encode(words));
-        int colon = to.lastIndexOf(':');
+    private void send(String destination, Object message) {
+        byte[] datagram = cipher.seal(MembershipCodec.encode(message));
+        int colon = destination.lastIndexOf(':');
         try {
-            socket.send(new DatagramPacket(sealed, sealed.length,
-                    new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1)))));
+            socket.send(new DatagramPacket(datagram, datagram.length,
+                    new InetSocketAddress(destination.substring(0, colon), Integer.parseInt(destination.substring(colon + 1)))));
             sent.increment();
         } catch (IOException | IllegalArgumentException e) {
-            // As a lost datagram; whoever is gone is found out by its silence.
+            // Treated as a lost datagram; SWIM detects a member that does not respond.
         }
     }
 
-    /** In good order: says goodbye. Its seats lapse with their lease. */
+    /** Leaves the cluster in order and stops the thread. The seats stay held until their leases expire. */
     @Override
     public void close() {
         events.add(() -> {
--- a/gateway/src/main/java/gradereach/members/MembershipCodec.java
+++ b/gateway/src/main/java/gradereach/members/MembershipCodec.java
@@ -11,59 +11,69 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Messages of members as bytes: a kind, then its fields; names and addresses as Java's modified UTF-8 with two bytes of length. */
+/** Encodes membership messages: a type byte, then the fields; strings as Java's modified UTF-8 with two bytes of length. */
 final class MembershipCodec {
-    /** A round of a holder of seats; {@code rate} is what it takes, inferences a second. */
+    /**
+     * A holder's request for seats.
+     *
+     * @param rate its traffic in inferences a second
+     */
     record SeatRequest(String from, String fromAddress, long round, double rate, BitSet wanted, BitSet released) { }
 
-    /** A keeper's answer; {@code rates} is the sum over the holders that it has heard lately, {@code holders} their number. */
+    /**
+     * A grantor's response.
+     *
+     * @param totalRate sum of the rates of all holders with recent requests
+     * @param holderCount number of these holders
+     */
     record SeatResponse(String from, long round, double totalRate, int holderCount, BitSet granted, BitSet available) { }
 
     private MembershipCodec() { }
 
-    static byte[] encode(Object what) {
+    /** Encodes a {@link Message}, a {@link SeatRequest} or a {@link SeatResponse}. */
+    static byte[] encode(Object message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            if (what instanceof Message.Ping m) {
+            if (message instanceof Message.Ping m) {
                 out.writeByte(1);
                 writeHeader(out, m);
                 out.writeUTF(m.fromAddress());
                 out.writeLong(m.sequenceNumber());
-            } else if (what instanceof Message.Ack m) {
+            } else if (message instanceof Message.Ack m) {
                 out.writeByte(2);
                 writeHeader(out, m);
                 out.writeLong(m.sequenceNumber());
-            } else if (what instanceof Message.PingRequest m) {
+            } else if (message instanceof Message.PingRequest m) {
                 out.writeByte(3);
                 writeHeader(out, m);
                 out.writeUTF(m.fromAddress());
                 out.writeLong(m.sequenceNumber());
                 out.writeUTF(m.target());
                 out.writeUTF(m.targetAddress());
-            } else if (what instanceof Message.Sync m) {
+            } else if (message instanceof Message.Sync m) {
                 out.writeByte(4);
                 writeHeader(out, m);
                 out.writeUTF(m.fromAddress());
                 out.writeBoolean(m.replyRequested());
-            } else if (what instanceof SeatRequest m) {
+            } else if (message instanceof SeatRequest m) {
                 out.writeByte(5);
                 out.writeUTF(m.from);
                 out.writeUTF(m.fromAddress);
                 out.writeLong(m.round);
                 out.writeDouble(m.rate);
-                bits(out, m.wanted);
-                bits(out, m.released);
-            } else if (what instanceof SeatResponse m) {
+                writeBits(out, m.wanted);
+                writeBits(out, m.released);
+            } else if (message instanceof SeatResponse m) {
                 out.writeByte(6);
                 out.writeUTF(m.from);
                 out.writeLong(m.round);
                 out.writeDouble(m.totalRate);
                 out.writeInt(m.holderCount);
-                bits(out, m.granted);
-                bits(out, m.available);
+                writeBits(out, m.granted);
+                writeBits(out, m.available);
             } else {
-                throw new IllegalArgumentException(String.valueOf(what));
+                throw new IllegalArgumentException(String.valueOf(message));
             }
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -74,26 +84,30 @@
     private static void writeHeader(DataOutputStream out, Message message) throws IOException {
         out.writeUTF(message.from());
         out.writeShort(message.gossip().size());
-        for (Member word : message.gossip()) {
-            out.writeUTF(word.name());
-            out.writeUTF(word.address());
-            out.writeLong(word.incarnation());
-            out.writeByte(word.state().ordinal());
+        for (Member update : message.gossip()) {
+            out.writeUTF(update.name());
+            out.writeUTF(update.address());
+            out.writeLong(update.incarnation());
+            out.writeByte(update.state().ordinal());
         }
     }
 
-    private static void bits(DataOutputStream out, BitSet bits) throws IOException {
+    private static void writeBits(DataOutputStream out, BitSet bits) throws IOException {
         byte[] bytes = bits.toByteArray();
         out.writeShort(bytes.length);
         out.write(bytes);
     }
 
-    /** @throws IOException where the bytes are no message: of another version, or broken */
+    /**
+     * Decodes a message.
+     *
+     * @throws IOException if the bytes are no valid message of this version
+     */
     static Object decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        int kind = in.readUnsignedByte();
+        int type = in.readUnsignedByte();
         String from = in.readUTF();
-        Object read = switch (kind) {
+        Object message = switch (type) {
             case 1 -> {
                 List<Member> gossip = readGossip(in);
                 yield new Message.Ping(from, in.readUTF(), in.readLong(), gossip);
@@ -110,33 +124,33 @@
                 List<Member> gossip = readGossip(in);
                 yield new Message.Sync(from, in.readUTF(), in.readBoolean(), gossip);
             }
-            case 5 -> new SeatRequest(from, in.readUTF(), in.readLong(), in.readDouble(), bits(in), bits(in));
-            case 6 -> new SeatResponse(from, in.readLong(), in.readDouble(), in.readInt(), bits(in), bits(in));
-            default -> throw new IOException("no such message: " + kind);
+            case 5 -> new SeatRequest(from, in.readUTF(), in.readLong(), in.readDouble(), readBits(in), readBits(in));
+            case 6 -> new SeatResponse(from, in.readLong(), in.readDouble(), in.readInt(), readBits(in), readBits(in));
+            default -> throw new IOException("unknown message type " + type);
         };
         if (in.available() > 0) {
-            throw new IOException("goes on after its end");
+            throw new IOException("trailing bytes after the message");
         }
-        return read;
+        return message;
     }
 
     private static List<Member> readGossip(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
-        List<Member> words = new ArrayList<>();
+        List<Member> updates = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String name = in.readUTF();
             String address = in.readUTF();
             long incarnation = in.readLong();
             int state = in.readUnsignedByte();
             if (state >= Member.State.values().length) {
-                throw new IOException("no such state: " + state);
+                throw new IOException("unknown member state " + state);
             }
-            words.add(new Member(name, address, incarnation, Member.State.values()[state]));
+            updates.add(new Member(name, address, incarnation, Member.State.values()[state]));
         }
-        return words;
+        return updates;
     }
 
-    private static BitSet bits(DataInputStream in) throws IOException {
+    private static BitSet readBits(DataInputStream in) throws IOException {
         byte[] bytes = new byte[in.readUnsignedShort()];
         in.readFully(bytes);
         return BitSet.valueOf(bytes);
