--- a/gateway/src/main/java/gradereach/claims/PeerClaims.java
+++ b/gateway/src/main/java/gradereach/claims/PeerClaims.java
@@ -347,13 +347,13 @@
         Http2ConnectionPool holderPool = clientPools.get(holder.substring(0, Math.max(0, holder.indexOf('/'))));
         if (holderPool == null) {
             // The holder is of a front end set that is no longer active, or is this front end with a ledger that it lost.
-            arrival.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true));
+            message.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true));
             return;
         }
         IncomingMessage.SignedBody signedBody = message.signedBody();
         if (signedBody == null) {
             // It came by gRPC, and only webhooks are relayed: its client reaches the holder by repeating the message.
-            arrival.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HELD_ELSEWHERE + holder, true));
+            message.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HELD_ELSEWHERE + holder, true));
             return;
         }
         relayedMessages.increment();
--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -261,7 +261,7 @@
         Peer peer = peers.get(ping.target.name());
         if (peer != null && peer.member.state() == State.SUSPECT) {
             // Only pings of our own count as confirmations: updates of others may all repeat one observation.
-            about.confirmations = Math.min(3, peer.confirmations + 1);
+            peer.confirmations = Math.min(3, peer.confirmations + 1);
             peer.deadline = Math.min(peer.deadline, peer.suspectedAt + suspicionTimeout(peer.confirmations));
         } else if (peer != null && peer.member.state() == State.ALIVE && peer.member.incarnation() == ping.target.incarnation()) {
             applyUpdate(new Member(peer.member.name(), peer.member.address(), peer.member.incarnation(), State.SUSPECT), now);
@@ -300,7 +300,7 @@
         boolean mustRefute = false;
         for (Member update : message.gossip()) {
             // Also if it was refuted before: the refutation did not reach the sender.
-            wronged |= update.name().equals(self.name()) && update.state() != State.ALIVE;
+            mustRefute |= update.name().equals(self.name()) && update.state() != State.ALIVE;
             applyUpdate(update, now);
         }
         if (message instanceof Ping ping) {
