--- a/gateway/src/main/java/gradereach/delay/RecentDelay.java
+++ b/gateway/src/main/java/gradereach/delay/RecentDelay.java
@@ -1,6 +1,6 @@
 package gradereach.delay;
 
-/** How long something may take, from what was seen: the longest delay of late, fading. Any thread. */
+/** The longest recently observed delay of some operation, decaying exponentially over time. Thread-safe. */
 public class RecentDelay {
     private final double decayMillis;
     private final double maxMillis;
@@ -8,21 +8,21 @@
     private double peakAt;
 
     /**
-     * @param fadesMillis after which a delay counts for a third (1/e)
-     * @param longestMillis above which a longer delay counts no more
+     * @param decayMillis time constant: a delay counts for 1/e after this time
+     * @param maxMillis longer delays count as this one
      */
-    public RecentDelay(double fadesMillis, double longestMillis) {
-        this.decayMillis = fadesMillis;
-        this.maxMillis = longestMillis;
+    public RecentDelay(double decayMillis, double maxMillis) {
+        this.decayMillis = decayMillis;
+        this.maxMillis = maxMillis;
     }
 
-    /** One that took so many milliseconds. */
+    /** Records that one operation took so many milliseconds. */
     public final synchronized void recordDelay(double millis, double now) {
         peakMillis = Math.max(margin(now), Math.min(maxMillis, millis));
         peakAt = now;
     }
 
-    /** Milliseconds by which to be early. */
+    /** How many milliseconds early to start so as to allow for the delay. */
     public final synchronized double margin(double now) {
         return peakMillis * Math.exp((peakAt - now) / decayMillis);
     }
--- a/gateway/src/main/java/gradereach/delivery/DeliveryScheduler.java
+++ b/gateway/src/main/java/gradereach/delivery/DeliveryScheduler.java
@@ -8,42 +8,44 @@
 import java.util.Random;
 
 /**
- * When each answer that goes out by webhook is sent, and sent again: state and decisions, no I/O. The waits are the
- * Standard Webhooks specification's schedule ("Retry schedule"), each stretched by up to a tenth so that what failed
- * together does not come back together. An endpoint has so many under way at most, so that a dead one holds nobody
- * else up; one that answers 410 is given up (specification, "Disabling endpoints"); {@code Retry-After} is obeyed
- * where it is longer than the schedule's own wait.
+ * Decides when each webhook delivery is attempted and retried. Holds state only and does no I/O.
+ *
+ * <p>The delays are the retry schedule of the Standard Webhooks specification, each with up to ten percent of jitter, so
+ * that deliveries that failed together are not retried together. The deliveries in flight to one endpoint are limited, so
+ * that an unreachable one does not delay others. An endpoint that answers 410 is disabled (specification, "Disabling
+ * endpoints"). {@code Retry-After} is honored if it is longer than the scheduled delay.
  */
 public final class DeliveryScheduler {
-    /** Seconds to wait before each further try; after the last the delivery is given up. */
+    /** Delay before each retry; the delivery is given up after the last one. */
     static final long[] RETRY_DELAYS_SECONDS = {5, 300, 1800, 7200, 18_000, 36_000, 50_400, 72_000, 86_400};
-    /** Obeyed no further than this: a day, the schedule's own longest wait. */
+    /** One day, the longest delay of the schedule. A longer {@code Retry-After} is cut to it. */
     private static final long MAX_RETRY_AFTER_MILLIS = 86_400_000;
 
-    /** One answer on its way. */
+    /** A final answer to be delivered to an endpoint. */
     public static final class Delivery {
         public final Endpoint endpoint;
         public final String webhookId;
         public final byte[] body;
-        /** Names the promise that it keeps, Unix milliseconds. */
+        /** Identifies the promise that this delivery fulfills; Unix milliseconds. */
         public final double promisedAt;
         int attempts;
         double dueAt;
         long sequence;
 
-        Delivery(Endpoint endpoint, String id, byte[] body, double of) {
+        Delivery(Endpoint endpoint, String webhookId, byte[] body, double promisedAt) {
             this.endpoint = endpoint;
-            this.webhookId = id;
+            this.webhookId = webhookId;
             this.body = body;
-            this.promisedAt = of;
+            this.promisedAt = promisedAt;
         }
 
+        /** Attempts made so far. */
         public int attempts() {
             return attempts;
         }
     }
 
-    /** One customer's registered receiver. */
+    /** A customer's registered webhook receiver. */
     public static final class Endpoint {
         public final int customer;
         public final String url;
@@ -57,44 +59,49 @@
             this.url = url;
         }
 
+        /** Whether the endpoint has answered 410 and gets no further deliveries. */
         public boolean disabled() {
             return disabled;
         }
     }
 
-    /** What became of a delivery that was tried. */
+    /** What follows from a delivery attempt. */
     public enum AttemptResult { DELIVERED, RETRY, GIVEN_UP, ENDPOINT_DISABLED }
 
     private final int maxInFlightPerEndpoint;
     private final Random random;
     private final PriorityQueue<Delivery> scheduled = new PriorityQueue<>(
-            Comparator.<Delivery>comparingDouble(d -> d.dueAt).thenComparingLong(d -> d.sequence));
+            Comparator.<Delivery>comparingDouble(delivery -> delivery.dueAt).thenComparingLong(delivery -> delivery.sequence));
     private long nextSequence;
     private int openCount;
 
-    public DeliveryScheduler(int mostUnderWay, Random chance) {
-        this.maxInFlightPerEndpoint = mostUnderWay;
-        this.random = chance;
+    public DeliveryScheduler(int maxInFlightPerEndpoint, Random random) {
+        this.maxInFlightPerEndpoint = maxInFlightPerEndpoint;
+        this.random = random;
     }
 
-    /** {@code tries} were made before a restart; the schedule goes on from there, at once. */
-    public Delivery add(Endpoint endpoint, String id, byte[] body, double of, int tries, double now) {
-        Delivery made = new Delivery(endpoint, id, body, of);
-        made.attempts = tries;
+    /**
+     * Adds a delivery that is due at once.
+     *
+     * @param attempts attempts made before a restart; the retry schedule continues after them
+     */
+    public Delivery add(Endpoint endpoint, String webhookId, byte[] body, double promisedAt, int attempts, double now) {
+        Delivery delivery = new Delivery(endpoint, webhookId, body, promisedAt);
+        delivery.attempts = attempts;
         openCount++;
-        schedule(made, now);
-        return made;
+        schedule(delivery, now);
+        return delivery;
     }
 
-    private void schedule(Delivery delivery, double until) {
-        delivery.dueAt = until;
+    private void schedule(Delivery delivery, double dueAt) {
+        delivery.dueAt = dueAt;
         delivery.sequence = nextSequence++;
         scheduled.add(delivery);
     }
 
-    /** Those to be sent now. Each must come back through {@link #tried}. */
+    /** Returns the deliveries to be sent now. Each of them must come back through {@link #recordAttempt}. */
     public List<Delivery> takeDue(double now) {
-        List<Delivery> out = new ArrayList<>();
+        List<Delivery> due = new ArrayList<>();
         while (!scheduled.isEmpty() && scheduled.peek().dueAt <= now) {
             Delivery next = scheduled.poll();
             if (next.endpoint.disabled) {
@@ -105,52 +112,54 @@
                 next.endpoint.queued.add(next);
             } else {
                 next.endpoint.inFlight++;
-                out.add(next);
+                due.add(next);
             }
         }
-        return out;
+        return due;
     }
 
-    /** When {@link #due} has something again, infinity for never. */
+    /** When {@link #takeDue} has something again; infinite if nothing is scheduled. */
     public double nextDueAt() {
         return scheduled.isEmpty() ? Double.POSITIVE_INFINITY : scheduled.peek().dueAt;
     }
 
     /**
-     * @param status the HTTP status, 0 for no answer
-     * @param pause what {@code Retry-After} asked for in milliseconds, 0 for nothing
+     * Records the result of an attempt and schedules a retry if there is one.
+     *
+     * @param status the HTTP status, 0 for no response
+     * @param retryAfterMillis what {@code Retry-After} asked for, 0 without one
      */
-    public AttemptResult recordAttempt(Delivery delivery, int status, long pause, double now) {
+    public AttemptResult recordAttempt(Delivery delivery, int status, long retryAfterMillis, double now) {
         Endpoint endpoint = delivery.endpoint;
         endpoint.inFlight--;
         delivery.attempts++;
-        AttemptResult fate;
+        AttemptResult result;
         if (status >= 200 && status < 300) {
-            fate = AttemptResult.DELIVERED;
+            result = AttemptResult.DELIVERED;
         } else if (status == 410) {
             endpoint.disabled = true;
-            fate = AttemptResult.ENDPOINT_DISABLED;
+            result = AttemptResult.ENDPOINT_DISABLED;
         } else if (delivery.attempts > RETRY_DELAYS_SECONDS.length) {
-            fate = AttemptResult.GIVEN_UP;
+            result = AttemptResult.GIVEN_UP;
         } else {
-            double wait = RETRY_DELAYS_SECONDS[delivery.attempts - 1] * 1000d * (1 + random.nextDouble() / 10);
-            double asked = Math.min(MAX_RETRY_AFTER_MILLIS, pause);
+            double scheduledDelay = RETRY_DELAYS_SECONDS[delivery.attempts - 1] * 1000d * (1 + random.nextDouble() / 10);
+            double requestedDelay = Math.min(MAX_RETRY_AFTER_MILLIS, retryAfterMillis);
             if (status == 429 || status == 503) {
-                // It speaks for the whole endpoint.
-                endpoint.notBefore = Math.max(endpoint.notBefore, now + asked);
+                // These statuses apply to the whole endpoint.
+                endpoint.notBefore = Math.max(endpoint.notBefore, now + requestedDelay);
             }
-            schedule(delivery, now + Math.max(wait, asked));
-            fate = AttemptResult.RETRY;
+            schedule(delivery, now + Math.max(scheduledDelay, requestedDelay));
+            result = AttemptResult.RETRY;
         }
-        openCount -= fate == AttemptResult.RETRY ? 0 : 1;
+        openCount -= result == AttemptResult.RETRY ? 0 : 1;
         Delivery next = endpoint.queued.poll();
         if (next != null) {
             schedule(next, now);
         }
-        return fate;
+        return result;
     }
 
-    /** Deliveries not yet at an end. */
+    /** Deliveries that have neither succeeded nor been given up. */
     public int openCount() {
         return openCount;
     }
--- a/gateway/src/main/java/gradereach/delivery/Outbox.java
+++ b/gateway/src/main/java/gradereach/delivery/Outbox.java
@@ -1,12 +1,12 @@
 package gradereach.delivery;
 
 import gradereach.counts.Counts;
+import gradereach.delivery.DeliveryScheduler.AttemptResult;
 import gradereach.delivery.DeliveryScheduler.Delivery;
 import gradereach.delivery.DeliveryScheduler.Endpoint;
-import gradereach.delivery.DeliveryScheduler.AttemptResult;
 import gradereach.desk.AnswerObserver;
-import gradereach.desk.Ledger;
 import gradereach.desk.InferenceState;
+import gradereach.desk.Ledger;
 import gradereach.ledger.LedgerRecord;
 import gradereach.message.FinalAnswer;
 import gradereach.webhook.KeyRing;
@@ -27,14 +27,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Final answers that go out as signed webhooks to the customers' registered endpoints. One thread owns the book. With a
- * ledger a promise is durable before it is given and an answer before it goes out, so that both outlive the process;
- * without one they end with it.
+ * Delivers final answers as signed webhooks to the customers' registered endpoints. One thread owns the scheduler.
+ *
+ * <p>With a ledger, the promise of a delivery is durable before the client gets it, and an answer before it is sent, so
+ * that both survive a restart. Without a ledger they are lost with the process.
  */
 public final class Outbox implements AutoCloseable {
-    /** Within the specification's advice of 15 to 30 s. */
+    /** The specification advises 15 to 30 s. */
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(15);
-    private static final int MAX_IN_FLIGHT_PER_ENDPOINT = 8; // an endpoint serves a few at once; more only deepens its queue
+    private static final int MAX_IN_FLIGHT_PER_ENDPOINT = 8; // endpoints serve a few at once; more only lengthen their queue
 
     private final DeliveryScheduler scheduler = new DeliveryScheduler(MAX_IN_FLIGHT_PER_ENDPOINT, new Random());
     private final List<Endpoint> endpoints;
@@ -49,74 +50,78 @@
     private final LongAdder givenUp;
     private final HttpClient httpClient = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(5)).followRedirects(HttpClient.Redirect.NEVER).build();
-    private final ScheduledExecutorService newSchedulerThread;
+    private final ScheduledExecutorService schedulerThread;
     private ScheduledFuture<?> nextRun;
 
-    /** One thread of its own, for the book. */
+    /** Creates the single thread that the scheduler runs on. */
     public static ScheduledExecutorService newSchedulerThread() {
-        return Executors.newSingleThreadScheduledExecutor(work -> {
-            Thread made = new Thread(work, "outbox");
-            made.setDaemon(true);
-            return made;
+        return Executors.newSingleThreadScheduledExecutor(task -> {
+            Thread thread = new Thread(task, "outbox");
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
     /**
      * @param urls by customer index, null for customers without an endpoint
-     * @param thread a single one, which keeps the time of {@code clock}; shut down with the outbox
+     * @param schedulerThread a single thread whose delays pass at the speed of {@code clock}; shut down with the outbox
      */
-    public Outbox(List<String> customers, List<String> urls, List<List<WebhookKey>> answerKeys, Ledger ledger,
-            int mostOpen, ScheduledExecutorService thread, DoubleSupplier clock, LongSupplier unixMillis, Counts counts) {
-        this.newSchedulerThread = thread;
+    public Outbox(List<String> customerNames, List<String> urls, List<List<WebhookKey>> answerKeys, Ledger ledger,
+            int maxOpen, ScheduledExecutorService schedulerThread, DoubleSupplier clock, LongSupplier unixMillis, Counts counts) {
+        this.schedulerThread = schedulerThread;
         endpoints = new java.util.ArrayList<>();
         for (int i = 0; i < urls.size(); i++) {
             endpoints.add(urls.get(i) == null ? null : new Endpoint(i, urls.get(i)));
         }
-        this.customerNames = customers;
+        this.customerNames = customerNames;
         this.ledger = ledger;
         this.answerKeys = answerKeys;
         this.clock = clock;
         this.unixMillis = unixMillis;
-        capacity = counts.limit("answers_in_outbox", mostOpen);
+        capacity = counts.limit("answers_in_outbox", maxOpen);
         delivered = counts.counter("answers_delivered");
         retried = counts.counter("answers_delivered_again");
         givenUp = counts.counter("answers_given_up");
     }
 
-    /** Whether the customer can be answered by webhook at all. */
+    /** Whether the customer has an endpoint that still takes deliveries. */
     public boolean hasEndpoint(int customer) {
         Endpoint endpoint = endpoints.get(customer);
         return endpoint != null && !endpoint.disabled();
     }
 
     /**
-     * One whose answer goes out by webhook once its message is taken. Before that, and where the outbox is full, the
-     * connection is answered as if nothing had been preferred.
+     * An observer that delivers the final answer by webhook once the message has been accepted. Before that, and while the
+     * outbox is full, the connection gets the answer as if no asynchronous one had been preferred.
      */
     public AnswerObserver webhookObserver(int customer, String id, AnswerObserver connection) {
         return new PromisedAnswer(customer, id, connection);
     }
 
-    /** One that was promised before a restart and has had so many tries. */
-    public AnswerObserver recoveredObserver(int customer, String id, double of, int tries) {
+    /**
+     * An observer for an answer that was promised before a restart.
+     *
+     * @param attempts delivery attempts made so far
+     */
+    public AnswerObserver recoveredObserver(int customer, String id, double promisedAt, int attempts) {
         PromisedAnswer promise = new PromisedAnswer(customer, id, null);
         promise.accepted = endpoints.get(customer) != null;
-        promise.promisedAt = of;
-        promise.attempts = tries;
+        promise.promisedAt = promisedAt;
+        promise.attempts = attempts;
         if (promise.accepted) {
             capacity.tryAcquire(1);
         }
         return promise;
     }
 
-    /** Of the deciding thread. */
+    /** An answer that is delivered by webhook once the promise of it is durable. Confined to the decision thread. */
     private final class PromisedAnswer implements AnswerObserver {
         private final int customer;
         private final String id;
         private final AnswerObserver connection;
         private boolean accepted;
         private boolean awaitingLedger;
-        /** Another asker of the same life has the promise; this one only hears that it was given. */
+        /** Another observer of the same inference owns the delivery; this one only confirms the promise to its client. */
         private boolean joined;
         private double promisedAt;
         private int attempts;
@@ -129,25 +134,25 @@
         }
 
         @Override
-        public void onAccepted(InferenceState life) {
-            joined = life.answerPromised;
+        public void onAccepted(InferenceState inference) {
+            joined = inference.answerPromised;
             if (!joined && !capacity.tryAcquire(1)) {
                 return;
             }
-            life.answerPromised = true;
-            promisedAt = life.acceptedAtLedgerTime();
+            inference.answerPromised = true;
+            promisedAt = inference.acceptedAtLedgerTime();
             if (ledger == Ledger.NONE) {
                 accepted = true;
-                connection.onAccepted(life);
+                connection.onAccepted(inference);
                 return;
             }
             awaitingLedger = true;
             ledger.append(new LedgerRecord.DeliveryPromised(customerNames.get(customer), id, promisedAt,
-                    life.digestHigh(), life.digestLow(), life.groupName()), durable -> {
+                    inference.digestHigh(), inference.digestLow(), inference.groupName()), durable -> {
                         awaitingLedger = false;
                         accepted = durable;
                         if (durable) {
-                            connection.onAccepted(life);
+                            connection.onAccepted(inference);
                         } else if (!joined) {
                             capacity.release(1);
                         }
@@ -166,26 +171,26 @@
                     connection.onFinalAnswer(answer);
                 }
             } else if (joined) {
-                return; // the one that has the promise keeps it
+                return; // the observer that owns the delivery sends it
             } else if (ledger == Ledger.NONE) {
                 deliver(answer);
             } else {
-                // A second time for what had to be durable anyway; it is the same answer.
+                // Answers that must be durable in any case are recorded a second time here, with the same content.
                 ledger.append(new LedgerRecord.Answered(customerNames.get(customer), id, ledgerNow(), answer),
                         durable -> deliver(answer));
             }
         }
 
         private void deliver(FinalAnswer answer) {
-            newSchedulerThread.execute(() -> {
+            schedulerThread.execute(() -> {
                 scheduler.add(endpoints.get(customer), answer.webhookId(id), answer.body(), promisedAt, attempts, clock.getAsDouble());
                 sendDue();
             });
         }
 
         @Override
-        public void onRejected(int status, String word, String why) {
-            connection.onRejected(status, word, why);
+        public void onRejected(int status, String errorCode, String detail) {
+            connection.onRejected(status, errorCode, detail);
         }
     }
 
@@ -203,43 +208,45 @@
         }
         double next = scheduler.nextDueAt();
         if (next < Double.POSITIVE_INFINITY) {
-            nextRun = newSchedulerThread.schedule(this::sendDue, (long) Math.max(1, next - clock.getAsDouble()), TimeUnit.MILLISECONDS);
+            nextRun = schedulerThread.schedule(this::sendDue, (long) Math.max(1, next - clock.getAsDouble()),
+                    TimeUnit.MILLISECONDS);
         }
     }
 
     private void send(Delivery delivery) {
-        long at = unixMillis.getAsLong() / 1000;
+        long timestamp = unixMillis.getAsLong() / 1000;
         HttpRequest request = HttpRequest.newBuilder(URI.create(delivery.endpoint.url)).timeout(REQUEST_TIMEOUT)
                 .header("content-type", "application/json").header("webhook-id", delivery.webhookId)
-                .header("webhook-timestamp", Long.toString(at))
-                .header("webhook-signature", KeyRing.signatureHeader(answerKeys.get(delivery.endpoint.customer), delivery.webhookId, at,
-                        delivery.body))
+                .header("webhook-timestamp", Long.toString(timestamp))
+                .header("webhook-signature", KeyRing.signatureHeader(answerKeys.get(delivery.endpoint.customer),
+                        delivery.webhookId, timestamp, delivery.body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(delivery.body)).build();
-        httpClient.sendAsync(request, HttpResponse.BodyHandlers.discarding()).whenComplete((answer, failure) ->
-                newSchedulerThread.execute(() -> recordAttempt(delivery, answer)));
+        httpClient.sendAsync(request, HttpResponse.BodyHandlers.discarding()).whenComplete((response, failure) ->
+                schedulerThread.execute(() -> recordAttempt(delivery, response)));
     }
 
-    private void recordAttempt(Delivery delivery, HttpResponse<Void> answer) {
-        long pause = 0;
-        if (answer != null) {
-            String told = answer.headers().firstValue("retry-after").orElse("");
-            pause = told.matches("\\d{1,6}") ? Long.parseLong(told) * 1000 : 0;
+    private void recordAttempt(Delivery delivery, HttpResponse<Void> response) {
+        long retryAfterMillis = 0;
+        if (response != null) {
+            String retryAfter = response.headers().firstValue("retry-after").orElse("");
+            retryAfterMillis = retryAfter.matches("\\d{1,6}") ? Long.parseLong(retryAfter) * 1000 : 0;
         }
-        AttemptResult fate = scheduler.recordAttempt(delivery, answer == null ? 0 : answer.statusCode(), pause, clock.getAsDouble());
-        (fate == AttemptResult.DELIVERED ? delivered : fate == AttemptResult.RETRY ? retried : givenUp).increment();
-        if (fate != AttemptResult.RETRY) {
+        AttemptResult result = scheduler.recordAttempt(delivery, response == null ? 0 : response.statusCode(), retryAfterMillis,
+                clock.getAsDouble());
+        (result == AttemptResult.DELIVERED ? delivered : result == AttemptResult.RETRY ? retried : givenUp).increment();
+        if (result != AttemptResult.RETRY) {
             capacity.release(1);
         }
         if (ledger != Ledger.NONE) {
             String id = FinalAnswer.inferenceId(delivery.webhookId);
             ledger.append(new LedgerRecord.DeliveryAttempted(customerNames.get(delivery.endpoint.customer), id,
-                    ledgerNow(), delivery.promisedAt, delivery.attempts(), fate != AttemptResult.RETRY), durable -> { });
+                    ledgerNow(), delivery.promisedAt, delivery.attempts(), result != AttemptResult.RETRY), durable -> { });
         }
         sendDue();
     }
 
     @Override
     public void close() {
-        newSchedulerThread.shutdownNow();
+        schedulerThread.shutdownNow();
     }
 }
--- a/gateway/src/main/java/gradereach/flow/AnswerStream.java
+++ b/gateway/src/main/java/gradereach/flow/AnswerStream.java
@@ -7,36 +7,37 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * An answer on its way in parts, from the one thread that reads it off its executor to the one side that writes it to its
- * client. Nothing is read on while a part waits here, so that a slow reader slows its executor and nobody else; what one
- * flow holds is what was already being read, at most two of its stream's windows.
+ * A flow-controlled queue of the parts of a streamed answer, from the one thread that reads them from the executor to the
+ * one reader that writes them to the client. Nothing more is read from the executor while a part is buffered here, so that
+ * a slow reader slows down its own executor stream and no other. One answer buffers at most what was already being read,
+ * two flow-control windows of its HTTP/2 stream.
  *
- * Beside that the parts are kept, up to a bound, for whoever asks with the same id afterwards.
+ * <p>The parts are also recorded, up to a limit, for later requests with the same id.
  *
  * @param <T> a part
  */
 public final class AnswerStream<T> {
-    /** Where the parts come from. Any thread. */
+    /** Where the parts come from. Thread-safe. */
     public interface Source {
-        /** Read on. */
+        /** Continues to read from the executor. */
         void requestMore();
     }
 
-    /** What all flows of a front end share. */
+    /** Limits that all answer streams of a front end share. */
     public static final class Limits {
         final int maxRecordBytes;
         final Counts.Limit bufferedBytes;
         final Counts.Limit recordedBytes;
 
         /**
-         * @param held bytes of parts that wait for their readers, over all flows
-         * @param mostKept bytes of one answer that are kept for its record
-         * @param kept the same over all answers that are under way
+         * @param maxBufferedBytes bytes of parts that wait for their readers, over all streams
+         * @param maxRecordBytes bytes recorded of one answer
+         * @param maxRecordedBytes bytes recorded of all unfinished answers
          */
-        public Limits(long held, int mostKept, long kept, Counts counts) {
-            this.maxRecordBytes = mostKept;
-            this.bufferedBytes = counts.limit("stream_parts_held_bytes", held);
-            this.recordedBytes = counts.limit("stream_records_bytes", kept);
+        public Limits(long maxBufferedBytes, int maxRecordBytes, long maxRecordedBytes, Counts counts) {
+            this.maxRecordBytes = maxRecordBytes;
+            this.bufferedBytes = counts.limit("stream_parts_held_bytes", maxBufferedBytes);
+            this.recordedBytes = counts.limit("stream_records_bytes", maxRecordedBytes);
         }
     }
 
@@ -45,37 +46,37 @@
     private static final Runnable NO_READER = () -> { };
 
     private final Source source;
-    private final Limits bounds;
+    private final Limits limits;
     private final Queue<SizedPart<T>> buffered = new ConcurrentLinkedQueue<>();
     private volatile boolean completed;
     private volatile boolean discarding;
     private volatile Runnable onAvailable = NO_READER;
 
-    // Of the producing thread.
+    // Confined to the producing thread.
     private List<T> recordedParts = new ArrayList<>(4);
     private int recordBytes;
     private long partCount;
 
-    public AnswerStream(Source source, Limits bounds) {
+    public AnswerStream(Source source, Limits limits) {
         this.source = source;
-        this.bounds = bounds;
+        this.limits = limits;
     }
 
-    // ---- the producing thread --------------------------------------------------------------------------------
+    // ---- producing thread ------------------------------------------------------------------------------------
 
-    /** False where all flows together hold as much as they may: this one must end. */
+    /** Adds a part. Returns false if the limit on buffered bytes over all streams is reached; this answer must then end. */
     public boolean put(T part, int size) {
         partCount++;
         addToRecord(part, size);
         if (discarding) {
             return true;
         }
-        if (!bounds.bufferedBytes.tryAcquire(size)) {
+        if (!limits.bufferedBytes.tryAcquire(size)) {
             return false;
         }
         buffered.add(new SizedPart<>(part, size));
         if (discarding) {
-            dropBuffered(); // the reader left in between
+            dropBuffered(); // the reader discarded the stream in between
         }
         onAvailable.run();
         return true;
@@ -85,9 +86,9 @@
         if (recordedParts == null) {
             return;
         }
-        if (recordBytes + size > bounds.maxRecordBytes || !bounds.recordedBytes.tryAcquire(size)) {
+        if (recordBytes + size > limits.maxRecordBytes || !limits.recordedBytes.tryAcquire(size)) {
             recordedParts = null;
-            bounds.recordedBytes.release(recordBytes);
+            limits.recordedBytes.release(recordBytes);
             recordBytes = 0;
             return;
         }
@@ -95,57 +96,59 @@
         recordBytes += size;
     }
 
-    /** Whether to read on at once. */
+    /** Whether the source should continue to read at once. */
     public boolean wantsMore() {
         return discarding || buffered.isEmpty();
     }
 
-    /** No part comes any more. Returns all that came, or null where that was more than is kept. */
+    /** Marks the end of the parts. Returns all of them, or null if they exceeded the limits of the record. */
     public List<T> complete() {
         completed = true;
         onAvailable.run();
         List<T> all = recordedParts;
         recordedParts = null;
-        bounds.recordedBytes.release(recordBytes);
+        limits.recordedBytes.release(recordBytes);
         recordBytes = 0;
         return all;
     }
 
+    /** Parts added so far. */
     public long partCount() {
         return partCount;
     }
 
-    // ---- the reading side: one thread at a time ----------------------------------------------------------------
+    // ---- reader: one thread at a time --------------------------------------------------------------------------
 
-    /** From now on {@code onMore} is told of each part and of the end, by any thread; it should come and look. */
-    public void subscribe(Runnable onMore) {
-        onAvailable = onMore;
-        onMore.run();
+    /** Sets the callback that runs, on any thread, after each part and at the end; it should then {@link #poll}. */
+    public void subscribe(Runnable onAvailable) {
+        this.onAvailable = onAvailable;
+        onAvailable.run();
     }
 
-    /** The next part, null where none waits now. */
+    /** Takes the next part; null if none is buffered. */
     public T poll() {
         SizedPart<T> next = buffered.poll();
         if (next == null) {
             return null;
         }
-        bounds.bufferedBytes.release(next.size);
+        limits.bufferedBytes.release(next.size);
         if (buffered.isEmpty() && !completed) {
             source.requestMore();
         }
         return next.part;
     }
 
+    /** Whether {@link #poll} would return a part. */
     public boolean hasBufferedParts() {
         return !buffered.isEmpty();
     }
 
-    /** Whether all parts have been taken and none will come. */
+    /** Whether all parts have been taken and no more will come. */
     public boolean isFinished() {
         return completed && buffered.isEmpty();
     }
 
-    /** Nobody reads any more: what comes is kept for the record alone. */
+    /** Stops delivering parts to the reader; further ones are only recorded. */
     public void discard() {
         discarding = true;
         onAvailable = NO_READER;
@@ -154,8 +157,8 @@
     }
 
     private void dropBuffered() {
-        for (SizedPart<T> left; (left = buffered.poll()) != null;) {
-            bounds.bufferedBytes.release(left.size);
+        for (SizedPart<T> dropped; (dropped = buffered.poll()) != null;) {
+            limits.bufferedBytes.release(dropped.size);
         }
     }
 }
--- a/gateway/src/main/java/gradereach/inquiry/InquiryScheduler.java
+++ b/gateway/src/main/java/gradereach/inquiry/InquiryScheduler.java
@@ -7,68 +7,73 @@
 import java.util.PriorityQueue;
 
 /**
- * Which executor is asked, and when, what became of a forward whose end nobody saw: state and decisions, no I/O. Asked
- * soon at first, since an executor that finished will say so at once, then ever more rarely until executors no longer
- * remember; so many at a time at most, so that a crash with much under way does not become a flood of questions.
+ * Decides when an executor is asked for the outcome of a forward whose end was not observed, and what its replies prove.
+ * Holds state only and does no I/O.
+ *
+ * <p>The first inquiry follows soon, since an executor that has finished replies at once. Further ones back off until
+ * executors no longer keep the outcome. The number of inquiries in flight is limited, so that a crash with many open
+ * forwards does not flood the executors.
  */
 public final class InquiryScheduler {
-    /** Milliseconds before each further question; the last one repeats. */
+    /** Delay before each further inquiry in milliseconds; the last value repeats. */
     private static final double[] INQUIRY_DELAYS_MILLIS = {100, 250, 500, 1000, 2000, 5000, 10_000};
 
     /**
-     * What an executor says: FENCED where it has not seen the forward and refuses it from now on, UNSEEN where it does not
-     * promise that; GONE where it cannot be asked any more, since another one is met at its address.
+     * The reply to an inquiry. FENCED: the executor has not seen the forward and rejects it from now on. UNSEEN: it has not
+     * seen the forward but does not promise to reject it. NOTHING: there was no usable reply. GONE: the executor can no longer
+     * be asked, since another one has taken over its address.
      */
     public enum OutcomeReply { FINISHED, RUNNING, UNSEEN, FENCED, NOTHING, GONE }
 
-    /** What a question came to: nothing yet, or for good. */
+    /** What is known of a forward after a reply. NOT_YET is preliminary, all others are final. */
     public enum Conclusion { NOT_YET, RAN, NEVER_RAN, NEVER_KNOWN }
 
     /**
-     * A forward whose end nobody saw.
+     * A forward with an unknown outcome.
      *
-     * @param intendedAt module time; NaN where no clock that goes on over a restart tells it
+     * @param intendedAt monotonic time at which the intent to send it was recorded; NaN if no clock that continues across
+     *        a restart provides it
      */
     public record InquiredForward(Recipient recipient, String forwardId, double intendedAt) { }
 
-    /** One forward in question. */
+    /** The inquiries about one forward. */
     public static final class Inquiry {
         public final Object subject;
         public final InquiredForward forward;
-        /** When it was intended, or else first asked about: module time. */
+        /** When the forward was intended, or else when the inquiry was added; monotonic time. */
         private final double ageCountsFrom;
         private int attempts;
         private double dueAt;
         private long sequence;
         private boolean closed;
 
-        Inquiry(Object about, InquiredForward forwarded, double now) {
-            this.subject = about;
-            this.forward = forwarded;
-            ageCountsFrom = Double.isNaN(forwarded.intendedAt) ? now : forwarded.intendedAt;
+        Inquiry(Object subject, InquiredForward forward, double now) {
+            this.subject = subject;
+            this.forward = forward;
+            ageCountsFrom = Double.isNaN(forward.intendedAt) ? now : forward.intendedAt;
         }
 
-        /** Another process has not seen the forward; the one that it was meant for may have. */
+        /** Whether the replying process is not the one that the forward was sent to, which alone may have seen it. */
         private boolean isOtherProcess(double process) {
             double intendedFor = forward.recipient.processNumber();
             return !Double.isNaN(process) && !Double.isNaN(intendedFor) && process != intendedFor;
         }
 
-        /** Nothing: it may still arrive there, however long its sender has ended. */
+        /** UNSEEN by the intended process proves nothing: the forward may still arrive, however long ago its sender ended. */
         private Conclusion concludeUnseen(double process) {
             return isOtherProcess(process) ? Conclusion.NEVER_KNOWN : Conclusion.NOT_YET;
         }
 
         /**
-         * What it proves that a process has not seen the forward and refuses it from now on. Only the process that it was
-         * meant for would know, and only for as long as it remembers what it ran.
+         * What a FENCED reply proves. Only the process that the forward was sent to knows whether it ran, and only for as long
+         * as it keeps outcomes.
          */
-        private Conclusion concludeFenced(double process, double now, double remembered) {
+        private Conclusion concludeFenced(double process, double now, double retentionMillis) {
             if (Double.isNaN(process)) {
                 return Conclusion.NOT_YET;
             }
-            boolean remembers = !Double.isNaN(forward.intendedAt) && now - ageCountsFrom < remembered;
-            return remembers && process == forward.recipient.processNumber() ? Conclusion.NEVER_RAN : Conclusion.NEVER_KNOWN;
+            boolean withinRetention = !Double.isNaN(forward.intendedAt) && now - ageCountsFrom < retentionMillis;
+            return withinRetention && process == forward.recipient.processNumber() ? Conclusion.NEVER_RAN : Conclusion.NEVER_KNOWN;
         }
     }
 
@@ -76,95 +81,101 @@
     private final int maxInFlight;
     private final int maxOpen;
     private final PriorityQueue<Inquiry> scheduled = new PriorityQueue<>(
-            Comparator.<Inquiry>comparingDouble(q -> q.dueAt).thenComparingLong(q -> q.sequence));
+            Comparator.<Inquiry>comparingDouble(inquiry -> inquiry.dueAt).thenComparingLong(inquiry -> inquiry.sequence));
     private long nextSequence;
     private int inFlight;
     private int openCount;
 
     /**
-     * @param remembered milliseconds for which executors keep outcomes; 0 where they do not, and nothing is asked
-     * @param mostUnderWay questions at one time
-     * @param mostOpen forwards in question; more are not asked about
+     * @param retentionMillis how long executors keep outcomes; 0 if they do not, which disables inquiries
+     * @param maxInFlight inquiries in flight at once
+     * @param maxOpen forwards with an unknown outcome; further ones are not asked about
      */
-    public InquiryScheduler(double remembered, int mostUnderWay, int mostOpen) {
-        this.outcomeRetentionMillis = remembered;
-        this.maxInFlight = mostUnderWay;
-        this.maxOpen = mostOpen;
+    public InquiryScheduler(double retentionMillis, int maxInFlight, int maxOpen) {
+        this.outcomeRetentionMillis = retentionMillis;
+        this.maxInFlight = maxInFlight;
+        this.maxOpen = maxOpen;
     }
 
-    /** Whether executors remember anything that they can be asked about. */
+    /** Whether executors keep outcomes that they can be asked for. */
     public boolean isEnabled() {
         return outcomeRetentionMillis > 0;
     }
 
-    /** Null where it is not asked about. */
-    public Inquiry add(Object about, InquiredForward forwarded, double now) {
-        if (!isEnabled() || !forwarded.recipient.isKnown() || now - forwarded.intendedAt >= outcomeRetentionMillis || openCount >= maxOpen) {
+    /** Schedules inquiries about a forward. Returns null if the executor cannot answer them or {@code maxOpen} is reached. */
+    public Inquiry add(Object subject, InquiredForward forward, double now) {
+        if (!isEnabled() || !forward.recipient.isKnown() || now - forward.intendedAt >= outcomeRetentionMillis
+                || openCount >= maxOpen) {
             return null;
         }
         openCount++;
-        Inquiry made = new Inquiry(about, forwarded, now);
-        schedule(made, now + INQUIRY_DELAYS_MILLIS[0]);
-        return made;
+        Inquiry inquiry = new Inquiry(subject, forward, now);
+        schedule(inquiry, now + INQUIRY_DELAYS_MILLIS[0]);
+        return inquiry;
     }
 
-    private void schedule(Inquiry question, double until) {
-        question.dueAt = until;
-        question.sequence = nextSequence++;
-        scheduled.add(question);
+    private void schedule(Inquiry inquiry, double dueAt) {
+        inquiry.dueAt = dueAt;
+        inquiry.sequence = nextSequence++;
+        scheduled.add(inquiry);
     }
 
-    /** Those to be asked now; each must come back through {@link #told}. */
+    /** Returns the inquiries that are due. Each of them must come back through {@link #recordReply}. */
     public List<Inquiry> takeDue(double now) {
-        List<Inquiry> out = new ArrayList<>();
+        List<Inquiry> due = new ArrayList<>();
         while (!scheduled.isEmpty() && scheduled.peek().dueAt <= now && inFlight < maxInFlight) {
             Inquiry next = scheduled.poll();
             if (!next.closed) {
                 inFlight++;
                 next.attempts++;
-                out.add(next);
+                due.add(next);
             }
         }
-        return out;
+        return due;
     }
 
-    /** When {@link #due} may have something again, infinity for not before another has come back. */
+    /** When {@link #takeDue} may return something again; infinite while nothing can be due before a reply is recorded. */
     public double nextDueAt() {
         return scheduled.isEmpty() || inFlight >= maxInFlight ? Double.POSITIVE_INFINITY : scheduled.peek().dueAt;
     }
 
-    /** @param process the number by which the process that answered tells itself from any other; NaN where it tells none */
-    public Conclusion recordReply(Inquiry question, OutcomeReply what, double process, double now) {
+    /**
+     * Draws the conclusion from a reply, and schedules the next inquiry if it is not final.
+     *
+     * @param process the number that identifies the replying process; NaN if it reported none
+     */
+    public Conclusion recordReply(Inquiry inquiry, OutcomeReply reply, double process, double now) {
         inFlight--;
-        if (question.closed) {
+        if (inquiry.closed) {
             return Conclusion.NOT_YET;
         }
-        Conclusion known = switch (what) {
+        Conclusion conclusion = switch (reply) {
             case FINISHED -> Conclusion.RAN;
-            case UNSEEN -> question.concludeUnseen(process);
-            case FENCED -> question.concludeFenced(process, now, outcomeRetentionMillis);
+            case UNSEEN -> inquiry.concludeUnseen(process);
+            case FENCED -> inquiry.concludeFenced(process, now, outcomeRetentionMillis);
             case RUNNING, NOTHING -> Conclusion.NOT_YET;
             case GONE -> Conclusion.NEVER_KNOWN;
         };
-        if (known == Conclusion.NOT_YET && now - question.ageCountsFrom >= outcomeRetentionMillis) {
-            known = Conclusion.NEVER_KNOWN;
+        if (conclusion == Conclusion.NOT_YET && now - inquiry.ageCountsFrom >= outcomeRetentionMillis) {
+            conclusion = Conclusion.NEVER_KNOWN;
         }
-        if (known == Conclusion.NOT_YET) {
-            schedule(question, now + INQUIRY_DELAYS_MILLIS[Math.min(question.attempts, INQUIRY_DELAYS_MILLIS.length - 1)]);
+        if (conclusion == Conclusion.NOT_YET) {
+            schedule(inquiry, now + INQUIRY_DELAYS_MILLIS[Math.min(inquiry.attempts, INQUIRY_DELAYS_MILLIS.length - 1)]);
         } else {
-            cancel(question);
+            cancel(inquiry);
         }
-        return known;
+        return conclusion;
     }
 
-    /** It need not be asked any more. */
-    public void cancel(Inquiry question) {
-        if (!question.closed) {
-            question.closed = true;
+    /** Stops asking about the forward. */
+    public void cancel(Inquiry inquiry) {
+        if (!inquiry.closed) {
+            inquiry.closed = true;
             openCount--;
         }
     }
 
+    /** Forwards that are still asked about. */
     public int openCount() {
         return openCount;
     }
--- a/gateway/src/main/java/gradereach/intake/Intake.java
+++ b/gateway/src/main/java/gradereach/intake/Intake.java
@@ -1,13 +1,13 @@
 package gradereach.intake;
 
-import gradereach.counts.Counts;
 import gradereach.desk.IncomingMessage;
-import gradereach.desk.ModelCatalog;
 import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.InferenceInput;
+import gradereach.desk.ModelCatalog;
+import gradereach.counts.Counts;
 import gradereach.loop.DecisionLoop;
-import gradereach.message.InvalidMessageException;
 import gradereach.message.FinalAnswer;
+import gradereach.message.InvalidMessageException;
 import gradereach.oip.InferenceJsonConverter;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.webhook.KeyRing;
@@ -21,8 +21,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * What every front does with a message that it has read: whose it is, whether its model is known, and its way to the
- * deciding thread. A front translates its protocol to this and the answer back, and nothing more. Any thread.
+ * The steps that all client-facing servers share for a message that they have read: authenticating its customer, looking
+ * up its model and handing it to the decision thread. A server only translates between its protocol and this class.
+ * Thread-safe.
  */
 public final class Intake {
     private static final ThreadLocal<MessageDigest> SHA256 = ThreadLocal.withInitial(() -> {
@@ -35,7 +36,7 @@
 
     private final KeyRing keys;
     private final List<List<WebhookKey>> answerKeys;
-    private final ModelCatalog catalogue;
+    private final ModelCatalog catalog;
     private final DecisionLoop decisionLoop;
     private final DoubleSupplier clock;
     private final DoubleSupplier earliestArrival;
@@ -48,103 +49,113 @@
 
     /**
      * @param answerKeys keys that answers to a customer are signed with, by customer index
-     * @param arrivals the earliest time at which what is read now may have come; module time
-     * @param doorPause milliseconds that clients are asked to wait when shed at the door
+     * @param earliestArrival the earliest time at which data that is read now may have arrived; monotonic time
+     * @param shedRetryAfterMillis how long clients are asked to wait if their message is shed on admission
      */
-    public Intake(KeyRing keys, List<List<WebhookKey>> answerKeys, ModelCatalog catalogue, DecisionLoop loop,
-            DoubleSupplier clock, DoubleSupplier arrivals, LongSupplier unixMillis, double doorPause, InputFormats forms, Counts counts) {
+    public Intake(KeyRing keys, List<List<WebhookKey>> answerKeys, ModelCatalog catalog, DecisionLoop decisionLoop,
+            DoubleSupplier clock, DoubleSupplier earliestArrival, LongSupplier unixMillis, double shedRetryAfterMillis,
+            InputFormats inputFormats, Counts counts) {
         this.keys = keys;
         this.answerKeys = answerKeys;
-        this.catalogue = catalogue;
-        this.decisionLoop = loop;
+        this.catalog = catalog;
+        this.decisionLoop = decisionLoop;
         this.clock = clock;
-        this.earliestArrival = arrivals;
+        this.earliestArrival = earliestArrival;
         this.unixMillis = unixMillis;
-        this.shedRetryAfterMillis = doorPause;
-        this.inputFormats = forms;
+        this.shedRetryAfterMillis = shedRetryAfterMillis;
+        this.inputFormats = inputFormats;
         this.counts = counts;
         messageCount = counts.counter("messages");
     }
 
-    /** A message has come whole; {@code likely} is the customer to try first, -1 for none. */
+    /**
+     * Finds the customer whose key signed a message that has been read completely, and counts the message.
+     *
+     * @param likely index of the customer to try first, -1 for none
+     */
     public KeyRing.VerificationResult authenticate(String id, String timestamp, String signature, byte[] signed, int likely) {
         messageCount.increment();
         return keys.verify(id, timestamp, signature, signed, unixMillis.getAsLong() / 1000, likely);
     }
 
-    /** Null for a model that is not in this deployment. */
+    /** Looks up a model by name; null if it is not in this deployment. */
     public ModelCatalog.Entry findModel(String name) {
-        return catalogue.find(name);
+        return catalog.find(name);
     }
 
-    /** Which forms of an inference the executors of this deployment take. */
+    /** The formats of inference requests that the executors of this deployment take: JSON and serialized protobuf messages. */
     public record InputFormats(boolean json, boolean message) { }
 
-    /** From a webhook. */
+    /** Converts the input of a webhook message to the formats that the executors take. */
     public InferenceInput toInput(byte[] json, String model) throws InvalidMessageException {
-        return new InferenceInput(inputFormats.json ? json : null, inputFormats.message ? InferenceJsonConverter.requestBytesFromJson(json, model) : null);
+        return new InferenceInput(inputFormats.json ? json : null,
+                inputFormats.message ? InferenceJsonConverter.requestBytesFromJson(json, model) : null);
     }
 
-    /** From a gRPC call; checked on the way where it goes to executors as JSON. */
-    public InferenceInput toInput(ModelInferRequest bare) throws InvalidMessageException {
-        return new InferenceInput(inputFormats.json ? InferenceJsonConverter.requestToJson(bare) : null, inputFormats.message ? bare.toByteArray() : null);
+    /** Converts the request of a gRPC call; the conversion to JSON, if executors take that, also validates it. */
+    public InferenceInput toInput(ModelInferRequest request) throws InvalidMessageException {
+        return new InferenceInput(inputFormats.json ? InferenceJsonConverter.requestToJson(request) : null,
+                inputFormats.message ? request.toByteArray() : null);
     }
 
-    /** SHA-256 in the thread's own instance. */
+    /** The SHA-256 digest of the bytes. */
     public static byte[] digest(byte[] bytes) {
         return SHA256.get().digest(bytes);
     }
 
-    /** Eight bytes of a digest from {@code from} on. */
+    /** The eight bytes of a digest that start at {@code from}, as a big-endian long. */
     public static long longAt(byte[] digest, int from) {
-        long half = 0;
+        long value = 0;
         for (int i = from; i < from + 8; i++) {
-            half = half << 8 | digest[i] & 0xff;
+            value = value << 8 | digest[i] & 0xff;
         }
-        return half;
+        return value;
     }
 
-    /** To the deciding thread, or shed at the door, where it was told at once; false then. */
-    public boolean admit(IncomingMessage arrival, WaitingClient waiter) {
+    /**
+     * Hands a message to the decision thread. Returns false if it was shed instead, in which case the client has been answered.
+     */
+    public boolean admit(IncomingMessage message, WaitingClient client) {
         if (stopping) {
-            waiter.onFinalAnswer(FinalAnswer.shed(arrival.id(), "this front end is stopping", shedRetryAfterMillis));
+            client.onFinalAnswer(FinalAnswer.shed(message.id(), "this front end is stopping", shedRetryAfterMillis));
             return false;
         }
-        boolean admitted = decisionLoop.offer(desk -> {
-            desk.onMessage(arrival);
-            waiter.notifyIfCancelled(desk);
+        boolean admitted = decisionLoop.offer(coordinator -> {
+            coordinator.onMessage(message);
+            client.notifyIfCancelled(coordinator);
         });
         if (!admitted) {
-            waiter.onFinalAnswer(FinalAnswer.shed(arrival.id(), "too many messages wait at the door", shedRetryAfterMillis));
+            client.onFinalAnswer(FinalAnswer.shed(message.id(), "too many messages wait at the door", shedRetryAfterMillis));
         }
         return admitted;
     }
 
-    /** A final answer that was decided at that module time has been handed to its socket. */
+    /** Records that a final answer, decided at that monotonic time, has been handed to its socket. */
     public void recordAnswerWritten(double decidedAt) {
         double now = clock.getAsDouble();
         decisionLoop.answerDelay().recordWriteDelay(now - decidedAt, now);
     }
 
-    /** Counts a message turned away at the door, by the word that the client gets. */
-    public void countRefusal(String word) {
-        counts.counter("refused_" + word.replace('-', '_')).increment();
+    /** Counts a rejected message by the error code that its client gets. */
+    public void countRefusal(String errorCode) {
+        counts.counter("refused_" + errorCode.replace('-', '_')).increment();
     }
 
+    /** Hands an event that is never rejected to the decision thread. */
     void submit(Consumer<InferenceCoordinator> event) {
         decisionLoop.post(event);
     }
 
     /** The value of {@code webhook-signature} for an answer to that customer. */
-    public String signature(int customer, String answerId, long at, byte[] body) {
-        return KeyRing.signatureHeader(answerKeys.get(customer), answerId, at, body);
+    public String signature(int customer, String answerId, long timestamp, byte[] body) {
+        return KeyRing.signatureHeader(answerKeys.get(customer), answerId, timestamp, body);
     }
 
     public long unixSeconds() {
         return unixMillis.getAsLong() / 1000;
     }
 
-    /** Module time. */
+    /** The current monotonic time. */
     public double now() {
         return clock.getAsDouble();
     }
@@ -153,12 +164,12 @@
         return clock;
     }
 
-    /** The earliest time at which what is read now may have come. */
+    /** The earliest monotonic time at which data that is read now may have arrived. */
     public DoubleSupplier earliestArrival() {
         return earliestArrival;
     }
 
-    /** From now on no message is taken; what was taken is answered. */
+    /** Stops accepting messages. Those already accepted are still answered. */
     public void stop() {
         stopping = true;
     }
--- a/gateway/src/main/java/gradereach/intake/WaitingClient.java
+++ b/gateway/src/main/java/gradereach/intake/WaitingClient.java
@@ -4,39 +4,42 @@
 import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.InferenceState;
 
-/** A client that waits at one of the fronts and may leave, also while its message still waits at the door. */
+/**
+ * A client that waits for its answer at one of the servers. It may disconnect at any time, also while its message is still
+ * in the queue of the decision thread.
+ */
 public abstract class WaitingClient implements AnswerObserver {
     private final Intake intake;
-    /** Of the deciding thread, as is {@code gone}. */
-    private InferenceState life;
-    private boolean gone;
+    /** The state of the accepted inference, null before. Confined to the decision thread, as is {@code disconnected}. */
+    private InferenceState inference;
+    private boolean disconnected;
 
     protected WaitingClient(Intake intake) {
         this.intake = intake;
     }
 
     @Override
-    public void onAccepted(InferenceState taken) {
-        life = taken;
+    public void onAccepted(InferenceState accepted) {
+        inference = accepted;
     }
 
     @Override
     public final boolean isDisconnected() {
-        return gone;
+        return disconnected;
     }
 
-    /** Its client has gone. Any thread. */
+    /** The client has disconnected or cancelled its request. Thread-safe. */
     public final void cancel() {
-        intake.submit(desk -> {
-            gone = true;
-            notifyIfCancelled(desk);
+        intake.submit(coordinator -> {
+            disconnected = true;
+            notifyIfCancelled(coordinator);
         });
     }
 
-    /** Leaving and being taken may come in either order: whichever comes second tells the desk. */
-    final void notifyIfCancelled(InferenceCoordinator desk) {
-        if (gone && life != null) {
-            desk.onClientDisconnected(life, this);
+    /** Disconnecting and being accepted may happen in either order: whichever is second notifies the coordinator. */
+    final void notifyIfCancelled(InferenceCoordinator coordinator) {
+        if (disconnected && inference != null) {
+            coordinator.onClientDisconnected(inference, this);
         }
     }
 }
--- a/gateway/src/main/java/gradereach/message/AnswerFormat.java
+++ b/gateway/src/main/java/gradereach/message/AnswerFormat.java
@@ -2,15 +2,18 @@
 
 import java.time.Instant;
 
-/** How final answers are worded for whoever asks: each front has its own form. */
+/** Creates the final answers in the form that the clients of one kind of server get. */
 public interface AnswerFormat {
+    /** The answer of an executor. */
     FinalAnswer returned(String id, String model, byte[] output, Instant at);
 
-    FinalAnswer shed(String id, String why, double pause);
+    /** An inference that was not run; its client may repeat it after {@code retryAfterMillis}. */
+    FinalAnswer shed(String id, String detail, double retryAfterMillis);
 
-    FinalAnswer failed(String id, int status, String why, boolean repeatHarmless);
+    /** An inference that may have run without a known result. */
+    FinalAnswer failed(String id, int status, String detail, boolean repeatHarmless);
 
-    /** Webhooks, which gRPC answers are made from as well. */
+    /** The form of webhook answers, which gRPC answers are derived from as well. */
     AnswerFormat WEBHOOK = new AnswerFormat() {
         @Override
         public FinalAnswer returned(String id, String model, byte[] output, Instant at) {
@@ -18,13 +21,13 @@
         }
 
         @Override
-        public FinalAnswer shed(String id, String why, double pause) {
-            return FinalAnswer.shed(id, why, pause);
+        public FinalAnswer shed(String id, String detail, double retryAfterMillis) {
+            return FinalAnswer.shed(id, detail, retryAfterMillis);
         }
 
         @Override
-        public FinalAnswer failed(String id, int status, String why, boolean repeatHarmless) {
-            return FinalAnswer.failed(id, status, why, repeatHarmless);
+        public FinalAnswer failed(String id, int status, String detail, boolean repeatHarmless) {
+            return FinalAnswer.failed(id, status, detail, repeatHarmless);
         }
     };
 }
--- a/gateway/src/main/java/gradereach/message/InvalidMessageException.java
+++ b/gateway/src/main/java/gradereach/message/InvalidMessageException.java
@@ -1,10 +1,10 @@
 package gradereach.message;
 
-/** A body that is no proper inference message; the text names the place and what is wrong there. */
+/** Thrown for a body that is not a valid inference message. The text names the invalid member and the problem. */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public InvalidMessageException(String what) {
-        super(what, null, false, false);
+    public InvalidMessageException(String message) {
+        super(message, null, false, false);
     }
 }
