--- a/gateway/src/test/java/gradereach/delivery/OutboxTest.java
+++ b/gateway/src/test/java/gradereach/delivery/OutboxTest.java
@@ -7,8 +7,8 @@
 import com.sun.net.httpserver.HttpServer;
 import gradereach.counts.Counts;
 import gradereach.desk.Ledger;
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import gradereach.message.FinalAnswer;
 import gradereach.webhook.KeyRing;
 import gradereach.webhook.WebhookKey;
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers by webhook to receivers on loopback, in a time that runs three thousand times as fast. */
+/** Webhook deliveries to receivers on loopback, on a clock that runs three thousand times as fast as real time. */
 @Timeout(60)
 class OutboxTest {
     private static final double SPEEDUP = 3000;
@@ -44,7 +44,7 @@
         return (System.nanoTime() / 1e6 - startNanosAsMillis) * SPEEDUP;
     }
 
-    /** Waits are as much shorter. */
+    /** Shortens delays by the same factor. */
     private static final class AcceleratedExecutor extends ScheduledThreadPoolExecutor {
         AcceleratedExecutor() {
             super(1);
@@ -75,21 +75,21 @@
         }
     };
 
-    /** Says {@code status} while it is gone, 204 afterwards. */
-    private String startReceiver(int status, double goneUntil) throws Exception {
+    /** Starts a receiver that responds with {@code status} until {@code downUntil} and with 204 afterwards. Returns its URL. */
+    private String startReceiver(int status, double downUntil) throws Exception {
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 16);
-        server.createContext("/", ask -> {
-            byte[] body = ask.getRequestBody().readAllBytes();
-            String id = ask.getRequestHeaders().getFirst("webhook-id");
-            String at = ask.getRequestHeaders().getFirst("webhook-timestamp");
-            // By the message's own time: the tolerance is a tenth of a second here, and a machine may pause for longer.
-            boolean good = new KeyRing(List.of(List.of(key))).verify(id, at,
-                    ask.getRequestHeaders().getFirst("webhook-signature"), body, Long.parseLong(at), 0).rejection() == null;
-            boolean gone = now() < goneUntil;
+        server.createContext("/", exchange -> {
+            byte[] body = exchange.getRequestBody().readAllBytes();
+            String id = exchange.getRequestHeaders().getFirst("webhook-id");
+            String timestamp = exchange.getRequestHeaders().getFirst("webhook-timestamp");
+            // Verified at the message's own time: the tolerance is 0.1 s of real time here, and a machine may stall for longer.
+            boolean valid = new KeyRing(List.of(List.of(key))).verify(id, timestamp,
+                    exchange.getRequestHeaders().getFirst("webhook-signature"), body, Long.parseLong(timestamp), 0).rejection() == null;
+            boolean down = now() < downUntil;
             received.computeIfAbsent(id, k -> new java.util.concurrent.CopyOnWriteArrayList<>())
-                    .add((gone ? "gone " : "got ") + (good ? "signed " : "forged ") + new String(body));
-            ask.sendResponseHeaders(gone ? status : 204, -1);
-            ask.close();
+                    .add((down ? "gone " : "got ") + (valid ? "signed " : "forged ") + new String(body));
+            exchange.sendResponseHeaders(down ? status : 204, -1);
+            exchange.close();
         });
         server.start();
         receivers.add(server);
@@ -101,20 +101,21 @@
     }
 
     private Outbox openOutbox(List<String> urls) {
-        List<String> names = new ArrayList<>();
+        List<String> customerNames = new ArrayList<>();
         List<List<WebhookKey>> keys = new ArrayList<>();
         for (int i = 0; i < urls.size(); i++) {
-            names.add("c" + i);
+            customerNames.add("c" + i);
             keys.add(List.of(key));
         }
-        outbox = new Outbox(names, urls, keys, ledger, 1000, new AcceleratedExecutor(), this::now, () -> unixSeconds() * 1000, counts);
+        outbox = new Outbox(customerNames, urls, keys, ledger, 1000, new AcceleratedExecutor(), this::now,
+                () -> unixSeconds() * 1000, counts);
         return outbox;
     }
 
     @AfterEach
     void tearDown() {
         outbox.close();
-        receivers.forEach(r -> r.stop(0));
+        receivers.forEach(receiver -> receiver.stop(0));
     }
 
     private static FinalAnswer answer(String id) {
@@ -122,8 +123,8 @@
     }
 
     private long deliveredCount(String prefix) {
-        return received.entrySet().stream().filter(e -> e.getKey().startsWith(prefix))
-                .filter(e -> e.getValue().stream().anyMatch(one -> one.startsWith("got signed"))).count();
+        return received.entrySet().stream().filter(entry -> entry.getKey().startsWith(prefix))
+                .filter(entry -> entry.getValue().stream().anyMatch(body -> body.startsWith("got signed"))).count();
     }
 
     private void awaitDelivered(String prefix, long count) throws InterruptedException {
@@ -132,7 +133,10 @@
         }
     }
 
-    /** Gone for an hour, beside one that is there; a restart in the middle; each answer arrives, with one content. */
+    /**
+     * One receiver fails for an hour beside one that works, with a restart in between. Guards against lost answers, answers
+     * with different content, and receivers that delay others.
+     */
     @Test
     void receiverDownForAnHourGetsAllAnswersWithoutDelayingOthers() throws Exception {
         List<String> urls = List.of(startReceiver(503, HOUR_MILLIS), startReceiver(503, 0), startReceiver(410, Double.POSITIVE_INFINITY));
@@ -147,30 +151,30 @@
         while (outbox.hasEndpoint(2)) {
             Thread.sleep(5);
         }
-        // Killed: what the ledger tells goes on where its schedule was.
+        // Restart: deliveries that the ledger has as pending continue at the attempt that they had reached.
         outbox.close();
-        List<LedgerRecord> read = List.copyOf(ledgerRecords);
-        LedgerState book = new LedgerState();
-        read.forEach(book::apply);
-        Map<String, Integer> tries = new HashMap<>();
-        read.forEach(r -> {
-            if (r instanceof LedgerRecord.DeliveryAttempted d) {
-                tries.merge(d.id(), d.attempts(), Math::max);
+        List<LedgerRecord> recovered = List.copyOf(ledgerRecords);
+        LedgerState ledgerState = new LedgerState();
+        recovered.forEach(ledgerState::apply);
+        Map<String, Integer> attemptsById = new HashMap<>();
+        recovered.forEach(record -> {
+            if (record instanceof LedgerRecord.DeliveryAttempted attempt) {
+                attemptsById.merge(attempt.id(), attempt.attempts(), Math::max);
             }
         });
         openOutbox(urls);
         for (int i = 0; i < 100; i++) {
             String id = "gone-" + i;
             if (deliveredCount(id + ".") == 0) {
-                outbox.recoveredObserver(0, id, i, tries.getOrDefault(id, 0)).onFinalAnswer(book.find("c0", id).answer());
+                outbox.recoveredObserver(0, id, i, attemptsById.getOrDefault(id, 0)).onFinalAnswer(ledgerState.find("c0", id).answer());
             }
         }
         awaitDelivered("gone", 100);
-        received.forEach((id, sent) -> {
-            assertEquals(1, sent.stream().map(s -> s.replaceAll("^(gone|got) ", "")).distinct().count(), id);
-            assertTrue(sent.get(0).contains("signed"), id);
+        received.forEach((id, bodies) -> {
+            assertEquals(1, bodies.stream().map(body -> body.replaceAll("^(gone|got) ", "")).distinct().count(), id);
+            assertTrue(bodies.get(0).contains("signed"), id);
         });
-        assertNull(received.get("never.answer").stream().filter(s -> s.startsWith("got")).findAny().orElse(null));
+        assertNull(received.get("never.answer").stream().filter(body -> body.startsWith("got")).findAny().orElse(null));
         assertEquals(0, counts.value("answers_given_up") - 1, "only the one whose endpoint said 410");
     }
 }
--- a/gateway/src/test/java/gradereach/inquiry/InquirySchedulerTest.java
+++ b/gateway/src/test/java/gradereach/inquiry/InquirySchedulerTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.inquiry.InquiryScheduler.InquiredForward;
 import gradereach.inquiry.InquiryScheduler.Conclusion;
+import gradereach.inquiry.InquiryScheduler.InquiredForward;
 import gradereach.inquiry.InquiryScheduler.Inquiry;
 import gradereach.inquiry.InquiryScheduler.OutcomeReply;
 import gradereach.ledger.Recipient;
@@ -18,7 +18,7 @@
 class InquirySchedulerTest {
     private final InquiryScheduler scheduler = new InquiryScheduler(30_000, 2, 3);
 
-    /** Intended for the process that calls itself 0. */
+    /** A forward that was sent to process 0. */
     private static InquiredForward forward(double intendedAt) {
         return new InquiredForward(new Recipient("s-1", "ex", 0), "f", intendedAt);
     }
@@ -31,18 +31,19 @@
 
     @ParameterizedTest
     @CsvSource({
-        // intended at 1000; asked at, told what, up since, what is known then
+        // forward intended at 1000; time of the inquiry, reply, replying process, expected conclusion
         "1100, FINISHED, 0, RAN", "1100, RUNNING, 0, NOT_YET", "1100, NOTHING, NaN, NOT_YET",
         "1100, UNSEEN, 0, NOT_YET", "7000, UNSEEN, 0, NOT_YET", "7000, UNSEEN, 2000, NEVER_KNOWN",
         "7000, UNSEEN, NaN, NOT_YET", "30900, UNSEEN, 0, NOT_YET", "31000, UNSEEN, 0, NEVER_KNOWN",
         "1100, FENCED, 0, NEVER_RAN", "30900, FENCED, 0, NEVER_RAN", "31000, FENCED, 0, NEVER_KNOWN",
-        "1100, FENCED, 2000, NEVER_KNOWN", "1100, FENCED, NaN, NOT_YET", "40000, NOTHING, NaN, NEVER_KNOWN", "40000, RUNNING, 0, NEVER_KNOWN",
+        "1100, FENCED, 2000, NEVER_KNOWN", "1100, FENCED, NaN, NOT_YET", "40000, NOTHING, NaN, NEVER_KNOWN",
+        "40000, RUNNING, 0, NEVER_KNOWN",
     })
-    void replyDeterminesConclusion(double at, OutcomeReply told, double upSince, Conclusion known) {
+    void replyDeterminesConclusion(double inquiredAt, OutcomeReply reply, double process, Conclusion expected) {
         scheduler.add("x", forward(1000), 1000);
-        assertEquals(known, scheduler.recordReply(takeOnlyDue(at), told, upSince, at));
-        assertEquals(known == Conclusion.NOT_YET ? 1 : 0, scheduler.openCount());
-        assertEquals(known == Conclusion.NOT_YET, scheduler.nextDueAt() < Double.POSITIVE_INFINITY);
+        assertEquals(expected, scheduler.recordReply(takeOnlyDue(inquiredAt), reply, process, inquiredAt));
+        assertEquals(expected == Conclusion.NOT_YET ? 1 : 0, scheduler.openCount());
+        assertEquals(expected == Conclusion.NOT_YET, scheduler.nextDueAt() < Double.POSITIVE_INFINITY);
     }
 
     @Test
@@ -50,16 +51,16 @@
         scheduler.add("x", forward(0), 0);
         double now = 0;
         double gap = 0;
-        int asked = 0;
+        int inquiries = 0;
         while (scheduler.openCount() > 0) {
             double next = scheduler.nextDueAt();
             assertTrue(next - now >= gap || gap >= 10_000, "gaps shrink");
             gap = next - now;
             now = next;
             scheduler.recordReply(takeOnlyDue(now), OutcomeReply.NOTHING, Double.NaN, now);
-            asked++;
+            inquiries++;
         }
-        assertTrue(asked > 5 && asked < 12, asked + " questions");
+        assertTrue(inquiries > 5 && inquiries < 12, inquiries + " inquiries");
     }
 
     @Test
--- a/gateway/src/test/java/gradereach/inquiry/UnseenReplyTest.java
+++ b/gateway/src/test/java/gradereach/inquiry/UnseenReplyTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.inquiry.InquiryScheduler.InquiredForward;
 import gradereach.inquiry.InquiryScheduler.Conclusion;
+import gradereach.inquiry.InquiryScheduler.InquiredForward;
 import gradereach.inquiry.InquiryScheduler.Inquiry;
 import gradereach.inquiry.InquiryScheduler.OutcomeReply;
 import gradereach.ledger.Recipient;
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** That a process has not seen a forward is true when it says so, which may be as early as it was asked. */
+/**
+ * A reply "not seen" holds only for the time at which the executor wrote it, which may be as early as the inquiry. Guards
+ * against taking it as proof that a forward never runs while the forward may still arrive.
+ */
 class UnseenReplyTest {
     private static final double MAX_TRANSIT_MILLIS = 5000;
     private final InquiryScheduler scheduler = new InquiryScheduler(30_000, 2, 3);
@@ -29,48 +32,48 @@
         return due.get(0);
     }
 
-    /** Intended at 1000 and written at once: the word is of when it was asked, however late it comes in. */
+    /** Intended at 1000 and sent at once: the reply holds for the time of the inquiry, however late it arrives. */
     @ParameterizedTest
     @CsvSource({"1100, 7000", "1100, 6001", "5900, 6100", "5999, 20000"})
-    void lateUnseenReplyProvesNothing(double askedAt, double toldAt) {
+    void lateUnseenReplyProvesNothing(double inquiredAt, double repliedAt) {
         scheduler.add("x", forward(1000), 1000);
-        assertEquals(Conclusion.NOT_YET, scheduler.recordReply(takeOnlyDue(askedAt), OutcomeReply.UNSEEN, 0, toldAt));
+        assertEquals(Conclusion.NOT_YET, scheduler.recordReply(takeOnlyDue(inquiredAt), OutcomeReply.UNSEEN, 0, repliedAt));
     }
 
-    /** It may be written until its sender gives it up or ends, which is when it comes in question; seconds after it was intended. */
+    /** A forward may be written seconds after its intent, until its sender cancels it or ends and the inquiries about it begin. */
     @ParameterizedTest
     @CsvSource({"9000, 9100", "6100, 6200", "20000, 24000"})
-    void unseenReplyProvesNothingWhileForwardMayBeInTransit(double inQuestionAt, double askedAt) {
-        scheduler.add("x", forward(1000), inQuestionAt);
-        Conclusion known = scheduler.recordReply(takeOnlyDue(askedAt), OutcomeReply.UNSEEN, 0, askedAt);
-        assertTrue(askedAt - inQuestionAt <= MAX_TRANSIT_MILLIS);
-        assertEquals(Conclusion.NOT_YET, known);
+    void unseenReplyProvesNothingWhileForwardMayBeInTransit(double addedAt, double inquiredAt) {
+        scheduler.add("x", forward(1000), addedAt);
+        Conclusion conclusion = scheduler.recordReply(takeOnlyDue(inquiredAt), OutcomeReply.UNSEEN, 0, inquiredAt);
+        assertTrue(inquiredAt - addedAt <= MAX_TRANSIT_MILLIS);
+        assertEquals(Conclusion.NOT_YET, conclusion);
     }
 
-    /** However long ago it was written: an executor may read it later still, unless it promises to refuse it. */
+    /** However long ago the forward was written, an executor may still read it, unless it promises to reject it. */
     @ParameterizedTest
     @ValueSource(doubles = {6600, 15_000, 30_900})
-    void unseenReplyProvesNothingHoweverOldTheForward(double askedAt) {
+    void unseenReplyProvesNothingHoweverOldTheForward(double inquiredAt) {
         scheduler.add("x", forward(1000), 1500);
-        assertEquals(Conclusion.NOT_YET, scheduler.recordReply(takeOnlyDue(askedAt), OutcomeReply.UNSEEN, 0, askedAt + 50));
+        assertEquals(Conclusion.NOT_YET, scheduler.recordReply(takeOnlyDue(inquiredAt), OutcomeReply.UNSEEN, 0, inquiredAt + 50));
     }
 
-    /** Refused from when the question was answered: from then on nothing arrives, whatever is still on its way. */
+    /** A fence rejects the forward from the reply on, even if it is still in transit. */
     @ParameterizedTest
     @CsvSource({"1600, 1601", "1600, 9000", "30000, 30900"})
-    void fencedReplyProvesThatForwardNeverRan(double askedAt, double toldAt) {
+    void fencedReplyProvesThatForwardNeverRan(double inquiredAt, double repliedAt) {
         scheduler.add("x", forward(1000), 1500);
-        assertEquals(Conclusion.NEVER_RAN, scheduler.recordReply(takeOnlyDue(askedAt), OutcomeReply.FENCED, 0, toldAt));
+        assertEquals(Conclusion.NEVER_RAN, scheduler.recordReply(takeOnlyDue(inquiredAt), OutcomeReply.FENCED, 0, repliedAt));
     }
 
-    /** Who forgets outcomes after 30 s may have run it before, and fences what it has forgotten. */
+    /** An executor that drops outcomes after 30 s may have run the forward and fence it once the outcome is dropped. */
     @Test
     void fenceAfterOutcomeRetentionProvesNothing() {
         scheduler.add("x", forward(1000), 1500);
         assertEquals(Conclusion.NEVER_KNOWN, scheduler.recordReply(takeOnlyDue(30_900), OutcomeReply.FENCED, 0, 31_000));
     }
 
-    /** Where the process was not known at the intent, whoever is there may be another. */
+    /** If the process was not known at the intent, the one that replies may be another. */
     @Test
     void fenceProvesNothingWhereIntendedProcessIsUnknown() {
         scheduler.add("x", new InquiredForward(new Recipient("s-1", "ex", Double.NaN), "f", 1000), 1500);
--- a/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
+++ b/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
@@ -36,35 +36,40 @@
         "HEAD {\"model\":\"m\"}} | data.input: missing", "HEAD {\"model\":\"m\",\"input\":[]}} | data.input: no object",
         "HEAD {\"model\":\"m\",\"input\":{},\"budget_ms\":-1}} | data.budget_ms: not above 0",
         "HEAD {\"model\":\"m\",\"input\":{},\"budget_ms\":\"1\"}} | data.budget_ms: no number",
-        "HEAD {\"model\":\"m\",\"input\":{}}} x | body: no proper JSON", "HEAD {\"model\":\"m\",\"input\":{}}}{} | body: goes on after its object",
-        "HEAD {\"model\":\"m\",\"input\":DEEP}} | body: nested deeper than 64", "HEAD {\"model\":\"m\",\"input\":{}},\"data\":{}} | data: twice",
+        "HEAD {\"model\":\"m\",\"input\":{}}} x | body: no proper JSON",
+        "HEAD {\"model\":\"m\",\"input\":{}}}{} | body: goes on after its object",
+        "HEAD {\"model\":\"m\",\"input\":DEEP}} | body: nested deeper than 64",
+        "HEAD {\"model\":\"m\",\"input\":{}},\"data\":{}} | data: twice",
     })
-    void errorNamesTheInvalidMember(String text, String says) {
+    void errorNamesTheInvalidMember(String text, String expected) {
         String body = text.replace("HEAD ", MESSAGE_PREFIX).replace("DEEP", "{\"a\":".repeat(99) + "1" + "}".repeat(99));
-        assertEquals(says, assertThrows(InvalidMessageException.class, () -> parse(body)).getMessage());
+        assertEquals(expected, assertThrows(InvalidMessageException.class, () -> parse(body)).getMessage());
     }
 
-    /** Found by a rehearsal: two answers after which a repeat was harmless, and the last one, all under one id. */
+    /**
+     * Answers that allow a repeat need ids of their own. Two of them and the last answer once had the same id, so that
+     * receivers dropped the last one as a duplicate; a rehearsal found it.
+     */
     @ParameterizedTest
     @CsvSource({"shed, true, m.shed-", "failed, true, m.failed-", "failed, false, m.answer"})
-    void repeatableAnswerHasItsOwnWebhookId(String kind, boolean harmless, String id) {
-        FinalAnswer one = kind.equals("shed") ? FinalAnswer.shed("m", "one", 0) : FinalAnswer.failed("m", 504, "one", harmless);
-        FinalAnswer other = kind.equals("shed") ? FinalAnswer.shed("m", "two", 0) : FinalAnswer.failed("m", 504, "two", harmless);
-        assertEquals(id, one.webhookId("m").substring(0, id.length()));
-        assertEquals(harmless, !one.webhookId("m").equals(other.webhookId("m")));
+    void repeatableAnswerHasItsOwnWebhookId(String kind, boolean repeatHarmless, String expectedIdPrefix) {
+        FinalAnswer one = kind.equals("shed") ? FinalAnswer.shed("m", "one", 0) : FinalAnswer.failed("m", 504, "one", repeatHarmless);
+        FinalAnswer other = kind.equals("shed") ? FinalAnswer.shed("m", "two", 0) : FinalAnswer.failed("m", 504, "two", repeatHarmless);
+        assertEquals(expectedIdPrefix, one.webhookId("m").substring(0, expectedIdPrefix.length()));
+        assertEquals(repeatHarmless, !one.webhookId("m").equals(other.webhookId("m")));
         assertEquals("m", FinalAnswer.inferenceId(one.webhookId("m")));
     }
 
     @Test
     void answersAreValidJson() throws Exception {
         ObjectMapper json = new ObjectMapper();
-        String odd = "a\"\\\u0001";
-        byte[] returned = FinalAnswer.returned(odd, odd, "{\"o\":1}".getBytes(StandardCharsets.UTF_8), Instant.EPOCH).body();
-        assertEquals(odd, json.readTree(returned).at("/data/id").asText());
+        String special = "a\"\\\u0001";
+        byte[] returned = FinalAnswer.returned(special, special, "{\"o\":1}".getBytes(StandardCharsets.UTF_8), Instant.EPOCH).body();
+        assertEquals(special, json.readTree(returned).at("/data/id").asText());
         assertEquals(1, json.readTree(returned).at("/data/output/o").asInt());
-        FinalAnswer shed = FinalAnswer.shed(odd, "why", 750);
+        FinalAnswer shed = FinalAnswer.shed(special, "why", 750);
         assertEquals(750, json.readTree(shed.body()).at("/retry_after_ms").asInt());
         assertEquals("shed", json.readTree(shed.body()).at("/outcome").asText());
-        assertEquals(false, json.readTree(FinalAnswer.failed(odd, 504, "w", false).body()).at("/repeat_harmless").asBoolean());
+        assertEquals(false, json.readTree(FinalAnswer.failed(special, 504, "w", false).body()).at("/repeat_harmless").asBoolean());
     }
 }
