--- a/gateway/src/main/java/gradereach/message/AnswerFormat.java
+++ b/gateway/src/main/java/gradereach/message/AnswerFormat.java
@@ -5,7 +5,7 @@
 /** Creates the final answers in the form that the clients of one kind of server get. */
 public interface AnswerFormat {
     /** The answer of an executor. */
-    FinalAnswer returned(String id, String model, byte[] output, Instant at);
+    FinalAnswer returned(String id, String model, byte[] output, Instant timestamp);
 
     /** An inference that was not run; its client may repeat it after {@code retryAfterMillis}. */
     FinalAnswer shed(String id, String detail, double retryAfterMillis);
@@ -16,8 +16,8 @@
     /** The form of webhook answers, which gRPC answers are derived from as well. */
     AnswerFormat WEBHOOK = new AnswerFormat() {
         @Override
-        public FinalAnswer returned(String id, String model, byte[] output, Instant at) {
-            return FinalAnswer.returned(id, model, output, at);
+        public FinalAnswer returned(String id, String model, byte[] output, Instant timestamp) {
+            return FinalAnswer.returned(id, model, output, timestamp);
         }
 
         @Override
--- a/gateway/src/main/java/gradereach/message/FinalAnswer.java
+++ b/gateway/src/main/java/gradereach/message/FinalAnswer.java
@@ -33,8 +33,8 @@
     }
 
     /** An answer with the output of an executor. */
-    public static FinalAnswer returned(String id, String model, byte[] output, Instant at) {
-        byte[] head = ("{\"type\":\"inference.returned\",\"timestamp\":\"" + at + "\",\"data\":{\"id\":" + quoted(id)
+    public static FinalAnswer returned(String id, String model, byte[] output, Instant timestamp) {
+        byte[] head = ("{\"type\":\"inference.returned\",\"timestamp\":\"" + timestamp + "\",\"data\":{\"id\":" + quoted(id)
                 + ",\"model\":" + quoted(model) + ",\"output\":").getBytes(StandardCharsets.UTF_8);
         ByteArrayOutputStream body = new ByteArrayOutputStream(head.length + output.length + 2);
         body.writeBytes(head);
--- a/gateway/src/test/java/gradereach/delivery/OutboxTest.java
+++ b/gateway/src/test/java/gradereach/delivery/OutboxTest.java
@@ -52,8 +52,8 @@
         }
 
         @Override
-        public ScheduledFuture<?> schedule(Runnable work, long delay, TimeUnit unit) {
-            return super.schedule(work, (long) (unit.toNanos(delay) / SPEEDUP), TimeUnit.NANOSECONDS);
+        public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
+            return super.schedule(task, (long) (unit.toNanos(delay) / SPEEDUP), TimeUnit.NANOSECONDS);
         }
     }
 
