--- a/gateway/src/main/java/gradereach/http2/ExchangeListener.java
+++ b/gateway/src/main/java/gradereach/http2/ExchangeListener.java
@@ -4,42 +4,46 @@
 import io.netty.handler.codec.http2.Http2Headers;
 import java.io.IOException;
 
-/** One request to a peer and how it ended; {@link #ended} comes exactly once, on the pool's event loop. */
+/** Receives the result of one request to a peer: {@link #onEnd} is called exactly once, on the pool's event loop. */
 public interface ExchangeListener {
-    /** All ways in which it can end, as the socket saw it. */
+    /** How an exchange ended, as seen on the connection. */
     enum ExchangeResult {
-        /** A whole answer. */
+        /** A complete response was received. */
         ANSWERED,
-        /** No connection could be made, within the connect time-out or at all. */
+        /** No connection could be established within the connect timeout, or at all. */
         NOT_CONNECTED,
-        /** All connections and waiting places are taken; nothing was written. */
+        /** No stream is available and the queue of waiting requests is full; nothing was written. */
         NO_STREAM,
-        /** Given up or closed before anything was written. */
+        /** Cancelled, or the connection closed, before anything was written, or the request was withdrawn before its last frame was. */
         NOT_WRITTEN,
-        /** RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7): the peer has not processed it. */
+        /** RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7): the peer has not processed the request. */
         REFUSED,
-        /** A stream above the last id of a GOAWAY (RFC 9113, 6.8): the peer has not processed it. */
+        /** The stream id is above the last one of a GOAWAY (RFC 9113, 6.8): the peer has not processed the request. */
         ABOVE_GOAWAY,
         /** RST_STREAM with any other code. */
         RESET,
-        /** The connection ended, or writing failed part way. */
+        /** The connection was lost, or a write failed after writing had begun. */
         LOST,
-        /** The answer was longer than allowed. */
+        /** The response was longer than allowed, or a {@link StreamingListener} could not read it. */
         TOO_LONG,
-        /** Given up by us after writing began. */
+        /** Cancelled by the caller after writing had begun. */
         GIVEN_UP
     }
 
-    /** One whose answer is read as it comes, no faster than {@link Http2Pool.Request#more} asks. On the pool's event loop. */
+    /**
+     * Reads the response body as it arrives, no faster than {@link Http2ConnectionPool.Request#readMore} requests it. Called on the
+     * pool's event loop.
+     */
     interface StreamingListener extends ExchangeListener {
         /**
-         * Bytes of the answer's body; the stream ends as TOO_LONG where they are no good. {@link #ended} gets no body.
+         * Takes the next bytes of the response body; {@link #onEnd} gets no body then.
          *
-         * @return whether to read on at once
+         * @return whether to read more at once
+         * @throws IOException if the bytes cannot be used; the exchange then ends as TOO_LONG
          */
-        boolean onData(ByteBuf some) throws IOException;
+        boolean onData(ByteBuf data) throws IOException;
     }
 
-    /** {@code headers}, trailers among them, and {@code body} are null but for ANSWERED. */
-    void onEnd(ExchangeResult end, int status, Http2Headers headers, byte[] body);
+    /** {@code headers}, which include the trailers, and {@code body} are null unless the result is ANSWERED. */
+    void onEnd(ExchangeResult result, int status, Http2Headers headers, byte[] body);
 }
--- a/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
+++ b/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
@@ -45,18 +45,19 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Connections to one peer over HTTP/2 without TLS, prior knowledge (RFC 9113, 3.3). Everything happens on one event
- * loop; {@link PoolBook} decides. No request is ever sent again by itself.
+ * HTTP/2 connections to one peer, without TLS and with prior knowledge (RFC 9113, 3.3). All state belongs to one event loop;
+ * {@link StreamAllocator} decides which connection is used. The pool never retries a request.
  */
 public final class Http2ConnectionPool {
     /**
-     * Bounds of one pool; times in milliseconds, sizes in bytes.
+     * Limits of one pool.
      *
-     * @param window of each stream (RFC 9113, 6.9): so much may come before it is read
+     * @param streamWindowBytes initial window of each stream (RFC 9113, 6.9): how much the peer may send before it is read
      */
-    public record Limits(int maxConnections, int maxStreamsPerConnection, int connectTimeoutMillis, double idleTimeoutMillis, int maxResponseBytes, int streamWindowBytes) { }
+    public record Limits(int maxConnections, int maxStreamsPerConnection, int connectTimeoutMillis, double idleTimeoutMillis,
+            int maxResponseBytes, int streamWindowBytes) { }
 
-    /** Counters shared by all pools of a kind. */
+    /** Counters shared by all pools of one kind; the kind is the prefix of their names. */
     public static final class Metrics {
         final LongAdder opened;
         final LongAdder connectFailures;
@@ -75,9 +76,9 @@
         }
     }
 
-    /** How often a request whose last byte waits for flow control or for the socket is looked at. */
+    /** How often a request whose last byte waits for flow control or for the socket is checked. */
     private static final long WRITE_CHECK_INTERVAL_MILLIS = 5;
-    /** A link silent for this long while a stream on it was given up is no longer used: above any usual pause. */
+    /** A connection silent for this long when a stream on it is cancelled takes no new streams; above any usual pause. */
     private static final double SILENCE_TIMEOUT_MILLIS = 1000;
 
     private final InetSocketAddress peer;
@@ -91,19 +92,20 @@
     private final ArrayDeque<Request> waitingRequests = new ArrayDeque<>();
     private boolean closed;
 
-    public Http2ConnectionPool(InetSocketAddress peer, EventLoop loop, Class<? extends Channel> channelType, Limits bounds,
-            Metrics tally, DoubleSupplier clock) {
+    public Http2ConnectionPool(InetSocketAddress peer, EventLoop eventLoop, Class<? extends Channel> channelType, Limits limits,
+            Metrics metrics, DoubleSupplier clock) {
         this.peer = peer;
         this.authority = peer.getHostString() + ":" + peer.getPort();
-        this.eventLoop = loop;
+        this.eventLoop = eventLoop;
         this.channelType = channelType;
-        this.limits = bounds;
-        this.metrics = tally;
+        this.limits = limits;
+        this.metrics = metrics;
         this.clock = clock;
-        allocator = new StreamAllocator<>(bounds.maxConnections, bounds.maxStreamsPerConnection, bounds.idleTimeoutMillis, SILENCE_TIMEOUT_MILLIS);
+        allocator = new StreamAllocator<>(limits.maxConnections, limits.maxStreamsPerConnection, limits.idleTimeoutMillis,
+                SILENCE_TIMEOUT_MILLIS);
     }
 
-    /** One request, from asking until its end. Of the event loop, but for creation. */
+    /** One request from its creation to its end. Except for its creation, its state belongs to the event loop. */
     public final class Request {
         private final Http2Headers headers;
         private final byte[] body;
@@ -113,18 +115,18 @@
         private Http2StreamChannel streamChannel;
         private double startedAt;
         private boolean writeStarted;
-        /** Of its last frame; null before that was handed to the connection. */
+        /** The write of the last frame; null until that was handed to the connection. */
         private ChannelFuture lastWrite;
         private boolean finished;
 
-        private Request(Http2Headers headers, byte[] body, ExchangeListener exchange, BooleanSupplier wanted) {
-            this.writeCondition = wanted;
+        private Request(Http2Headers headers, byte[] body, ExchangeListener listener, BooleanSupplier writeCondition) {
+            this.writeCondition = writeCondition;
             this.headers = headers;
             this.body = body;
-            this.listener = exchange;
+            this.listener = listener;
         }
 
-        /** Reads on, for one whose answer flows. From any thread. */
+        /** Reads more of a streamed response. May be called from any thread. */
         public void readMore() {
             if (eventLoop.inEventLoop()) {
                 readNext();
@@ -136,12 +138,12 @@
         private void readNext() {
             if (!finished && streamChannel != null) {
                 streamChannel.read();
-                // Where a read is already under way the window's update is written and not flushed: the peer would wait for ever.
+                // If a read is already in progress, the window update is written but not flushed, and the peer would wait forever.
                 streamChannel.flush();
             }
         }
 
-        /** Stops waiting for it; the peer hears CANCEL where it heard of the request. From any thread. */
+        /** Cancels the request; the peer gets RST_STREAM with CANCEL if writing had begun. May be called from any thread. */
         public void cancel() {
             eventLoop.execute(() -> {
                 if (finished) {
@@ -161,22 +163,22 @@
         }
 
         /**
-         * The peer hears that nobody waits. Where the request itself still waits for the socket that word would come after
-         * it, and both late: the connection, which its peer does not read, is closed instead.
+         * Resets the stream. If the request itself still waits for the socket, the reset would be sent after it and both too
+         * late; the connection, which the peer does not read, is closed instead.
          */
         private void resetStream() {
-            Channel connection = streamChannel.parent();
+            Channel parent = streamChannel.parent();
             boolean waitsForSocket = lastWrite != null && !lastWrite.isDone()
-                    && connection.unsafe().outboundBuffer() != null
-                    && connection.unsafe().outboundBuffer().totalPendingWriteBytes() > 0;
+                    && parent.unsafe().outboundBuffer() != null
+                    && parent.unsafe().outboundBuffer().totalPendingWriteBytes() > 0;
             if (waitsForSocket) {
-                connection.close();
+                parent.close();
             } else {
                 streamChannel.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL));
             }
         }
 
-        /** Looks at what is not written whole yet: once it may not be sent any more it is withdrawn. */
+        /** Withdraws a request that is not completely written as soon as its write condition no longer holds. */
         private void watchLastWrite() {
             if (finished || lastWrite.isDone()) {
                 return;
@@ -185,12 +187,12 @@
                 eventLoop.schedule(this::watchLastWrite, WRITE_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
                 return;
             }
-            // Without its last frame the peer has no whole request.
+            // Without the last frame the peer has no complete request.
             finish(ExchangeResult.NOT_WRITTEN, 0, null, null);
             resetStream();
         }
 
-        private void finish(ExchangeResult end, int status, Http2Headers answer, byte[] content) {
+        private void finish(ExchangeResult result, int status, Http2Headers responseHeaders, byte[] responseBody) {
             if (finished) {
                 return;
             }
@@ -201,20 +203,21 @@
                 }
             } else {
                 allocator.onStreamEnded(connection, clock.getAsDouble());
-                PooledConnection<Channel> was = connection;
-                closeIfDrained(was);
+                PooledConnection<Channel> used = connection;
+                closeIfDrained(used);
                 startWaitingRequests();
             }
-            listener.onEnd(end, status, answer, content);
+            listener.onEnd(result, status, responseHeaders, responseBody);
         }
 
-        private void startOn(PooledConnection<Channel> on) {
-            connection = on;
-            allocator.onStreamStarted(on);
+        private void startOn(PooledConnection<Channel> chosen) {
+            connection = chosen;
+            allocator.onStreamStarted(chosen);
             startedAt = clock.getAsDouble();
-            boolean flows = listener instanceof ExchangeListener.StreamingListener;
-            new Http2StreamChannelBootstrap(on.handle).handler(flows ? new StreamingResponseHandler(this) : new ResponseHandler(this))
-                    .option(ChannelOption.AUTO_READ, !flows).open().addListener(opened -> {
+            boolean streaming = listener instanceof ExchangeListener.StreamingListener;
+            new Http2StreamChannelBootstrap(chosen.handle)
+                    .handler(streaming ? new StreamingResponseHandler(this) : new ResponseHandler(this))
+                    .option(ChannelOption.AUTO_READ, !streaming).open().addListener(opened -> {
                 if (finished) {
                     if (opened.isSuccess()) {
                         ((Channel) opened.getNow()).close();
@@ -229,12 +232,12 @@
                     return;
                 }
                 streamChannel = (Http2StreamChannel) opened.getNow();
-                // From here on bytes may be under way, whatever becomes of the write.
+                // From here on bytes may reach the peer, even if the write fails.
                 writeStarted = true;
-                if (flows) {
+                if (streaming) {
                     streamChannel.read();
                 }
-                ChannelFutureListener failed = write -> {
+                ChannelFutureListener onWriteFailure = write -> {
                     if (!write.isSuccess()) {
                         finish(ExchangeResult.LOST, 0, null, null);
                     }
@@ -242,32 +245,42 @@
                 if (body.length == 0) {
                     lastWrite = streamChannel.writeAndFlush(new DefaultHttp2HeadersFrame(headers, true));
                 } else {
-                    streamChannel.write(new DefaultHttp2HeadersFrame(headers, false)).addListener(failed);
+                    streamChannel.write(new DefaultHttp2HeadersFrame(headers, false)).addListener(onWriteFailure);
                     lastWrite = streamChannel.writeAndFlush(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(body), true));
                 }
-                lastWrite.addListener(failed);
+                lastWrite.addListener(onWriteFailure);
                 watchLastWrite();
             });
         }
     }
 
-    /** From any thread. {@code more} are name, value pairs with lower-case names. */
-    public Request send(String method, String path, byte[] body, ExchangeListener exchange, String... more) {
-        return send(() -> true, method, path, body, exchange, more);
+    /**
+     * Sends a request. May be called from any thread.
+     *
+     * @param extraHeaders pairs of a lower-case name and a value
+     */
+    public Request send(String method, String path, byte[] body, ExchangeListener listener, String... extraHeaders) {
+        return send(() -> true, method, path, body, listener, extraHeaders);
     }
 
-    /** From any thread. Nothing of it is written where {@code wanted} says no by then; that is asked on the event loop. */
-    public Request send(BooleanSupplier wanted, String method, String path, byte[] body, ExchangeListener exchange,
-            String... more) {
+    /**
+     * Sends a request. May be called from any thread.
+     *
+     * @param writeCondition checked on the event loop before writing and until the last frame is written; if it returns false,
+     *        the request is withdrawn
+     * @param extraHeaders pairs of a lower-case name and a value
+     */
+    public Request send(BooleanSupplier writeCondition, String method, String path, byte[] body, ExchangeListener listener,
+            String... extraHeaders) {
         Http2Headers headers = new DefaultHttp2Headers(false).method(method).path(path).scheme("http")
                 .authority(authority);
         if (body.length > 0) {
             headers.addInt("content-length", body.length);
         }
-        for (int i = 0; i < more.length; i += 2) {
-            headers.add(more[i], more[i + 1]);
+        for (int i = 0; i < extraHeaders.length; i += 2) {
+            headers.add(extraHeaders[i], extraHeaders[i + 1]);
         }
-        Request request = new Request(headers, body, exchange, wanted);
+        Request request = new Request(headers, body, listener, writeCondition);
         if (eventLoop.inEventLoop()) {
             start(request);
         } else {
@@ -299,10 +312,10 @@
     }
 
     private void startWaitingRequests() {
-        for (PooledConnection<Channel> slot; !waitingRequests.isEmpty() && (slot = allocator.busiestAvailable()) != null;) {
+        for (PooledConnection<Channel> connection; !waitingRequests.isEmpty() && (connection = allocator.busiestAvailable()) != null;) {
             Request next = waitingRequests.poll();
             allocator.onWaitEnded();
-            next.startOn(slot);
+            next.startOn(connection);
         }
     }
 
@@ -319,97 +332,97 @@
                         ch.pipeline().addLast(new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()));
                         ch.pipeline().addLast(new ConnectionHandler());
                     }
-                }).connect(peer).addListener((ChannelFuture done) -> {
+                }).connect(peer).addListener((ChannelFuture connect) -> {
                     if (eventLoop.inEventLoop()) {
-                        onConnectEnded(done);
+                        onConnectEnded(connect);
                     } else {
-                        // Where no descriptor is left there is no channel, and its failure is told by a thread not ours.
-                        eventLoop.execute(() -> onConnectEnded(done));
+                        // If no file descriptor is left, no channel is created and Netty reports the failure on another thread.
+                        eventLoop.execute(() -> onConnectEnded(connect));
                     }
                 });
     }
 
-    private void onConnectEnded(ChannelFuture done) {
-        if (!done.isSuccess()) {
+    private void onConnectEnded(ChannelFuture connect) {
+        if (!connect.isSuccess()) {
             metrics.connectFailures.increment();
             if (allocator.onConnectFailed()) {
-                List<Request> lost = new ArrayList<>(waitingRequests);
-                lost.forEach(request -> request.finish(ExchangeResult.NOT_CONNECTED, 0, null, null));
+                List<Request> failed = new ArrayList<>(waitingRequests);
+                failed.forEach(request -> request.finish(ExchangeResult.NOT_CONNECTED, 0, null, null));
             }
             return;
         }
         metrics.opened.increment();
-        // Streams that are not read must not hold up the others: the connection bears all of them full.
-        long all = Math.min(1 << 30, (long) limits.maxStreamsPerConnection * limits.streamWindowBytes);
-        done.channel().writeAndFlush(new DefaultHttp2WindowUpdateFrame((int) all));
-        PooledConnection<Channel> slot = allocator.onConnected(done.channel(), clock.getAsDouble());
-        done.channel().pipeline().get(ConnectionHandler.class).connection = slot;
-        done.channel().closeFuture().addListener(end -> {
-            allocator.onConnectionClosed(slot);
+        // Unread streams must not block the others: the connection window is large enough for all stream windows together.
+        long connectionWindow = Math.min(1 << 30, (long) limits.maxStreamsPerConnection * limits.streamWindowBytes);
+        connect.channel().writeAndFlush(new DefaultHttp2WindowUpdateFrame((int) connectionWindow));
+        PooledConnection<Channel> connection = allocator.onConnected(connect.channel(), clock.getAsDouble());
+        connect.channel().pipeline().get(ConnectionHandler.class).connection = connection;
+        connect.channel().closeFuture().addListener(close -> {
+            allocator.onConnectionClosed(connection);
             if (!waitingRequests.isEmpty() && allocator.connectingCount() == 0 && allocator.busiestAvailable() == null) {
-                new ArrayList<>(waitingRequests).forEach(r -> r.finish(ExchangeResult.NOT_CONNECTED, 0, null, null));
+                new ArrayList<>(waitingRequests).forEach(request -> request.finish(ExchangeResult.NOT_CONNECTED, 0, null, null));
             }
         });
         if (closed) {
-            done.channel().close();
+            connect.channel().close();
             return;
         }
         startWaitingRequests();
-        scheduleIdleCheck(slot);
+        scheduleIdleCheck(connection);
     }
 
-    private void scheduleIdleCheck(PooledConnection<Channel> slot) {
+    private void scheduleIdleCheck(PooledConnection<Channel> connection) {
         eventLoop.schedule(() -> {
-            if (!slot.handle.isActive()) {
+            if (!connection.handle.isActive()) {
                 return;
             }
-            if (allocator.shouldClose(slot, clock.getAsDouble())) {
+            if (allocator.shouldClose(connection, clock.getAsDouble())) {
                 metrics.closedIdle.increment();
-                allocator.startDraining(slot);
-                slot.handle.close();
+                allocator.startDraining(connection);
+                connection.handle.close();
             } else {
-                scheduleIdleCheck(slot);
+                scheduleIdleCheck(connection);
             }
         }, (long) Math.max(1, limits.idleTimeoutMillis / 4), TimeUnit.MILLISECONDS);
     }
 
-    private void closeIfDrained(PooledConnection<Channel> slot) {
-        if (slot.draining() && slot.activeStreams() == 0) {
-            slot.handle.close();
+    private void closeIfDrained(PooledConnection<Channel> connection) {
+        if (connection.draining() && connection.activeStreams() == 0) {
+            connection.handle.close();
         }
     }
 
-    /** Closes connections that nothing runs on; from any thread. */
+    /** Closes each open connection once its streams have ended; later requests open new ones. May be called from any thread. */
     public void drainConnections() {
         eventLoop.execute(() -> {
-            for (PooledConnection<Channel> slot : new ArrayList<>(allocator.connections())) {
-                allocator.startDraining(slot);
-                closeIfDrained(slot);
+            for (PooledConnection<Channel> connection : new ArrayList<>(allocator.connections())) {
+                allocator.startDraining(connection);
+                closeIfDrained(connection);
             }
         });
     }
 
-    /** No further request; open connections close when their streams have ended. */
+    /** Accepts no further request; open connections close once their streams have ended. */
     public void close() {
         eventLoop.execute(() -> {
             closed = true;
-            for (PooledConnection<Channel> slot : new ArrayList<>(allocator.connections())) {
-                allocator.startDraining(slot);
-                closeIfDrained(slot);
+            for (PooledConnection<Channel> connection : new ArrayList<>(allocator.connections())) {
+                allocator.startDraining(connection);
+                closeIfDrained(connection);
             }
         });
     }
 
-    /** What concerns a whole connection. */
+    /** Handles the frames of a whole connection: SETTINGS and GOAWAY. */
     private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
         private PooledConnection<Channel> connection;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (msg instanceof Http2SettingsFrame settings && connection != null) {
-                Long most = settings.settings().maxConcurrentStreams();
-                if (most != null) {
-                    allocator.setPeerStreamLimit(connection, most);
+                Long maxStreams = settings.settings().maxConcurrentStreams();
+                if (maxStreams != null) {
+                    allocator.setPeerStreamLimit(connection, maxStreams);
                 }
             } else if (msg instanceof Http2GoAwayFrame && connection != null) {
                 metrics.goAwaysReceived.increment();
@@ -425,7 +438,7 @@
         }
     }
 
-    /** One stream's answer. */
+    /** Collects the response of one stream. */
     private class ResponseHandler extends ChannelInboundHandlerAdapter {
         final Request request;
         private Http2Headers headers;
@@ -441,7 +454,7 @@
             try {
                 if (msg instanceof Http2HeadersFrame head) {
                     CharSequence status = head.headers().status();
-                    // 1xx go before the answer; trailers come after it.
+                    // Informational (1xx) headers precede the response; trailers follow it.
                     if (headers == null && (status == null || status.charAt(0) != '1')) {
                         headers = head.headers();
                     } else if (headers != null) {
@@ -462,8 +475,8 @@
                         onComplete();
                     }
                 } else if (msg instanceof Http2ResetFrame reset) {
-                    request.finish(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? ExchangeResult.REFUSED : ExchangeResult.RESET, 0,
-                            null, null);
+                    request.finish(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? ExchangeResult.REFUSED
+                            : ExchangeResult.RESET, 0, null, null);
                 }
             } finally {
                 ReferenceCountUtil.release(msg);
@@ -471,14 +484,14 @@
         }
 
         void onData(ChannelHandlerContext ctx, ByteBuf content) throws IOException {
-            int more = content.readableBytes();
+            int length = content.readableBytes();
             if (body == null) {
-                body = new ByteArrayOutputStream(Math.max(32, more));
+                body = new ByteArrayOutputStream(Math.max(32, length));
             }
-            if (body.size() + more > limits.maxResponseBytes) {
-                throw new IOException("longer than " + limits.maxResponseBytes);
+            if (body.size() + length > limits.maxResponseBytes) {
+                throw new IOException("response is longer than " + limits.maxResponseBytes);
             }
-            byte[] bytes = new byte[more];
+            byte[] bytes = new byte[length];
             content.readBytes(bytes);
             body.writeBytes(bytes);
         }
@@ -488,7 +501,7 @@
             try {
                 status = headers == null ? -1 : Integer.parseInt(String.valueOf(headers.status()));
             } catch (NumberFormatException e) {
-                // an answer without a proper status is an error answer
+                // A response without a valid status counts as an error response.
             }
             request.finish(ExchangeResult.ANSWERED, status, headers, body == null ? new byte[0] : body.toByteArray());
         }
@@ -496,12 +509,12 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof Http2GoAwayFrame goAway) {
-                // Fired by the multiplexer on streams above the last id only.
+                // The multiplexer fires this event only on streams above the last stream id.
                 goAway.release();
                 request.finish(ExchangeResult.ABOVE_GOAWAY, 0, null, null);
             } else if (event instanceof Http2ResetFrame reset) {
-                request.finish(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? ExchangeResult.REFUSED : ExchangeResult.RESET, 0, null,
-                        null);
+                request.finish(reset.errorCode() == Http2Error.REFUSED_STREAM.code() ? ExchangeResult.REFUSED
+                        : ExchangeResult.RESET, 0, null, null);
             }
         }
 
@@ -517,7 +530,7 @@
         }
     }
 
-    /** The answer of a stream that is read only as asked. */
+    /** Passes on the response of a stream that is read only on request. */
     private final class StreamingResponseHandler extends ResponseHandler {
         StreamingResponseHandler(Request request) {
             super(request);
@@ -525,9 +538,9 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            boolean head = msg instanceof Http2HeadersFrame;
+            boolean isHeaders = msg instanceof Http2HeadersFrame;
             super.channelRead(ctx, msg);
-            if (head) {
+            if (isHeaders) {
                 ctx.read();
             }
         }
--- a/gateway/src/main/java/gradereach/http2/StreamAllocator.java
+++ b/gateway/src/main/java/gradereach/http2/StreamAllocator.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Which connection to one peer takes the next stream, and when another is opened: state and decisions of a pool, no
- * I/O. Streams go to the connection with the most of them that still has room, so that those no longer needed fall
- * idle and close; another is opened only when all are full. A connection that was told to go away, or that has gone
- * silent while streams timed out on it, takes nothing new.
+ * Decides which connection to one peer takes the next stream and when another connection is opened. Holds the state of a
+ * pool and does no I/O. A stream goes to the connection with the most streams that can still take one, so that connections
+ * no longer needed become idle and close; another is opened only when all are full. A connection that received GOAWAY, or
+ * that was silent while streams timed out on it, takes no new streams.
  *
- * @param <C> whatever stands for an open connection
+ * @param <C> the pool's object for an open connection
  */
 public final class StreamAllocator<C> {
-    /** What to do with a stream that wants to begin. */
+    /** What to do with a new stream. */
     public enum Placement { USE_CONNECTION, CONNECT_AND_WAIT, WAIT, FULL }
 
     /** One open connection. */
@@ -24,9 +24,9 @@
         private double lastReceivedAt;
         private double idleSince;
 
-        PooledConnection(C connection, int most, double now) {
-            this.handle = connection;
-            this.maxStreams = most;
+        PooledConnection(C handle, int maxStreams, double now) {
+            this.handle = handle;
+            this.maxStreams = maxStreams;
             lastReceivedAt = now;
             idleSince = now;
         }
@@ -50,30 +50,32 @@
     private int waitingCount;
 
     /**
-     * @param idle milliseconds after which an unused connection is closed
-     * @param silence milliseconds without a byte, ending in a stream given up, after which one is no longer used
+     * @param idleTimeoutMillis after which an unused connection is closed
+     * @param silenceTimeoutMillis without a received byte, at the end of which a stream was cancelled, after which a connection
+     *        takes no new streams
      */
-    public StreamAllocator(int mostConnections, int mostStreams, double idle, double silence) {
-        this.maxConnections = mostConnections;
-        this.maxStreamsPerConnection = mostStreams;
-        this.idleTimeoutMillis = idle;
-        this.silenceTimeoutMillis = silence;
-        // As many as the connections that are being opened could take.
-        maxWaiting = mostConnections * mostStreams;
+    public StreamAllocator(int maxConnections, int maxStreamsPerConnection, double idleTimeoutMillis, double silenceTimeoutMillis) {
+        this.maxConnections = maxConnections;
+        this.maxStreamsPerConnection = maxStreamsPerConnection;
+        this.idleTimeoutMillis = idleTimeoutMillis;
+        this.silenceTimeoutMillis = silenceTimeoutMillis;
+        // As many as all connections together could take.
+        maxWaiting = maxConnections * maxStreamsPerConnection;
     }
 
-    /** The connection for a new stream, null for none; it is not yet counted there. */
+    /** Returns the connection for a new stream, or null if there is none. Does not count the stream yet. */
     public PooledConnection<C> busiestAvailable() {
         PooledConnection<C> best = null;
-        for (PooledConnection<C> slot : connections) {
-            if (!slot.draining && slot.activeStreams < slot.maxStreams && (best == null || slot.activeStreams > best.activeStreams)) {
-                best = slot;
+        for (PooledConnection<C> connection : connections) {
+            if (!connection.draining && connection.activeStreams < connection.maxStreams
+                    && (best == null || connection.activeStreams > best.activeStreams)) {
+                best = connection;
             }
         }
         return best;
     }
 
-    /** Where a new stream goes. For the two waits it is counted as waiting until {@link #waited}. */
+    /** Decides where a new stream goes. If it has to wait, it counts as waiting until {@link #onWaitEnded}. */
     public Placement placeStream() {
         if (busiestAvailable() != null) {
             return Placement.USE_CONNECTION;
@@ -82,74 +84,78 @@
             return Placement.FULL;
         }
         int usable = connectingCount;
-        for (PooledConnection<C> slot : connections) {
-            usable += slot.draining ? 0 : 1;
+        for (PooledConnection<C> connection : connections) {
+            usable += connection.draining ? 0 : 1;
         }
-        boolean open = usable < maxConnections && waitingCount >= connectingCount * maxStreamsPerConnection;
-        if (!open && connectingCount == 0) {
+        boolean opensConnection = usable < maxConnections && waitingCount >= connectingCount * maxStreamsPerConnection;
+        if (!opensConnection && connectingCount == 0) {
             return Placement.FULL;
         }
         waitingCount++;
-        connectingCount += open ? 1 : 0;
-        return open ? Placement.CONNECT_AND_WAIT : Placement.WAIT;
+        connectingCount += opensConnection ? 1 : 0;
+        return opensConnection ? Placement.CONNECT_AND_WAIT : Placement.WAIT;
     }
 
-    /** One that waited is placed, failed or given up. */
+    /** A waiting stream was placed, failed or was cancelled. */
     public void onWaitEnded() {
         waitingCount--;
     }
 
-    public PooledConnection<C> onConnected(C connection, double now) {
+    /** A connection attempt succeeded. */
+    public PooledConnection<C> onConnected(C handle, double now) {
         connectingCount--;
-        PooledConnection<C> slot = new PooledConnection<>(connection, maxStreamsPerConnection, now);
-        connections.add(slot);
-        return slot;
+        PooledConnection<C> connection = new PooledConnection<>(handle, maxStreamsPerConnection, now);
+        connections.add(connection);
+        return connection;
     }
 
-    /** True where nothing else is on its way: those that wait have nothing to wait for. */
+    /** A connection attempt failed. Returns true if the waiting streams have no other connection to wait for. */
     public boolean onConnectFailed() {
         connectingCount--;
         return connectingCount == 0 && busiestAvailable() == null;
     }
 
-    public void onStreamStarted(PooledConnection<C> slot) {
-        slot.activeStreams++;
+    public void onStreamStarted(PooledConnection<C> connection) {
+        connection.activeStreams++;
     }
 
-    public void onStreamEnded(PooledConnection<C> slot, double now) {
-        slot.activeStreams--;
-        slot.idleSince = now;
+    public void onStreamEnded(PooledConnection<C> connection, double now) {
+        connection.activeStreams--;
+        connection.idleSince = now;
     }
 
-    /** The peer's SETTINGS_MAX_CONCURRENT_STREAMS. */
-    public void setPeerStreamLimit(PooledConnection<C> slot, long streams) {
-        slot.maxStreams = (int) Math.min(maxStreamsPerConnection, streams);
+    /** Applies the peer's SETTINGS_MAX_CONCURRENT_STREAMS. */
+    public void setPeerStreamLimit(PooledConnection<C> connection, long streams) {
+        connection.maxStreams = (int) Math.min(maxStreamsPerConnection, streams);
     }
 
-    public void onReceived(PooledConnection<C> slot, double now) {
-        slot.lastReceivedAt = now;
+    public void onReceived(PooledConnection<C> connection, double now) {
+        connection.lastReceivedAt = now;
     }
 
-    /** GOAWAY, or the connection is being closed. */
-    public void startDraining(PooledConnection<C> slot) {
-        slot.draining = true;
+    /** The connection takes no new streams: it received GOAWAY or is being closed. */
+    public void startDraining(PooledConnection<C> connection) {
+        connection.draining = true;
     }
 
-    /** A stream begun at {@code begunAt} was given up: guards against a link that swallows everything. */
-    public void onStreamCancelled(PooledConnection<C> slot, double begunAt, double now) {
-        if (slot.lastReceivedAt < begunAt && now - Math.max(slot.lastReceivedAt, begunAt) >= silenceTimeoutMillis) {
-            slot.draining = true;
+    /**
+     * A stream started at {@code startedAt} was cancelled. Drains the connection if nothing was received on it for the silence
+     * timeout, which guards against a connection whose peer or network drops everything.
+     */
+    public void onStreamCancelled(PooledConnection<C> connection, double startedAt, double now) {
+        if (connection.lastReceivedAt < startedAt && now - Math.max(connection.lastReceivedAt, startedAt) >= silenceTimeoutMillis) {
+            connection.draining = true;
         }
     }
 
-    public void onConnectionClosed(PooledConnection<C> slot) {
-        slot.draining = true;
-        connections.remove(slot);
+    public void onConnectionClosed(PooledConnection<C> connection) {
+        connection.draining = true;
+        connections.remove(connection);
     }
 
-    /** Whether it may be closed now: nothing runs on it, and it leaves or was idle for long. */
-    public boolean shouldClose(PooledConnection<C> slot, double now) {
-        return slot.activeStreams == 0 && (slot.draining || now - slot.idleSince >= idleTimeoutMillis);
+    /** Whether the connection can be closed now: it has no streams and is draining or was idle for the idle timeout. */
+    public boolean shouldClose(PooledConnection<C> connection, double now) {
+        return connection.activeStreams == 0 && (connection.draining || now - connection.idleSince >= idleTimeoutMillis);
     }
 
     public List<PooledConnection<C>> connections() {
--- a/gateway/src/main/java/gradereach/link/ExchangeOutcomes.java
+++ b/gateway/src/main/java/gradereach/link/ExchangeOutcomes.java
@@ -4,17 +4,18 @@
 import gradereach.http2.ExchangeListener.ExchangeResult;
 
 /**
- * What an end on the socket proves, for rule 2: the table of docs/proofs.md. Where in doubt, it may have run.
+ * Maps the result of an exchange to the {@link Outcome} that it proves, as in the table of docs/proofs.md (rule 2). If in doubt,
+ * the forward may have run.
  */
 public final class ExchangeOutcomes {
-    /** An executor's mark that it has not begun, in an answer's head; without it no status proves anything. */
+    /** With {@code no}, the executor states that it has not begun the inference; without it no status proves that. */
     public static final String INFERENCE_BEGUN_HEADER = "inference-begun";
 
     private ExchangeOutcomes() { }
 
-    /** How a forward ended. {@code begun} is the {@link #BEGUN} header, null without one. */
-    public static Outcome ofForward(ExchangeResult end, int status, CharSequence begun) {
-        return switch (end) {
+    /** Outcome of a forward by HTTP/REST. {@code begun} is the {@link #INFERENCE_BEGUN_HEADER}, or null if it is missing. */
+    public static Outcome ofForward(ExchangeResult result, int status, CharSequence begun) {
+        return switch (result) {
             case ANSWERED -> answered(status, begun != null && "no".contentEquals(begun));
             case NOT_CONNECTED -> Outcome.CONNECT_FAILED;
             case NO_STREAM, REFUSED -> Outcome.FULL;
@@ -39,13 +40,13 @@
     }
 
     /**
-     * How a forward by gRPC ended. {@code grpcStatus} is the number in the trailers, null without one: then the stream
-     * ended without its end being told, as a connection that broke. gRPC's statuses are words of whoever was in between
-     * as well, so that none proves anything without {@link #BEGUN}.
+     * Outcome of a forward by gRPC. {@code grpcStatus} is the number in the trailers; null means that the stream ended without
+     * a status, as when a connection breaks. Intermediaries set gRPC statuses too, so none proves anything without
+     * {@link #INFERENCE_BEGUN_HEADER}.
      */
-    public static Outcome ofGrpcForward(ExchangeResult end, CharSequence grpcStatus, CharSequence begun) {
-        if (end != ExchangeResult.ANSWERED) {
-            return ofForward(end, 0, null);
+    public static Outcome ofGrpcForward(ExchangeResult result, CharSequence grpcStatus, CharSequence begun) {
+        if (result != ExchangeResult.ANSWERED) {
+            return ofForward(result, 0, null);
         }
         if (grpcStatus == null) {
             return Outcome.RESET;
@@ -59,12 +60,12 @@
         };
     }
 
-    /** How a load order or a probe ended: a status is the executor's word on it, no proof is asked for. */
-    public static Outcome ofLoadOrderOrProbe(ExchangeResult end, int status) {
-        return switch (end) {
+    /** Outcome of a load order or a probe. The executor's status is enough here; no {@link #INFERENCE_BEGUN_HEADER} is required. */
+    public static Outcome ofLoadOrderOrProbe(ExchangeResult result, int status) {
+        return switch (result) {
             case ANSWERED -> status >= 200 && status < 300 ? Outcome.RETURNED
                     : status == 429 || status == 503 ? Outcome.FULL : Outcome.ERROR;
-            default -> ofForward(end, status, null);
+            default -> ofForward(result, status, null);
         };
     }
 }
--- a/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
+++ b/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
@@ -4,8 +4,8 @@
 import gradereach.api.ExecutorReport;
 import gradereach.api.LoadStatus;
 import gradereach.counts.Counts;
-import gradereach.desk.InferenceCoordinator;
-import gradereach.desk.InFlightForward;
+import gradereach.coordinator.InferenceCoordinator;
+import gradereach.coordinator.InFlightForward;
 import gradereach.flow.AnswerStream;
 import gradereach.http2.ExchangeListener;
 import gradereach.http2.Http2ConnectionPool;
@@ -24,8 +24,8 @@
 import java.util.function.Consumer;
 
 /**
- * Forwards by gRPC ("gRPC over HTTP2") on the pool's own HTTP/2: grpc-java does not tell REFUSED_STREAM and the last id of a
- * GOAWAY from other ends, and without them nothing would be proven not to have run.
+ * Sends forwards by gRPC ("gRPC over HTTP2") over {@link Http2ConnectionPool}. grpc-java does not distinguish REFUSED_STREAM and
+ * streams above the last id of a GOAWAY from other failures, and without that no forward could be proven not to have run.
  */
 final class GrpcForwardSender {
     private static final String UNARY_PATH = "/inference.GRPCInferenceService/ModelInfer";
@@ -39,20 +39,20 @@
     private final LongAdder unreadableAnswers;
 
     /**
-     * @param agent told to executors as the user agent
-     * @param longestAnswer bytes
+     * @param userAgent sent to executors
+     * @param eventSink passes events to the decision thread
      */
-    GrpcForwardSender(String agent, ResponseHeaders heads, int longestAnswer, AnswerStream.Limits parts, Consumer<Consumer<InferenceCoordinator>> toDesk,
-            Counts counts) {
-        this.userAgent = agent;
-        this.responseHeaders = heads;
-        this.maxResponseBytes = longestAnswer;
-        this.streamLimits = parts;
-        this.eventSink = toDesk;
+    GrpcForwardSender(String userAgent, ResponseHeaders responseHeaders, int maxResponseBytes, AnswerStream.Limits streamLimits,
+            Consumer<Consumer<InferenceCoordinator>> eventSink, Counts counts) {
+        this.userAgent = userAgent;
+        this.responseHeaders = responseHeaders;
+        this.maxResponseBytes = maxResponseBytes;
+        this.streamLimits = streamLimits;
+        this.eventSink = eventSink;
         unreadableAnswers = counts.counter("answers_unreadable");
     }
 
-    /** Loads what a call needs: the first inferences of a process would pay for it otherwise. */
+    /** Loads the classes that a call needs, so that the first inferences of a process are not delayed by it. */
     static void warmUp(int times) {
         byte[] json = "{\"inputs\":[{\"name\":\"x\",\"shape\":[1],\"datatype\":\"FP32\",\"data\":[1]}],\"parameters\":{\"p\":0.5}}"
                 .getBytes(StandardCharsets.UTF_8);
@@ -70,13 +70,15 @@
         }
     }
 
-    /** One inference by the unary call; nothing of it is written where {@code wanted} says no by then. */
-    void sendUnary(Http2ConnectionPool pool, InFlightForward flight, BooleanSupplier wanted) {
-        ExchangeListener end = (how, status, headers, body) -> {
-            if (how == ExchangeListener.ExchangeResult.GIVEN_UP || how == ExchangeListener.ExchangeResult.NOT_WRITTEN && flight.cancelled) {
-                return; // the desk gave it up and knows
+    /** Sends a forward as a unary call; nothing is written if {@code writeCondition} is false by then. */
+    void sendUnary(Http2ConnectionPool pool, InFlightForward forward, BooleanSupplier writeCondition) {
+        ExchangeListener listener = (result, status, headers, body) -> {
+            if (result == ExchangeListener.ExchangeResult.GIVEN_UP
+                    || result == ExchangeListener.ExchangeResult.NOT_WRITTEN && forward.cancelled) {
+                return; // the coordinator cancelled it and expects no event
             }
-            Outcome outcome = ExchangeOutcomes.ofGrpcForward(how, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER), ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
+            Outcome outcome = ExchangeOutcomes.ofGrpcForward(result, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER),
+                    ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
             byte[] output = null;
             if (outcome == Outcome.RETURNED) {
                 try {
@@ -86,43 +88,44 @@
                     outcome = Outcome.ERROR;
                 }
             }
-            Outcome known = outcome;
-            byte[] answer = output;
-            LoadStatus warmth = ResponseHeaders.parseLoadStatus(ResponseHeaders.header(headers, ResponseHeaders.LOAD_STATUS_HEADER));
-            int crowd = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.CONCURRENCY_HEADER), -1);
+            Outcome finalOutcome = outcome;
+            byte[] finalOutput = output;
+            LoadStatus loadStatus = ResponseHeaders.parseLoadStatus(ResponseHeaders.header(headers, ResponseHeaders.LOAD_STATUS_HEADER));
+            int concurrency = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.CONCURRENCY_HEADER), -1);
             ExecutorReport report = responseHeaders.loadReport(headers);
-            eventSink.accept(desk -> desk.onForwardEnded(flight, known, warmth, crowd, report, answer));
+            eventSink.accept(coordinator ->
+                    coordinator.onForwardEnded(forward, finalOutcome, loadStatus, concurrency, report, finalOutput));
         };
-        flight.stream = pool.send(wanted, "POST", UNARY_PATH, GrpcFraming.frame(flight.input().protobuf()), end,
-                "content-type", "application/grpc", "te", "trailers", "x-request-id", flight.forwardId(), "idempotency-key",
-                flight.dedupKey(), "user-agent", userAgent);
+        forward.stream = pool.send(writeCondition, "POST", UNARY_PATH, GrpcFraming.frame(forward.input().protobuf()), listener,
+                "content-type", "application/grpc", "te", "trailers", "x-request-id", forward.forwardId(), "idempotency-key",
+                forward.dedupKey(), "user-agent", userAgent);
     }
 
-    /** One inference by the streamed call, read in parts. */
-    void sendStreaming(Http2ConnectionPool pool, InFlightForward flight, BooleanSupplier wanted) {
-        new StreamingForward(flight).send(pool, wanted);
+    /** Sends a forward as a streaming call; its answer is read in parts. */
+    void sendStreaming(Http2ConnectionPool pool, InFlightForward forward, BooleanSupplier writeCondition) {
+        new StreamingForward(forward).send(pool, writeCondition);
     }
 
     /**
-     * One inference by the streamed call: its answer comes in parts, of which the first is its start. A head without a part
-     * starts nothing, since libraries send heads before anything has run.
+     * A forward sent as a streaming call. The first part starts the streamed answer. Response headers without a part do not,
+     * since gRPC libraries send headers before anything has run.
      */
     private final class StreamingForward implements ExchangeListener.StreamingListener, AnswerStream.Source {
-        private final InFlightForward flight;
+        private final InFlightForward forward;
         private final GrpcFraming.MessageDecoder decoder = new GrpcFraming.MessageDecoder(maxResponseBytes);
         private final AnswerStream<ModelStreamInferResponse> answerStream = new AnswerStream<>(this, streamLimits);
         private Http2ConnectionPool.Request request;
         private boolean errorReceived;
 
-        StreamingForward(InFlightForward flight) {
-            this.flight = flight;
+        StreamingForward(InFlightForward forward) {
+            this.forward = forward;
         }
 
-        void send(Http2ConnectionPool pool, BooleanSupplier wanted) {
-            request = pool.send(wanted, "POST", STREAMING_PATH, GrpcFraming.frame(flight.input().protobuf()), this,
-                    "content-type", "application/grpc", "te", "trailers", "x-request-id", flight.forwardId(), "idempotency-key",
-                    flight.dedupKey(), "user-agent", userAgent);
-            flight.stream = request;
+        void send(Http2ConnectionPool pool, BooleanSupplier writeCondition) {
+            request = pool.send(writeCondition, "POST", STREAMING_PATH, GrpcFraming.frame(forward.input().protobuf()), this,
+                    "content-type", "application/grpc", "te", "trailers", "x-request-id", forward.forwardId(), "idempotency-key",
+                    forward.dedupKey(), "user-agent", userAgent);
+            forward.stream = request;
         }
 
         @Override
@@ -131,51 +134,53 @@
         }
 
         @Override
-        public boolean onData(ByteBuf some) throws IOException {
-            for (byte[] message; (message = decoder.next(some)) != null;) {
+        public boolean onData(ByteBuf data) throws IOException {
+            for (byte[] message; (message = decoder.next(data)) != null;) {
                 ModelStreamInferResponse part = ModelStreamInferResponse.parseFrom(message);
                 if (!part.getErrorMessage().isEmpty()) {
-                    errorReceived = true; // its status follows, and says no more than this
+                    errorReceived = true; // the status that follows adds nothing to it
                     continue;
                 }
                 if (answerStream.partCount() == 0) {
-                    eventSink.accept(desk -> desk.onAnswerStarted(flight, answerStream));
+                    eventSink.accept(coordinator -> coordinator.onAnswerStarted(forward, answerStream));
                 }
                 if (!answerStream.put(part, message.length)) {
-                    throw new IOException("too many parts wait for slow readers");
+                    throw new IOException("too many answer parts are buffered for slow readers");
                 }
             }
             return answerStream.wantsMore();
         }
 
         @Override
-        public void onEnd(ExchangeResult how, int status, Http2Headers headers, byte[] body) {
+        public void onEnd(ExchangeResult result, int status, Http2Headers headers, byte[] body) {
             boolean started = answerStream.partCount() > 0;
-            List<ModelStreamInferResponse> all = answerStream.complete();
-            if (how == ExchangeResult.GIVEN_UP || how == ExchangeResult.NOT_WRITTEN && flight.cancelled) {
-                return; // the desk gave it up and knows
+            List<ModelStreamInferResponse> recordedParts = answerStream.complete();
+            if (result == ExchangeResult.GIVEN_UP || result == ExchangeResult.NOT_WRITTEN && forward.cancelled) {
+                return; // the coordinator cancelled it and expects no event
             }
-            Outcome outcome = ExchangeOutcomes.ofGrpcForward(how, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER), ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
-            // What has started has run, whatever is said of it afterwards.
-            boolean proves = started && outcome.provesNotRun;
-            boolean torn = outcome == Outcome.RETURNED && (!started || errorReceived || !decoder.atMessageBoundary());
+            Outcome outcome = ExchangeOutcomes.ofGrpcForward(result, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER),
+                    ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
+            // An answer that has started proves that the forward ran, whatever its status claims.
+            boolean contradictory = started && outcome.provesNotRun;
+            boolean truncated = outcome == Outcome.RETURNED && (!started || errorReceived || !decoder.atMessageBoundary());
             byte[] output = null;
-            if (torn || proves) {
-                unreadableAnswers.add(torn && !errorReceived ? 1 : 0);
+            if (truncated || contradictory) {
+                unreadableAnswers.add(truncated && !errorReceived ? 1 : 0);
                 outcome = Outcome.ERROR;
-            } else if (outcome == Outcome.RETURNED && all != null) {
+            } else if (outcome == Outcome.RETURNED && recordedParts != null) {
                 try {
-                    output = InferenceJsonConverter.responsesToJsonArray(all);
+                    output = InferenceJsonConverter.responsesToJsonArray(recordedParts);
                 } catch (IOException e) {
-                    unreadableAnswers.increment(); // what was read stays read; only the record of it says less
+                    unreadableAnswers.increment(); // readers keep the parts they have read; only the recorded output is missing
                 }
             }
-            Outcome known = outcome;
-            byte[] answer = output;
-            LoadStatus warmth = ResponseHeaders.parseLoadStatus(ResponseHeaders.header(headers, ResponseHeaders.LOAD_STATUS_HEADER));
-            int crowd = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.CONCURRENCY_HEADER), -1);
+            Outcome finalOutcome = outcome;
+            byte[] finalOutput = output;
+            LoadStatus loadStatus = ResponseHeaders.parseLoadStatus(ResponseHeaders.header(headers, ResponseHeaders.LOAD_STATUS_HEADER));
+            int concurrency = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.CONCURRENCY_HEADER), -1);
             ExecutorReport report = responseHeaders.loadReport(headers);
-            eventSink.accept(desk -> desk.onForwardEnded(flight, known, warmth, crowd, report, answer));
+            eventSink.accept(coordinator ->
+                    coordinator.onForwardEnded(forward, finalOutcome, loadStatus, concurrency, report, finalOutput));
         }
     }
 }
--- a/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
@@ -4,12 +4,12 @@
 import gradereach.api.ExecutorReport;
 import gradereach.api.LoadStatus;
 import gradereach.counts.Counts;
-import gradereach.desk.InferenceCoordinator;
-import gradereach.desk.InFlightForward;
-import gradereach.desk.ExecutorTransport;
-import gradereach.desk.LoadOrder;
-import gradereach.desk.ExecutorEndpoint;
-import gradereach.desk.Probe;
+import gradereach.coordinator.InferenceCoordinator;
+import gradereach.coordinator.InFlightForward;
+import gradereach.coordinator.ExecutorTransport;
+import gradereach.coordinator.LoadOrder;
+import gradereach.coordinator.ExecutorEndpoint;
+import gradereach.coordinator.Probe;
 import gradereach.flow.AnswerStream;
 import gradereach.http2.ExchangeListener;
 import gradereach.http2.Http2ConnectionPool;
@@ -30,9 +30,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Speaks the Open Inference Protocol (V2, HTTP/REST) to executors over HTTP/2: {@code POST /v2/models/NAME/infer};
- * the model repository extension's {@code load} with the copies as a load parameter (0 only asks) and {@code unload};
- * {@code GET /v2/health/ready} as probe. Ends go to the deciding thread as events.
+ * Talks the Open Inference Protocol (V2, HTTP/REST) to executors over HTTP/2: {@code POST /v2/models/NAME/infer};
+ * the model repository extension's {@code load}, with the number of copies as a load parameter (0 is a status query), and
+ * {@code unload}; {@code GET /v2/health/ready} as probe. Results go to the decision thread as events.
  */
 public final class HttpExecutorTransport implements ExecutorTransport {
     private static final byte[] EMPTY_BODY = {};
@@ -50,58 +50,63 @@
     private final Map<String, String> inferPaths = new ConcurrentHashMap<>();
 
     /**
-     * @param name told to executors as the user agent
-     * @param grpcKinds executors of these kinds take inferences by gRPC, and all else as the others do
-     * @param streamBounds of connections that carry answers in parts
+     * @param name sent to executors in the user agent
+     * @param grpcKinds executors of these kinds take inferences by gRPC and all other requests by HTTP/REST
+     * @param streamingLimits of connections that carry streamed answers
+     * @param clock monotonic time in milliseconds
+     * @param eventSink passes events to the decision thread
      */
-    public HttpExecutorTransport(String name, Set<Integer> grpcKinds, EventLoopGroup loops, Class<? extends Channel> channelType, Http2ConnectionPool.Limits bounds,
-            Http2ConnectionPool.Limits streamBounds, AnswerStream.Limits parts, Counts counts, DoubleSupplier clock, Consumer<Consumer<InferenceCoordinator>> toDesk) {
+    public HttpExecutorTransport(String name, Set<Integer> grpcKinds, EventLoopGroup eventLoops, Class<? extends Channel> channelType,
+            Http2ConnectionPool.Limits unaryLimits, Http2ConnectionPool.Limits streamingLimits, AnswerStream.Limits answerStreamLimits,
+            Counts counts, DoubleSupplier clock, Consumer<Consumer<InferenceCoordinator>> eventSink) {
         this.userAgent = "gradereach/" + name;
-        this.eventLoops = loops;
+        this.eventLoops = eventLoops;
         this.channelType = channelType;
-        this.unaryLimits = bounds;
-        this.streamingLimits = streamBounds;
+        this.unaryLimits = unaryLimits;
+        this.streamingLimits = streamingLimits;
         this.clock = clock;
-        this.eventSink = toDesk;
+        this.eventSink = eventSink;
         poolMetrics = new Http2ConnectionPool.Metrics(counts, "executor");
         this.grpcKinds = grpcKinds;
         responseHeaders = new ResponseHeaders(counts);
-        grpcSender = new GrpcForwardSender(userAgent, responseHeaders, bounds.maxResponseBytes(), parts, toDesk, counts);
+        grpcSender = new GrpcForwardSender(userAgent, responseHeaders, unaryLimits.maxResponseBytes(), answerStreamLimits, eventSink,
+                counts);
     }
 
-    /** What is open to one executor. */
+    /** The connection pools of one executor. */
     private static final class ExecutorPools {
         final InetSocketAddress address;
         final Http2ConnectionPool unary;
         Http2ConnectionPool streaming;
 
-        ExecutorPools(InetSocketAddress at, Http2ConnectionPool whole) {
-            this.address = at;
-            this.unary = whole;
+        ExecutorPools(InetSocketAddress address, Http2ConnectionPool unary) {
+            this.address = address;
+            this.unary = unary;
         }
     }
 
-    /** Of the deciding thread alone. */
-    private ExecutorPools poolsOf(ExecutorEndpoint place) {
-        ExecutorPools pools = (ExecutorPools) place.connections;
+    /** Only called on the decision thread. */
+    private ExecutorPools poolsOf(ExecutorEndpoint endpoint) {
+        ExecutorPools pools = (ExecutorPools) endpoint.connections;
         if (pools == null) {
-            int colon = place.address.lastIndexOf(':');
-            String host = place.address.substring(0, colon);
+            int colon = endpoint.address.lastIndexOf(':');
+            String host = endpoint.address.substring(0, colon);
             host = host.startsWith("[") ? host.substring(1, host.length() - 1) : host;
-            InetSocketAddress at = new InetSocketAddress(host, Integer.parseInt(place.address.substring(colon + 1)));
-            pools = new ExecutorPools(at, new Http2ConnectionPool(at, eventLoops.next(), channelType, unaryLimits, poolMetrics, clock));
-            place.connections = pools;
+            InetSocketAddress address = new InetSocketAddress(host, Integer.parseInt(endpoint.address.substring(colon + 1)));
+            pools = new ExecutorPools(address,
+                    new Http2ConnectionPool(address, eventLoops.next(), channelType, unaryLimits, poolMetrics, clock));
+            endpoint.connections = pools;
         }
         return pools;
     }
 
-    private Http2ConnectionPool unaryPool(ExecutorEndpoint place) {
-        return poolsOf(place).unary;
+    private Http2ConnectionPool unaryPool(ExecutorEndpoint endpoint) {
+        return poolsOf(endpoint).unary;
     }
 
-    /** Beside the other, since streams stay open and their windows are small. Of the deciding thread alone. */
-    private Http2ConnectionPool streamingPool(ExecutorEndpoint place) {
-        ExecutorPools pools = poolsOf(place);
+    /** Separate from the unary pool, since streams stay open and their windows are small. Only called on the decision thread. */
+    private Http2ConnectionPool streamingPool(ExecutorEndpoint endpoint) {
+        ExecutorPools pools = poolsOf(endpoint);
         if (pools.streaming == null) {
             pools.streaming = new Http2ConnectionPool(pools.address, eventLoops.next(), channelType, streamingLimits, poolMetrics, clock);
         }
@@ -109,63 +114,69 @@
     }
 
     @Override
-    public void forward(InFlightForward flight) {
-        if (grpcKinds.contains(flight.endpoint.kind())) {
-            if (flight.acceptsStreaming()) {
-                grpcSender.sendStreaming(streamingPool(flight.endpoint), flight, writeCondition(flight));
+    public void forward(InFlightForward forward) {
+        if (grpcKinds.contains(forward.endpoint.kind())) {
+            if (forward.acceptsStreaming()) {
+                grpcSender.sendStreaming(streamingPool(forward.endpoint), forward, writeCondition(forward));
             } else {
-                grpcSender.sendUnary(unaryPool(flight.endpoint), flight, writeCondition(flight));
+                grpcSender.sendUnary(unaryPool(forward.endpoint), forward, writeCondition(forward));
             }
             return;
         }
-        ExchangeListener end = (how, status, headers, body) -> {
-            Outcome outcome = ExchangeOutcomes.ofForward(how, status, ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
-            if (how == ExchangeListener.ExchangeResult.GIVEN_UP || how == ExchangeListener.ExchangeResult.NOT_WRITTEN && flight.cancelled) {
-                return; // the desk gave it up and knows
+        ExchangeListener listener = (result, status, headers, body) -> {
+            Outcome outcome = ExchangeOutcomes.ofForward(result, status,
+                    ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
+            if (result == ExchangeListener.ExchangeResult.GIVEN_UP
+                    || result == ExchangeListener.ExchangeResult.NOT_WRITTEN && forward.cancelled) {
+                return; // the coordinator cancelled it and expects no event
             }
-            LoadStatus warmth = ResponseHeaders.parseLoadStatus(ResponseHeaders.header(headers, ResponseHeaders.LOAD_STATUS_HEADER));
-            int crowd = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.CONCURRENCY_HEADER), -1);
+            LoadStatus loadStatus = ResponseHeaders.parseLoadStatus(ResponseHeaders.header(headers, ResponseHeaders.LOAD_STATUS_HEADER));
+            int concurrency = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.CONCURRENCY_HEADER), -1);
             ExecutorReport report = responseHeaders.loadReport(headers);
-            eventSink.accept(desk -> desk.onForwardEnded(flight, outcome, warmth, crowd, report, body));
+            eventSink.accept(coordinator -> coordinator.onForwardEnded(forward, outcome, loadStatus, concurrency, report, body));
         };
-        flight.stream = unaryPool(flight.endpoint).send(writeCondition(flight), "POST",
-                inferPaths.computeIfAbsent(flight.modelName(), m -> "/v2/models/" + urlEncode(m) + "/infer"), flight.input().json(),
-                end, "content-type", "application/json", "x-request-id", flight.forwardId(), "idempotency-key",
-                flight.dedupKey(), "user-agent", userAgent);
+        forward.stream = unaryPool(forward.endpoint).send(writeCondition(forward), "POST",
+                inferPaths.computeIfAbsent(forward.modelName(), model -> "/v2/models/" + urlEncode(model) + "/infer"),
+                forward.input().json(), listener, "content-type", "application/json", "x-request-id", forward.forwardId(), "idempotency-key",
+                forward.dedupKey(), "user-agent", userAgent);
         if (inferPaths.size() > MAX_CACHED_PATHS) {
             inferPaths.clear();
         }
     }
 
     /**
-     * Whether it may still be written: somebody waits for it, its time is not up, and its executor has neither begun to drain
-     * nor may have done so unheard, nor been replaced. It waited for a connection, or for its thread.
+     * Whether the forward may still be written after it has waited for a connection or the event loop: its answer is awaited,
+     * its deadline has not passed, and its executor has not been replaced and neither drains nor may have begun to drain
+     * unnoticed.
      */
-    private BooleanSupplier writeCondition(InFlightForward flight) {
-        BooleanSupplier ready = endpointStillReady(flight.endpoint);
-        return () -> !flight.cancelled && flight.targetsCurrentProcess() && clock.getAsDouble() < flight.sendDeadline() && ready.getAsBoolean();
+    private BooleanSupplier writeCondition(InFlightForward forward) {
+        BooleanSupplier ready = endpointStillReady(forward.endpoint);
+        return () -> !forward.cancelled && forward.targetsCurrentProcess() && clock.getAsDouble() < forward.sendDeadline()
+                && ready.getAsBoolean();
     }
 
+    /** As for a forward. */
     private BooleanSupplier writeCondition(LoadOrder order) {
         BooleanSupplier ready = endpointStillReady(order.endpoint);
-        return () -> order.isAwaited() && order.targetsCurrentProcess() && clock.getAsDouble() < order.sendDeadline() && ready.getAsBoolean();
+        return () -> order.isAwaited() && order.targetsCurrentProcess() && clock.getAsDouble() < order.sendDeadline()
+                && ready.getAsBoolean();
     }
 
-    private static BooleanSupplier endpointStillReady(ExecutorEndpoint place) {
-        boolean wasReady = place.ready();
-        return () -> !wasReady || place.ready();
+    private static BooleanSupplier endpointStillReady(ExecutorEndpoint endpoint) {
+        boolean wasReady = endpoint.ready();
+        return () -> !wasReady || endpoint.ready();
     }
 
-    /** Loads what forwards by gRPC need: the first inferences of a process would pay for it otherwise. */
+    /** Loads the classes that gRPC forwards need, so that the first inferences of a process are not delayed by it. */
     public static void warmUp(int times) {
         GrpcForwardSender.warmUp(times);
     }
 
-    private static final int MAX_CACHED_PATHS = 100_000; // as many as a large fleet's models; made again when cleared
+    private static final int MAX_CACHED_PATHS = 100_000; // as many as the models of a large fleet; beyond it the cache is cleared
 
     @Override
-    public void cancel(InFlightForward flight) {
-        if (flight.stream instanceof Http2ConnectionPool.Request request) {
+    public void cancel(InFlightForward forward) {
+        if (forward.stream instanceof Http2ConnectionPool.Request request) {
             request.cancel();
         }
     }
@@ -174,46 +185,50 @@
     public void sendLoadOrder(LoadOrder order) {
         String path = "/v2/repository/models/" + urlEncode(order.modelName) + "/load";
         byte[] body = ("{\"parameters\":{\"copies\":" + order.copies + "}}").getBytes(StandardCharsets.UTF_8);
-        unaryPool(order.endpoint).send(writeCondition(order), "POST", path, body, (how, status, headers, content) -> {
-            Outcome outcome = ExchangeOutcomes.ofLoadOrderOrProbe(how, status);
-            int standing = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.COPIES_HEADER), 0);
-            eventSink.accept(desk -> desk.onLoadOrderEnded(order, outcome, standing));
+        unaryPool(order.endpoint).send(writeCondition(order), "POST", path, body, (result, status, headers, content) -> {
+            Outcome outcome = ExchangeOutcomes.ofLoadOrderOrProbe(result, status);
+            int loadedCopies = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.COPIES_HEADER), 0);
+            eventSink.accept(coordinator -> coordinator.onLoadOrderEnded(order, outcome, loadedCopies));
         }, "content-type", "application/json", "user-agent", userAgent);
     }
 
     @Override
-    public void unloadIdle(ExecutorEndpoint place, String model) {
+    public void unloadIdle(ExecutorEndpoint endpoint, String model) {
         byte[] body = "{\"parameters\":{\"idle_only\":true}}".getBytes(StandardCharsets.UTF_8);
-        unaryPool(place).send("POST", "/v2/repository/models/" + urlEncode(model) + "/unload", body, (h, s, hd, b) -> { },
-                "content-type", "application/json", "user-agent", userAgent);
+        unaryPool(endpoint).send("POST", "/v2/repository/models/" + urlEncode(model) + "/unload", body,
+                (result, status, headers, content) -> { }, "content-type", "application/json", "user-agent", userAgent);
     }
 
     @Override
     public void sendProbe(Probe probe) {
-        unaryPool(probe.endpoint).send(probe::isAwaited, "GET", "/v2/health/ready", EMPTY_BODY, (how, status, headers, body) -> {
-            Outcome outcome = ExchangeOutcomes.ofLoadOrderOrProbe(how, status);
+        unaryPool(probe.endpoint).send(probe::isAwaited, "GET", "/v2/health/ready", EMPTY_BODY, (result, status, headers, body) -> {
+            Outcome outcome = ExchangeOutcomes.ofLoadOrderOrProbe(result, status);
             ExecutorReport report = responseHeaders.loadReport(headers);
-            eventSink.accept(desk -> desk.onProbeEnded(probe, outcome, report));
+            eventSink.accept(coordinator -> coordinator.onProbeEnded(probe, outcome, report));
         }, "user-agent", userAgent);
     }
 
-    /** By which an executor's process tells itself from any other, in its answer to a question: a number that it drew at its start. */
+    /** Identifies the executor's process in its reply to an inquiry: a number that it chooses at its start. */
     static final String PROCESS_HEADER = "executor-process";
-    /** With {@code yes}: the process that answers "never seen" refuses the forward, unrun, should it come from now on. */
+    /** With {@code yes}: the process, which replied "never seen", will reject the forward without running it if it still arrives. */
     static final String FENCED_HEADER = "forward-fenced";
-    /** Milliseconds after which the answer to a question is not waited for any more. */
     private static final long INQUIRY_TIMEOUT_MILLIS = 2000;
-    /** In place of a forward's name, which has a # in it: asked for what every answer tells of the process. */
+    /**
+     * In place of a forward's id, which always contains a #: an inquiry about no forward, sent for the process identity that every
+     * reply contains.
+     */
     private static final String NO_FORWARD = "none";
 
     @Override
-    public void inquire(ExecutorEndpoint place, String forward, InquiryCallback then) {
-        Http2ConnectionPool.Request request = unaryPool(place).send("GET", "/v2/outcomes/" + urlEncode(forward), EMPTY_BODY, (how, status, headers, body) -> {
-            InquiryScheduler.OutcomeReply what = how == ExchangeListener.ExchangeResult.ANSWERED ? outcomeReply(status, headers) : InquiryScheduler.OutcomeReply.NOTHING;
-            double process = parseProcessIdentity(headers);
-            eventSink.accept(desk -> then.onReply(what, process, body));
+    public void inquire(ExecutorEndpoint endpoint, String forward, InquiryCallback callback) {
+        Http2ConnectionPool.Request request = unaryPool(endpoint).send("GET", "/v2/outcomes/" + urlEncode(forward), EMPTY_BODY,
+                (result, status, headers, body) -> {
+            InquiryScheduler.OutcomeReply reply = result == ExchangeListener.ExchangeResult.ANSWERED ? outcomeReply(status, headers)
+                    : InquiryScheduler.OutcomeReply.NOTHING;
+            double processIdentity = parseProcessIdentity(headers);
+            eventSink.accept(coordinator -> callback.onReply(reply, processIdentity, body));
         }, "user-agent", userAgent);
-        eventLoops.next().schedule(request::cancel, INQUIRY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS); // or it would hold its stream for good
+        eventLoops.next().schedule(request::cancel, INQUIRY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS); // frees the stream
     }
 
     private static InquiryScheduler.OutcomeReply outcomeReply(int status, Http2Headers headers) {
@@ -226,24 +241,24 @@
     }
 
     private static boolean isFenced(Http2Headers headers) {
-        CharSequence told = ResponseHeaders.header(headers, FENCED_HEADER);
-        return told != null && "yes".contentEquals(told);
+        CharSequence value = ResponseHeaders.header(headers, FENCED_HEADER);
+        return value != null && "yes".contentEquals(value);
     }
 
     @Override
-    public void requestProcessId(ExecutorEndpoint place, DoubleConsumer then) {
-        inquire(place, NO_FORWARD, (what, process, body) -> then.accept(process));
+    public void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback) {
+        inquire(endpoint, NO_FORWARD, (reply, processIdentity, body) -> callback.accept(processIdentity));
     }
 
-    /** The number that the executor's process drew at its start, NaN without one that can be read. */
+    /** The number that identifies the executor's process, or NaN if the header is missing or malformed. */
     private static double parseProcessIdentity(Http2Headers headers) {
-        CharSequence told = ResponseHeaders.header(headers, PROCESS_HEADER);
-        return told == null || !told.toString().matches("\\d{1,15}") ? Double.NaN : Long.parseLong(told.toString());
+        CharSequence value = ResponseHeaders.header(headers, PROCESS_HEADER);
+        return value == null || !value.toString().matches("\\d{1,15}") ? Double.NaN : Long.parseLong(value.toString());
     }
 
     @Override
-    public void closeWhenIdle(ExecutorEndpoint place) {
-        if (place.connections instanceof ExecutorPools pools) {
+    public void closeWhenIdle(ExecutorEndpoint endpoint) {
+        if (endpoint.connections instanceof ExecutorPools pools) {
             pools.unary.drainConnections();
             if (pools.streaming != null) {
                 pools.streaming.drainConnections();
--- a/gateway/src/main/java/gradereach/link/OrcaReportParser.java
+++ b/gateway/src/main/java/gradereach/link/OrcaReportParser.java
@@ -7,9 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Reads the ORCA load report of an answer's head, {@code endpoint-load-metrics} (xds.data.orca.v3
- * OrcaLoadReport), in its TEXT and JSON forms. Utilisations are shares, {@code rps_fractional} and {@code eps} are a
- * second; in flight, queued, answer time (milliseconds) and loads come as named metrics.
+ * Parses the ORCA load report of the response header {@code endpoint-load-metrics} (xds.data.orca.v3 OrcaLoadReport) in
+ * its TEXT and JSON formats. Utilisations are fractions, {@code rps_fractional} and {@code eps} are per second. The numbers
+ * in flight, queued and of loads, and the answer time in milliseconds, are named metrics.
  */
 public final class OrcaReportParser {
     public static final String HEADER = "endpoint-load-metrics";
@@ -17,38 +17,38 @@
 
     private OrcaReportParser() { }
 
-    /** Null where there is none or it cannot be read: a report is a hint, never worth an inference. */
+    /** Returns null if there is no report or it is malformed: a report is only a hint, and no inference fails because of it. */
     public static ExecutorReport parse(CharSequence header) {
         if (header == null) {
             return null;
         }
         String text = header.toString();
-        double[] v = new double[8];
-        Arrays.fill(v, Double.NaN);
+        double[] values = new double[8];
+        Arrays.fill(values, Double.NaN);
         try {
             if (text.startsWith("TEXT ")) {
                 for (String pair : text.substring(5).split(",")) {
-                    int eq = pair.indexOf('=');
-                    if (eq > 0) {
-                        put(v, pair.substring(0, eq).strip(), Double.parseDouble(pair.substring(eq + 1).strip()));
+                    int equals = pair.indexOf('=');
+                    if (equals > 0) {
+                        put(values, pair.substring(0, equals).strip(), Double.parseDouble(pair.substring(equals + 1).strip()));
                     }
                 }
             } else if (text.startsWith("JSON ")) {
                 JsonNode tree = JSON.readTree(text.substring(5));
-                tree.properties().forEach(field -> put(v, field.getKey(), field.getValue().asDouble(Double.NaN)));
+                tree.properties().forEach(field -> put(values, field.getKey(), field.getValue().asDouble(Double.NaN)));
                 tree.path("named_metrics").properties().forEach(field ->
-                        put(v, "named_metrics." + field.getKey(), field.getValue().asDouble(Double.NaN)));
+                        put(values, "named_metrics." + field.getKey(), field.getValue().asDouble(Double.NaN)));
             } else {
                 return null;
             }
         } catch (NumberFormatException | IOException e) {
             return null;
         }
-        return new ExecutorReport(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]);
+        return new ExecutorReport(values[0], values[1], values[2], values[3], values[4], values[5], values[6], values[7]);
     }
 
-    private static void put(double[] v, String name, double value) {
-        int at = switch (name) {
+    private static void put(double[] values, String name, double value) {
+        int index = switch (name) {
             case "named_metrics.in_flight" -> 0;
             case "named_metrics.queued" -> 1;
             case "cpu_utilization" -> 2;
@@ -59,8 +59,8 @@
             case "named_metrics.loads" -> 7;
             default -> -1;
         };
-        if (at >= 0) {
-            v[at] = value;
+        if (index >= 0) {
+            values[index] = value;
         }
     }
 }
--- a/gateway/src/main/java/gradereach/link/ResponseHeaders.java
+++ b/gateway/src/main/java/gradereach/link/ResponseHeaders.java
@@ -6,13 +6,13 @@
 import io.netty.handler.codec.http2.Http2Headers;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What executors tell in the heads and trailers of their answers, beside the answer itself. */
+/** Reads what executors report in the headers and trailers of their responses. */
 final class ResponseHeaders {
-    /** How many copies stand, in an answer to a load order. */
+    /** Number of loaded copies, in the response to a load order. */
     static final String COPIES_HEADER = "model-copies";
-    /** On what a forward ran: {@code loaded}, {@code began-load}, {@code waited-for-load}, {@code load-failed}. */
+    /** Load status of the copy that a forward ran on: {@code loaded}, {@code began-load}, {@code waited-for-load}, {@code load-failed}. */
     static final String LOAD_STATUS_HEADER = "model-warmth";
-    /** How many of the same model the executor held when this one came. */
+    /** How many inferences of the same model the executor had when this one arrived. */
     static final String CONCURRENCY_HEADER = "model-crowd";
 
     private final LongAdder unreadableReports;
@@ -21,7 +21,7 @@
         unreadableReports = counts.counter("load_reports_unreadable");
     }
 
-    /** Null where none was told that can be read. */
+    /** Returns the load report, or null if there is none or it is malformed. */
     ExecutorReport loadReport(Http2Headers headers) {
         CharSequence text = header(headers, OrcaReportParser.HEADER);
         ExecutorReport report = OrcaReportParser.parse(text);
@@ -35,14 +35,16 @@
         return headers == null ? null : headers.get(name);
     }
 
-    static int parseInt(CharSequence text, int otherwise) {
+    /** Returns the number, or {@code defaultValue} if {@code text} is null or not a number. */
+    static int parseInt(CharSequence text, int defaultValue) {
         try {
-            return text == null ? otherwise : Integer.parseInt(text.toString());
+            return text == null ? defaultValue : Integer.parseInt(text.toString());
         } catch (NumberFormatException e) {
-            return otherwise;
+            return defaultValue;
         }
     }
 
+    /** Returns the value of {@link #LOAD_STATUS_HEADER} as a load status. */
     static LoadStatus parseLoadStatus(CharSequence text) {
         if (text == null) {
             return LoadStatus.UNKNOWN;
--- a/gateway/src/main/java/gradereach/loop/AcceptRetryHandler.java
+++ b/gateway/src/main/java/gradereach/loop/AcceptRetryHandler.java
@@ -7,16 +7,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * On a listener: goes on soon after a connection could not be accepted, for want of descriptors or since it has ended
- * already. Netty's own acceptor would pause for a second, longer than many a client waits: it does not hear of it.
+ * Makes a listener accept again soon after an accept failed, because no file descriptor was left or the connection was
+ * already closed. Netty's own acceptor would stop accepting for a second, longer than many clients wait; this handler does not
+ * pass the exception on to it.
  *
- * <p>One for each listener; it may be handed to Netty again where that could not be bound.
+ * <p>Each listener needs its own handler. It is sharable so that it can be reused when binding failed and is retried.
  */
 @Sharable
 public class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
-    /** Milliseconds. A failure that has passed must not hold up what waits behind it. */
+    /** Short, since a failure that is over must not delay the connections that wait. */
     private static final long INITIAL_BACKOFF_MILLIS = 1;
-    /** Milliseconds for connections to end before accepting is tried again; in vain it costs one call. */
+    /** Gives connections time to close before the next attempt; a failed attempt costs one system call. */
     private static final long MAX_BACKOFF_MILLIS = 20;
 
     private long backoffMillis = INITIAL_BACKOFF_MILLIS;
--- a/gateway/src/main/java/gradereach/loop/DecisionLoop.java
+++ b/gateway/src/main/java/gradereach/loop/DecisionLoop.java
@@ -18,24 +18,25 @@
 import org.jctools.queues.MpscUnboundedArrayQueue;
 
 /**
- * The one thread that owns a desk and its module. Others pass it events: new messages through a bounded queue that
- * says no, and ends of what the desk itself sent out through one that need not, since there are never more of them
- * than there are forwards, orders and probes out. What is there at a turn is one moment of the module.
+ * The decision thread: the one thread that owns an {@link InferenceCoordinator} and its router. Other threads pass events to it:
+ * new messages through a bounded queue, which rejects them when it is full, and results of what the coordinator sent through an
+ * unbounded queue, which never holds more of them than there are forwards, load orders and probes in flight. All events that
+ * are handled in one iteration form one event batch and have the same time.
  */
 public final class DecisionLoop implements Timers, AutoCloseable {
-    /** Events of one moment at most: some 2 ms of work, so that timers stay on time under any load. */
+    /** About 2 ms of work, so that timers stay on time under any load. */
     private static final int MAX_EVENTS_PER_BATCH = 512;
-    /** A wheel's tick: a quarter of the shortest module tick in use, so alarms come within it. */
+    /** A quarter of the router's shortest tick in use, so that timers fire within one such tick. */
     private static final long WHEEL_TICK_MICROS = 256;
-    private static final int WHEEL_TICKS = 8192; // two seconds a round: most timers end within one
-    /** Longest sleep while many timers are set: the wheel cannot say which is next. */
+    private static final int WHEEL_TICKS = 8192; // two seconds a revolution: most timers end within one
+    /** Shortest sleep, and the only one while many timers are set, since the wheel does not know which is next. */
     private static final long MIN_SLEEP_NANOS = 500_000;
     private static final long MAX_SLEEP_NANOS = 50_000_000;
-    /** So many are looked through for the next one before a sleep; an idle front end has a handful. */
+    /** Up to so many timers are scanned for the next one before a sleep; an idle front end has a handful. */
     private static final int MAX_TIMERS_TO_SCAN = 32;
-    /** Looks at the queues before it sleeps; some ten microseconds, less than a wake-up of a thread costs. */
+    /** Checks of the queues before a sleep: about ten microseconds, less than waking a thread costs. */
     private static final int SPINS_BEFORE_SLEEP = 200;
-    private static final double SLOW_BATCH_MILLIS = 10; // milliseconds; a few of the module's ticks
+    private static final double SLOW_BATCH_MILLIS = 10; // a few of the router's ticks
 
     private final MonotonicClock clock;
     private final MpscArrayQueue<Consumer<InferenceCoordinator>> messageQueue;
@@ -56,13 +57,17 @@
     private volatile Consumer<Throwable> failureListener = failure -> { };
     private final LongAdder eventFailures;
 
-    /** Who is to be told at {@code at}, module time. */
+    /** A timer that fires for {@code target} at {@code dueAt}, monotonic time in milliseconds. */
     private record Timer(double dueAt, Object target) { }
 
-    /** @param doorRoom messages that may wait to be looked at */
-    public DecisionLoop(String name, MonotonicClock clock, int doorRoom, Counts counts, Function<Timers, InferenceCoordinator> desk) {
+    /**
+     * @param messageCapacity how many messages may wait in the bounded queue
+     * @param coordinatorFactory creates the coordinator with this loop's timers
+     */
+    public DecisionLoop(String name, MonotonicClock clock, int messageCapacity, Counts counts,
+            Function<Timers, InferenceCoordinator> coordinatorFactory) {
         this.clock = clock;
-        messageQueue = new MpscArrayQueue<>(Math.max(4, doorRoom));
+        messageQueue = new MpscArrayQueue<>(Math.max(4, messageCapacity));
         messageQueueLimit = counts.limit("messages_at_the_door", messageQueue.capacity());
         batches = counts.counter("decision_turns");
         slowBatches = counts.counter("decision_turns_slow");
@@ -70,15 +75,15 @@
         eventsHandled = counts.counter("decision_events");
         eventFailures = counts.counter("event_failures");
         wheel = new DeadlineTimerWheel(TimeUnit.MICROSECONDS, toMicros(clock.now()), WHEEL_TICK_MICROS, WHEEL_TICKS);
-        this.coordinator = desk.apply(this);
+        this.coordinator = coordinatorFactory.apply(this);
         thread = new Thread(this::run, "decisions-" + name);
         thread.setDaemon(true);
     }
 
-    /** Work on the desk before the loop begins; messages may already wait at the door. */
+    /** Runs {@code work} on the coordinator before the thread is started; messages may already be queued. */
     public void runBeforeStart(Consumer<InferenceCoordinator> work) {
         if (thread.isAlive()) {
-            throw new IllegalStateException("the loop has begun");
+            throw new IllegalStateException("the decision thread has been started");
         }
         work.accept(coordinator);
     }
@@ -87,7 +92,7 @@
         thread.start();
     }
 
-    /** For a new message: false where too many wait already; it must then be shed, nothing of it was taken. */
+    /** Queues a new message. Returns false if the queue is full; the message was not accepted then and must be shed. */
     public boolean offer(Consumer<InferenceCoordinator> event) {
         if (!messageQueue.offer(event)) {
             messageQueueLimit.recordRejection();
@@ -97,26 +102,26 @@
         return true;
     }
 
-    /** For the end of something that the desk sent out, a leaving client, the roster: never refused. */
+    /** Queues the result of something that the coordinator sent, a client's disconnect or a roster update; never rejected. */
     public void post(Consumer<InferenceCoordinator> event) {
         postedEvents.offer(event);
         wakeUp();
     }
 
     private void wakeUp() {
-        // The offer must be seen before we look whether the loop sleeps, or it might sleep over it.
+        // The queued event must be visible before the flag is read, or the thread could go to sleep without having seen it.
         VarHandle.fullFence();
         if (asleep) {
             LockSupport.unpark(thread);
         }
     }
 
-    /** How late answers are, told by those who see it. Any thread. */
+    /** The recent delay of answers, to which other threads report what they measure. May be called from any thread. */
     public AnswerDelay answerDelay() {
         return coordinator.answerDelay();
     }
 
-    /** Whom exceptions are told that events let out; each costs that event alone. */
+    /** Sets the listener for exceptions thrown by events; an exception ends only the event that threw it. */
     public void setFailureListener(Consumer<Throwable> listener) {
         failureListener = listener;
     }
@@ -130,7 +135,7 @@
         }
     }
 
-    /** What ended the loop, null while it runs or after an orderly end. */
+    /** The error that ended the thread; null while it runs or after a regular end. */
     public Throwable fatalError() {
         return fatalError;
     }
@@ -147,11 +152,11 @@
         }
     }
 
-    /** One moment; false where nothing was there. */
+    /** Handles one event batch; returns false if there was nothing to handle. */
     private boolean runBatch() {
         double now = clock.now();
         long micros = toMicros(now);
-        // A poll moves the wheel by one tick at most.
+        // A poll advances the wheel by one tick at most.
         do {
             wheel.poll(micros, (unit, at, id) -> {
                 dueTimers.add(timers.remove(id));
@@ -163,14 +168,14 @@
         }
         runGuarded(() -> coordinator.beginBatch(now));
         int count = dueTimers.size();
-        double firstDue = now;
+        double firstDueAt = now;
         for (Timer timer : dueTimers) {
-            firstDue = Math.min(firstDue, timer.dueAt);
+            firstDueAt = Math.min(firstDueAt, timer.dueAt);
             runGuarded(() -> coordinator.onTimer(timer.target));
         }
-        boolean timed = !dueTimers.isEmpty();
+        boolean hadTimers = !dueTimers.isEmpty();
         dueTimers.clear();
-        // Ends first: they free lanes and owe nobody anything more.
+        // Posted events first: they free lanes and create no new obligations.
         for (Consumer<InferenceCoordinator> event; count < MAX_EVENTS_PER_BATCH && (event = postedEvents.relaxedPoll()) != null; count++) {
             handle(event);
         }
@@ -185,8 +190,8 @@
         if (end - now > SLOW_BATCH_MILLIS) {
             slowBatches.increment();
         }
-        if (timed) {
-            coordinator.answerDelay().recordDecisionDelay(end - firstDue, end);
+        if (hadTimers) {
+            coordinator.answerDelay().recordDecisionDelay(end - firstDueAt, end);
         }
         return true;
     }
@@ -215,11 +220,11 @@
         if (timers.size() > MAX_TIMERS_TO_SCAN) {
             return MIN_SLEEP_NANOS;
         }
-        double next = Double.POSITIVE_INFINITY;
+        double nextDueAt = Double.POSITIVE_INFINITY;
         for (Timer timer : timers.values()) {
-            next = Math.min(next, timer.dueAt);
+            nextDueAt = Math.min(nextDueAt, timer.dueAt);
         }
-        double millis = Math.max(0, next - clock.now());
+        double millis = Math.max(0, nextDueAt - clock.now());
         return Math.min(MAX_SLEEP_NANOS, Math.max(MIN_SLEEP_NANOS, (long) (millis * 1_000_000)));
     }
 
@@ -228,24 +233,24 @@
     }
 
     @Override
-    public long schedule(double at, Object whom) {
-        long from = Math.max(wheel.currentTickTime(), toMicros(at));
-        long id = wheel.scheduleTimer(from);
-        timers.put(id, new Timer(from / 1000.0, whom));
+    public long schedule(double at, Object target) {
+        long deadlineMicros = Math.max(wheel.currentTickTime(), toMicros(at));
+        long id = wheel.scheduleTimer(deadlineMicros);
+        timers.put(id, new Timer(deadlineMicros / 1000.0, target));
         return id;
     }
 
     @Override
-    public void cancel(long timer, Object whom) {
-        // The wheel gives the number of a timer that fired to a later one.
-        Timer set = timers.get(timer);
-        if (set != null && set.target == whom) {
-            wheel.cancelTimer(timer);
-            timers.remove(timer);
+    public void cancel(long id, Object target) {
+        // The wheel reuses the id of a timer that fired.
+        Timer timer = timers.get(id);
+        if (timer != null && timer.target == target) {
+            wheel.cancelTimer(id);
+            timers.remove(id);
         }
     }
 
-    /** Ends the thread; what it still owed stays owed, so close only when nothing is, or at the very end. */
+    /** Ends the thread. Answers that are still owed are not sent, so call this only when there are none or the process ends. */
     @Override
     public void close() {
         stopping = true;
--- a/gateway/src/main/java/gradereach/loop/MonotonicClock.java
+++ b/gateway/src/main/java/gradereach/loop/MonotonicClock.java
@@ -3,23 +3,24 @@
 import gradereach.desk.InferenceCoordinator;
 import java.time.Instant;
 
-/** Module time: milliseconds that only go forward, and their relation to the wall's clock. */
+/** Monotonic time in milliseconds, and its conversion from and to wall clock time. */
 public interface MonotonicClock extends InferenceCoordinator.WallClock {
+    /** The current monotonic time in milliseconds. */
     double now();
 
     /**
-     * The machine's clocks. Module time begins a month after its zero: an executor that started before this process
-     * must not come out below zero, which means "long ago" to the module. The wall's clock is read once more at every
-     * conversion, so a step of it moves what is converted after it and nothing else.
+     * Returns a clock on the machine's clocks. Monotonic time starts at one month: the start time of an executor that started
+     * before this process must not become negative, which means "long ago" to the router. Each conversion reads the wall
+     * clock anew, so a step of the wall clock affects only later conversions.
      */
     static MonotonicClock system() {
         return new MonotonicClock() {
-            private static final double MONTH = 30d * 24 * 3600 * 1000;
-            private final long zero = System.nanoTime();
+            private static final double START_MILLIS = 30d * 24 * 3600 * 1000;
+            private final long startNanos = System.nanoTime();
 
             @Override
             public double now() {
-                return MONTH + (System.nanoTime() - zero) / 1e6;
+                return START_MILLIS + (System.nanoTime() - startNanos) / 1e6;
             }
 
             @Override
@@ -28,13 +29,13 @@
             }
 
             @Override
-            public double toUnixMillis(double moduleTime) {
-                return System.currentTimeMillis() - (now() - moduleTime);
+            public double toUnixMillis(double monotonicTime) {
+                return System.currentTimeMillis() - (now() - monotonicTime);
             }
 
             @Override
-            public Instant toInstant(double moduleTime) {
-                return Instant.ofEpochMilli(System.currentTimeMillis() - (long) (now() - moduleTime));
+            public Instant toInstant(double monotonicTime) {
+                return Instant.ofEpochMilli(System.currentTimeMillis() - (long) (now() - monotonicTime));
             }
         };
     }
--- a/gateway/src/main/java/gradereach/loop/RetryingServerSocketChannel.java
+++ b/gateway/src/main/java/gradereach/loop/RetryingServerSocketChannel.java
@@ -2,9 +2,9 @@
 
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 
-/** A listener that {@link AcceptRetry} watches, also where a library puts its pipeline together. */
+/** A listener with an {@link AcceptRetryHandler}, also where a library assembles the pipeline. */
 public final class RetryingServerSocketChannel extends NioServerSocketChannel {
-    /** For Netty, which makes channels of their class. */
+    /** Called by Netty, which creates channels by reflection. */
     public RetryingServerSocketChannel() {
         pipeline().addLast(new AcceptRetryHandler());
     }
--- a/gateway/src/main/java/gradereach/loop/StallDetector.java
+++ b/gateway/src/main/java/gradereach/loop/StallDetector.java
@@ -4,14 +4,14 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Notices that this whole process stood still. What is read right after a halt may have come at any time during it: its
- * client's clock is taken to run from the halt's start. Guards against spending time on inferences whose clients have
- * given up; harms only what truly came right after a halt, by at most its length.
+ * Detects that the whole process was stalled. What is read right after a stall may have arrived at any time during it, so its
+ * client is assumed to have waited since the start of the stall. This guards against spending time on inferences whose clients
+ * have given up; a message that really arrived right after a stall loses at most the length of the stall.
  */
 public final class StallDetector implements DoubleSupplier, AutoCloseable {
     private static final long CHECK_INTERVAL_NANOS = 5_000_000;
-    private static final double STALL_THRESHOLD_MILLIS = 50; // as the module has it: longer than a busy machine's scheduling
-    private static final double BACKLOG_READ_MILLIS = 100; // a backlog of sockets is read within this
+    private static final double STALL_THRESHOLD_MILLIS = 50; // as in the router: longer than scheduling delays of a busy machine
+    private static final double BACKLOG_READ_MILLIS = 100; // what arrived on sockets during a stall is read within this time
 
     private final DoubleSupplier clock;
     private final Thread thread;
@@ -32,22 +32,23 @@
         thread.setDaemon(true);
     }
 
-    /** Before this no halt is seen: a process that starts takes its time. */
+    /** Starts detection; before this, no stall is detected, since the start of a process takes its time. */
     public void start() {
         lastTick = clock.getAsDouble();
         thread.start();
     }
 
+    /** Records that the process runs; a long gap since the last tick is a stall. */
     void recordTick(double now) {
-        double before = lastTick;
-        if (now - before > STALL_THRESHOLD_MILLIS) {
-            stallStart = before;
+        double previousTick = lastTick;
+        if (now - previousTick > STALL_THRESHOLD_MILLIS) {
+            stallStart = previousTick;
             stallEnd = now;
         }
         lastTick = now;
     }
 
-    /** The earliest time at which what is read now may have come; module time. */
+    /** The earliest time at which data that is read now may have arrived; monotonic time. */
     @Override
     public double getAsDouble() {
         double now = clock.getAsDouble();
--- a/gateway/src/main/java/gradereach/loop/StartRetry.java
+++ b/gateway/src/main/java/gradereach/loop/StartRetry.java
@@ -7,12 +7,12 @@
 import java.util.function.Consumer;
 
 /**
- * Repeats a step of a process's start that failed: opening a listener, or what lasts on a disk. The system may be out of
- * descriptors, buffers or memory for a moment, a write may fail for a while, and a process that is ending may still hold the
- * address: that is tried again for some seconds before the start fails.
+ * Retries a failed step of the process's start, such as opening a listener or a file that must be durable. The system may be
+ * briefly out of file descriptors, buffers or memory, a write may fail for a while, and a process that is ending may still hold
+ * the address. Such failures are retried for some seconds before the start fails.
  */
 public final class StartRetry {
-    /** Of the 30 seconds within which a restarted process has to be ready, warm-up and reading of a ledger come first. */
+    /** A restarted process has to be ready within 30 seconds, and the warm-up and reading of the ledger need most of them. */
     private static final long RETRY_TIMEOUT_NANOS = Duration.ofSeconds(10).toNanos();
     private static final long RETRY_INTERVAL_MILLIS = 50;
     private static final String ADDRESS_IN_USE = "Address already in use";
@@ -22,31 +22,31 @@
     /**
      * Returns what {@code step} returns once it succeeds.
      *
-     * @param wanted whether it goes on; the last failure is thrown otherwise
-     * @param firstFailure told the first one that is tried again
+     * @param shouldContinue whether to retry; if false, the last failure is thrown
+     * @param onFirstFailure receives the first failure that is retried
      */
-    public static <T> T run(Callable<T> step, BooleanSupplier wanted, Consumer<Exception> firstFailure) throws Exception {
-        long begun = System.nanoTime();
-        boolean told = false;
+    public static <T> T run(Callable<T> step, BooleanSupplier shouldContinue, Consumer<Exception> onFirstFailure) throws Exception {
+        long startedAt = System.nanoTime();
+        boolean reported = false;
         while (true) {
             try {
                 return step.call();
             } catch (InterruptedException e) {
                 throw e;
             } catch (Exception e) {
-                if (!isTransient(e) || !wanted.getAsBoolean() || System.nanoTime() - begun > RETRY_TIMEOUT_NANOS) {
+                if (!isTransient(e) || !shouldContinue.getAsBoolean() || System.nanoTime() - startedAt > RETRY_TIMEOUT_NANOS) {
                     throw e;
                 }
-                if (!told) {
-                    firstFailure.accept(e);
-                    told = true;
+                if (!reported) {
+                    onFirstFailure.accept(e);
+                    reported = true;
                 }
                 Thread.sleep(RETRY_INTERVAL_MILLIS);
             }
         }
     }
 
-    /** An address that is not this machine's, or that the process may not take, stays so. */
+    /** Every failure except that to bind an address that is not this machine's or that the process may not use. */
     private static boolean isTransient(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof BindException) {
--- a/gateway/src/main/java/gradereach/loop/UnreadBytes.java
+++ b/gateway/src/main/java/gradereach/loop/UnreadBytes.java
@@ -4,21 +4,22 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Reads what has arrived on a socket and not been read yet. A connection that is about to be closed for being quiet may
- * hold the next request: the event loop comes to its sockets one after the other, and not at all while it stands still.
+ * Reads what has arrived on a socket and has not been read yet. A connection that is about to be closed for being idle may
+ * already hold the next request, since the event loop serves its sockets one after the other, and none during a stall.
  */
 public final class UnreadBytes {
-    /** Turns of reading at most; a sender at full speed is not followed for ever. */
+    /** Bounds the loop, since a fast sender could keep it busy forever. */
     private static final int MAX_READ_CALLS = 32;
 
     private UnreadBytes() { }
 
     /**
-     * Passes what is there through the channel's pipeline; on its event loop. The channel may be closed after it. A turn ends
-     * with a read that brings less than it might, which is no sign that there is nothing more.
+     * Reads the available bytes through the channel's pipeline. Must be called on the channel's event loop; the channel may be
+     * closed afterwards. Reads until nothing is returned: Netty's read call ends after a short read, which does not mean that
+     * nothing more is available.
      */
     public static void read(Channel channel) {
-        for (int turn = 0; turn < MAX_READ_CALLS; turn++) {
+        for (int call = 0; call < MAX_READ_CALLS; call++) {
             if (!channel.isActive() || !(channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket)) {
                 return;
             }
