--- a/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
@@ -137,8 +137,8 @@
         };
         forward.stream = unaryPool(forward.endpoint).send(writeCondition(forward), "POST",
                 inferPaths.computeIfAbsent(forward.modelName(), model -> "/v2/models/" + urlEncode(model) + "/infer"),
-                forward.input().json(), listener, "content-type", "application/json", "x-request-id", forward.forwardId(), "idempotency-key",
-                forward.dedupKey(), "user-agent", userAgent);
+                forward.input().json(), listener, "content-type", "application/json", "x-request-id", forward.forwardId(),
+                "idempotency-key", forward.dedupKey(), "user-agent", userAgent);
         if (inferPaths.size() > MAX_CACHED_PATHS) {
             inferPaths.clear();
         }
@@ -214,8 +214,8 @@
     static final String FENCED_HEADER = "forward-fenced";
     private static final long INQUIRY_TIMEOUT_MILLIS = 2000;
     /**
-     * In place of a forward's id, which always contains a #: an inquiry about no forward, sent for the process identity that every
-     * reply contains.
+     * In place of a forward's id, which always contains a #: an inquiry about no forward, sent for the process identity that
+     * every reply contains.
      */
     private static final String NO_FORWARD = "none";
 
--- a/gateway/src/main/java/gradereach/roster/RosterTracker.java
+++ b/gateway/src/main/java/gradereach/roster/RosterTracker.java
@@ -12,16 +12,16 @@
 import java.util.Objects;
 
 /**
- * What the roster says now, kept by slices, told on by differences. An executor may move from one slice to another,
- * or stand in two for a while: it is gone only when no slice names it, and ready only if one says so.
+ * Holds the current slices of the roster and publishes changes. An executor may move from one slice to another or be in two
+ * for a while: it is removed only when no slice contains it, and ready if one slice says so.
  *
- * Lists replace all; a watch's events replace slices. What is wanted is the union of the slices; {@link #tell} works
- * out the difference to what was told last. A bad slice changes nothing: its earlier self stays.
+ * A list replaces all slices, a watch event replaces one. The roster is the union of the slices; {@link #publish} computes the
+ * difference to what was published last. A malformed slice changes nothing: its previous version stays.
  */
 public final class RosterTracker {
-    /** Goes to the desk: a form and its lines. */
+    /** Receives roster updates: the full roster or the changed entries. */
     public interface RosterUpdateListener {
-        void onRosterUpdate(RosterUpdateKind form, List<RosterEntry> lines);
+        void onRosterUpdate(RosterUpdateKind kind, List<RosterEntry> entries);
     }
 
     private final EndpointSliceParser parser;
@@ -31,53 +31,54 @@
     private boolean fullRosterPublished;
     private String resourceVersion = "";
 
-    public RosterTracker(EndpointSliceParser format, RosterUpdateListener hearer) {
-        this.parser = format;
-        this.listener = hearer;
+    public RosterTracker(EndpointSliceParser parser, RosterUpdateListener listener) {
+        this.parser = parser;
+        this.listener = listener;
     }
 
-    /** The {@code resourceVersion} to watch from. */
+    /** The {@code resourceVersion} to start a watch from. */
     public String resourceVersion() {
         return resourceVersion;
     }
 
+    /** How many executors were published last. */
     public int size() {
         return published.size();
     }
 
     /**
-     * A whole list ({@code EndpointSliceList}). Where a slice of it is bad, the good ones are used, since they may tell of
-     * executors that drain, and whatever the list lacks stays as it was.
+     * Applies a full list ({@code EndpointSliceList}). If a slice is malformed, the other slices of the list are still applied,
+     * since they may report draining executors, and slices that are missing from the list stay.
      */
     public void applyList(JsonNode list) throws MalformedRosterException {
         JsonNode items = list.path("items");
         if (!items.isArray()) {
-            throw new MalformedRosterException("items: no list");
+            throw new MalformedRosterException("items: not an array");
         }
-        Map<String, List<RosterEntry>> fresh = new LinkedHashMap<>();
-        MalformedRosterException bad = null;
+        Map<String, List<RosterEntry>> parsed = new LinkedHashMap<>();
+        MalformedRosterException malformed = null;
         for (JsonNode slice : items) {
             try {
-                fresh.put(EndpointSliceParser.sliceName(slice), parser.parseExecutors(slice));
+                parsed.put(EndpointSliceParser.sliceName(slice), parser.parseExecutors(slice));
             } catch (MalformedRosterException e) {
-                bad = e;
+                malformed = e;
             }
         }
-        if (bad != null) {
-            slices.putAll(fresh);
+        if (malformed != null) {
+            slices.putAll(parsed);
             publish(false);
-            throw bad;
+            throw malformed;
         }
         slices.clear();
-        slices.putAll(fresh);
+        slices.putAll(parsed);
         resourceVersion = list.path("metadata").path("resourceVersion").asText("");
         publish(true);
     }
 
     /**
-     * One event of a watch (API concepts, "Efficient detection of changes"): ADDED, MODIFIED, DELETED, BOOKMARK.
+     * Applies one event of a watch (API concepts, "Efficient detection of changes"): ADDED, MODIFIED, DELETED, BOOKMARK.
      *
-     * @return false where the watch must be begun anew with a list: ERROR, most often 410 Gone
+     * @return false if the list must be fetched again before watching further: ERROR, usually 410 Gone
      */
     public boolean applyWatchEvent(JsonNode event) throws MalformedRosterException {
         JsonNode object = event.path("object");
@@ -88,39 +89,40 @@
             case "ERROR" -> {
                 return false;
             }
-            default -> throw new MalformedRosterException("type: none of the watch's");
+            default -> throw new MalformedRosterException("type: not a watch event type");
         }
         resourceVersion = object.path("metadata").path("resourceVersion").asText(resourceVersion);
         publish(false);
         return true;
     }
 
-    private void publish(boolean all) {
-        Map<String, RosterEntry> wanted = new LinkedHashMap<>();
-        for (List<RosterEntry> lines : slices.values()) {
-            for (RosterEntry line : lines) {
-                wanted.merge(line.address(), line, (a, b) -> a.state() == ExecutorState.READY ? a : b);
+    /** Notifies the listener of the difference to what was published last; {@code fullList} if a complete list was applied. */
+    private void publish(boolean fullList) {
+        Map<String, RosterEntry> current = new LinkedHashMap<>();
+        for (List<RosterEntry> entries : slices.values()) {
+            for (RosterEntry entry : entries) {
+                current.merge(entry.address(), entry, (a, b) -> a.state() == ExecutorState.READY ? a : b);
             }
         }
         List<RosterEntry> changed = new ArrayList<>();
-        for (RosterEntry line : wanted.values()) {
-            if (!Objects.equals(published.get(line.address()), line)) {
-                changed.add(line);
+        for (RosterEntry entry : current.values()) {
+            if (!Objects.equals(published.get(entry.address()), entry)) {
+                changed.add(entry);
             }
         }
-        for (RosterEntry line : published.values()) {
-            if (!wanted.containsKey(line.address())) {
-                changed.add(line.asRemoved());
+        for (RosterEntry entry : published.values()) {
+            if (!current.containsKey(entry.address())) {
+                changed.add(entry.asRemoved());
             }
         }
-        // Told first: where the hearer fails, it is told again with the next list.
-        if (!fullRosterPublished || all && !changed.isEmpty()) {
-            listener.onRosterUpdate(RosterUpdateKind.FULL, List.copyOf(wanted.values()));
+        // The listener is notified first: if it fails, the same changes are published again with the next list.
+        if (!fullRosterPublished || fullList && !changed.isEmpty()) {
+            listener.onRosterUpdate(RosterUpdateKind.FULL, List.copyOf(current.values()));
             fullRosterPublished = true;
         } else if (!changed.isEmpty()) {
             listener.onRosterUpdate(RosterUpdateKind.CHANGES, changed);
         }
         published.clear();
-        published.putAll(wanted);
+        published.putAll(current);
     }
 }
--- a/gateway/src/main/java/gradereach/roster/RosterWatch.java
+++ b/gateway/src/main/java/gradereach/roster/RosterWatch.java
@@ -30,35 +30,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a {@link RosterBook} up to date from an API server (list, then watch) or from a file that is replaced. One
- * daemon thread; whatever fails is said, counted and tried again, while the old roster stays. Until when that counts as
- * complete is told to a {@link ValidityListener}. A watch ends after a stated time by itself: one that does not, or whose
- * server has gone without a word, is ended here, since nothing would be heard on it any more.
+ * Keeps a {@link RosterTracker} up to date from an API server (list, then watch) or from a file that is replaced. Uses one
+ * daemon thread; a failure is logged, counted and retried, while the previous roster stays. A {@link ValidityListener} is
+ * notified of how long the roster counts as complete. The server ends a watch after the requested time; a watch that it does
+ * not end, for instance because the server vanished without closing the connection, is closed here, since no more events
+ * would arrive on it.
  */
 public final class RosterWatch implements AutoCloseable {
-    /** Told up to when the roster counts as complete; module time in milliseconds. */
+    /** Notified of when the roster counts as complete; monotonic time in milliseconds. */
     @FunctionalInterface
     public interface ValidityListener {
         /**
-         * @param confirmedAt when it was last known to be complete
-         * @param until from when on a change may have been missed
+         * @param confirmedAt when the roster was last known to be complete
+         * @param validUntil from when on a change may have been missed
          */
-        void onValidityChanged(double confirmedAt, double until);
+        void onValidityChanged(double confirmedAt, double validUntil);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(RosterWatch.class);
     private static final String SLICES_PATH = "/apis/discovery.k8s.io/v1/endpointslices";
     private static final ObjectMapper JSON = JsonMapper.builder(JsonFactory.builder().streamReadConstraints(
             StreamReadConstraints.builder().maxNestingDepth(64).build()).build()).build();
-    /** First wait after a failure, doubled up to the longest: a roster that is away is not beaten on. */
+    /** Backoff after a failure, doubled up to the maximum so that an unavailable server is not overloaded. */
     private static final long INITIAL_BACKOFF_MILLIS = 200;
     private static final long MAX_BACKOFF_MILLIS = 5000;
     /**
-     * For how long something is relied on.
+     * Durations of watches and of the roster's validity.
      *
-     * @param watchLasts for how long a watch is asked: a server that is alive ends it then
-     * @param watchLate how much later that end has come, were the server alive
-     * @param validAfterFailure how long the roster counts as complete once it cannot be read
+     * @param watchDuration requested duration of a watch, after which the server ends it
+     * @param watchGracePeriod how much later a live server has ended the watch at the latest
+     * @param validAfterFailure how long the roster counts as complete after it could not be read
      */
     record Timing(Duration watchDuration, Duration watchGracePeriod, Duration validAfterFailure) {
         long maxWatchMillis() {
@@ -66,9 +67,9 @@
         }
     }
 
-    /** After a failure a few tries. */
+    /** Allows for a few retries after a failure. */
     private static final Timing DEFAULT_TIMING = new Timing(Duration.ofSeconds(30), Duration.ofSeconds(5), Duration.ofSeconds(4));
-    /** A file is looked at this often: as fast as a watch would tell. */
+    /** Changes of a file are noticed as fast as those of a watch. */
     private static final long FILE_POLL_INTERVAL_MILLIS = 100;
 
     private final RosterTracker tracker;
@@ -98,22 +99,22 @@
     private double validUntil = Double.POSITIVE_INFINITY;
 
     /**
-     * Either {@code server} or {@code file} is null.
+     * Reads the roster from {@code server} or from {@code file}; the other one is null.
      *
-     * @param clock module time in milliseconds
+     * @param clock monotonic time in milliseconds
      */
-    public RosterWatch(RosterTracker book, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validity,
+    public RosterWatch(RosterTracker tracker, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validityListener,
             Counts counts) {
-        this(book, name, server, file, clock, validity, DEFAULT_TIMING, counts);
+        this(tracker, name, server, file, clock, validityListener, DEFAULT_TIMING, counts);
     }
 
-    RosterWatch(RosterTracker book, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validity,
+    RosterWatch(RosterTracker tracker, String name, URI server, Path file, DoubleSupplier clock, ValidityListener validityListener,
             Timing timing, Counts counts) {
         this.clock = clock;
-        this.validityListener = validity;
+        this.validityListener = validityListener;
         this.timing = timing;
         silentWatches = counts.counter("roster_silent_watches");
-        this.tracker = book;
+        this.tracker = tracker;
         userAgent = "gradereach/" + name;
         this.server = server;
         this.file = file;
@@ -130,31 +131,31 @@
     }
 
     private void run() {
-        long wait = INITIAL_BACKOFF_MILLIS;
+        long backoffMillis = INITIAL_BACKOFF_MILLIS;
         while (!closing) {
             try {
                 if (file != null) {
                     pollFile();
                 } else {
                     fetchList();
-                    wait = INITIAL_BACKOFF_MILLIS;
+                    backoffMillis = INITIAL_BACKOFF_MILLIS;
                     followWatch();
                 }
             } catch (IOException | MalformedRosterException | RuntimeException e) {
-                // Whatever breaks: this thread goes on, or nobody would hear of a change again.
+                // The thread continues after any failure; otherwise no change would be noticed any more.
                 if (closing) {
                     return;
                 }
                 failures.increment();
                 limitValidity(clock.getAsDouble() + timing.validAfterFailure.toMillis());
-                LOG.atWarn().addKeyValue("from", file != null ? file : server).addKeyValue("wait_ms", wait)
-                        .log("roster not read, the old one stays: {}", FailureText.describe(e));
-                wait = Math.min(MAX_BACKOFF_MILLIS, wait * 2);
+                LOG.atWarn().addKeyValue("from", file != null ? file : server).addKeyValue("wait_ms", backoffMillis)
+                        .log("could not read the roster, keeping the previous one: {}", FailureText.describe(e));
+                backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
             } catch (InterruptedException e) {
                 return;
             }
             try {
-                Thread.sleep(wait / 2 + jitter.nextInt((int) wait));
+                Thread.sleep(backoffMillis / 2 + jitter.nextInt((int) backoffMillis));
             } catch (InterruptedException e) {
                 return;
             }
@@ -162,21 +163,21 @@
     }
 
     private void fetchList() throws IOException, InterruptedException, MalformedRosterException {
-        double askedAt = clock.getAsDouble();
-        HttpResponse<InputStream> answer = get("", Duration.ofSeconds(5));
-        try (InputStream body = answer.body()) {
+        double requestedAt = clock.getAsDouble();
+        HttpResponse<InputStream> response = get("", Duration.ofSeconds(5));
+        try (InputStream body = response.body()) {
             tracker.applyList(JSON.readTree(body));
         }
         lists.increment();
-        confirm(askedAt, timing.maxWatchMillis());
+        confirm(requestedAt, timing.maxWatchMillis());
     }
 
-    /** Returns where the server ended the watch or it has to be begun anew. */
+    /** Applies watch events; returns when the server has ended the watch or the list must be fetched again. */
     private void followWatch() throws IOException, InterruptedException {
-        HttpResponse<InputStream> answer = get("?watch=1&allowWatchBookmarks=true&timeoutSeconds=" + timing.watchDuration.toSeconds()
+        HttpResponse<InputStream> response = get("?watch=1&allowWatchBookmarks=true&timeoutSeconds=" + timing.watchDuration.toSeconds()
                 + "&resourceVersion=" + tracker.resourceVersion(), Duration.ofSeconds(5));
-        Future<?> silentEnd = watchdog.schedule(() -> endSilentWatch(answer.body()), timing.maxWatchMillis(), TimeUnit.MILLISECONDS);
-        try (InputStream body = answer.body();
+        Future<?> silenceTimeout = watchdog.schedule(() -> endSilentWatch(response.body()), timing.maxWatchMillis(), TimeUnit.MILLISECONDS);
+        try (InputStream body = response.body();
                 MappingIterator<JsonNode> events = JSON.readerFor(JsonNode.class).readValues(body)) {
             openWatch = body;
             while (!closing && events.hasNextValue()) {
@@ -187,44 +188,44 @@
                     watchEvents.increment();
                 } catch (MalformedRosterException e) {
                     badSlices.increment();
-                    LOG.warn("a slice was passed over, its earlier self stays: {}", e.getMessage());
+                    LOG.warn("ignoring a malformed slice, keeping its previous version: {}", e.getMessage());
                 }
             }
         } finally {
             openWatch = null;
-            silentEnd.cancel(false);
+            silenceTimeout.cancel(false);
         }
     }
 
-    /** Its server should have ended it by now: what it would have told has not come. */
+    /** The server should have ended the watch by now, so events may have been missed. */
     private void endSilentWatch(InputStream body) {
         silentWatches.increment();
-        LOG.warn("a watch of the roster was not ended by its server in time and is begun anew");
+        LOG.warn("the server did not end the roster watch in time, restarting it");
         closeQuietly(body);
     }
 
-    private HttpResponse<InputStream> get(String query, Duration patience) throws IOException, InterruptedException {
-        // The time-out runs until the head of the answer; a watch's body then stays open.
-        HttpResponse<InputStream> answer = client.send(HttpRequest.newBuilder(server.resolve(SLICES_PATH + query))
-                .timeout(patience).header("accept", "application/json").header("user-agent", userAgent).build(),
+    private HttpResponse<InputStream> get(String query, Duration timeout) throws IOException, InterruptedException {
+        // The timeout covers the time until the response headers; the body of a watch stays open.
+        HttpResponse<InputStream> response = client.send(HttpRequest.newBuilder(server.resolve(SLICES_PATH + query))
+                .timeout(timeout).header("accept", "application/json").header("user-agent", userAgent).build(),
                 HttpResponse.BodyHandlers.ofInputStream());
-        if (answer.statusCode() != 200) {
-            answer.body().close();
-            throw new IOException("roster answered " + answer.statusCode());
+        if (response.statusCode() != 200) {
+            response.body().close();
+            throw new IOException("the roster server answered with status " + response.statusCode());
         }
-        return answer;
+        return response;
     }
 
     private void pollFile() throws IOException, InterruptedException, MalformedRosterException {
-        FileTime seen = null;
-        long size = -1;
+        FileTime lastModified = null;
+        long lastSize = -1;
         while (!closing) {
-            FileTime changed = Files.getLastModifiedTime(file);
-            if (!changed.equals(seen) || Files.size(file) != size) {
+            FileTime modified = Files.getLastModifiedTime(file);
+            if (!modified.equals(lastModified) || Files.size(file) != lastSize) {
                 JsonNode list = JSON.readTree(file.toFile());
                 tracker.applyList(list);
-                seen = changed;
-                size = Files.size(file);
+                lastModified = modified;
+                lastSize = Files.size(file);
                 lists.increment();
             }
             confirm(clock.getAsDouble(), timing.validAfterFailure.toMillis());
@@ -232,12 +233,14 @@
         }
     }
 
-    private void confirm(double at, double lasts) {
+    /** The roster was complete at {@code at} and counts as complete for {@code validMillis}. */
+    private void confirm(double at, double validMillis) {
         confirmedAt = at;
-        validUntil = at + lasts;
+        validUntil = at + validMillis;
         validityListener.onValidityChanged(confirmedAt, validUntil);
     }
 
+    /** The roster counts as complete until {@code latest} at most. */
     private void limitValidity(double latest) {
         if (latest < validUntil) {
             validUntil = latest;
@@ -260,7 +263,7 @@
         try {
             body.close();
         } catch (IOException e) {
-            // it is let go of either way
+            // nothing more can be done to close it
         }
     }
 }
--- a/gateway/src/test/java/gradereach/http2/Http2ConnectionPoolTest.java
+++ b/gateway/src/test/java/gradereach/http2/Http2ConnectionPoolTest.java
@@ -44,7 +44,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A pool against a server that does to a stream what its path says. */
+/** Runs a pool against a server that treats each stream as its path requests. */
 @Timeout(30)
 class Http2ConnectionPoolTest {
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -72,27 +72,28 @@
         pool = pool((InetSocketAddress) server.localAddress(), 60_000);
     }
 
-    private Http2ConnectionPool pool(InetSocketAddress at, double idle) {
-        return new Http2ConnectionPool(at, loops.next(), NioSocketChannel.class, new Http2ConnectionPool.Limits(2, 4, 500, idle, 1000, 1 << 16),
+    private Http2ConnectionPool pool(InetSocketAddress peer, double idleTimeoutMillis) {
+        return new Http2ConnectionPool(peer, loops.next(), NioSocketChannel.class,
+                new Http2ConnectionPool.Limits(2, 4, 500, idleTimeoutMillis, 1000, 1 << 16),
                 new Http2ConnectionPool.Metrics(counts, "test"), () -> System.nanoTime() / 1e6);
     }
 
-    /** No descriptor is left for it. */
+    /** Fails as when no file descriptor is left. */
     public static final class FailingSocketChannel extends NioSocketChannel {
         public FailingSocketChannel() {
             throw new ChannelException("Too many open files");
         }
     }
 
-    /** Netty tells of a channel that could not be made on a thread of its own; all of a pool is its event loop's. */
+    /** Netty reports a failure to create a channel on another thread, but the state of a pool belongs to its event loop. */
     @Test
     void channelCreationFailureEndsRequestsOnEventLoop() throws Exception {
         EventLoop loop = loops.next();
-        Http2ConnectionPool none = new Http2ConnectionPool((InetSocketAddress) server.localAddress(), loop, FailingSocketChannel.class,
-                new Http2ConnectionPool.Limits(2, 4, 500, 60_000, 1000, 1 << 16), new Http2ConnectionPool.Metrics(counts, "test"),
-                () -> System.nanoTime() / 1e6);
+        Http2ConnectionPool failingPool = new Http2ConnectionPool((InetSocketAddress) server.localAddress(), loop,
+                FailingSocketChannel.class, new Http2ConnectionPool.Limits(2, 4, 500, 60_000, 1000, 1 << 16),
+                new Http2ConnectionPool.Metrics(counts, "test"), () -> System.nanoTime() / 1e6);
         for (int i = 0; i < 3; i++) {
-            none.send("GET", "/", new byte[0], (end, status, headers, body) -> results.add(end + " " + loop.inEventLoop()));
+            failingPool.send("GET", "/", new byte[0], (result, status, headers, body) -> results.add(result + " " + loop.inEventLoop()));
             assertEquals("NOT_CONNECTED true", results.poll(5, TimeUnit.SECONDS));
         }
     }
@@ -119,7 +120,7 @@
                 case "/half" -> {
                     ctx.write(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().status("200")));
                     ctx.writeAndFlush(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(new byte[10])))
-                            .addListener(w -> ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL)));
+                            .addListener(write -> ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL)));
                 }
                 case "/goaway" -> ctx.channel().parent().writeAndFlush(
                         new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(0));
@@ -139,29 +140,29 @@
         }
     }
 
-    private Http2ConnectionPool.Request send(Http2ConnectionPool to, String path) {
-        return to.send("GET", path, new byte[0], (end, status, headers, body) ->
-                results.add(path + " " + end + (end == ExchangeResult.ANSWERED ? " " + status + " " + body.length : "")));
+    private Http2ConnectionPool.Request send(Http2ConnectionPool target, String path) {
+        return target.send("GET", path, new byte[0], (result, status, headers, body) ->
+                results.add(path + " " + result + (result == ExchangeResult.ANSWERED ? " " + status + " " + body.length : "")));
     }
 
     @ParameterizedTest
     @CsvSource({"/x, ANSWERED 200 3", "/early, ANSWERED 200 3", "/refuse, REFUSED", "/reset, RESET", "/close, LOST",
         "/half, RESET", "/long, TOO_LONG"})
-    void reportsEachResultExactlyOnce(String path, String end) throws InterruptedException {
+    void reportsEachResultExactlyOnce(String path, String result) throws InterruptedException {
         send(pool, path);
-        assertEquals(path + " " + end, results.take());
-        // The pool goes on after each of them.
+        assertEquals(path + " " + result, results.take());
+        // The pool still works after each of them.
         send(pool, "/again");
         assertEquals("/again ANSWERED 200 3", results.take());
         assertEquals(0, results.size());
     }
 
-    /** While its connection came up, its executor began to drain or its client left. */
+    /** As when the executor began to drain, or the client disconnected, while the connection was being established. */
     @Test
     void requestNotWrittenWhenWriteConditionIsFalse() throws InterruptedException {
-        pool.send(() -> false, "GET", "/ok", new byte[0], (end, status, headers, body) -> results.add(end + ""));
+        pool.send(() -> false, "GET", "/ok", new byte[0], (result, status, headers, body) -> results.add(result + ""));
         assertEquals("NOT_WRITTEN", results.poll(20, TimeUnit.SECONDS));
-        pool.send(() -> true, "GET", "/ok", new byte[0], (end, status, headers, body) -> results.add(end + ""));
+        pool.send(() -> true, "GET", "/ok", new byte[0], (result, status, headers, body) -> results.add(result + ""));
         assertEquals("ANSWERED", results.poll(20, TimeUnit.SECONDS));
     }
 
@@ -172,13 +173,13 @@
         assertEquals("/x ANSWERED 200 3", results.take());
         request.cancel();
         assertEquals("/never GIVEN_UP", results.take());
-        // Nobody listens there: it waits for a connection when it is given up, or has just failed.
-        Http2ConnectionPool blocked = pool(new InetSocketAddress("127.0.0.1", 1), 60_000);
-        send(blocked, "/y");
+        // Nothing listens on this port.
+        Http2ConnectionPool unreachable = pool(new InetSocketAddress("127.0.0.1", 1), 60_000);
+        send(unreachable, "/y");
         assertEquals("/y NOT_CONNECTED", results.take());
     }
 
-    /** The server says with GOAWAY that it takes nothing after the first stream: others go to a new connection. */
+    /** After a GOAWAY, new streams go to a new connection, while streams at or below its last id continue. */
     @Test
     void goAwayMovesNewStreamsToNewConnection() throws InterruptedException {
         send(pool, "/x");
@@ -195,7 +196,7 @@
         assertEquals("/never GIVEN_UP", results.take());
     }
 
-    /** Two streams a connection by the peer's word, two connections by ours: the rest waits, and some is turned away. */
+    /** The peer allows two streams a connection and the pool two connections; a request beyond that fails and proves not to have run. */
     @Test
     void respectsLimitsOfPeerAndPool() throws InterruptedException {
         send(pool, "/x");
@@ -208,7 +209,7 @@
             Thread.onSpinWait();
         }
         send(pool, "/full");
-        // The second connection's SETTINGS may still be on their way: then the peer says it. Either proves it never ran.
+        // If the second connection's SETTINGS have not arrived yet, the peer refuses the stream. Both prove that it never ran.
         assertTrue(Set.of("/full NO_STREAM", "/full REFUSED").contains(results.take()));
         open.get(0).cancel();
         assertEquals("/never GIVEN_UP", results.take());
@@ -218,27 +219,27 @@
 
     @Test
     void idleConnectionsClose() throws InterruptedException {
-        Http2ConnectionPool brief = pool((InetSocketAddress) server.localAddress(), 40);
-        send(brief, "/x");
+        Http2ConnectionPool shortIdlePool = pool((InetSocketAddress) server.localAddress(), 40);
+        send(shortIdlePool, "/x");
         results.take();
         while (counts.value("test_connections_closed_idle") == 0) {
             Thread.sleep(5);
         }
-        send(brief, "/x");
+        send(shortIdlePool, "/x");
         assertEquals("/x ANSWERED 200 3", results.take());
     }
 
-    /** A server that accepts and says nothing: no answer proves nothing, and the link is not used again. */
+    /** The server accepts and never sends anything: the request may have run, and the connection takes no new streams. */
     @Test
     void silentConnectionIsReplaced() throws Exception {
-        try (ServerSocket mute = new ServerSocket(0, 10, java.net.InetAddress.getLoopbackAddress())) {
-            Http2ConnectionPool muted = pool(new InetSocketAddress("127.0.0.1", mute.getLocalPort()), 60_000);
-            Http2ConnectionPool.Request first = send(muted, "/x");
+        try (ServerSocket silentServer = new ServerSocket(0, 10, java.net.InetAddress.getLoopbackAddress())) {
+            Http2ConnectionPool silentPool = pool(new InetSocketAddress("127.0.0.1", silentServer.getLocalPort()), 60_000);
+            Http2ConnectionPool.Request first = send(silentPool, "/x");
             Thread.sleep(1200);
             first.cancel();
             assertEquals("/x GIVEN_UP", results.take());
             assertEquals(1, counts.value("test_connections_gone_silent"));
-            send(muted, "/y").cancel();
+            send(silentPool, "/y").cancel();
             results.take();
         }
     }
--- a/gateway/src/test/java/gradereach/http2/StalledPeerTest.java
+++ b/gateway/src/test/java/gradereach/http2/StalledPeerTest.java
@@ -42,12 +42,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What was handed to a connection and waits there is written only as long as it may be. */
+/** A request that was handed to a connection and waits there must not be written once its write condition no longer holds. */
 @Timeout(60)
 class StalledPeerTest {
     private static final String BODY = "a body that must not come late";
     private static final byte[] EMPTY_BODY = new byte[0];
-    /** Together more than any socket's buffers hold on loopback (Linux: 6 MB to read, 4 MB to write). */
+    /** Together more than the socket buffers hold on loopback (Linux: 6 MB to read, 4 MB to write). */
     private static final int FILLER_REQUESTS = 900;
     private static final int FILLER_BYTES = 15_000;
 
@@ -62,24 +62,25 @@
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private Http2ConnectionPool pool(InetSocketAddress at) {
-        return new Http2ConnectionPool(at, loops.next(), NioSocketChannel.class, new Http2ConnectionPool.Limits(1, 1000, 500, 60_000, 1000, 1 << 16),
+    private Http2ConnectionPool pool(InetSocketAddress peer) {
+        return new Http2ConnectionPool(peer, loops.next(), NioSocketChannel.class,
+                new Http2ConnectionPool.Limits(1, 1000, 500, 60_000, 1000, 1 << 16),
                 new Http2ConnectionPool.Metrics(new Counts(), "test"), () -> System.nanoTime() / 1e6);
     }
 
-    /** Returns once the pool has asked whether it is wanted, and has handed it to the connection. */
+    /** Returns once the pool has checked the write condition and is about to hand the request to the connection. */
     private Http2ConnectionPool.Request sendAndAwaitHandover(Http2ConnectionPool pool) throws InterruptedException {
         CountDownLatch handedOver = new CountDownLatch(1);
         Http2ConnectionPool.Request request = pool.send(() -> {
-            boolean now = mayWrite.get();
+            boolean allowed = mayWrite.get();
             handedOver.countDown();
-            return now;
-        }, "POST", "/", BODY.getBytes(StandardCharsets.UTF_8), (end, status, headers, body) -> results.add(end.name()));
+            return allowed;
+        }, "POST", "/", BODY.getBytes(StandardCharsets.UTF_8), (result, status, headers, body) -> results.add(result.name()));
         handedOver.await();
         return request;
     }
 
-    /** Writes down the frames of each stream, and answers those without a body. */
+    /** Records the frames of each stream and responds to requests without a body. */
     private final class FrameRecorder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object frame) {
@@ -99,7 +100,7 @@
         }
     }
 
-    /** A peer whose windows are 0. */
+    /** The server's flow-control windows are 0, so it accepts no body. */
     private InetSocketAddress startServerWithZeroWindow() throws InterruptedException {
         return (InetSocketAddress) new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -118,12 +119,15 @@
                 }).bind("127.0.0.1", 0).sync().channel().localAddress();
     }
 
-    /** Guards against a forward whose body goes to an executor after its lease, when that opens its window (rules 1 and 3). */
+    /**
+     * Guards against a forward whose body is sent to an executor after the deadline for sending it, when the executor opens its
+     * flow-control window late (rules 1 and 3).
+     */
     @Test
     void bodyWaitingForFlowControlIsWithdrawn() throws Exception {
         Http2ConnectionPool pool = pool(startServerWithZeroWindow());
-        // The first one learns the peer's settings, which come before its answer.
-        pool.send("GET", "/", EMPTY_BODY, (end, status, headers, body) -> results.add(end.name()));
+        // After the first request the peer's settings are known, since they are sent before its response.
+        pool.send("GET", "/", EMPTY_BODY, (result, status, headers, body) -> results.add(result.name()));
         assertEquals("ANSWERED", results.poll(20, TimeUnit.SECONDS));
         assertEquals("head", framesSeen.poll(20, TimeUnit.SECONDS));
         sendAndAwaitHandover(pool);
@@ -134,21 +138,21 @@
         assertEquals("reset", framesSeen.poll(20, TimeUnit.SECONDS));
     }
 
-    /** Guards against the same where the peer reads nothing for a while: given up, or its lease over. */
+    /** Guards against the same when the peer does not read for a while; the request is cancelled or its deadline passes. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void bodyWaitingForSocketIsNeverWrittenLate(boolean givenUp) throws Exception {
+    void bodyWaitingForSocketIsNeverWrittenLate(boolean cancelled) throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReceiveBufferSize(4096);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Http2ConnectionPool pool = pool((InetSocketAddress) listener.getLocalSocketAddress());
             for (int i = 0; i < FILLER_REQUESTS; i++) {
-                pool.send("GET", "/", EMPTY_BODY, (end, status, headers, body) -> { }, "filler", "f" + i + "x".repeat(FILLER_BYTES));
+                pool.send("GET", "/", EMPTY_BODY, (result, status, headers, body) -> { }, "filler", "f" + i + "x".repeat(FILLER_BYTES));
             }
             try (Socket peer = listener.accept()) {
                 peer.setSoTimeout(2000);
                 Http2ConnectionPool.Request request = sendAndAwaitHandover(pool);
-                if (givenUp) {
+                if (cancelled) {
                     request.cancel();
                 }
                 mayWrite.set(false);
@@ -158,18 +162,18 @@
         }
     }
 
-    /** What comes until the connection ends, or nothing more comes. */
+    /** Reads until the connection ends or nothing more arrives. */
     private static String readAll(Socket peer) throws Exception {
-        StringBuilder all = new StringBuilder();
-        byte[] some = new byte[1 << 16];
+        StringBuilder received = new StringBuilder();
+        byte[] buffer = new byte[1 << 16];
         try {
             InputStream in = peer.getInputStream();
-            for (int n = in.read(some); n >= 0; n = in.read(some)) {
-                all.append(new String(some, 0, n, StandardCharsets.ISO_8859_1));
+            for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
+                received.append(new String(buffer, 0, n, StandardCharsets.ISO_8859_1));
             }
         } catch (java.net.SocketTimeoutException | SocketException e) {
-            // that was all
+            // the end of what the peer received
         }
-        return all.toString();
+        return received.toString();
     }
 }
--- a/gateway/src/test/java/gradereach/http2/StreamAllocatorTest.java
+++ b/gateway/src/test/java/gradereach/http2/StreamAllocatorTest.java
@@ -63,7 +63,7 @@
         assertTrue(allocator.shouldClose(a, 1));
     }
 
-    /** A link that swallows everything: only silence since the stream began counts, and only a long one. */
+    /** A connection on which everything is lost: only silence since the stream started counts, and only after the timeout. */
     @Test
     void silentConnectionStartsDraining() {
         PooledConnection<String> a = openConnection("a", 0);
@@ -76,15 +76,15 @@
         assertTrue(a.draining());
     }
 
-    /** Whatever happens: bounds hold, and what is counted is what is there. */
+    /** After any sequence of events the limits hold and the counters match the streams. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void limitsHoldForRandomEventSequences(long seed) {
-        Random chance = new Random(seed);
+        Random random = new Random(seed);
         List<PooledConnection<String>> streams = new ArrayList<>();
         int waiting = 0;
         for (int step = 0; step < 5000; step++) {
-            switch (chance.nextInt(6)) {
+            switch (random.nextInt(6)) {
                 case 0, 1 -> {
                     switch (allocator.placeStream()) {
                         case USE_CONNECTION -> {
@@ -109,14 +109,14 @@
                 }
                 case 4 -> {
                     if (!streams.isEmpty()) {
-                        allocator.onStreamEnded(streams.remove(chance.nextInt(streams.size())), step);
+                        allocator.onStreamEnded(streams.remove(random.nextInt(streams.size())), step);
                     }
                 }
                 default -> {
-                    if (!allocator.connections().isEmpty() && chance.nextInt(10) == 0) {
-                        PooledConnection<String> gone = allocator.connections().get(chance.nextInt(allocator.connections().size()));
-                        streams.removeIf(s -> s == gone);
-                        allocator.onConnectionClosed(gone);
+                    if (!allocator.connections().isEmpty() && random.nextInt(10) == 0) {
+                        PooledConnection<String> closed = allocator.connections().get(random.nextInt(allocator.connections().size()));
+                        streams.removeIf(s -> s == closed);
+                        allocator.onConnectionClosed(closed);
                     }
                 }
             }
--- a/gateway/src/test/java/gradereach/link/ExchangeOutcomesTest.java
+++ b/gateway/src/test/java/gradereach/link/ExchangeOutcomesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ExchangeOutcomesTest {
-    /** docs/proofs.md, row by row. */
+    /** The table of docs/proofs.md, row by row. */
     @ParameterizedTest
     @CsvSource(value = {
         "ANSWERED, 200, null, RETURNED, false", "ANSWERED, 200, no, RETURNED, false", "ANSWERED, 503, no, FULL, true",
@@ -23,28 +23,28 @@
         "ABOVE_GOAWAY, 0, null, NEVER_SENT, true", "RESET, 0, null, RESET, false", "LOST, 0, null, RESET, false",
         "TOO_LONG, 0, null, ERROR, false", "GIVEN_UP, 0, null, CANCELLED, false",
     }, nullValues = "null")
-    void mapsForwardResultToOutcome(ExchangeResult end, int status, String begun, Outcome outcome, boolean neverRan) {
-        assertEquals(outcome, ExchangeOutcomes.ofForward(end, status, begun));
+    void mapsForwardResultToOutcome(ExchangeResult result, int status, String begun, Outcome outcome, boolean neverRan) {
+        assertEquals(outcome, ExchangeOutcomes.ofForward(result, status, begun));
         assertEquals(neverRan, outcome.provesNotRun);
     }
 
     @ParameterizedTest
     @CsvSource({"ANSWERED, 200, RETURNED", "ANSWERED, 503, FULL", "ANSWERED, 500, ERROR", "ANSWERED, 404, ERROR",
         "NOT_CONNECTED, 0, CONNECT_FAILED", "LOST, 0, RESET"})
-    void loadOrderOutcomeNeedsNoBegunHeader(ExchangeResult end, int status, Outcome outcome) {
-        assertEquals(outcome, ExchangeOutcomes.ofLoadOrderOrProbe(end, status));
+    void loadOrderOutcomeNeedsNoBegunHeader(ExchangeResult result, int status, Outcome outcome) {
+        assertEquals(outcome, ExchangeOutcomes.ofLoadOrderOrProbe(result, status));
     }
 
     @Test
     void parsesBothReportFormatsAndIgnoresUnreadableOnes() {
-        double no = Double.NaN;
-        assertEquals(new ExecutorReport(3, 1, 0.5, no, 7, 0.25, 0.8, 2), OrcaReportParser.parse("TEXT cpu_utilization=0.5,"
+        double absent = Double.NaN;
+        assertEquals(new ExecutorReport(3, 1, 0.5, absent, 7, 0.25, 0.8, 2), OrcaReportParser.parse("TEXT cpu_utilization=0.5,"
                 + "mem_utilization=0.8, rps_fractional=7,eps=0.25,named_metrics.in_flight=3,named_metrics.queued=1,"
                 + "named_metrics.loads=2,named_metrics.other=9"));
-        assertEquals(new ExecutorReport(3, no, 0.5, no, no, no, no, no),
+        assertEquals(new ExecutorReport(3, absent, 0.5, absent, absent, absent, absent, absent),
                 OrcaReportParser.parse("JSON {\"cpu_utilization\":0.5,\"named_metrics\":{\"in_flight\":3}}"));
-        for (String bad : new String[] {"", "BIN AAAA", "TEXT cpu_utilization=x", "JSON {"}) {
-            assertNull(OrcaReportParser.parse(bad));
+        for (String malformed : new String[] {"", "BIN AAAA", "TEXT cpu_utilization=x", "JSON {"}) {
+            assertNull(OrcaReportParser.parse(malformed));
         }
     }
 }
--- a/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
+++ b/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gradereach.api.Outcome;
 import gradereach.http2.ExchangeListener.ExchangeResult;
-import gradereach.plan.Deployment;
+import gradereach.deployment.Deployment;
 import gradereach.serve.FaultInjection;
 import gradereach.serve.Gateway;
 import gradereach.standins.SmallFleet;
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Executors that take inferences by gRPC, asked through the webhook front. */
+/** Executors that take inferences by gRPC; clients send them through the webhook server. */
 @Timeout(60)
 class GrpcExecutorsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -48,8 +48,8 @@
         "ANSWERED, 14, yes, ERROR", "ANSWERED, x, no, ERROR", "REFUSED, , , FULL", "ABOVE_GOAWAY, , , NEVER_SENT",
         "RESET, , , RESET", "LOST, , , RESET", "NOT_CONNECTED, , , CONNECT_FAILED", "NO_STREAM, , , FULL", "TOO_LONG, , , ERROR",
     })
-    void mapsGrpcResultToOutcome(ExchangeResult end, String status, String begun, Outcome outcome) {
-        assertEquals(outcome, ExchangeOutcomes.ofGrpcForward(end, status, begun));
+    void mapsGrpcResultToOutcome(ExchangeResult result, String status, String begun, Outcome outcome) {
+        assertEquals(outcome, ExchangeOutcomes.ofGrpcForward(result, status, begun));
     }
 
     @ParameterizedTest
@@ -61,46 +61,46 @@
     @Test
     void webhookInferenceRunsAtGrpcExecutor() throws Exception {
         SmallFleet fleet = new SmallFleet(folder, 1);
-        ObjectNode plan = fleet.createDeployment("fe", secret);
-        plan.putObject("ledger").put("folder", folder.resolve("ledger").toString());
-        plan.putObject("executors").put("outcomes_kept_ms", 60_000).putArray("grpc_kinds").add(0);
-        Map<String, String> heard = new HashMap<>();
-        try (Gateway gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE)) {
-            String at = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
+        ObjectNode deployment = fleet.createDeployment("fe", secret);
+        deployment.putObject("ledger").put("folder", folder.resolve("ledger").toString());
+        deployment.putObject("executors").put("outcomes_kept_ms", 60_000).putArray("grpc_kinds").add(0);
+        Map<String, String> firstStatuses = new HashMap<>();
+        try (Gateway gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE)) {
+            String url = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
             while (!gateway.isReady()) {
                 Thread.sleep(2);
             }
-            JsonNode answer = JSON.readTree(sendInference(at, "plain", "book-1").body());
+            JsonNode answer = JSON.readTree(sendInference(url, "plain", "book-1").body());
             assertEquals(5.0, answer.at("/data/output/outputs/0/data/0").asDouble());
             assertEquals("book-1", answer.at("/data/output/model_name").asText());
             for (String fault : new String[] {"reset_before", "reset_within", "reset_after", "refuse"}) {
-                HttpResponse<Void> set = client.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
+                HttpResponse<Void> faultSet = client.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
                         + fleet.controlPort() + "/fault")).POST(HttpRequest.BodyPublishers.ofString(
                         "{\"kind\":\"" + fault + "\",\"ex\":0,\"for_ms\":400}")).build(), HttpResponse.BodyHandlers.discarding());
-                assertEquals(200, set.statusCode());
-                heard.put(fault, sendInference(at, fault, "book-1").statusCode() + "");
-                // Asked until it is known: what ran is learnt, what did not goes on.
-                while (!fault.equals("reset_before") && sendInference(at, fault, "book-1").statusCode() != 200) {
+                assertEquals(200, faultSet.statusCode());
+                firstStatuses.put(fault, sendInference(url, fault, "book-1").statusCode() + "");
+                // Repeated until the outcome is known: an inference that ran gets its answer, one that did not run continues.
+                while (!fault.equals("reset_before") && sendInference(url, fault, "book-1").statusCode() != 200) {
                     Thread.sleep(5);
                 }
             }
             assertEquals(0, gateway.counts().value("answers_unreadable"));
             assertEquals(0, gateway.counts().value("load_reports_unreadable"));
         }
-        Map<String, Integer> ran = fleet.closeAndCountRuns();
-        assertEquals("502", heard.get("reset_within"));
-        assertEquals(1, ran.get("yard/reset_within"));
-        assertEquals(1, ran.get("yard/reset_after"));
-        assertEquals(1, ran.get("yard/refuse"));
-        assertTrue(ran.getOrDefault("yard/reset_before", 0) <= 1);
+        Map<String, Integer> runs = fleet.closeAndCountRuns();
+        assertEquals("502", firstStatuses.get("reset_within"));
+        assertEquals(1, runs.get("yard/reset_within"));
+        assertEquals(1, runs.get("yard/reset_after"));
+        assertEquals(1, runs.get("yard/refuse"));
+        assertTrue(runs.getOrDefault("yard/reset_before", 0) <= 1);
     }
 
-    private HttpResponse<String> sendInference(String at, String id, String model) throws Exception {
+    private HttpResponse<String> sendInference(String url, String id, String model) throws Exception {
         byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
                 + "\",\"budget_ms\":2000,\"input\":{\"inputs\":[{\"name\":\"x\",\"shape\":[1],\"datatype\":\"FP32\",\"data\":[1]}]}}}")
                 .getBytes(StandardCharsets.UTF_8);
         long now = System.currentTimeMillis() / 1000;
-        return client.send(HttpRequest.newBuilder(URI.create(at)).version(HttpClient.Version.HTTP_1_1)
+        return client.send(HttpRequest.newBuilder(URI.create(url)).version(HttpClient.Version.HTTP_1_1)
                 .header("content-type", "application/json").header("webhook-id", id)
                 .header("webhook-timestamp", Long.toString(now)).header("webhook-signature", "v1," + key.sign(id, now, body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(), HttpResponse.BodyHandlers.ofString());
--- a/gateway/src/test/java/gradereach/loop/StartRetryTest.java
+++ b/gateway/src/test/java/gradereach/loop/StartRetryTest.java
@@ -28,17 +28,17 @@
 class StartRetryTest {
     private final List<Exception> reportedFailures = new ArrayList<>();
 
-    /** An ending process still holds the address, and lets go of it once the first attempt has failed. */
+    /** A process that is ending still holds the address and releases it after the first attempt has failed. */
     @Test
     void bindsAddressInUseOnceItIsReleased() throws Exception {
         ServerSocket holder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         int port = holder.getLocalPort();
-        try (ServerSocket taken = StartRetry.run(() -> new ServerSocket(port, 1, InetAddress.getLoopbackAddress()),
+        try (ServerSocket bound = StartRetry.run(() -> new ServerSocket(port, 1, InetAddress.getLoopbackAddress()),
                 () -> true, failure -> {
                     reportedFailures.add(failure);
                     close(holder);
                 })) {
-            assertEquals(port, taken.getLocalPort());
+            assertEquals(port, bound.getLocalPort());
         }
         assertEquals(1, reportedFailures.size());
     }
@@ -53,14 +53,14 @@
 
     @Test
     void retriesTransientFailureAndReportsItOnce() throws Exception {
-        int[] tries = {0};
+        int[] attempts = {0};
         assertEquals("open", StartRetry.run(() -> {
-            if (++tries[0] < 4) {
+            if (++attempts[0] < 4) {
                 throw new IOException("Too many open files");
             }
             return "open";
         }, () -> true, reportedFailures::add));
-        assertEquals(4, tries[0]);
+        assertEquals(4, attempts[0]);
         assertEquals(1, reportedFailures.size());
     }
 
@@ -79,7 +79,7 @@
         }, () -> false, reportedFailures::add));
     }
 
-    /** After a failed accept Netty's own listener takes nothing for a second. */
+    /** Guards against Netty's default, a listener that accepts nothing for a second after a failed accept. */
     @Test
     void listenerResumesSoonAfterFailedAccept() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/gateway/src/test/java/gradereach/loop/UnreadBytesTest.java
+++ b/gateway/src/test/java/gradereach/loop/UnreadBytesTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Reading what lies in a socket whose system hands over less than there is. */
+/** Reads unread bytes from a socket whose read calls return fewer bytes than are available. */
 @Timeout(60)
 class UnreadBytesTest {
     private static final int BYTES = 20;
@@ -36,13 +36,13 @@
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** A listener whose connections read one byte at a time, however much is there (read(2) may return fewer). */
+    /** A listener whose connections read one byte at a time; read(2) may always return fewer bytes than are available. */
     public static final class ShortReadServerChannel extends NioServerSocketChannel {
         @Override
         protected int doReadMessages(List<Object> connections) throws Exception {
-            SocketChannel made = javaChannel().accept();
-            if (made != null) {
-                connections.add(new NioSocketChannel(this, made) {
+            SocketChannel socketChannel = javaChannel().accept();
+            if (socketChannel != null) {
+                connections.add(new NioSocketChannel(this, socketChannel) {
                     @Override
                     protected int doReadBytes(ByteBuf bytes) throws Exception {
                         unsafe().recvBufAllocHandle().attemptedBytesRead(bytes.writableBytes());
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Guards against a close over bytes that a short read has left in the socket. */
+    /** Guards against closing a connection while a short read has left bytes in the socket. */
     @Test
     void readsAllBytesDespiteShortReads() throws Exception {
         InetSocketAddress address = (InetSocketAddress) new ServerBootstrap().group(loop).channel(ShortReadServerChannel.class)
--- a/gateway/src/test/java/gradereach/roster/RosterTrackerTest.java
+++ b/gateway/src/test/java/gradereach/roster/RosterTrackerTest.java
@@ -24,16 +24,16 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private final List<String> updates = new ArrayList<>();
     private final Map<String, ExecutorState> executorStates = new LinkedHashMap<>();
-    private final RosterTracker tracker = new RosterTracker(new EndpointSliceParser(List.of("halle-a", "halle-b")), (form, lines) -> {
-        updates.add(form + " " + lines.stream().map(l -> l.address() + "=" + l.state()).toList());
-        if (form == gradereach.api.RosterUpdateKind.FULL) {
+    private final RosterTracker tracker = new RosterTracker(new EndpointSliceParser(List.of("halle-a", "halle-b")), (kind, entries) -> {
+        updates.add(kind + " " + entries.stream().map(entry -> entry.address() + "=" + entry.state()).toList());
+        if (kind == gradereach.api.RosterUpdateKind.FULL) {
             executorStates.clear();
         }
-        for (RosterEntry line : lines) {
-            if (line.state() == ExecutorState.REMOVED) {
-                executorStates.remove(line.address());
+        for (RosterEntry entry : entries) {
+            if (entry.state() == ExecutorState.REMOVED) {
+                executorStates.remove(entry.address());
             } else {
-                executorStates.put(line.address(), line.state());
+                executorStates.put(entry.address(), entry.state());
             }
         }
     });
@@ -63,9 +63,9 @@
         "\"ready\":true,\"serving\":true,\"terminating\":true | DRAINING",
         "\"ready\":false,\"serving\":true,\"terminating\":true | DRAINING",
     })
-    void mapsConditionsToStatus(String conditions, ExecutorState standing) throws Exception {
+    void mapsConditionsToState(String conditions, ExecutorState state) throws Exception {
         applyList(slice("a", 80, conditions == null ? "" : conditions, "10.0.0.1"));
-        assertEquals(List.of("FULL [10.0.0.1:80=" + standing + "]"), updates);
+        assertEquals(List.of("FULL [10.0.0.1:80=" + state + "]"), updates);
     }
 
     @Test
@@ -78,7 +78,7 @@
         assertEquals(1, updates.size());
         applyWatchEvent("MODIFIED", slice("a", 80, "\"ready\":true", "10.0.0.2"));
         assertEquals("CHANGES [10.0.0.1:80=REMOVED]", updates.get(1));
-        // In two slices for a while, as when endpoints are spread anew: ready if one says so, gone if none names it.
+        // An executor may be in two slices for a while, as when endpoints are redistributed: ready if one says so, removed if none has it.
         applyWatchEvent("ADDED", slice("b", 80, "\"ready\":false", "10.0.0.2"));
         applyWatchEvent("DELETED", slice("b", 80, "", "10.0.0.2"));
         assertEquals(2, updates.size());
@@ -90,17 +90,18 @@
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
         "{\"metadata\":{}} | metadata.name: missing", "{\"metadata\":{\"name\":\"x\"}} | /x: ports[0].port: missing",
         "{\"metadata\":{\"name\":\"x\"},\"ports\":[{\"port\":1}],\"endpoints\":[{}]} | /x: endpoints[0].addresses[0]: missing",
-        "{\"metadata\":{\"name\":\"x\",\"annotations\":{\"gradereach.io/started-at\":\"y\"}},\"ports\":[{\"port\":1}]} | /x: annotation gradereach.io/started-at: no RFC 3339 time",
+        "{\"metadata\":{\"name\":\"x\",\"annotations\":{\"gradereach.io/started-at\":\"y\"}},\"ports\":[{\"port\":1}]}"
+            + " | /x: annotation gradereach.io/started-at: not an RFC 3339 time",
     })
-    void malformedSliceIsNamedAndChangesNothing(String bad, String says) throws Exception {
+    void malformedSliceIsNamedAndChangesNothing(String malformed, String message) throws Exception {
         applyList(slice("a", 80, "", "10.0.0.1"));
-        assertEquals(says, assertThrows(MalformedRosterException.class, () -> applyWatchEvent("ADDED", bad)).getMessage());
-        assertEquals(says, assertThrows(MalformedRosterException.class, () -> applyList(bad)).getMessage());
+        assertEquals(message, assertThrows(MalformedRosterException.class, () -> applyWatchEvent("ADDED", malformed)).getMessage());
+        assertEquals(message, assertThrows(MalformedRosterException.class, () -> applyList(malformed)).getMessage());
         assertEquals(1, updates.size());
         assertEquals(1, tracker.size());
     }
 
-    /** One bad slice in a list must not hide that executors of another drain; what the list lacks stays meanwhile. */
+    /** A malformed slice in a list must not hide that executors of another drain; slices missing from the list stay. */
     @Test
     void malformedSliceInListHidesNoOtherSlice() throws Exception {
         applyList(slice("a", 80, "\"ready\":true", "10.0.0.1"), slice("b", 80, "\"ready\":true", "10.0.0.2"));
@@ -109,65 +110,65 @@
         assertEquals(2, tracker.size());
     }
 
-    /** Guards against a new pod at an address that is taken for the one before: no start is told, its uid is another. */
+    /** Guards against a new pod being taken for the previous one at its address: its start may be unlisted, but its uid differs. */
     @Test
     void newPodAtSameAddressIsAnotherInstance() throws Exception {
-        List<String> told = new ArrayList<>();
+        List<String> published = new ArrayList<>();
         RosterTracker pods = new RosterTracker(new EndpointSliceParser(List.of("halle-b")),
-                (form, lines) -> lines.forEach(line -> told.add(form + " " + line.instance() + " " + line.address())));
+                (kind, entries) -> entries.forEach(entry -> published.add(kind + " " + entry.instance() + " " + entry.address())));
         String pod = slice("a", 80, "", "10.0.0.1").replace("\"zone\"", "\"targetRef\":{\"kind\":\"Pod\",\"uid\":\"UID\"},\"zone\"");
         for (String uid : List.of("one", "one", "two")) {
             pods.applyList(JSON.readTree("{\"items\":[" + pod.replace("UID", uid) + "]}"));
         }
-        assertEquals(List.of("FULL one 10.0.0.1:80", "FULL two 10.0.0.1:80"), told);
+        assertEquals(List.of("FULL one 10.0.0.1:80", "FULL two 10.0.0.1:80"), published);
     }
 
     @Test
     void publishesAgainAfterListenerFailure() throws Exception {
-        List<String> told = new java.util.ArrayList<>();
-        boolean[] fails = {true};
-        RosterTracker failing = new RosterTracker(new EndpointSliceParser(List.of("halle-b")), (form, lines) -> {
-            if (fails[0]) {
-                fails[0] = false;
+        List<String> published = new java.util.ArrayList<>();
+        boolean[] failNext = {true};
+        RosterTracker trackerWithFailingListener = new RosterTracker(new EndpointSliceParser(List.of("halle-b")), (kind, entries) -> {
+            if (failNext[0]) {
+                failNext[0] = false;
                 throw new IllegalStateException("planted");
             }
-            told.add(form + " " + lines.size());
+            published.add(kind + " " + entries.size());
         });
-        JsonNode all = JSON.readTree("{\"items\":[" + slice("a", 80, "", "10.0.0.1") + "]}");
-        assertThrows(IllegalStateException.class, () -> failing.applyList(all));
-        failing.applyList(all);
-        assertEquals(List.of("FULL 1"), told);
+        JsonNode list = JSON.readTree("{\"items\":[" + slice("a", 80, "", "10.0.0.1") + "]}");
+        assertThrows(IllegalStateException.class, () -> trackerWithFailingListener.applyList(list));
+        trackerWithFailingListener.applyList(list);
+        assertEquals(List.of("FULL 1"), published);
     }
 
-    /** Differences added up are the whole, over any sequence of changes and gaps. */
+    /** The published differences add up to the full roster for any sequence of watch events and lists. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void differencesAddUpToFullRoster(long seed) throws Exception {
-        Random chance = new Random(seed);
-        Map<String, String> truth = new LinkedHashMap<>();
+        Random random = new Random(seed);
+        Map<String, String> currentSlices = new LinkedHashMap<>();
         applyList();
         for (int i = 0; i < 500; i++) {
-            String name = "s" + chance.nextInt(6);
-            if (chance.nextInt(10) == 0) {
-                truth.remove("s" + chance.nextInt(6));
-                applyList(truth.values().toArray(new String[0]));
-            } else if (chance.nextInt(4) == 0) {
-                String gone = truth.remove(name);
-                applyWatchEvent("DELETED", gone == null ? slice(name, 80, "") : gone);
+            String name = "s" + random.nextInt(6);
+            if (random.nextInt(10) == 0) {
+                currentSlices.remove("s" + random.nextInt(6));
+                applyList(currentSlices.values().toArray(new String[0]));
+            } else if (random.nextInt(4) == 0) {
+                String removed = currentSlices.remove(name);
+                applyWatchEvent("DELETED", removed == null ? slice(name, 80, "") : removed);
             } else {
-                String made = slice(name, 80, "\"ready\":" + chance.nextBoolean(), "10.0.0." + chance.nextInt(8),
-                        "10.0.0." + chance.nextInt(8));
-                truth.put(name, made);
-                applyWatchEvent("MODIFIED", made);
+                String changed = slice(name, 80, "\"ready\":" + random.nextBoolean(), "10.0.0." + random.nextInt(8),
+                        "10.0.0." + random.nextInt(8));
+                currentSlices.put(name, changed);
+                applyWatchEvent("MODIFIED", changed);
             }
-            Map<String, ExecutorState> wanted = new LinkedHashMap<>();
-            for (String text : truth.values()) {
+            Map<String, ExecutorState> expected = new LinkedHashMap<>();
+            for (String text : currentSlices.values()) {
                 JsonNode slice = JSON.readTree(text);
                 boolean ready = slice.at("/endpoints/0/conditions/ready").asBoolean();
-                slice.path("endpoints").forEach(e -> wanted.merge(e.at("/addresses/0").asText() + ":80",
+                slice.path("endpoints").forEach(endpoint -> expected.merge(endpoint.at("/addresses/0").asText() + ":80",
                         ready ? ExecutorState.READY : ExecutorState.DRAINING, (a, b) -> a == ExecutorState.READY ? a : b));
             }
-            assertEquals(wanted, executorStates);
+            assertEquals(expected, executorStates);
         }
     }
 }
--- a/gateway/src/test/java/gradereach/roster/RosterWatchTest.java
+++ b/gateway/src/test/java/gradereach/roster/RosterWatchTest.java
@@ -34,46 +34,46 @@
     @TempDir
     Path folder;
 
-    /** An exception on the watch's thread: it goes on, and what could not be told is told again. */
+    /** After an exception on its thread the watch continues and publishes again what could not be published. */
     @Test
     void failedReadDoesNotEndTheWatch() throws Exception {
         Path file = Files.writeString(folder.resolve("slices.json"), "{\"items\":[{\"metadata\":{\"name\":\"a\"},"
                 + "\"ports\":[{\"port\":80}],\"endpoints\":[{\"addresses\":[\"10.0.0.1\"]}]}]}");
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        AtomicBoolean fails = new AtomicBoolean(true);
-        RosterTracker book = new RosterTracker(new EndpointSliceParser(List.of()), (form, lines) -> {
-            if (fails.getAndSet(false)) {
+        BlockingQueue<String> published = new LinkedBlockingQueue<>();
+        AtomicBoolean failNext = new AtomicBoolean(true);
+        RosterTracker tracker = new RosterTracker(new EndpointSliceParser(List.of()), (kind, entries) -> {
+            if (failNext.getAndSet(false)) {
                 throw new IllegalStateException("planted");
             }
-            told.add(form + " " + lines.get(0).address());
+            published.add(kind + " " + entries.get(0).address());
         });
-        try (RosterWatch watch = new RosterWatch(book, "test", null, file, () -> 0, (at, until) -> { }, new Counts())) {
+        try (RosterWatch watch = new RosterWatch(tracker, "test", null, file, () -> 0, (confirmedAt, validUntil) -> { }, new Counts())) {
             watch.start();
-            assertEquals("FULL 10.0.0.1:80", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("FULL 10.0.0.1:80", published.poll(20, TimeUnit.SECONDS));
         }
     }
 
-    /** Guards against "null" as the cause that an operator reads: a refused connection of the platform's client has no message. */
+    /** Guards against "null" as the logged cause: the exception of the JDK's client for a refused connection has no message. */
     @Test
     void logsCauseWhenServerIsUnreachable() throws Exception {
-        int nobody;
+        int unusedPort;
         try (ServerSocket socket = new ServerSocket(0)) {
-            nobody = socket.getLocalPort();
+            unusedPort = socket.getLocalPort();
         }
         Logger logger = (Logger) LoggerFactory.getLogger(RosterWatch.class);
-        BlockingQueue<String> said = new LinkedBlockingQueue<>();
+        BlockingQueue<String> logged = new LinkedBlockingQueue<>();
         AppenderBase<ILoggingEvent> appender = new AppenderBase<>() {
             @Override
             protected void append(ILoggingEvent event) {
-                said.add(event.getFormattedMessage());
+                logged.add(event.getFormattedMessage());
             }
         };
         appender.start();
         logger.addAppender(appender);
-        try (RosterWatch watch = new RosterWatch(new RosterTracker(new EndpointSliceParser(List.of()), (form, lines) -> { }), "test",
-                URI.create("http://127.0.0.1:" + nobody), null, () -> 0, (at, until) -> { }, new Counts())) {
+        try (RosterWatch watch = new RosterWatch(new RosterTracker(new EndpointSliceParser(List.of()), (kind, entries) -> { }), "test",
+                URI.create("http://127.0.0.1:" + unusedPort), null, () -> 0, (confirmedAt, validUntil) -> { }, new Counts())) {
             watch.start();
-            String line = said.poll(20, TimeUnit.SECONDS);
+            String line = logged.poll(20, TimeUnit.SECONDS);
             assertTrue(line.contains("ConnectException"), line);
             assertFalse(line.contains("null"), line);
         } finally {
@@ -81,37 +81,37 @@
         }
     }
 
-    /** A watch on which nothing comes any more is begun anew, and the roster counts as complete no longer than was told. */
+    /** A watch without events that the server does not end is restarted; the roster counts as complete only as long as announced. */
     @Test
     void silentWatchIsRestarted() throws Exception {
-        BlockingQueue<Double> confirmed = new LinkedBlockingQueue<>();
+        BlockingQueue<Double> validities = new LinkedBlockingQueue<>();
         AtomicBoolean reachable = new AtomicBoolean(true);
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(Executors.newCachedThreadPool());
-        server.createContext("/", ask -> {
+        server.createContext("/", exchange -> {
             if (!reachable.get()) {
-                ask.close();
-            } else if (String.valueOf(ask.getRequestURI().getQuery()).contains("watch=1")) {
-                ask.sendResponseHeaders(200, 0); // and nothing ever after
+                exchange.close();
+            } else if (String.valueOf(exchange.getRequestURI().getQuery()).contains("watch=1")) {
+                exchange.sendResponseHeaders(200, 0); // headers only, the body stays open
             } else {
                 byte[] list = "{\"items\":[]}".getBytes(StandardCharsets.US_ASCII);
-                ask.sendResponseHeaders(200, list.length);
-                ask.getResponseBody().write(list);
-                ask.close();
+                exchange.sendResponseHeaders(200, list.length);
+                exchange.getResponseBody().write(list);
+                exchange.close();
             }
         });
         server.start();
         Counts counts = new Counts();
-        URI at = URI.create("http://127.0.0.1:" + server.getAddress().getPort());
-        try (RosterWatch watch = new RosterWatch(new RosterTracker(new EndpointSliceParser(List.of()), (form, lines) -> { }), "test", at,
-                null, () -> 1000, (confirmedAt, until) -> confirmed.add(until), TIMING, counts)) {
+        URI serverUri = URI.create("http://127.0.0.1:" + server.getAddress().getPort());
+        try (RosterWatch watch = new RosterWatch(new RosterTracker(new EndpointSliceParser(List.of()), (kind, entries) -> { }), "test",
+                serverUri, null, () -> 1000, (confirmedAt, validUntil) -> validities.add(validUntil), TIMING, counts)) {
             watch.start();
-            assertEquals(2200, confirmed.poll(20, TimeUnit.SECONDS));
-            assertEquals(1100, confirmed.poll(20, TimeUnit.SECONDS)); // the watch is given up
-            assertEquals(2200, confirmed.poll(20, TimeUnit.SECONDS)); // and the list asked for again
+            assertEquals(2200, validities.poll(20, TimeUnit.SECONDS));
+            assertEquals(1100, validities.poll(20, TimeUnit.SECONDS)); // the watch is closed as silent
+            assertEquals(2200, validities.poll(20, TimeUnit.SECONDS)); // the list is fetched again
             assertEquals(1, counts.value("roster_silent_watches"));
             reachable.set(false);
-            assertEquals(1100, confirmed.poll(20, TimeUnit.SECONDS)); // cannot be read any more
+            assertEquals(1100, validities.poll(20, TimeUnit.SECONDS)); // the server is unreachable
         } finally {
             server.stop(0);
         }
