--- a/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
@@ -162,6 +162,7 @@
                 && ready.getAsBoolean();
     }
 
+    /** False once an endpoint that is ready now no longer is. */
     private static BooleanSupplier endpointStillReady(ExecutorEndpoint endpoint) {
         boolean wasReady = endpoint.ready();
         return () -> !wasReady || endpoint.ready();
--- a/gateway/src/main/java/gradereach/link/ResponseHeaders.java
+++ b/gateway/src/main/java/gradereach/link/ResponseHeaders.java
@@ -31,6 +31,7 @@
         return report;
     }
 
+    /** Returns the header's value, or null if it or all headers are missing. */
     static CharSequence header(Http2Headers headers, String name) {
         return headers == null ? null : headers.get(name);
     }
--- a/gateway/src/main/java/gradereach/loop/StartRetry.java
+++ b/gateway/src/main/java/gradereach/loop/StartRetry.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 
 /**
- * Retries a failed step of the process's start, such as opening a listener or a file that must be durable. The system may be
+ * Retries a failed step of the process's start, such as opening a listener or writing durable state to a disk. The system may be
  * briefly out of file descriptors, buffers or memory, a write may fail for a while, and a process that is ending may still hold
  * the address. Such failures are retried for some seconds before the start fails.
  */
