--- a/gateway/src/main/java/gradereach/counts/Counts.java
+++ b/gateway/src/main/java/gradereach/counts/Counts.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Named counters and limits of one front end: any thread counts, any thread reads, nobody waits. */
+/** Named counters and limits of one front end. Thread-safe and non-blocking. */
 public final class Counts {
-    /** Something bounded: its bound, how much of it is in use, how often it said no. */
+    /** A bounded resource: its capacity, the amount in use and the number of rejections. */
     public static final class Limit {
         public final String name;
         public final long capacity;
@@ -20,7 +20,7 @@
             this.capacity = bound;
         }
 
-        /** Takes {@code amount} if there is room for all of it; counts a refusal otherwise. */
+        /** Acquires {@code amount} if all of it is available; otherwise counts a rejection and returns false. */
         public boolean tryAcquire(long amount) {
             if (inUse.addAndGet(amount) > capacity) {
                 inUse.addAndGet(-amount);
@@ -34,12 +34,12 @@
             inUse.addAndGet(-amount);
         }
 
-        /** For what is bounded elsewhere: counts a no. */
+        /** Counts a rejection by a check that is made elsewhere. */
         public void recordRejection() {
             rejections.increment();
         }
 
-        /** For what one thread keeps count of by itself. */
+        /** Sets the amount in use, for a resource that a single thread counts itself. */
         public void inUse(long amount) {
             inUse.lazySet(amount);
         }
@@ -56,7 +56,7 @@
     private final Map<String, LongAdder> counters = new ConcurrentHashMap<>();
     private final Map<String, Limit> limits = new ConcurrentHashMap<>();
 
-    /** The counter of that name, made when first asked for; keep it, do not look it up on a hot path. */
+    /** Returns the counter of this name, created on first use. Hot paths should keep the reference instead of looking it up. */
     public LongAdder counter(String name) {
         return counters.computeIfAbsent(name, n -> new LongAdder());
     }
--- a/gateway/src/main/java/gradereach/counts/CountsSource.java
+++ b/gateway/src/main/java/gradereach/counts/CountsSource.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** All named counters and limits as families; whoever counts notices nothing. */
+/** Exposes all named counters and limits as metric families, without locking out the threads that count. */
 public final class CountsSource implements MetricFamily.Source {
     private final Counts counts;
     private final long startedAtMillis;
--- a/gateway/src/main/java/gradereach/counts/FailureText.java
+++ b/gateway/src/main/java/gradereach/counts/FailureText.java
@@ -1,10 +1,10 @@
 package gradereach.counts;
 
-/** What a failure's line in the log says: many of the platform's exceptions have no message, and some only a cause. */
+/** Describes exceptions for log lines: many that the JDK throws have no message, and some have only a cause. */
 public final class FailureText {
     private FailureText() { }
 
-    /** Its kind, and the first message that it or a cause of it has. */
+    /** Returns the exception's simple class name and the first message found along its chain of causes. */
     public static String describe(Throwable failure) {
         String kind = failure.getClass().getSimpleName();
         for (Throwable at = failure; at != null; at = at.getCause()) {
--- a/gateway/src/main/java/gradereach/front/Http2IdleHandler.java
+++ b/gateway/src/main/java/gradereach/front/Http2IdleHandler.java
@@ -6,12 +6,12 @@
 import io.netty.handler.codec.http2.Http2FrameCodec;
 import java.util.concurrent.TimeUnit;
 
-/** Closes an HTTP/2 connection on which no stream has been open for long. */
+/** Closes an HTTP/2 connection that had no open stream at two consecutive checks. */
 final class Http2IdleHandler extends ChannelInboundHandlerAdapter {
     private final long checkIntervalMillis;
     private boolean hadStreamsAtLastCheck = true;
 
-    /** @param idle milliseconds between two looks; a connection without a stream at both is closed */
+    /** @param checkIntervalMillis time between two checks */
     Http2IdleHandler(long idle) {
         this.checkIntervalMillis = idle;
     }
@@ -25,7 +25,7 @@
         }, checkIntervalMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether it was closed: a stream that lies unread is open. */
+    /** Closes the connection if it is idle and returns whether it did. A stream whose frames are still unread counts as open. */
     boolean closeIfIdle(ChannelHandlerContext ctx) {
         UnreadBytes.read(ctx.channel());
         boolean streams = ctx.pipeline().get(Http2FrameCodec.class).connection().numActiveStreams() > 0;
--- a/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
+++ b/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
@@ -14,42 +14,43 @@
 import java.util.Queue;
 
 /**
- * HTTP/1.1 answers in the order of asking (RFC 9112, 9.3.2), and an inference's answer comes when it comes: so one message
- * of a connection is let through at a time. It stands right behind the codec, before anything that may refuse a message: a
- * refusal of a later message, and its interim response, wait for the earlier answers as well. Reading goes on meanwhile, or a
- * client that leaves would not be noticed; beyond a bound we stop reading, and the sender waits.
+ * Handles pipelined HTTP/1.1 requests. Responses must be sent in the order of the requests (RFC 9112, 9.3.2), but inferences
+ * may end in any order, so only one message of a connection is dispatched at a time and later ones are queued. The handler
+ * stands directly behind the codec, before any handler that may reject a message, so that rejections of and interim responses
+ * to later messages also wait for the earlier answers. Reading continues meanwhile, otherwise a disconnect of the client would
+ * go unnoticed; once the queue is full, auto-read is turned off, which blocks the sender.
  */
 final class HttpPipeliningHandler extends ChannelDuplexHandler {
-    /** Whole messages held; as many as HTTP/2 advises to allow at once (RFC 9113, 6.5.2). */
+    /** The number of concurrent streams that HTTP/2 recommends as a minimum (RFC 9113, 6.5.2). */
     private static final int MAX_QUEUED_MESSAGES = 100;
 
     private final MessageTimeoutHandler timeoutHandler;
     private final int maxQueuedBytes;
-    /** Parts of messages in the order in which they came, and {@link MessageClock#TOO_SLOW} in its place. */
+    /** Parts of messages in order of arrival; {@link MessageTimeoutHandler#TIMEOUT_EVENT} is queued at its position among them. */
     private final Queue<Object> queue = new ArrayDeque<>();
-    /** When the first byte of each whole message came that was not let through to its end. */
+    /** Arrival time of the first byte of each complete message whose last part has not been dispatched. */
     private final Queue<Double> queuedArrivals = new ArrayDeque<>();
     private int queuedBytes;
     private double arrivedAt = Double.NaN;
-    /** A whole message was let through and is not answered. */
+    /** A complete message has been dispatched and is not answered yet. */
     private boolean awaitingAnswer;
-    /** What comes now can have no answer: the refusal of a slow sender is held, or the last answer is on its way. */
+    /** Further input is discarded: a message timeout is queued, or the last answer of the connection has been written. */
     private boolean discarding;
     private boolean lastAnswerWritten;
     private boolean readingPaused;
 
-    /** @param mostHeldBytes content of messages that wait for their turn, beyond which we stop reading */
+    /** @param maxQueuedBytes content bytes of queued messages from which on reading is paused */
     HttpPipeliningHandler(MessageTimeoutHandler messageClock, int mostHeldBytes) {
         this.timeoutHandler = messageClock;
         this.maxQueuedBytes = mostHeldBytes;
     }
 
-    /** When the first byte of the message came that was let through last, in module time. */
+    /** Returns the arrival time of the first byte of the message dispatched last, in monotonic milliseconds. */
     double arrivedAt() {
         return arrivedAt;
     }
 
-    /** Whether a message that came whole waits for its turn. */
+    /** Returns whether a complete message is queued. */
     boolean hasQueuedMessage() {
         return !queuedArrivals.isEmpty();
     }
@@ -63,7 +64,7 @@
         if (part instanceof HttpRequest request) {
             timeoutHandler.beginMessage(ctx);
             if (HttpUtil.is100ContinueExpected(request)) {
-                timeoutHandler.suspendTimer(); // its sender waits for the leave to go on, which comes in its turn
+                timeoutHandler.suspendTimer(); // its sender waits for 100 Continue, which is sent in order
             }
         }
         if (part instanceof LastHttpContent) {
@@ -94,7 +95,7 @@
         return part instanceof ByteBufHolder content ? content.content().readableBytes() : 0;
     }
 
-    /** Lets through what is held, up to the end of the next message. */
+    /** Dispatches queued parts up to the end of the next message. */
     private void dispatch(ChannelHandlerContext ctx) {
         while (!awaitingAnswer && !queue.isEmpty()) {
             Object part = queue.remove();
@@ -108,7 +109,7 @@
                 arrivedAt = queuedArrivals.remove();
             }
             if (part instanceof HttpRequest && queuedArrivals.isEmpty()) {
-                timeoutHandler.restartTimer(ctx); // it is the one under way
+                timeoutHandler.restartTimer(ctx); // it is still being received
             }
             ctx.fireChannelRead(part);
         }
@@ -137,12 +138,12 @@
         }
         ctx.write(msg, promise);
         if (isFinal && !lastAnswerWritten) {
-            // Not from within a write: the answer to the one before must be on its way first.
+            // Deferred: the next message may be answered at once, and this answer must be written first.
             ctx.executor().execute(() -> dispatchNextMessage(ctx));
         }
     }
 
-    /** The answer that is written now ends the connection (RFC 9112, 9.6). */
+    /** Marks the answer being written as the last one of the connection (RFC 9112, 9.6) and drops the queue. */
     private void endConnection() {
         lastAnswerWritten = true;
         discarding = true;
--- a/gateway/src/main/java/gradereach/front/LingeringClose.java
+++ b/gateway/src/main/java/gradereach/front/LingeringClose.java
@@ -8,20 +8,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a connection whose client may still be writing (RFC 9112, 9.6): our side is shut, and what still comes is dropped
- * until the client closes its own, or for a while. Closed at once, with bytes unread, the connection would be reset, and
- * the client might never see the answer that was written before.
+ * Closes a connection whose client may still be sending (RFC 9112, 9.6): shuts down the output, then discards input until the
+ * client closes its side or the linger time is over. Closing at once with unread bytes would reset the connection, and the
+ * client might never see the answer that was written before.
  */
 final class LingeringClose extends ChannelInboundHandlerAdapter {
-    /** Enough to read an answer and stop; a client that goes on for longer is reset. */
+    /** Long enough for a client to read an answer and stop sending; after it the connection is reset. */
     private static final long MAX_LINGER_MILLIS = 2000;
 
     private LingeringClose() { }
 
-    /** On the connection's event loop, once its last answer has been written. */
+    /** Must be called on the connection's event loop, after its last answer has been written. */
     static void close(Channel connection) {
         if (!(connection instanceof DuplexChannel duplex)) {
-            connection.close(); // a stream of HTTP/2: nothing of it is read by the system
+            connection.close(); // an HTTP/2 stream, which has no socket of its own
             return;
         }
         connection.pipeline().addFirst(new LingeringClose());
--- a/gateway/src/main/java/gradereach/front/MessageTimeoutHandler.java
+++ b/gateway/src/main/java/gradereach/front/MessageTimeoutHandler.java
@@ -9,15 +9,15 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Times a connection (HTTP/1.1) or a stream (HTTP/2): a message that does not come whole in time is cut off, and so
- * is a connection that brings none. First in the pipeline: it sees bytes or frames before any codec. Who sees the end of
- * a message first tells it by {@link #whole}, whether that message is worked on at once or not.
+ * Enforces timeouts on a connection (HTTP/1.1) or a stream (HTTP/2): a message must be received completely in time, and an
+ * idle connection is closed. It is the first handler of the pipeline and sees bytes or frames before any codec. The first
+ * handler that sees the end of a message reports it by {@link #endMessage}, even if the message is queued.
  */
 final class MessageTimeoutHandler extends ChannelInboundHandlerAdapter {
-    /** Fired down the pipeline when a message took too long. */
+    /** User event fired when a message was not received in time. */
     static final Object TIMEOUT_EVENT = new Object();
 
-    /** So many reads in a row may leave something in the socket (Netty's own number of reads in one turn). */
+    /** Netty's default number of reads per loop; after that many, bytes may be left in the socket. */
     private static final int MAX_READS_PER_LOOP = 16;
 
     private final long messageTimeoutMillis;
@@ -27,21 +27,23 @@
     private final Counts.Limit timeouts;
     private ScheduledFuture<?> timer;
     private boolean messageInProgress;
-    /** Whole messages without an answer. */
+    /** Complete messages that are not answered yet. */
     private int unansweredMessages;
     private boolean stopped;
     private double firstByteAt;
     private double lastReadAt;
     private boolean readingPaused;
-    /** Since when something may lie unread by our own doing; NaN where nothing does. */
+    /** Time since when bytes may be unread because this side did not read; NaN if none are. */
     private double unreadSince = Double.NaN;
     private int consecutiveReads;
     private double idleSince;
 
     /**
-     * Times in milliseconds; {@code idle} 0 for none, as on an HTTP/2 stream, which has its connection's.
+     * Creates a handler for one connection or stream.
      *
-     * @param arrivals the earliest time at which what is read now may have come
+     * @param idleTimeoutMillis 0 for none, as on an HTTP/2 stream, whose connection has an idle timeout of its own
+     * @param clock monotonic milliseconds
+     * @param earliestArrival earliest time at which bytes that are read now may have arrived
      */
     MessageTimeoutHandler(long wholeWithin, long idle, DoubleSupplier clock, DoubleSupplier arrivals, Counts.Limit slow) {
         this.messageTimeoutMillis = wholeWithin;
@@ -67,7 +69,7 @@
         }, Math.max(1, idleTimeoutMillis / 4), TimeUnit.MILLISECONDS);
     }
 
-    /** Whether it was closed: a message that lies unread makes a connection no idle one. */
+    /** Closes the connection if it is idle and returns whether it did. A connection with an unread message is not idle. */
     boolean closeIfIdle(ChannelHandlerContext ctx) {
         if (!isIdle()) {
             return false;
@@ -87,7 +89,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
         consecutiveReads++;
-        // What came while nothing was read may have come as soon as reading stopped.
+        // Bytes that arrived while reading was paused may have arrived as early as the pause began.
         lastReadAt = Double.isNaN(unreadSince) ? earliestArrival.getAsDouble() : Math.min(unreadSince, earliestArrival.getAsDouble());
         beginMessage(ctx);
         ctx.fireChannelRead(msg);
@@ -102,7 +104,7 @@
         ctx.fireChannelReadComplete();
     }
 
-    /** Something of the next message is there; also told by who finds more than one message in what was read at once. */
+    /** Starts timing a message. Also called by the decoder's successor where one read contained several messages. */
     void beginMessage(ChannelHandlerContext ctx) {
         if (messageInProgress || stopped) {
             return;
@@ -121,7 +123,7 @@
         }, messageTimeoutMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** The message is whole; its first byte came at the result, in module time. */
+    /** Ends the timing of a completely received message and returns when its first byte arrived. */
     double endMessage() {
         cancelTimer();
         messageInProgress = false;
@@ -129,13 +131,13 @@
         return firstByteAt;
     }
 
-    /** An answer has gone out: of the oldest whole message, or of one that was refused before it was whole. */
+    /** Records an answer: to the oldest complete message, or to one that was rejected before it was complete. */
     void recordAnswer() {
         unansweredMessages = Math.max(0, unansweredMessages - 1);
         idleSince = clock.getAsDouble();
     }
 
-    /** The last answer of the connection or stream has gone out: what still comes is no message. */
+    /** Stops timing for good: the last answer of the connection or stream is being written, and further input is ignored. */
     void stop() {
         cancelTimer();
         stopped = true;
@@ -143,19 +145,23 @@
         unansweredMessages = 0;
     }
 
-    /** The message under way waits for us: it is not timed until {@link #restart}. */
+    /** Stops timing the current message, which waits for this side, until {@link #restartTimer}. */
     void suspendTimer() {
         cancelTimer();
     }
 
-    /** The message under way, if there is one, has its whole time again; {@code ctx} is of any handler of this pipeline. */
+    /**
+     * Gives the current message, if any, its full time again.
+     *
+     * @param ctx context of any handler of this pipeline
+     */
     void restartTimer(ChannelHandlerContext ctx) {
         if (messageInProgress && !stopped && !readingPaused && timer == null) {
             startTimer(ctx);
         }
     }
 
-    /** Nothing more is read for now, by our own doing. */
+    /** Records that reading is paused and stops the timer. */
     void pauseReading() {
         suspendTimer();
         readingPaused = true;
@@ -164,7 +170,7 @@
         }
     }
 
-    /** Reading goes on. */
+    /** Records that reading is resumed and restarts the timer. */
     void resumeReading(ChannelHandlerContext ctx) {
         readingPaused = false;
         restartTimer(ctx);
--- a/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
+++ b/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
@@ -28,22 +28,22 @@
 import io.netty.util.AttributeKey;
 
 /**
- * One connection (HTTP/1.1) or stream (HTTP/2) of the webhook front: a whole HTTP request becomes an
- * {@link Arrival}, its final answer a signed HTTP response. What cannot be an inference is refused here with a 4xx
- * status, before anything reaches the decisions.
+ * Handles one connection (HTTP/1.1) or stream (HTTP/2) of the webhook server: converts each HTTP request to an
+ * {@link IncomingMessage} and its final answer to a signed HTTP response. Requests that are no valid inference are rejected here
+ * with a 4xx status and never reach the decision thread.
  */
 final class WebhookRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     static final String PATH = "/v1/inferences";
-    /** The customer whose key fitted last on this connection; tried first for its next message. */
+    /** The customer whose key verified the last message of this connection; its keys are tried first for the next one. */
     static final AttributeKey<Integer> LIKELY_CUSTOMER = AttributeKey.valueOf("likely-customer");
-    /** Bad signatures on this connection: each costs a check with every key, so few are borne. */
+    /** Number of bad signatures on this connection. Each costs a check with every key, so only a few are tolerated. */
     private static final AttributeKey<Integer> BAD_SIGNATURES = AttributeKey.valueOf("forged");
     private static final int MAX_BAD_SIGNATURES = 16;
 
     private final Intake intake;
     private final Outbox outbox;
     private final MessageTimeoutHandler timeoutHandler;
-    /** Null on an HTTP/2 stream, which has one message. */
+    /** Null on an HTTP/2 stream, which carries a single message. */
     private final HttpPipeliningHandler pipelining;
     private WaitingConnection waitingClient;
 
@@ -151,7 +151,7 @@
         }
     }
 
-    /** The client closed, or reset its stream: it has left. */
+    /** The client closed the connection or reset the stream, which cancels its inference. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         WaitingConnection gone = waitingClient;
@@ -178,7 +178,7 @@
         send(ctx, response, keepAlive);
     }
 
-    /** Of a message that was not read to its end: its client may go on writing, and no other message follows. */
+    /** Rejects a message that was not received completely: its client may still be sending, so no further message is read. */
     private void rejectAndClose(ChannelHandlerContext ctx, int status, String word, String why) {
         intake.countRefusal(word);
         FullHttpResponse response = response(status, FinalAnswer.refusal(status, word, why), "application/problem+json");
@@ -216,7 +216,7 @@
         });
     }
 
-    /** Whether the client's next message has come whole: it gets an answer of its own before the connection ends. */
+    /** Returns whether the client's next message is complete: it is answered before the connection is closed. */
     private boolean hasQueuedMessage(ChannelHandlerContext ctx) {
         if (pipelining == null) {
             return false;
@@ -225,7 +225,7 @@
         return pipelining.hasQueuedMessage();
     }
 
-    /** A connection that waits for one answer. */
+    /** A connection or stream that waits for one answer. */
     private final class WaitingConnection extends WaitingClient {
         private final ChannelHandlerContext ctx;
         private final String id;
@@ -246,7 +246,7 @@
         public void onAccepted(InferenceState taken) {
             super.onAccepted(taken);
             if (async) {
-                // RFC 7240, 4.1: the preference was honoured; the answer goes to the registered endpoint.
+                // RFC 7240, 4.1: the preference is honoured; the answer will be delivered to the registered endpoint.
                 ctx.executor().execute(() -> {
                     FullHttpResponse response = response(202, new byte[0], "application/json");
                     response.headers().set("preference-applied", "respond-async");
@@ -263,7 +263,7 @@
                 FullHttpResponse response = response(answer.status(), answer.body(),
                         answer.kind() == FinalAnswer.Kind.RETURNED ? "application/json" : "application/problem+json");
                 if (answer.retryAfterMillis() > 0) {
-                    // Whole seconds (RFC 9110, 10.2.3), rounded up; the body has it to the millisecond.
+                    // Whole seconds (RFC 9110, 10.2.3), rounded up; the body has the exact milliseconds.
                     response.headers().set(HttpHeaderNames.RETRY_AFTER, (long) Math.ceil(answer.retryAfterMillis() / 1000));
                 }
                 String answerId = answer.webhookId(id);
--- a/gateway/src/main/java/gradereach/front/WebhookServer.java
+++ b/gateway/src/main/java/gradereach/front/WebhookServer.java
@@ -34,15 +34,15 @@
 import java.util.List;
 
 /**
- * Listens for signed inferences over HTTP/1.1 and HTTP/2 without TLS; the first bytes tell which (prior knowledge,
- * RFC 9113, 3.3).
+ * Accepts signed inferences over HTTP/1.1 and HTTP/2 without TLS. The protocol is detected by the first bytes of a connection
+ * (HTTP/2 with prior knowledge, RFC 9113, 3.3).
  */
 public final class WebhookServer implements AutoCloseable {
-    /** Bounds of the listener; times in milliseconds, sizes in bytes. */
+    /** Limits of the listener. */
     public record Limits(int maxConnections, int maxHeaderBytes, int maxBodyBytes, long messageTimeoutMillis, long idleTimeoutMillis, int maxConcurrentStreams) { }
 
     private static final byte[] HTTP2_PREFACE = "PRI * HTTP/2.0".getBytes(StandardCharsets.US_ASCII);
-    /** Resets of its own streams that a client may send in ten seconds (CVE-2023-44487). */
+    /** Stream resets that a client may send in ten seconds; more is a rapid reset attack (CVE-2023-44487). */
     private static final int MAX_RESETS_PER_WINDOW = 400;
 
     private final Intake intake;
@@ -61,7 +61,7 @@
         messageTimeouts = counts.limit("slow_messages", Long.MAX_VALUE);
     }
 
-    /** Returns the address bound, with the port that was chosen for 0. */
+    /** Starts to listen and returns the bound address, with the actual port where port 0 was requested. */
     public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
             Class<? extends ServerChannel> type) throws InterruptedException {
         listener = new ServerBootstrap().group(boss, workers).channel(type)
@@ -82,13 +82,13 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Tells HTTP/2 from HTTP/1.1 by the connection preface, then steps aside. */
+    /** Detects HTTP/2 by its connection preface, configures the pipeline for the protocol and removes itself. */
     private final class ProtocolDetector extends ByteToMessageDecoder {
         private MessageTimeoutHandler timeoutHandler;
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            // The clock runs from the first byte, also over bytes that are neither protocol.
+            // The timeout counts from the first byte, also for bytes of neither protocol.
             timeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, limits.idleTimeoutMillis, intake.clock(), intake.earliestArrival(), messageTimeouts);
             ctx.pipeline().addFirst(timeoutHandler);
         }
@@ -112,7 +112,7 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
             if (event == MessageTimeoutHandler.TIMEOUT_EVENT) {
-                ctx.close(); // not even a protocol yet
+                ctx.close(); // the protocol is still unknown, so no response can be sent
             } else {
                 super.userEventTriggered(ctx, event);
             }
@@ -128,7 +128,7 @@
         }
 
         private void configureHttp2(ChannelPipeline pipeline) {
-            // Streams are timed one by one; the connection only for idleness.
+            // Each stream has a timeout handler of its own; the connection only has an idle timeout.
             pipeline.remove(timeoutHandler);
             pipeline.addLast(Http2FrameCodecBuilder.forServer()
                     .initialSettings(Http2Settings.defaultSettings().maxConcurrentStreams(limits.maxConcurrentStreams)
@@ -152,13 +152,13 @@
         }
     }
 
-    /** A message in one piece, or the exception that says it is too large. */
+    /** Aggregates a message, and fires an exception where its body is too large. */
     private static final class MessageAggregator extends HttpObjectAggregator {
         MessageAggregator(int most) {
             super(most, true);
         }
 
-        /** Refusals are the handler's to write, in their turn: only the leave to go on is given here. */
+        /** Returns only 100 Continue; rejections are left to {@link WebhookRequestHandler}, which sends them in order. */
         @Override
         protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
             Object response = super.newContinueResponse(start, most, pipeline);
@@ -173,8 +173,8 @@
     }
 
     /**
-     * No new connection, no new message: HTTP/2 clients hear GOAWAY, HTTP/1.1 clients {@code Connection: close} with
-     * their next answer. What was taken is still answered.
+     * Stops accepting connections and messages. HTTP/2 clients receive GOAWAY, HTTP/1.1 clients {@code Connection: close} with
+     * their next answer. Accepted inferences are still answered.
      */
     public void stopAccepting() {
         intake.stop();
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.LongAdder;
 
-/** One client connection: whose message came last on it, and how many bad signatures it has brought. */
+/** State of one client connection: the customer of its last message and the number of bad signatures received on it. */
 final class GrpcConnection {
     private static final Attributes.Key<GrpcConnection> CONNECTION_ATTRIBUTE = Attributes.Key.create("caller");
     static final Context.Key<GrpcConnection> CURRENT_CONNECTION = Context.key("caller");
     /**
-     * Resets the stream. A status alone would wait behind what its reader does not take; the library resets only where a
-     * call's time is up, so that is what it is told.
+     * Resets the stream of the call. A status alone would wait behind the messages that its reader does not read. The library
+     * resets a stream only when the deadline of its call has passed, so the context is cancelled with a timeout.
      */
     static final Context.Key<Runnable> RESET_STREAM = Context.key("reset");
     static final Context.Key<Metadata> HEADERS = Context.key("headers");
-    /** As on the webhook front: each costs a check with every key, so few are borne. */
+    /** Same limit as on the webhook server. Each bad signature costs a check with every key, so only a few are tolerated. */
     private static final int MAX_BAD_SIGNATURES = 16;
 
     private final AtomicInteger likelyCustomer = new AtomicInteger(-1);
@@ -42,12 +42,12 @@
         forged.incrementAndGet();
     }
 
-    /** Nothing more of this connection is checked. */
+    /** Returns whether signatures on this connection are no longer checked, after too many bad ones. */
     boolean hasTooManyBadSignatures() {
         return forged.get() >= MAX_BAD_SIGNATURES;
     }
 
-    /** Gives each connection its {@link Caller} and counts it. */
+    /** Returns a filter that attaches a {@link GrpcConnection} to each transport and counts the open ones. */
     static ServerTransportFilter transportFilter(LongAdder open) {
         return new ServerTransportFilter() {
             @Override
@@ -63,7 +63,7 @@
         };
     }
 
-    /** Gives each call its {@link #RESET}. */
+    /** Puts {@link #RESET_STREAM} into the context of each call. */
     static final ServerStreamTracer.Factory RESET_TRACER_FACTORY = new ServerStreamTracer.Factory() {
         @Override
         public ServerStreamTracer newServerStreamTracer(String method, Metadata headers) {
@@ -87,7 +87,7 @@
         }
     };
 
-    /** Puts headers and caller where a call finds them. */
+    /** Puts the headers and the connection into the context of each call. */
     static final ServerInterceptor CONTEXT_INTERCEPTOR = new ServerInterceptor() {
         @Override
         public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata headers,
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
@@ -43,7 +43,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** The calls of {@code inference.GRPCInferenceService}: each inference becomes an {@link Arrival}, its answer a message. */
+/**
+ * Implements {@code inference.GRPCInferenceService}: converts each request to an {@link IncomingMessage} and its final answer to
+ * a response message or a status.
+ */
 final class GrpcInferenceService extends GRPCInferenceServiceGrpc.GRPCInferenceServiceImplBase {
     private static final Metadata.Key<String> ID = asciiKey(CallSignature.ID);
     private static final Metadata.Key<String> TIMESTAMP = asciiKey(CallSignature.TIMESTAMP);
@@ -74,7 +77,7 @@
         return Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER);
     }
 
-    // ---- what asks nothing of an executor --------------------------------------------------------------------
+    // ---- calls answered without an executor ------------------------------------------------------------------
 
     private static <T> void respond(StreamObserver<T> to, T what) {
         to.onNext(what);
@@ -91,7 +94,7 @@
         respond(to, ServerReadyResponse.newBuilder().setReady(ready.getAsBoolean()).build());
     }
 
-    /** Models are loaded on demand: one that may be asked for is ready. */
+    /** Models are loaded on demand, so every model of the deployment counts as ready. */
     @Override
     public void modelReady(ModelReadyRequest request, StreamObserver<ModelReadyResponse> to) {
         respond(to, ModelReadyResponse.newBuilder().setReady(ready.getAsBoolean() && intake.findModel(request.getName()) != null)
@@ -116,7 +119,7 @@
 
     // ---- inferences ------------------------------------------------------------------------------------------
 
-    /** A message that cannot be an inference. */
+    /** Thrown for a request that is no valid inference. */
     static final class CallRejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         final int httpStatus;
@@ -129,10 +132,15 @@
         }
     }
 
-    /** Who asks, and how. */
+    /** Fields of a request that authenticate it. */
     record SignatureFields(String id, String timestamp, String signature) { }
 
-    /** @param budget milliseconds that the client has left, 0 where it did not say */
+    /**
+     * Authenticates and validates a request.
+     *
+     * @param bare the request without the parameters that carry its signature
+     * @param budgetMillis time until the deadline of the call, 0 for none
+     */
     IncomingMessage toIncomingMessage(GrpcConnection caller, String method, SignatureFields by, ModelInferRequest bare, double budget, WaitingClient waiter)
             throws CallRejectedException {
         if (bare == LenientRequestParsing.MALFORMED_REQUEST) {
@@ -173,7 +181,7 @@
         return one <= 0 ? other : other <= 0 ? one : Math.min(one, other);
     }
 
-    /** A stream's deadline is that of all its inferences; each may have less by this parameter. */
+    /** Returns the budget of a single inference, which may be shorter than the deadline of its call; 0 for none. */
     private static double budgetParameter(ModelInferRequest bare) throws CallRejectedException {
         InferParameter told = bare.getParametersMap().get(BUDGET_PARAMETER);
         if (told == null) {
@@ -186,7 +194,7 @@
         return budget;
     }
 
-    /** Milliseconds that the client has for one inference, as {@code data.budget_ms} of a webhook. */
+    /** Request parameter for the milliseconds that a client waits for one inference, like {@code data.budget_ms} of a webhook. */
     private static final String BUDGET_PARAMETER = "gradereach-budget-ms";
 
     private static double remainingBudget(Deadline deadline) {
@@ -218,8 +226,8 @@
     }
 
     /**
-     * The event loop of the connection that a call is read from: its answers are written there with no other thread in
-     * between. Calls begin in it, since the listener has no executor of its own.
+     * Returns the event loop of the connection that the current call was read from, so that its answers are written without a
+     * change of thread. Calls start on it because the server uses a direct executor.
      */
     private EventLoop connectionEventLoop() {
         for (EventExecutor loop : eventLoops) {
@@ -254,10 +262,10 @@
             double decidedAt = intake.now();
             eventLoop.execute(() -> {
                 if (!closeOnce()) {
-                    return; // its client has gone
+                    return; // the client has cancelled the call
                 }
                 writeAnswer(answer);
-                // The library flushes in a task of this event loop, which stands before this one.
+                // The library flushes in a task that is queued on this event loop before this one.
                 eventLoop.execute(() -> intake.recordAnswerWritten(decidedAt));
             });
         }
@@ -286,7 +294,7 @@
         }
     }
 
-    /** It ran, and what came of it cannot be put into the protocol's words. */
+    /** Returns the status for an inference that ran but whose output is no inference response of the protocol. */
     static StatusRuntimeException unconvertibleAnswer(IOException why) {
         return Status.UNKNOWN.withDescription("the executor's answer is no inference response: " + why.getMessage())
                 .asRuntimeException();
@@ -310,7 +318,7 @@
         return call;
     }
 
-    /** What still comes on a call that was refused. */
+    /** Discards the messages of a call that was rejected. */
     private static final class DiscardingObserver implements StreamObserver<ModelInferRequest> {
         @Override
         public void onNext(ModelInferRequest request) { }
@@ -322,7 +330,7 @@
         public void onCompleted() { }
     }
 
-    /** No stream takes anything more; each ends with its last answer. */
+    /** Stops all streaming calls from accepting requests; each ends with its last answer. */
     void drainStreams() {
         openStreams.forEach(StreamingCall::drain);
     }
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
@@ -16,27 +16,29 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Listens for the Open Inference Protocol's gRPC service, on grpc-java over the front end's own threads, with the library's
- * health and reflection services. What it reads goes the same way as the webhook front's: one {@link Intake}.
+ * Serves the gRPC service of the Open Inference Protocol with grpc-java on the front end's event loops, together with the
+ * library's health and reflection services. Inferences enter through the same {@link Intake} as those of the webhook server.
  */
 public final class GrpcServer implements AutoCloseable {
     /**
-     * Bounds of the listener; times in milliseconds, sizes in bytes.
+     * Limits of the listener.
      *
-     * @param calls calls open at once, over all connections
-     * @param callsOfOne calls open at once on one connection
-     * @param streamBytes answers that wait for slow readers, over all streams
-     * @param stalledMillis after which a reader that takes nothing is cut
-     * @param ageMillis after which a connection is ended in good order, so that clients spread anew
+     * @param maxCalls open calls on all connections
+     * @param maxCallsPerConnection open calls on one connection
+     * @param maxQueuedBytes answers queued for slow readers, over all streams
+     * @param stalledReaderTimeoutMillis time after which a stream is reset whose reader reads nothing
+     * @param maxConnectionAgeMillis time after which a connection is closed gracefully, so that clients are balanced again
+     * @param connectionAgeGraceMillis time that open calls of such a connection have to end
      */
     public record Limits(int maxCalls, int maxCallsPerConnection, int maxMetadataBytes, int maxMessageBytes, long maxQueuedBytes, long stalledReaderTimeoutMillis,
             long idleTimeoutMillis, long maxConnectionAgeMillis, long connectionAgeGraceMillis) { }
 
-    /** Clients may ping this often; more is an attack or an error (gRFC A8 advises five minutes without calls). */
+    /** Clients that ping more often are attackers or faulty (gRFC A8 recommends five minutes without calls). */
     private static final long MIN_PING_INTERVAL_SECONDS = 10;
-    /** Resets of its own streams that a client may send in ten seconds (CVE-2023-44487); as the webhook front. */
+    /** Stream resets that a client may send in ten seconds (CVE-2023-44487); same limit as on the webhook server. */
     private static final int MAX_RESETS_PER_WINDOW = 400;
-    private static final int FLOW_CONTROL_WINDOW_BYTES = 1 << 18; // of a stream, as the webhook front: a message of usual size in one go
+    /** Window of one stream, as on the webhook server: a message of usual size fits without a window update. */
+    private static final int FLOW_CONTROL_WINDOW_BYTES = 1 << 18;
 
     private final Intake intake;
     private final Limits limits;
@@ -53,12 +55,12 @@
         this.counts = counts;
     }
 
-    /** Returns the address bound, with the port that was chosen for 0. */
+    /** Starts to listen and returns the bound address, with the actual port where port 0 was requested. */
     public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
             Class<? extends ServerChannel> type) throws IOException {
         service = new GrpcInferenceService(intake, workers, ready, limits, counts);
         server = NettyServerBuilder.forAddress(at).bossEventLoopGroup(boss).workerEventLoopGroup(workers).channelType(type)
-                .directExecutor() // nothing in a call waits
+                .directExecutor() // no call blocks its thread
                 .maxConcurrentCallsPerConnection(limits.maxCallsPerConnection).maxInboundMetadataSize(limits.maxMetadataBytes)
                 .maxInboundMessageSize(limits.maxMessageBytes).flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
                 .maxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, 10)
@@ -74,7 +76,10 @@
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
 
-    /** Clients hear GOAWAY and "not serving"; what was taken is answered. {@link Intake} has been stopped before. */
+    /**
+     * Stops accepting connections and calls: clients receive GOAWAY and the health status NOT_SERVING. Accepted inferences are
+     * still answered. {@link Intake} must have been stopped before.
+     */
     public void stopAccepting() {
         health.enterTerminalState();
         server.shutdown();
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcStatuses.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcStatuses.java
@@ -10,8 +10,8 @@
 import io.grpc.protobuf.StatusProto;
 
 /**
- * The one table of how an inference ends in gRPC's words (docs/grpc.md). Clients repeat on {@code UNAVAILABLE} by
- * themselves, so it is said only where nothing of the inference ran.
+ * Maps final answers and rejections to gRPC status codes and trailers (docs/grpc.md). gRPC clients retry {@code UNAVAILABLE}
+ * automatically, so it is used only for inferences of which nothing ran.
  */
 final class GrpcStatuses {
     /** gRFC A6, "Pushback". */
@@ -20,17 +20,17 @@
     static final Metadata.Key<String> REPEAT_HARMLESS = Metadata.Key.of("gradereach-repeat-harmless",
             Metadata.ASCII_STRING_MARSHALLER);
 
-    /** The front end takes nothing more: another one may. As {@code connection: close} of the webhook front. */
+    /** Set when this front end shuts down and another one should be used, like {@code connection: close} over HTTP/1.1. */
     static final Metadata.Key<String> STOPPING = Metadata.Key.of("gradereach-stopping", Metadata.ASCII_STRING_MARSHALLER);
 
     private GrpcStatuses() { }
 
-    /** Of an answer that is not a returned one. */
+    /** Returns the status code of a final answer. */
     static Status.Code code(FinalAnswer answer) {
         return switch (answer.kind()) {
             case RETURNED -> Status.Code.OK;
             case SHED -> Status.Code.UNAVAILABLE;
-            // Nothing of it ran, or it may run again: the caller's own logic may ask again. Else by what ended it.
+            // ABORTED if a repeat is harmless (nothing ran, or it may run again); otherwise the code tells what ended the inference.
             case FAILED -> answer.repeatHarmless() ? Status.Code.ABORTED
                     : answer.status() == 502 ? Status.Code.UNKNOWN : Status.Code.DEADLINE_EXCEEDED;
         };
@@ -51,7 +51,7 @@
         return StatusProto.toStatusRuntimeException(status.build(), trailers);
     }
 
-    /** The same from a front end that may be {@code stopping}. */
+    /** Returns the status of a shed or failed answer; {@code stopping} tells whether this front end shuts down. */
     static StatusRuntimeException toException(FinalAnswer answer, boolean stopping) {
         StatusRuntimeException status = toException(answer);
         if (stopping) {
@@ -60,7 +60,7 @@
         return status;
     }
 
-    /** Of what is no inference, by the HTTP status that the webhook front has for it. */
+    /** Returns the status of a rejected request, given the HTTP status that the webhook server uses for the same rejection. */
     static Status rejection(int status, String word, String why) {
         Status base = switch (status) {
             case 401 -> Status.UNAUTHENTICATED;
--- a/gateway/src/main/java/gradereach/grpcfront/LenientRequestParsing.java
+++ b/gateway/src/main/java/gradereach/grpcfront/LenientRequestParsing.java
@@ -8,11 +8,11 @@
 import java.io.InputStream;
 
 /**
- * Lets bytes that are no message come as far as the call, which then has a clear status for them; the library would end
- * the call as an error of ours.
+ * Passes malformed request messages on to the method, which rejects them with a specific status. By default the library would
+ * end such a call with a status that reports a server error.
  */
 final class LenientRequestParsing {
-    /** Stands for whatever could not be read; told from others by identity. */
+    /** Placeholder for a request that cannot be parsed; compared by identity. */
     static final ModelInferRequest MALFORMED_REQUEST = ModelInferRequest.newBuilder().setId("unreadable").build();
 
     private LenientRequestParsing() { }
--- a/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
+++ b/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
@@ -25,19 +25,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One streamed call: many inferences, each signed by itself, answered by id in the order in which they end. So many are
- * open at once that the next is read when one has been answered and its answer taken off our hands: a slow reader slows
- * itself and nobody else. One that stops reading is cut after a while.
+ * One streaming call: carries many inferences, each signed individually, and answers them by id in the order in which they
+ * end. The number of open inferences is limited: the next request is read only when an answer has been written, so a slow
+ * reader delays only itself. A call whose reader stops reading is reset after a timeout.
  *
- * Calls come from the connection's thread, the deciding thread and the timer; a lock keeps them apart, and nothing under
- * it waits.
+ * Methods are called by the event loop of the connection, the decision thread and the stall timer. All state is guarded by the
+ * monitor of this object, and nothing blocks while holding it.
  */
 final class StreamingCall implements StreamObserver<ModelInferRequest> {
-    /** Inferences of one stream at once; as many as an executor's connection has streams by default. */
+    /** Open inferences of one call; equals the default number of streams on a connection to an executor. */
     private static final int MAX_OPEN_INFERENCES = 100;
-    /** Beside a part: its number, from 1. */
+    /** Response parameter that holds the number of a part, from 1. */
     static final String PART_NUMBER_PARAMETER = "gradereach-part";
-    /** Beside the message that ends an answer in parts: that it does, and how many there were. */
+    /** Response parameter that marks the message that ends a streamed answer. */
     static final String FINAL_PARAMETER = "gradereach-final";
     static final String PART_COUNT_PARAMETER = "gradereach-parts";
 
@@ -50,9 +50,9 @@
     private final ServerCallStreamObserver<ModelStreamInferResponse> responseObserver;
     private final Set<StreamedInference> openInferences = new HashSet<>();
     private final ArrayDeque<QueuedResponse> queuedResponses = new ArrayDeque<>();
-    /** Answers that flow, the next to be asked for a part first. */
+    /** Inferences with a streamed answer, in round-robin order: the head is the next to supply a part. */
     private final ArrayDeque<StreamedInference> streamingInferences = new ArrayDeque<>();
-    /** Something to be written; {@code end} where it is the last of its inference. */
+    /** A response to be written; {@code endsInference} if it is the last one of its inference. */
     private record QueuedResponse(ModelStreamInferResponse response, boolean endsInference) { }
 
     private long queuedBytes;
@@ -115,19 +115,19 @@
         completeIfDone();
     }
 
-    /** The front end stops: what is open is answered, then the call ends, and its client opens one elsewhere. */
+    /** Shuts the call down gracefully: open inferences are answered, then the call is completed. */
     synchronized void drain() {
         halfClosed = true;
         completeIfDone();
     }
 
-    /** The client's end of the call broke; its cancellation is told as well. */
+    /** The request stream failed; the cancellation handler is called as well. */
     @Override
     public void onError(Throwable why) {
         cancelInferences();
     }
 
-    /** Cancelled, or its deadline passed: nothing more can be said. */
+    /** The call was cancelled or its deadline passed: nothing more can be sent, so all open inferences are cancelled. */
     private void cancelInferences() {
         Set<StreamedInference> left;
         synchronized (this) {
@@ -158,7 +158,7 @@
         }
     }
 
-    /** The end of one inference. */
+    /** Queues the last response of an inference. */
     private void endInference(StreamedInference one, ModelStreamInferResponse what) {
         synchronized (this) {
             if (!closed && openInferences.remove(one) && enqueue(what, true)) {
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Something of one inference before its end. */
+    /** Queues a response of an inference that is not its last. */
     private synchronized void sendPart(StreamedInference one, ModelStreamInferResponse what) {
         if (!closed && openInferences.contains(one)) {
             enqueue(what, false);
@@ -177,7 +177,7 @@
     private boolean enqueue(ModelStreamInferResponse what, boolean end) {
         int size = what.getSerializedSize();
         if (!service.queuedStreamBytes.tryAcquire(size)) {
-            resetStalledStream(); // answers wait for too many slow readers
+            resetStalledStream(); // too many bytes are queued for slow readers
             return false;
         }
         queuedBytes += size;
@@ -185,7 +185,7 @@
         return true;
     }
 
-    /** Writes while the reader takes it; each end written makes room for the next message. */
+    /** Writes responses while the transport is ready; each inference that ends lets one more request be read. */
     private synchronized void flush() {
         while (!closed && responseObserver.isReady()) {
             ModelStreamInferResponse next = nextResponse();
@@ -206,7 +206,7 @@
         return !queuedResponses.isEmpty() || streamingInferences.stream().anyMatch(one -> one.answerStream.hasBufferedParts());
     }
 
-    /** Ends and whole answers first, then a part of each answer that flows, in turn. */
+    /** Returns the next response to write: queued ones first, then parts of the streamed answers, round-robin. */
     private ModelStreamInferResponse nextResponse() {
         QueuedResponse whole = queuedResponses.poll();
         if (whole != null) {
@@ -230,7 +230,7 @@
             } else if (one.pendingEnd != null) {
                 one.pendingEnd.run();
                 return nextResponse();
-            } // else its end is on its way
+            } // otherwise its end follows
         }
         return null;
     }
@@ -247,7 +247,7 @@
         }
     }
 
-    /** Its inferences go on where others wait for them; what ran stays on record for repeats. */
+    /** Resets the call of a reader that does not read. Inferences that other clients wait for continue, and answers stay recorded. */
     private void resetStalledStream() {
         service.stalledReaders.recordRejection();
         Set<StreamedInference> left = close();
@@ -255,13 +255,13 @@
         left.forEach(WaitingClient::cancel);
     }
 
-    /** One inference of the stream. */
+    /** One inference of the call. */
     private final class StreamedInference extends WaitingClient {
         private final String id;
-        /** Guarded by the call, as what follows; null for an answer that does not flow. */
+        /** Null for an answer that is not streamed. This field and the following ones are guarded by the call. */
         private AnswerStream<?> answerStream;
         private long partCount;
-        /** What tells its end, once that is known and while parts still wait before it. */
+        /** Sends the final answer; set while parts are still queued before it. */
         private Runnable pendingEnd;
 
         StreamedInference(String id) {
@@ -279,7 +279,7 @@
             eventLoop.execute(() -> {
                 synchronized (StreamingCall.this) {
                     if (closed) {
-                        return; // it has left, and the desk ends the flow
+                        return; // the call is over, and the coordinator ends the answer stream
                     }
                     answerStream = begun;
                     streamingInferences.add(this);
@@ -308,7 +308,7 @@
             });
         }
 
-        /** The library flushes in a task of the connection's event loop, which stands before this one. */
+        /** The library flushes in a task that is queued on the event loop before this one. */
         private void recordWrittenAfterFlush(double decidedAt) {
             eventLoop.execute(() -> intake.recordAnswerWritten(decidedAt));
         }
@@ -325,7 +325,7 @@
                     return;
                 }
                 if (answerStream == null) {
-                    // On record from before: the same parts again.
+                    // A recorded answer to a repeated message: sends the same parts again.
                     for (ModelInferResponse part : AnswerBodyReader.responseParts(answer.body(), id)) {
                         sendPart(this, withPartNumber(ModelStreamInferResponse.newBuilder().setInferResponse(part).build()));
                     }
@@ -348,11 +348,11 @@
             sendError(GrpcStatuses.rejection(status, word, why).asRuntimeException());
         }
 
-        /** The protocol has a sentence for it; code, outcome and pause go beside it, as unary calls have them. */
+        /** The protocol's error message is plain text, so code, outcome and retry delay are sent as parameters, as unary calls have them. */
         private void sendError(StatusRuntimeException why) {
             ModelInferResponse.Builder beside = ModelInferResponse.newBuilder().setId(id);
             if (partCount > 0) {
-                beside.putParameters(PART_COUNT_PARAMETER, intParameter(partCount)); // so far it came
+                beside.putParameters(PART_COUNT_PARAMETER, intParameter(partCount)); // number of parts sent before the error
             }
             putStringParameter(beside, "grpc-status", why.getStatus().getCode().name());
             if (why.getTrailers() != null) {
--- a/gateway/src/main/java/gradereach/oip/AnswerBodyReader.java
+++ b/gateway/src/main/java/gradereach/oip/AnswerBodyReader.java
@@ -7,16 +7,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the JSON body of a final answer, as a webhook's sender gets it, for the gRPC calls. */
+/** Reads the JSON body of a final answer, in the form that webhook clients receive, to answer gRPC calls. */
 public final class AnswerBodyReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private AnswerBodyReader() { }
 
     /**
-     * The executor's response in the body of a returned answer.
+     * Returns the executor's response in the body of a returned answer.
      *
-     * @throws IOException where there is none, or it came in parts
+     * @throws IOException if the body holds none, or a streamed one
      */
     public static ModelInferResponse response(byte[] body, String id) throws IOException {
         List<ModelInferResponse> parts = responseParts(body, id);
@@ -26,7 +26,7 @@
         return parts.get(0);
     }
 
-    /** The same where the executor's response may have come in parts. */
+    /** Returns the parts of the executor's response; a single one if the response was not streamed. */
     public static List<ModelInferResponse> responseParts(byte[] body, String id) throws IOException {
         JsonNode data = JSON.readTree(body).path("data");
         JsonNode output = data.path("output");
@@ -37,12 +37,12 @@
         return parts;
     }
 
-    /** Whether the executor's response in the body of a returned answer came in parts. */
+    /** Returns whether the body of a returned answer holds a streamed response. */
     public static boolean isStreamed(byte[] body) throws IOException {
         return JSON.readTree(body).path("data").path("output").isArray();
     }
 
-    /** The sentence of a shed or failed answer; empty where there is none. */
+    /** Returns the detail of a shed or failed answer, empty if there is none. */
     public static String detail(byte[] body) {
         try {
             return JSON.readTree(body).path("detail").asText();
--- a/gateway/src/main/java/gradereach/oip/InferParameters.java
+++ b/gateway/src/main/java/gradereach/oip/InferParameters.java
@@ -8,16 +8,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Converts the parameters of requests, responses and tensors between their gRPC and their JSON form. */
+/** Converts the parameters of requests, responses and tensors between their gRPC and JSON forms. */
 final class InferParameters {
     static final String FIELD = "parameters";
 
     private InferParameters() { }
 
     /**
-     * Writes the member {@code parameters} of an object, unless there are none.
+     * Writes the member {@code parameters} of an object, unless there are no parameters.
      *
-     * @param path where the parameters stand in the message, for errors
+     * @param path path of the parameters in the message, for errors
      */
     static void write(JsonGenerator out, String path, Map<String, InferParameter> parameters)
             throws IOException, InvalidMessageException {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The parameters of a JSON object, in its order. */
+    /** Reads the parameters of a JSON object, in their order. */
     static Map<String, InferParameter> read(JsonNode object) {
         Map<String, InferParameter> parameters = new LinkedHashMap<>();
         object.path(FIELD).properties().forEach(member ->
--- a/gateway/src/main/java/gradereach/oip/InferenceJsonConverter.java
+++ b/gateway/src/main/java/gradereach/oip/InferenceJsonConverter.java
@@ -18,9 +18,9 @@
 import java.util.List;
 
 /**
- * Between the two forms that the Open Inference Protocol has for one inference: its gRPC messages and the JSON objects of
- * its HTTP/REST protocol ("Inference Request JSON Object", "Tensor Data"). Tensors are checked on the way: a message whose
- * data do not fill its shapes is refused, naming the place.
+ * Converts between the two forms that the Open Inference Protocol defines for an inference: its gRPC messages and the JSON
+ * objects of its HTTP/REST protocol ("Inference Request JSON Object", "Tensor Data"). Tensors are validated during the
+ * conversion: a message whose data do not match its shapes is rejected with the path of the faulty field.
  */
 public final class InferenceJsonConverter {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,9 +30,9 @@
     private InferenceJsonConverter() { }
 
     /**
-     * A gRPC request as the JSON request object for an executor.
+     * Converts a gRPC request to the JSON request object for an executor.
      *
-     * @throws BadMessage where it has no JSON form, or its tensors are not filled
+     * @throws InvalidMessageException if it has no JSON form, or its data do not match its shapes
      */
     public static byte[] requestToJson(ModelInferRequest request) throws InvalidMessageException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 + request.getSerializedSize() * 2);
@@ -102,9 +102,9 @@
     }
 
     /**
-     * An executor's JSON answer as a gRPC response.
+     * Converts an executor's JSON response to a gRPC response.
      *
-     * @throws IOException where it is no inference response object
+     * @throws IOException if it is no inference response object
      */
     public static ModelInferResponse responseFromJson(JsonNode output, String model, String id) throws IOException {
         if (!output.isObject()) {
@@ -124,7 +124,7 @@
         return response.build();
     }
 
-    /** A JSON request object as the bytes of a gRPC request. */
+    /** Converts a JSON request object to an encoded gRPC request. */
     public static byte[] requestBytesFromJson(byte[] json, String model) throws InvalidMessageException {
         try {
             return requestFromJson(JSON.readTree(json), model).toByteArray();
@@ -134,9 +134,9 @@
     }
 
     /**
-     * An executor's gRPC answer as the JSON response object that is kept and handed out.
+     * Converts an executor's encoded gRPC response to the JSON response object that is recorded and sent to clients.
      *
-     * @throws IOException where it is no message, or its tensors are not filled
+     * @throws IOException if it cannot be parsed, or its data do not match its shapes
      */
     public static byte[] responseToJson(byte[] message, int from, int length) throws IOException {
         ModelInferResponse response = ModelInferResponse.parser().parseFrom(message, from, length);
@@ -156,7 +156,7 @@
         }
     }
 
-    /** A response's tensors are those of a request by another name: one conversion, with its checks, serves both. */
+    /** Returns a request with the tensors of a response, so that one validated conversion serves both. */
     private static ModelInferRequest requestWithTensorsOf(ModelInferResponse response) {
         ModelInferRequest.Builder request = ModelInferRequest.newBuilder();
         for (InferOutputTensor tensor : response.getOutputsList()) {
@@ -171,7 +171,7 @@
                 .putAllParameters(response.getParametersMap()).build();
     }
 
-    /** The JSON response objects of an answer in parts, as one array. */
+    /** Converts the parts of a streamed answer to a JSON array of response objects. */
     public static byte[] responsesToJsonArray(List<ModelStreamInferResponse> parts) throws IOException {
         ByteArrayOutputStream array = new ByteArrayOutputStream();
         array.write('[');
@@ -186,7 +186,7 @@
         return array.toByteArray();
     }
 
-    /** A JSON request object as a gRPC request. */
+    /** Converts a JSON request object to a gRPC request. */
     public static ModelInferRequest requestFromJson(JsonNode input, String model) throws IOException {
         ModelInferRequest.Builder request = ModelInferRequest.newBuilder().setModelName(model)
                 .setId(input.path("id").asText("")).putAllParameters(InferParameters.read(input));
--- a/gateway/src/main/java/gradereach/oip/MessageChecks.java
+++ b/gateway/src/main/java/gradereach/oip/MessageChecks.java
@@ -2,7 +2,7 @@
 
 import gradereach.message.InvalidMessageException;
 
-/** Refusals of messages that cannot be converted; each names the place in the message. */
+/** Checks of messages before their conversion; each error names the path of the faulty field. */
 final class MessageChecks {
     private MessageChecks() { }
 
@@ -12,7 +12,7 @@
         }
     }
 
-    /** The value itself, refused where JSON has no form for it. */
+    /** Returns the value; rejects NaN and infinities, which JSON cannot represent. */
     static double requireFinite(double value, String place) throws InvalidMessageException {
         require(Double.isFinite(value), place, "no finite number, which JSON cannot carry to executors");
         return value;
--- a/gateway/src/main/java/gradereach/oip/TensorReader.java
+++ b/gateway/src/main/java/gradereach/oip/TensorReader.java
@@ -5,14 +5,14 @@
 import gradereach.protocol.inference.InferTensorContents;
 import java.io.IOException;
 
-/** Reads a JSON tensor's data into the contents of a gRPC tensor. */
+/** Reads the data of a JSON tensor into the contents of a gRPC tensor. */
 final class TensorReader {
     private TensorReader() { }
 
     /**
-     * Adds data, nested by the tensor's shape or flat ("Tensor Data").
+     * Adds data, which may be nested by the tensor's shape or flat ("Tensor Data").
      *
-     * @throws IOException where the datatype is unknown
+     * @throws IOException if the datatype is unknown
      */
     static void addData(InferTensorContents.Builder contents, String datatype, JsonNode data) throws IOException {
         if (data.isArray()) {
--- a/gateway/src/main/java/gradereach/oip/TensorWriter.java
+++ b/gateway/src/main/java/gradereach/oip/TensorWriter.java
@@ -11,14 +11,15 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the data of a gRPC tensor as elements of a flat JSON array, and refuses data that do not fill its shape. */
+/** Writes the data of a gRPC tensor as elements of a flat JSON array; rejects data that do not match the shape. */
 final class TensorWriter {
-    private static final long MAX_ELEMENTS = 1L << 28; // far above any message; keeps products of shapes within a long
+    /** Far above the size of any message; keeps the product of the dimensions within a long. */
+    private static final long MAX_ELEMENTS = 1L << 28;
     private static final int LENGTH_PREFIX_BYTES = 4;
 
     private TensorWriter() { }
 
-    /** Writes data that the tensor holds itself. */
+    /** Writes data that the tensor contains itself. */
     static void writeContents(JsonGenerator out, InferInputTensor tensor, String path) throws IOException, InvalidMessageException {
         long count = elementCount(tensor, path);
         InferTensorContents contents = tensor.getContents();
@@ -77,10 +78,11 @@
     }
 
     /**
-     * Writes data that the message holds beside its tensors: little endian, elements one after the other, BYTES each
-     * behind its length in four bytes.
+     * Writes data that the message carries outside of its tensors: elements in little-endian order without padding, elements of
+     * BYTES prefixed with their length in four bytes.
      *
-     * @param place where the data stand in the message, for errors; {@code path} where the tensor stands
+     * @param dataPath path of the data in the message, for errors
+     * @param path path of the tensor in the message, for errors
      */
     static void writeRaw(JsonGenerator out, InferInputTensor tensor, ByteString data, String place, String path)
             throws IOException, InvalidMessageException {
@@ -109,7 +111,7 @@
         MessageChecks.require(!in.hasRemaining(), place, "goes on after its last element");
     }
 
-    /** Bytes of one element; 0 where elements have lengths of their own. */
+    /** Returns the size of one element in bytes, 0 for elements of variable length. */
     private static int elementBytes(InferInputTensor tensor, String path) throws InvalidMessageException {
         return switch (tensor.getDatatype()) {
             case "BOOL", "INT8", "UINT8" -> Byte.BYTES;
@@ -130,7 +132,7 @@
         return decodeUtf8(value, place);
     }
 
-    /** Elements that the tensor's shape asks for. */
+    /** Returns the number of elements by the tensor's shape. */
     private static long elementCount(InferInputTensor tensor, String path) throws InvalidMessageException {
         long count = 1;
         for (long size : tensor.getShapeList()) {
@@ -150,7 +152,7 @@
         return decodeUtf8(value.asReadOnlyByteBuffer(), place);
     }
 
-    /** JSON has text only. */
+    /** JSON strings are text, so BYTES elements must be valid UTF-8. */
     private static String decodeUtf8(ByteBuffer value, String place) throws InvalidMessageException {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(value).toString();
--- a/gateway/src/main/java/gradereach/plan/CustomerSettings.java
+++ b/gateway/src/main/java/gradereach/plan/CustomerSettings.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The customers of a deployment file, their keys, and what answers to them are signed with. Lists are by customer index. */
+/** The customers of a deployment file, their keys and the keys that sign answers to them. Lists are indexed by customer. */
 final class CustomerSettings {
     private static final long LAST_EPOCH_SECOND = Long.MAX_VALUE - 1;
 
@@ -19,10 +19,10 @@
     private final List<String> errors;
     private final List<Customer> customers = new ArrayList<>();
     private final List<List<WebhookKey>> customerKeys = new ArrayList<>();
-    /** Null for none. */
+    /** Null if the file has none. */
     private final WebhookKey answersKey;
 
-    /** @param errors takes the errors found */
+    /** @param errors receives the errors found */
     CustomerSettings(JsonNode tree, KeySettings keySettings, List<String> errors) {
         this.root = tree;
         this.keySettings = keySettings;
@@ -86,7 +86,7 @@
         return customerKeys;
     }
 
-    /** What answers to each customer are signed with: its own shared secrets, or the deployment's private key. */
+    /** Returns the keys that sign answers to each customer: its own shared secrets, or the deployment's private key. */
     List<List<WebhookKey>> answerKeys() {
         List<List<WebhookKey>> signing = new ArrayList<>();
         for (List<WebhookKey> own : customerKeys) {
@@ -96,7 +96,7 @@
         return signing;
     }
 
-    /** Where answers are delivered to, null for nowhere. */
+    /** Returns the URLs to which answers are delivered, null for customers without one. */
     List<String> answerEndpoints() {
         List<String> urls = new ArrayList<>();
         for (JsonNode customer : root.path("customers")) {
--- a/gateway/src/main/java/gradereach/plan/Deployment.java
+++ b/gateway/src/main/java/gradereach/plan/Deployment.java
@@ -29,14 +29,14 @@
 import java.util.Set;
 
 /**
- * A deployment file, read and checked once at start: JSON by the schema {@code deployment.schema.json}, then by what a
- * schema cannot say. Gives each part its own few values and is then let go of.
+ * A deployment file, read and validated once at start: first against the JSON schema {@code deployment.schema.json}, then by
+ * checks that a schema cannot express. Provides the settings of each component.
  */
 public final class Deployment {
     private static final int MAX_PORT = 65_535;
     private static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
     private static final int DEFAULT_MAX_SERIES_PER_LABEL = 50;
-    /** Milliseconds for which an answer as ready holds where the roster is out of reach: the shortest of the operators'. */
+    /** How long a probe answered as ready is relied on while the roster is unreachable: the shortest drain grace of any operator. */
     private static final double DRAIN_GRACE_MILLIS = 500;
 
     private final JsonNode tree;
@@ -58,12 +58,20 @@
         checkPorts(errors);
     }
 
-    /** @throws BadPlan with every error found, each naming its path in the file */
+    /**
+     * Reads and validates a deployment file.
+     *
+     * @throws InvalidDeploymentException with every error found, each naming its path in the file
+     */
     public static Deployment read(Path file) throws InvalidDeploymentException {
         return of(DeploymentJson.parse(file), file.toAbsolutePath().getParent());
     }
 
-    /** @param folder paths in the file start here */
+    /**
+     * Validates a parsed deployment file.
+     *
+     * @param folder folder against which relative paths in the file are resolved
+     */
     public static Deployment of(JsonNode tree, Path folder) throws InvalidDeploymentException {
         DeploymentJson.validate(tree);
         List<String> errors = new ArrayList<>();
@@ -94,80 +102,80 @@
         }
     }
 
-    /** The front end's name, by which its peers and its measures know it. */
+    /** Returns the name of this front end, used by its peers and in its metrics. */
     public String name() {
         return tree.path("name").asText();
     }
 
-    /** Where clients' webhooks are listened for. */
+    /** Returns the address on which webhooks of clients are accepted. */
     public InetSocketAddress listenAddress() {
         return address(tree.path("listen").asText());
     }
 
-    /** Kinds of executors, by the roster's numbers, that take inferences by gRPC. */
+    /** Returns the kinds of executors, as numbered by the roster, that accept inferences over gRPC. */
     public Set<Integer> grpcMachineKinds() {
         Set<Integer> kinds = new HashSet<>();
         tree.path("executors").path("grpc_kinds").forEach(kind -> kinds.add(kind.asInt()));
         return kinds;
     }
 
-    /** Where clients' gRPC calls are listened for; null for nowhere. */
+    /** Returns the address on which gRPC calls of clients are accepted, null for none. */
     public InetSocketAddress grpcListenAddress() {
         return tree.has("grpc") ? address(tree.path("grpc").path("listen").asText()) : null;
     }
 
-    /** One of {@code /grpc}'s numbers. */
+    /** Returns a number of {@code /grpc}. */
     public long grpcSetting(String name, long defaultValue) {
         return tree.path("grpc").path(name).asLong(defaultValue);
     }
 
-    /** How shares follow who is there; null where they are fixed by the number of front ends. */
+    /** Returns how the share of this front end follows the membership; null if shares are fixed by the number of front ends. */
     public Membership.Config membership() {
         return membership.config();
     }
 
-    /** Share of the value asked for that is to be returned in time, by model group. */
+    /** Returns the fraction of the requested value that must be returned in time, by model group. */
     public Map<String, Double> objectives() {
         return models.objectives();
     }
 
-    /** The longest usual load time of any model, milliseconds. */
+    /** Returns the longest usual load time of any model, in milliseconds. */
     public double maxLoadMillis() {
         return models.maxLoadMillis();
     }
 
-    /** Customers, and models, that have series of their own; the rest share one. */
+    /** Returns how many customers, and how many models, have metric series of their own; all others share one. */
     public int maxSeriesPerLabel() {
         return tree.path("metrics").path("series_each").asInt(DEFAULT_MAX_SERIES_PER_LABEL);
     }
 
-    /** Where measures are pushed to, null for nowhere. */
+    /** Returns the receiver to which metrics are pushed, null for none. */
     public Pusher.Receiver remoteWriteReceiver() {
         JsonNode settings = tree.path("metrics").path("remote_write");
         return settings.isMissingNode() ? null : RemoteWriteSettings.receiver(settings, name());
     }
 
-    /** Where health and metrics are asked for; null for nowhere. */
+    /** Returns the address on which health and metrics are served, null for none. */
     public InetSocketAddress adminAddress() {
         return tree.has("admin") ? address(tree.path("admin").asText()) : null;
     }
 
-    /** Null where the roster is a file. */
+    /** Returns the roster server, null if the roster is a file. */
     public URI rosterServer() {
         return tree.path("roster").has("server") ? URI.create(tree.path("roster").path("server").asText()) : null;
     }
 
-    /** Null where the roster is a server. */
+    /** Returns the roster file, null if the roster comes from a server. */
     public Path rosterFile() {
         return tree.path("roster").has("file") ? folder.resolve(tree.path("roster").path("file").asText()) : null;
     }
 
-    /** Names of the places that front ends and executors are in. */
+    /** Returns the names of the locations of front ends and executors. */
     public List<String> locations() {
         return strings(tree.path("tier").path("locations"));
     }
 
-    /** The front ends of the deployment, and which of them this one is. */
+    /** Returns the number of front ends and the index of this one. */
     public FrontEndSettings frontEndSettings() {
         JsonNode tier = tree.path("tier");
         return new FrontEndSettings(tier.path("me").asInt(0), tier.path("front_ends").asInt(1),
@@ -175,67 +183,67 @@
                 tree.path("forwards").path("probes").asBoolean(true), false, 0, 0, number(tier, "tick_ms", 4));
     }
 
-    /** The seed of the random choices; null to draw one. */
+    /** Returns the seed of random choices, null to draw one. */
     public Long seed() {
         return tree.path("tier").has("seed") ? tree.path("tier").path("seed").asLong() : null;
     }
 
-    /** The model groups in the file's order. */
+    /** Returns the model groups in the order of the file. */
     public List<ModelGroup> groups() {
         return models.groups();
     }
 
-    /** The customers in the file's order; other lists of customers are by their index in this one. */
+    /** Returns the customers in the order of the file. Other lists of customer settings are indexed by it. */
     public List<Customer> customers() {
         return customers.customers();
     }
 
-    /** Value of what is beyond a customer's quota, from 0 to 1. */
+    /** Returns the value of an inference over its customer's quota, as a fraction from 0 to 1. */
     public double overQuotaValue() {
         return number(tree, "surplus_value", 1);
     }
 
-    /** The keys that each customer may sign with, by customer index. */
+    /** Returns the keys that each customer may sign with, by customer index. */
     public List<List<WebhookKey>> customerKeys() {
         return customers.customerKeys();
     }
 
-    /** What answers to each customer are signed with: its own shared secrets, or the deployment's private key. */
+    /** Returns the keys that sign answers to each customer: its own shared secrets, or the deployment's private key. */
     public List<List<WebhookKey>> answerKeys() {
         return customers.answerKeys();
     }
 
-    /** Where answers are delivered to, by customer index; null for nowhere. */
+    /** Returns the URLs to which answers are delivered, by customer index; null for customers without one. */
     public List<String> answerEndpoints() {
         return customers.answerEndpoints();
     }
 
-    /** The models that may be asked for. */
+    /** Returns the models that clients may request. */
     public ModelCatalog modelCatalog() {
         return models.modelCatalog();
     }
 
-    /** What may be sent to an executor that has just started. */
+    /** Returns how much may be sent to an executor that has just started. */
     public ColdStartRule coldStartRule() {
         JsonNode rule = tree.path("rules").path("cold_start");
         return new ColdStartRule(number(rule, "start_share", 1), number(rule, "warm_within_ms", 0),
                 number(rule, "fall_multiple", 0), number(rule, "fall_ms", 0));
     }
 
-    /** How many loads may be ordered. */
+    /** Returns how many load orders may be sent. */
     public LoadOrderBudget loadOrderBudget() {
         JsonNode ration = tree.path("rules").path("load_ration");
         return new LoadOrderBudget(number(ration, "free", 0), number(ration, "share", 0), number(ration, "span_ms", 0));
     }
 
-    /** How executors load models and keep them. */
+    /** Returns how executors load and unload models. */
     public LoadingRules loadingRules() {
         JsonNode loading = tree.path("loading");
         return new LoadingRules(loading.path("orders").asBoolean(true), loading.path("loads_by_itself").asBoolean(false),
                 number(loading, "keeps_idle_ms", 10_000), number(loading, "order_timeout_ms", 10_000), 0, List.of());
     }
 
-    /** How often, and for how long, an inference is forwarded. */
+    /** Returns how often and for how long an inference is forwarded. */
     public ForwardRules forwardRules() {
         JsonNode forwards = tree.path("forwards");
         return new ForwardRules(forwards.path("most").asInt(5), false, forwards.path("cancels").asBoolean(true),
@@ -243,52 +251,52 @@
                 number(forwards, "longest_pause_ms", 2000), true, DRAIN_GRACE_MILLIS);
     }
 
-    /** One of {@code /executors}'s numbers. */
+    /** Returns a number of {@code /executors}. */
     public double executorSetting(String name, double defaultValue) {
         return number(tree.path("executors"), name, defaultValue);
     }
 
-    /** Where the ledger lies, null for none: then a restart forgets. */
+    /** Returns the folder of the ledger; null for none, in which case a restart loses all messages. */
     public Path ledgerFolder() {
         return tree.has("ledger") ? folder.resolve(tree.path("ledger").path("folder").asText()) : null;
     }
 
-    /** Whether this front end has peers that keep claims. */
+    /** Returns whether this front end has peers with which it replicates claims. */
     public boolean hasPeers() {
         return peers.isConfigured();
     }
 
-    /** Where peers are listened for. */
+    /** Returns the address on which peers are accepted. */
     public InetSocketAddress peersListenAddress() {
         return peers.listenAddress();
     }
 
-    /** The secret that peers sign with. */
+    /** Returns the secret with which peers sign their messages. */
     public WebhookKey peerKey() {
         return peers.key();
     }
 
-    /** Every peer's addresses, this front end's among them. */
+    /** Returns the addresses of all peers, including this front end. */
     public List<PeerClaims.Peer> peers() {
         return peers.peers();
     }
 
-    /** The lists in force: the present one, and the one before it while it is being changed. */
+    /** Returns the sets of peers in force: the current one and, during a change, the previous one. */
     public List<FrontEndSet> peerSets() {
         return peers.peerSets();
     }
 
-    /** One of {@code /ledger}'s numbers. */
+    /** Returns a number of {@code /ledger}. */
     public long ledgerSetting(String name, long defaultValue) {
         return tree.path("ledger").path(name).asLong(defaultValue);
     }
 
-    /** One of {@code /limits}' numbers. */
+    /** Returns a number of {@code /limits}. */
     public long limitSetting(String name, long defaultValue) {
         return tree.path("limits").path(name).asLong(defaultValue);
     }
 
-    /** Milliseconds for which a connection to an executor may take to be made. */
+    /** Returns the timeout for connecting to an executor, in milliseconds. */
     public int connectTimeoutMillis() {
         return tree.path("executors").path("connect_timeout_ms").asInt(DEFAULT_CONNECT_TIMEOUT_MILLIS);
     }
--- a/gateway/src/main/java/gradereach/plan/DeploymentJson.java
+++ b/gateway/src/main/java/gradereach/plan/DeploymentJson.java
@@ -18,7 +18,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Parses a deployment file, validates it against {@code deployment.schema.json}, and converts single JSON values. */
+/** Parses a deployment file, validates it against {@code deployment.schema.json} and converts single JSON values. */
 final class DeploymentJson {
     private static final String SCHEMA = "deployment.schema.json";
     private static final ObjectMapper JSON = JsonMapper.builder()
@@ -27,7 +27,11 @@
 
     private DeploymentJson() { }
 
-    /** @throws BadPlan where the file cannot be read or is no JSON; it names the line and the column */
+    /**
+     * Parses a file.
+     *
+     * @throws InvalidDeploymentException if the file cannot be read, or is no JSON; it names the line and the column
+     */
     static JsonNode parse(Path file) throws InvalidDeploymentException {
         try {
             return JSON.readTree(file.toFile());
@@ -42,7 +46,11 @@
         return location == null ? "" : ":" + location.getLineNr() + ":" + location.getColumnNr();
     }
 
-    /** @throws BadPlan with every violation of the schema, each naming its path in the file */
+    /**
+     * Validates a parsed file against the schema.
+     *
+     * @throws InvalidDeploymentException with every violation of the schema, each naming its path in the file
+     */
     static void validate(JsonNode tree) throws InvalidDeploymentException {
         List<String> errors = new ArrayList<>();
         for (Error error : schema().validate(tree)) {
@@ -62,26 +70,26 @@
         }
     }
 
-    /** A member of an object as a number, or the default where it is missing. */
+    /** Returns a member of an object as a number, or the default if it is missing. */
     static double number(JsonNode object, String member, double defaultValue) {
         return object.path(member).asDouble(defaultValue);
     }
 
-    /** The elements of an array of strings; none where the array is missing. */
+    /** Returns the elements of an array of strings, none if the array is missing. */
     static List<String> strings(JsonNode array) {
         List<String> values = new ArrayList<>();
         array.forEach(value -> values.add(value.asText()));
         return values;
     }
 
-    /** {@code host:port}, an IPv6 host in brackets. */
+    /** Parses {@code host:port}, with an IPv6 host in brackets. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, colon).replace("[", "").replace("]", "");
         return new InetSocketAddress(host, port(text));
     }
 
-    /** The port of {@code host:port}. */
+    /** Returns the port of {@code host:port}. */
     static int port(String address) {
         return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
     }
--- a/gateway/src/main/java/gradereach/plan/InvalidDeploymentException.java
+++ b/gateway/src/main/java/gradereach/plan/InvalidDeploymentException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A deployment file that cannot be used; one line for each error, with its path. */
+/** Thrown for an invalid deployment file; each error names its path in the file. */
 public final class InvalidDeploymentException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> errors;
--- a/gateway/src/main/java/gradereach/plan/KeySettings.java
+++ b/gateway/src/main/java/gradereach/plan/KeySettings.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the keys that a deployment file holds itself ({@code inline}) or names ({@code file}). */
+/** Reads keys that a deployment file contains ({@code inline}) or refers to ({@code file}). */
 final class KeySettings {
-    /** Scheme of the keys that both sides know, {@code whsec_}. */
+    /** Scheme of shared secrets, {@code whsec_}. */
     static final String SHARED_SECRET = "v1";
     /** Scheme of private and public keys, {@code whsk_} and {@code whpk_}. */
     static final String KEY_PAIR = "v1a";
@@ -26,15 +26,17 @@
     private final List<String> errors;
 
     /**
-     * @param folder where relative paths of key files start
-     * @param errors takes the errors found
+     * Creates a reader of keys.
+     *
+     * @param folder folder against which relative paths of key files are resolved
+     * @param errors receives the errors found
      */
     KeySettings(Path folder, List<String> errors) {
         this.folder = folder;
         this.errors = errors;
     }
 
-    /** The key at a path of the deployment file; null where there is an error. */
+    /** Reads the key at a path of the deployment file; null on errors. */
     WebhookKey read(String path, JsonNode settings) {
         try {
             if (settings.has("inline")) {
@@ -60,7 +62,7 @@
         return !permissions.isEmpty();
     }
 
-    /** A key with the times {@code from} and {@code until} between which it is valid; null where there is an error. */
+    /** Reads a key with the times {@code from} and {@code until} between which it is valid; null on errors. */
     WebhookKey readWithValidity(String path, JsonNode settings) {
         if (settings.has("inline") == settings.has("file")) {
             errors.add(path + ": one of inline and file is needed");
--- a/gateway/src/main/java/gradereach/plan/MembershipSettings.java
+++ b/gateway/src/main/java/gradereach/plan/MembershipSettings.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** How shares follow which front ends are there. */
+/** Settings by which the share of this front end follows the membership. */
 final class MembershipSettings {
     private static final String DEFAULT_CLUSTER = "gradereach";
     private static final int DEFAULT_SEATS = 240;
@@ -24,7 +24,7 @@
     private final List<String> errors;
     private final List<byte[]> secrets = new ArrayList<>();
 
-    /** @param errors takes the errors found */
+    /** @param errors receives the errors found */
     MembershipSettings(JsonNode tree, KeySettings keySettings, List<String> errors) {
         this.tree = tree;
         this.errors = errors;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Null where shares are fixed by the number of front ends. */
+    /** Returns null if shares are fixed by the number of front ends. */
     Membership.Config config() {
         if (settings.isMissingNode()) {
             return null;
--- a/gateway/src/main/java/gradereach/plan/ModelSettings.java
+++ b/gateway/src/main/java/gradereach/plan/ModelSettings.java
@@ -23,7 +23,7 @@
     private final List<ModelGroup> groups = new ArrayList<>();
     private final List<ModelCatalog.Entry> models = new ArrayList<>();
 
-    /** @param errors takes the errors found */
+    /** @param errors receives the errors found */
     ModelSettings(JsonNode tree, List<String> errors) {
         this.tree = tree;
         this.errors = errors;
@@ -87,7 +87,7 @@
         return new ModelCatalog(models);
     }
 
-    /** Share of the value asked for that is to be returned in time, by model group. */
+    /** Returns the fraction of the requested value that must be returned in time, by model group. */
     Map<String, Double> objectives() {
         Map<String, Double> objectives = new LinkedHashMap<>();
         for (JsonNode group : tree.path("model_groups")) {
@@ -96,7 +96,7 @@
         return objectives;
     }
 
-    /** The longest usual load time of any model, milliseconds. */
+    /** Returns the longest usual load time of any model, in milliseconds. */
     double maxLoadMillis() {
         return models.stream().mapToDouble(ModelCatalog.Entry::loadMillis).max().orElse(0);
     }
--- a/gateway/src/main/java/gradereach/plan/PeerSettings.java
+++ b/gateway/src/main/java/gradereach/plan/PeerSettings.java
@@ -13,17 +13,17 @@
 import java.util.List;
 import java.util.Set;
 
-/** The peers that keep claims with this front end. */
+/** Settings of the peers with which this front end replicates claims. */
 final class PeerSettings {
     private static final int DEFAULT_COPIES = 3;
 
     private final JsonNode tree;
     private final JsonNode settings;
     private final List<String> errors;
-    /** Null where there are no peers. */
+    /** Null if there are no peers. */
     private WebhookKey key;
 
-    /** @param errors takes the errors found */
+    /** @param errors receives the errors found */
     PeerSettings(JsonNode tree, KeySettings keySettings, List<String> errors) {
         this.tree = tree;
         this.errors = errors;
@@ -86,7 +86,7 @@
         return peers;
     }
 
-    /** The lists in force: the present one, and the one before it while it is being changed. */
+    /** Returns the sets of peers in force: the current one and, during a change, the previous one. */
     List<FrontEndSet> peerSets() {
         int copies = settings.path("copies").asInt(DEFAULT_COPIES);
         List<FrontEndSet> lists = new ArrayList<>();
--- a/gateway/src/main/java/gradereach/plan/RemoteWriteSettings.java
+++ b/gateway/src/main/java/gradereach/plan/RemoteWriteSettings.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Where a front end pushes its measures. Bounds that a file does not name suit a front end of 2,000 series. */
+/** Settings for pushing metrics. The defaults suit a front end with 2,000 series. */
 final class RemoteWriteSettings {
     private static final String DEFAULT_VERSION = "2.0";
     private static final String VERSION_1 = "1.0";
@@ -28,7 +28,7 @@
 
     private RemoteWriteSettings() { }
 
-    /** @param settings {@code /metrics/remote_write} */
+    /** @param settings the object at {@code /metrics/remote_write} */
     static Pusher.Receiver receiver(JsonNode settings, String frontEnd) {
         long interval = settings.path("interval_ms").asLong(DEFAULT_INTERVAL_MILLIS);
         boolean version1 = settings.path("version").asText(DEFAULT_VERSION).equals(VERSION_1);
@@ -38,7 +38,7 @@
                 settings.path("stop_ms").asLong(DEFAULT_STOP_TIMEOUT_MILLIS));
     }
 
-    /** Names and values of the labels that every series has, in turn, sorted by name. */
+    /** Returns alternating names and values of the labels that every series has, sorted by name. */
     private static List<String> labels(JsonNode settings, String frontEnd) {
         Map<String, String> labels = new TreeMap<>(Map.of("instance", frontEnd, "job", "gradereach"));
         settings.path("labels").properties().forEach(label -> labels.put(label.getKey(), label.getValue().asText()));
--- a/gateway/src/main/java/gradereach/serve/AdminServer.java
+++ b/gateway/src/main/java/gradereach/serve/AdminServer.java
@@ -26,7 +26,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** {@code /healthz}, {@code /readyz}, {@code /metrics} and {@code /members} on a listener of their own, served by the JDK's small server. */
+/** Serves {@code /healthz}, {@code /readyz}, {@code /metrics} and {@code /members} on a separate address with the JDK's HTTP server. */
 final class AdminServer implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final HttpServer server;
@@ -38,7 +38,7 @@
     private final Counts counts;
     private final Supplier<Membership.View> members;
 
-    /** @param members may give null: there is no membership here, or none yet */
+    /** @param members supplies null where there is no membership, or none yet */
     AdminServer(InetSocketAddress at, Counts counts, BooleanSupplier healthy, BooleanSupplier ready, Supplier<Membership.View> members)
             throws IOException {
         this.counts = counts;
--- a/gateway/src/main/java/gradereach/serve/EchoExecutor.java
+++ b/gateway/src/main/java/gradereach/serve/EchoExecutor.java
@@ -25,17 +25,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An executor that holds every model and answers at once: for warming up, and to measure what the front end adds. Models
- * with one of the words below in their name end otherwise.
+ * An executor that has every model loaded and answers at once, used to warm up a front end and to measure its overhead.
+ * Inferences of models whose name contains one of the constants below end differently.
  */
 public final class EchoExecutor {
-    /** Returned with a tensor. */
+    /** The answer contains a tensor. */
     static final String TENSOR = "tensor";
-    /** Never answered. */
+    /** There is no answer. */
     static final String SILENT = "silent";
-    /** Answered with status 500. */
+    /** The answer has status 500. */
     static final String ERROR = "error";
-    /** Its stream is reset. */
+    /** The stream is reset. */
     static final String RESET = "reset";
 
     private static final byte[] ANSWER = "{\"model_name\":\"m\",\"outputs\":[]}".getBytes(StandardCharsets.UTF_8);
@@ -44,14 +44,14 @@
 
     private EchoExecutor() { }
 
-    /** As a process: prints its port and ends with its input. */
+    /** Runs as a process: prints the port and exits when standard input ends. */
     public static void main(String[] args) throws InterruptedException, IOException {
         System.out.println("port " + listen(new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory())));
         while (System.in.read() >= 0) { }
         System.exit(0);
     }
 
-    /** Returns the port. */
+    /** Starts to listen on a free port and returns it. */
     static int listen(EventLoopGroup loops) throws InterruptedException {
         Channel listener = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
--- a/gateway/src/main/java/gradereach/serve/FaultInjection.java
+++ b/gateway/src/main/java/gradereach/serve/FaultInjection.java
@@ -6,11 +6,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What stands between a front end and its world: nothing in service; doubles that break rules, crash at a step or fail
- * as a disk does in rehearsals and tests.
+ * Decorators by which rehearsals and tests make a front end break rules, crash at a given step or see a failing disk; in
+ * production {@link #NONE}.
  *
- * @param outlet around the module's actions
- * @param links around the way to the executors
+ * @param routerActions decorates the actions of the router
+ * @param executorTransport decorates the transport to the executors
+ * @param disk file system of the ledger
  */
 public record FaultInjection(UnaryOperator<RouterActions> routerActions, UnaryOperator<ExecutorTransport> executorTransport, Disk disk) {
     public static final FaultInjection NONE = new FaultInjection(UnaryOperator.identity(), UnaryOperator.identity(), Disk.FILE_SYSTEM);
--- a/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
+++ b/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.jline.utils.Signals;
 
-/** A front end as a process: reads its deployment file, serves until SIGTERM, then answers what it holds and ends. */
+/** Runs a front end as a process: reads the deployment file, serves until SIGTERM, then drains and exits. */
 public final class FrontEndProcess {
     private FrontEndProcess() { }
 
@@ -22,7 +22,7 @@
         return at.getHostString() + ":" + at.getPort();
     }
 
-    /** The exit code: 0 after an orderly stop, 1 on run errors, 2 on a bad deployment file. */
+    /** Returns the exit code: 0 after a graceful shutdown, 1 on runtime errors, 2 on an invalid deployment file. */
     public static int run(Path file, FaultInjection between, PrintStream out, PrintStream err)
             throws InterruptedException {
         Deployment plan;
@@ -36,7 +36,7 @@
         CountDownLatch stop = new CountDownLatch(1);
         Runnable asked = () -> {
             if (stop.getCount() == 0) {
-                // Asked twice: whoever asks does not want to wait.
+                // A second signal forces an immediate exit.
                 Runtime.getRuntime().halt(1);
             }
             stop.countDown();
--- a/gateway/src/main/java/gradereach/serve/Gateway.java
+++ b/gateway/src/main/java/gradereach/serve/Gateway.java
@@ -58,8 +58,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One front end as a running program: its listeners, its deciding thread, its links to executors, its roster. Parts
- * are made inward out and started outward last, so that nothing arrives before there is someone to decide on it.
+ * One running front end: its listeners, its decision thread, its transport to executors and its roster. Components are created
+ * from the inside out, and the listeners that depend on others are started after them.
  */
 public final class Gateway implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
@@ -73,7 +73,7 @@
     private final EventLoopGroup workers;
     private final StallDetector haltWatch = new StallDetector(clock::now);
     private final CompactionPlanner compactionPlanner;
-    /** Null for none. */
+    /** Null if the deployment has none. */
     private final DiskLedger ledger;
     /** Null without peers. */
     private PeerClaims claims;
@@ -82,15 +82,15 @@
     private final Outbox outbox;
     private final Intake intake;
     private final WebhookServer webhookServer;
-    /** Null without one. */
+    /** Null without a gRPC listener. */
     private final GrpcServer grpcServer;
     private InetSocketAddress boundGrpcAddress;
     private final RosterWatch rosterWatch;
     private final ServiceMetrics service;
-    /** Null where shares are fixed. */
+    /** Null if shares are fixed. */
     private Membership membership;
     private final Random membershipRandom;
-    /** Null where nothing is pushed. */
+    /** Null if no metrics are pushed. */
     private final Pusher pusher;
     private AdminServer adminServer;
     private volatile boolean rosterReceived;
@@ -98,7 +98,7 @@
 
     public Gateway(Deployment plan, FaultInjection between) {
         this.deployment = plan;
-        // Half the processors: signatures and codecs are cheap beside what executors on the same machine may need.
+        // Half the processors: signatures and codecs are cheap compared with the needs of executors on the same machine.
         workers = new MultiThreadIoEventLoopGroup(Math.max(2, Runtime.getRuntime().availableProcessors() / 2),
                 NioIoHandler.newFactory());
         long seed = plan.seed() != null ? plan.seed() : new SecureRandom().nextLong();
@@ -161,7 +161,8 @@
                 List.of(new CountsSource(counts, System.currentTimeMillis()), service), System::currentTimeMillis,
                 new Random(seeds.nextLong()));
         membershipRandom = new Random(seeds.nextLong());
-        // Where executors cannot be asked, an old roster is better than none: nobody here tells when a drain counts as told.
+        // Without probes the roster never expires: an outdated one is better than none, as nothing here tells when a drain counts as
+        // announced.
         boolean asks = plan.frontEndSettings().probesAllowed();
         rosterWatch = new RosterWatch(book, plan.name(), plan.rosterServer(), plan.rosterFile(), clock::now,
                 (confirmedAt, until) -> decisionLoop.post(desk -> desk.onRosterConfirmed(confirmedAt, asks ? until : Double.POSITIVE_INFINITY)),
@@ -187,7 +188,7 @@
                 deployment.overQuotaValue(), deployment.coldStartRule(), deployment.loadOrderBudget(), deployment.loadingRules(), deployment.forwardRules());
     }
 
-    /** Warms up, then listens. Returns the address of the webhook front. */
+    /** Warms up, then starts to listen. Returns the address of the webhook server. */
     public InetSocketAddress start() throws IOException, InterruptedException {
         WarmUp.run(deployment.grpcListenAddress() != null);
         if (!deployment.grpcMachineKinds().isEmpty()) {
@@ -196,10 +197,10 @@
         return listen();
     }
 
-    /** Listens at once: the first inferences of a process pay for loading its classes. */
+    /** Starts to listen without a warm-up, so that the first inferences are delayed by class loading. */
     public InetSocketAddress listen() throws IOException, InterruptedException {
         haltWatch.start();
-        // Listens first: what comes while the ledger is read waits at the door and is not refused.
+        // Listens first: messages that arrive while the ledger is read are queued instead of rejected.
         InetSocketAddress at = withRetries("listen on " + deployment.listenAddress(),
                 () -> webhookServer.listen(deployment.listenAddress(), boss, workers, RetryingServerSocketChannel.class));
         if (grpcServer != null) {
@@ -217,7 +218,7 @@
         if (deployment.membership() != null) {
             membership = new Membership(deployment.membership(), membershipRandom, clock::now, () -> counts.value("inferences_taken"),
                     (part, until) -> submit(desk -> desk.share(part, until)), counts);
-            // Until seats are held nothing of what is shared is spent.
+            // Until this front end holds seats, its share is 0.
             submit(desk -> desk.share(0, Double.POSITIVE_INFINITY));
             membership.start();
         }
@@ -280,22 +281,22 @@
                 .addKeyValue("took_ms", (System.nanoTime() - began) / 1_000_000).log("ledger read");
     }
 
-    /** Null without a gRPC listener. */
+    /** Returns the bound address of the gRPC server, null without one. */
     public InetSocketAddress grpcAddress() {
         return boundGrpcAddress;
     }
 
-    /** Null without an admin listener. */
+    /** Returns the bound address of the admin server, null without one. */
     public InetSocketAddress adminAddress() {
         return adminServer == null ? null : adminServer.address();
     }
 
-    /** Who is there; null where shares are fixed. */
+    /** Returns the current membership, null if shares are fixed. */
     public Membership.View members() {
         return membership == null ? null : membership.view();
     }
 
-    /** What became of samples that were pushed; null where none are. */
+    /** Returns what became of the samples to push, null if no metrics are pushed. */
     public Pusher.PushStatistics pushTally() {
         return pusher == null ? null : pusher.statistics();
     }
@@ -304,12 +305,12 @@
         return counts;
     }
 
-    /** Whether the roster has been heard. */
+    /** Returns whether a roster has been received. */
     public boolean isReady() {
         return rosterReceived;
     }
 
-    /** Takes nothing new, answers what is held, then ends. Returns whether everything was answered. */
+    /** Stops accepting inferences, answers the open ones and closes. Returns whether all were answered in time. */
     public boolean stop() throws InterruptedException {
         if (stopping) {
             return true;
@@ -326,7 +327,7 @@
             Thread.sleep(10);
             owed = openInferenceCount();
         }
-        // What was answered last is still on its way through the I/O threads.
+        // The event loops may still be writing the last answers.
         Thread.sleep(50);
         LOG.atInfo().addKeyValue("unanswered", owed).log("front end ends");
         close();
--- a/gateway/src/main/java/gradereach/serve/InferenceLog.java
+++ b/gateway/src/main/java/gradereach/serve/InferenceLog.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One line for each inference's life, and one for each failure of the module. No secret, no payload. */
+/** Logs one line for each inference that ends and one for each failure of the router. Logs no secrets and no payloads. */
 final class InferenceLog implements InferenceCoordinator.InferenceListener {
     private static final Logger INFERENCE_LOG = LoggerFactory.getLogger("gradereach.inferences");
     private static final Logger MODULE_LOG = LoggerFactory.getLogger("gradereach.module");
--- a/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
+++ b/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Records each inference's end for the measures, on the deciding thread, then passes it on to the log. */
+/** Passes the end of each inference on to another listener, then records it in the metrics. Runs on the decision thread. */
 final class MetricsRecorder implements InferenceCoordinator.InferenceListener {
     private final InferenceCoordinator.InferenceListener delegate;
     private final ServiceMetrics service;
@@ -28,7 +28,7 @@
         customerHashes = customers.stream().mapToLong(ModelCatalog::hash).map(MetricsRecorder::mixBits).toArray();
     }
 
-    /** FNV's low bits alone would crowd a table. */
+    /** Mixes the bits of an FNV hash: its low bits alone would cluster in a hash table. */
     private static long mixBits(long hash) {
         long h = (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L;
         return h ^ h >>> 32;
@@ -45,7 +45,7 @@
             case FAILED -> ServiceMetrics.EndReason.FAILED;
         };
         double value = group.value() * (life.overQuota() ? surplusValue : 1);
-        // An answer that flows is in time if it started in time.
+        // A streamed answer is in time if it started in time.
         double took = (Double.isNaN(life.answerStartedAt()) ? now : life.answerStartedAt()) - life.acceptedAt();
         boolean inSlo = took <= group.sloTime();
         double worth = end != ServiceMetrics.EndReason.RETURNED ? 0 : inSlo ? value : value * group.lateValueFraction();
--- a/gateway/src/main/java/gradereach/serve/WarmUp.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUp.java
@@ -22,20 +22,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs some inferences through a front end of its own before the real one listens. Guards against a process that is
- * up but has not loaded its classes: its first inferences would each find half a second of their client's time gone
- * before anything decided on them.
+ * Runs some inferences through a temporary front end before the real one listens, so that all classes are loaded. Without it,
+ * class loading would take about half a second of the budget of each of the first inferences.
  */
 final class WarmUp {
     private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
-    /** One that failed is distrusted for a while: others are left for the next inference. */
+    /** An executor that failed is avoided for a while, so several are needed for the following inferences. */
     private static final int EXECUTOR_COUNT = 8;
-    /** Model groups, named as how their inferences may be repeated: it decides which are shed and which fail. */
+    /** Model groups, named after their retry safety, which decides whether an unanswered inference is shed or fails. */
     private static final List<String> GROUPS = List.of("retriable", "deduped", "non-retriable");
 
     private WarmUp() { }
 
-    /** With the gRPC front where {@code grpc}. Whatever fails here is said and has no other effect. */
+    /** Runs the warm-up, over gRPC as well if {@code grpc}. A failure is logged and has no other effect. */
     static void run(boolean grpc) {
         long start = System.nanoTime();
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/gateway/src/main/java/gradereach/serve/WarmUpClients.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUpClients.java
@@ -29,20 +29,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients of the warm-up: inferences that are returned, and some that end in each other way, by every form in which a
- * client may ask. A form whose first refusal loads its classes answers that one late.
+ * Clients of the warm-up. They send inferences that succeed and some that end in each other way, over every protocol that
+ * clients may use: where the first failure over a protocol has to load classes, its answer is late.
  */
 final class WarmUpClients implements AutoCloseable {
-    /** Measured: the first answers of a new process take 600 ms, those after some hundred under 2 ms. */
+    /** The first answers of a new process take 600 ms, those after a few hundred under 2 ms. */
     private static final int SUCCESSFUL_WEBHOOKS = 400;
     private static final int SUCCESSFUL_CALLS = 200;
-    /** For each way to end, form and group; a distrusted executor may keep one from its executor. */
+    /** Rounds over all failures, groups and protocols: an inference may miss an executor that is avoided after an earlier failure. */
     private static final int FAILING_ROUNDS = 3;
     private static final int MAX_IN_FLIGHT = 16;
     private static final long TIMEOUT_MILLIS = 3000;
-    /** Enough for a forward on a new connection, and short: all of them wait that long. */
+    /** Enough for a forward over a new connection, but short, since all unanswered inferences wait that long. */
     private static final int FAILING_BUDGET_MILLIS = 150;
-    /** After which a client that does not wait to the end leaves. */
+    /** Time after which some clients cancel. */
     private static final long CANCEL_AFTER_MILLIS = 50;
     private static final List<String> FAILURES = List.of(EchoExecutor.ERROR, EchoExecutor.SILENT, EchoExecutor.RESET);
 
@@ -50,12 +50,12 @@
     private final InetSocketAddress webhookAddress;
     private final WebhookKey key;
     private final Http2ConnectionPool pool;
-    /** Null without a gRPC listener. */
+    /** Null without a gRPC server. */
     private final ManagedChannel channel;
     private final Semaphore permits = new Semaphore(MAX_IN_FLIGHT);
     private int idCount;
 
-    /** @param calls address of the gRPC listener, null without one */
+    /** @param grpcAddress address of the gRPC server, null without one */
     WarmUpClients(EventLoopGroup loops, InetSocketAddress webhooks, InetSocketAddress calls, WebhookKey key) {
         this.loops = loops;
         this.webhookAddress = webhooks;
@@ -66,7 +66,7 @@
         channel = calls == null ? null : NettyChannelBuilder.forAddress(calls).usePlaintext().disableRetry().build();
     }
 
-    /** Inferences of one group that are returned; some are forged, so that refusals at the door have been met as well. */
+    /** Sends inferences of one group that succeed, and some with bad signatures, so that rejections are warmed up as well. */
     void runSuccessful(String group) throws InterruptedException, IOException {
         long until = newDeadline();
         for (int i = 0; i < SUCCESSFUL_WEBHOOKS && System.nanoTime() < until; i++) {
@@ -86,7 +86,7 @@
         awaitAll(until);
     }
 
-    /** Inferences that executors fail, reset or never answer, and some whose clients leave. */
+    /** Sends inferences that executors fail, reset or never answer, and some whose clients cancel. */
     void runFailing(List<String> groups) throws InterruptedException {
         long until = newDeadline();
         for (int round = 0; round < FAILING_ROUNDS && System.nanoTime() < until; round++) {
@@ -196,7 +196,7 @@
         return InferParameter.newBuilder().setStringParam(value).build();
     }
 
-    /** Makes room when its call has ended. */
+    /** Releases a permit when its call has ended. */
     private final class CallObserver<T> implements ClientResponseObserver<ModelInferRequest, T> {
         private ClientCallStreamObserver<ModelInferRequest> call;
 
--- a/gateway/src/test/java/gradereach/front/IdleConnectionTest.java
+++ b/gateway/src/test/java/gradereach/front/IdleConnectionTest.java
@@ -32,10 +32,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections that look idle while the next message lies unread in their sockets. */
+/** Idle timeouts: a connection whose next message is still unread in its socket must not be closed as idle. */
 @Timeout(60)
 class IdleConnectionTest {
-    private static final long IDLE_TIMEOUT_MILLIS = 10_000_000; // milliseconds: only the test itself looks
+    private static final long IDLE_TIMEOUT_MILLIS = 10_000_000; // so long that only the test itself checks
 
     private final MultiThreadIoEventLoopGroup server = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MultiThreadIoEventLoopGroup client = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -107,7 +107,7 @@
                                 new ChannelInboundHandlerAdapter() {
                                     @Override
                                     public void channelRead(ChannelHandlerContext ctx, Object frame) {
-                                        settled.complete(null); // the server's settings
+                                        settled.complete(null); // the server's SETTINGS frame
                                     }
                                 });
                     }
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
@@ -63,7 +63,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The gRPC front on loopback sockets, with the library's own client and stand-in executors. */
+/** The gRPC server on loopback sockets, with the library's own client and stand-in executors. */
 @Timeout(60)
 class GrpcServerTest {
     private final String secret = WebhookKey.newSecret(new SecureRandom());
@@ -146,7 +146,7 @@
         assertEquals(1, runCount("m1"));
     }
 
-    /** Ids of both fronts share one memory: what ran by one never runs by the other. */
+    /** Guards against running a message twice because its repeat comes through the other server: both share one message store. */
     @Test
     void anIdReceivedByOneServerDoesNotRunThroughTheOther() throws Exception {
         infer("both", request("book-1", 5));
@@ -201,7 +201,7 @@
         }
         assertEquals(code, status.getCode(), status.toString());
         assertTrue(status.getDescription().contains(says), status.toString());
-        // Nothing is held for it, and the connection goes on.
+        // It leaves no open call, and the connection remains usable.
         assertNotNull(infer("after", request("look-1", 5)));
         assertEquals(0, inUse("grpc_calls"));
         assertEquals(0, runCount("x"));
@@ -250,7 +250,7 @@
         }
     };
 
-    /** The client's deadline is its budget: it hears in time, and the reservation stays a matter of record. */
+    /** The deadline of the call is the budget: the client is answered in time, and the non-retriable inference stays recorded. */
     @Test
     void theDeadlineLimitsTheInference() throws Exception {
         infer("warm", request("book-1", 1));
@@ -276,7 +276,7 @@
                 .getCode());
     }
 
-    /** The client hears UNAVAILABLE and how long to wait, in both forms. */
+    /** The status is UNAVAILABLE, with the retry delay as a trailer and as status details. */
     @Test
     void shedInferencesCarryARetryDelay() throws Exception {
         StatusRuntimeException shed = GrpcStatuses.toException(gradereach.message.FinalAnswer.shed("a", "no room", 1250));
@@ -363,7 +363,7 @@
         waitUntil(() -> inUse("grpc_calls") == 0 && inUse("grpc_stream_bytes_waiting") == 0);
     }
 
-    /** One reader that takes nothing beside others that do: it is cut after its time, and they are served. */
+    /** A client that reads nothing is reset after the timeout, and other clients are served meanwhile. */
     @Test
     void aStalledReaderIsResetAndDelaysNobody() throws Exception {
         infer("warm", request("look-1", 1));
@@ -378,14 +378,14 @@
                 assertNotNull(infer("fast" + i, request("look-1", 1)));
             }
         }
-        // It hears of it once it has read what was sent before.
+        // The client sees the reset once it has read what was sent before.
         stopped.call.request(Integer.MAX_VALUE);
         assertEquals(Status.Code.CANCELLED, stopped.endStatus.get().getCode(), stopped.endStatus.get().toString());
         waitUntil(() -> inUse("grpc_calls") == 0 && inUse("grpc_stream_bytes_waiting") == 0);
         narrow.shutdownNow();
     }
 
-    /** SIGTERM: what is open is answered, each stream has one end, new ones find nobody. */
+    /** On shutdown each open inference is answered and each stream ends with OK. */
     @Test
     void openStreamsAreAnsweredOnShutdown() throws Exception {
         infer("warm", request("look-1", 1));
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** What tests of the gRPC front send and hear. */
+/** Requests and a recording client for tests of the gRPC server. */
 final class GrpcTestSupport {
     private GrpcTestSupport() { }
 
@@ -30,7 +30,7 @@
                 .build();
     }
 
-    /** One message of a stream, signed inside. */
+    /** Returns a request for a streaming call, which carries its signature in its parameters. */
     static ModelInferRequest signedRequest(WebhookKey key, String id, ModelInferRequest request) {
         ModelInferRequest bare = request.toBuilder().setId(id).build();
         long now = System.currentTimeMillis() / 1000;
@@ -39,7 +39,7 @@
                         CallSignature.signedContent(GrpcInferenceService.STREAMING_METHOD, CallSignature.digest(bare))))).build();
     }
 
-    /** A stream's client: what it heard and how it ended; it reads only what it is told to. */
+    /** Client of a streaming call that records the responses and the final status. Without {@code readsAll} it reads one response only. */
     static final class RecordingClient implements ClientResponseObserver<ModelInferRequest, ModelStreamInferResponse> {
         final List<ModelStreamInferResponse> answers = Collections.synchronizedList(new ArrayList<>());
         final CompletableFuture<Status> endStatus = new CompletableFuture<>();
--- a/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Answers that start and then flow, from one stand-in by gRPC through the front end to the library's client. */
+/** Streamed answers from one stand-in executor over gRPC through the front end to the library's client. */
 @Timeout(60)
 class StreamedAnswersTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -97,7 +97,7 @@
         return GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(heard);
     }
 
-    /** All of one inference, asked in a stream of its own. */
+    /** Sends one inference in a streaming call of its own and waits for the end of the call. */
     private RecordingClient infer(ModelInferRequest request) throws Exception {
         RecordingClient heard = new RecordingClient(true);
         StreamObserver<ModelInferRequest> to = openStream(heard);
@@ -118,7 +118,7 @@
         }
     }
 
-    /** "1,2,3 final 3", or how it broke. */
+    /** Returns the answer to an inference as "1 2 3 final 3", or as "1 UNKNOWN after 1" if it broke. */
     private static String summary(RecordingClient heard, String id) {
         List<String> words = new ArrayList<>();
         for (ModelStreamInferResponse answer : heard.answers) {
@@ -134,7 +134,7 @@
         return String.join(" ", words);
     }
 
-    /** The same parts for whoever asks again, from memory and, for what must not run twice, from the ledger. */
+    /** A repeat gets the same parts from memory and, for non-retriable inferences after a restart, from the ledger. */
     @ParameterizedTest
     @ValueSource(strings = {"tell-1", "sign-1"})
     void partsArriveInOrderAndARepeatGetsTheSame(String model) throws Exception {
@@ -152,7 +152,7 @@
         assertEquals(1, fleet.closeAndCountRuns().get("yard/p"));
     }
 
-    /** Longer than is kept: a repeat runs again where it may, else it hears that it was answered. */
+    /** A streamed answer too long to be recorded: a repeat runs again if retriable, otherwise it is told that the parts were not kept. */
     @ParameterizedTest
     @CsvSource({"tell-1, 2", "sign-1, 1"})
     void anUnrecordedAnswerRunsAgainOnlyIfRetriable(String model, int runs) throws Exception {
@@ -169,7 +169,10 @@
         assertEquals(runs, fleet.closeAndCountRuns().get("yard/long"));
     }
 
-    /** Where a forward breaks decides: before its start as any other, after it once, and the client hears where. */
+    /**
+     * A forward that breaks before its answer has started is handled like any other; one that breaks later is not repeated, and
+     * the client is told the number of parts that were sent.
+     */
     @ParameterizedTest
     @CsvSource({
         "reset_before, sign-1, UNKNOWN after 0, 1", "reset_after, sign-1, UNKNOWN after 0, 1", "reset_head, sign-1, UNKNOWN after 0, 1",
@@ -189,8 +192,8 @@
     }
 
     /**
-     * One that is not read is not fetched: its executor waits, others flow; read on, it comes whole. Found here: window updates
-     * that were never flushed, after which an executor waited for ever.
+     * An answer that its client does not read is not read from its executor either, others are not delayed, and it is complete
+     * once the client reads on. Guards against window updates that are never flushed, which made an executor wait forever.
      */
     @Test
     void aSlowReaderSlowsOnlyItsOwnExecutorStream() throws Exception {
@@ -205,7 +208,7 @@
         for (int i = 0; i < 20; i++) {
             assertEquals("1 2 3 final 3", summary(infer(signedRequest("fast" + i, "tell-1", 3, 1000, 0)), "fast" + i));
         }
-        // Two windows of it, whatever its length.
+        // At most two windows are buffered, whatever the length of the answer.
         assertTrue(inUse("stream_parts_held_bytes") <= 2 * 4096 + 1100, "held " + inUse("stream_parts_held_bytes"));
         while (!slow.endStatus.isDone()) {
             slow.call.request(1);
@@ -246,7 +249,7 @@
         }
     }
 
-    /** Several that flow in one call take turns. */
+    /** Several streamed answers in one call are written round-robin. */
     @Test
     void answersOfOneCallAreInterleaved() throws Exception {
         infer(signedRequest("warm", "tell-1", 1, 1, 0));
@@ -264,7 +267,7 @@
         for (int i = 0; i < 4; i++) {
             assertTrue(summary(heard, "t" + i).endsWith("50 final 50"));
         }
-        // Once all have begun, none is far ahead of another.
+        // Once all answers have started, none is far ahead of another.
         int[] had = new int[4];
         int apart = 0;
         for (ModelStreamInferResponse answer : heard.answers) {
--- a/gateway/src/test/java/gradereach/oip/InferenceJsonConverterTest.java
+++ b/gateway/src/test/java/gradereach/oip/InferenceJsonConverterTest.java
@@ -24,7 +24,7 @@
                 + ",\"datatype\":\"" + type + "\",\"parameters\":{\"k\":1},\"data\":" + data + "}],\"outputs\":[{\"name\":\"y\"}]}");
     }
 
-    /** Every datatype, nested or flat, to gRPC and back: the same numbers, at the ends of their ranges. */
+    /** Every datatype, nested or flat, is converted to gRPC and back without loss, including the limits of its range. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "BOOL | [2] | [true,false]", "INT8 | [2] | [-128,127]", "INT16 | [1] | [-32768]", "INT32 | [2] | [-2147483648,2147483647]",
@@ -40,7 +40,7 @@
         assertEquals(told.at("/inputs/0/shape"), again.at("/inputs/0/shape"));
         assertEquals(told.path("parameters"), again.path("parameters"));
         assertEquals(told.path("outputs"), again.path("outputs"));
-        // What an executor says goes the same way.
+        // Responses of executors are converted in the same way.
         String output = told.toString().replace("\"outputs\"", "\"ignored\"").replace("\"inputs\"", "\"outputs\"");
         ModelInferResponse response = InferenceJsonConverter.responseFromJson(JSON.readTree(output), "m", "i");
         assertEquals(request.getInputs(0).getContents(), response.getOutputs(0).getContents());
--- a/gateway/src/test/java/gradereach/plan/DeploymentTest.java
+++ b/gateway/src/test/java/gradereach/plan/DeploymentTest.java
@@ -45,7 +45,7 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        // a member to set, by pointer; its value; what the error begins with
+        // JSON pointer of the member to set | its value | start of the expected error
         "/name | \"a b\" | /name: ", "/nam | 1 | /: property 'nam'", "/listen | \"x\" | /listen: ",
         "/listen | \"h:99999\" | /listen: port above 65535", "/roster/server | \"http://h\" | /roster: ",
         "/tier/me | 2 | /tier/me: not below", "/tier/location | \"c\" | /tier/location: not among",
--- a/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
@@ -28,17 +28,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole front end whose roster cannot be read while one of its executors drains: it serves by the other. */
+/** A front end whose roster is unavailable while one of its executors drains: it uses only the other one. */
 @Timeout(60)
 class GatewayRosterOutageTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MODELS = 6;
-    /** How long the roster counts after a failure, the grace of the rule, and a failed try before it; milliseconds. */
+    /** How long the roster stays valid after a failure, the drain grace, and the duration of a failed attempt before it. */
     private static final double ROSTER_VALIDITY_MILLIS = 4000;
     private static final double DRAIN_GRACE_MILLIS = 500;
     private static final double FAILED_ATTEMPT_MILLIS = 600;
     private static final double OUTAGE_MILLIS = 8000;
-    /** For the last forward's way and the transcript of both; one machine's clock. */
+    /** Allows for the way of the last forward and the recording of both events, which use the clock of one machine. */
     private static final double SLACK_MILLIS = 50;
 
     private final String secret = WebhookKey.newSecret(new SecureRandom());
@@ -87,7 +87,7 @@
         return events;
     }
 
-    /** Guards against going on with executors that drain while the roster cannot be read (rule 3), and against not serving. */
+    /** Guards against using a draining executor while the roster is unavailable (rule 3), and against serving nothing at all. */
     @Test
     void aDrainingExecutorGetsNothingDuringARosterOutage() throws Exception {
         for (int i = 0; i < 2 * MODELS; i++) {
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A front end on loopback sockets with stand-in executors, bytes in and bytes out. */
+/** A front end on loopback sockets with stand-in executors, tested by the bytes that are sent and received. */
 @Timeout(60)
 class GatewayTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -99,7 +99,7 @@
         to.getOutputStream().flush();
     }
 
-    /** Status, head and body of the next answer. */
+    /** Status, header and body of a response. */
     private record Response(int status, String head, JsonNode body) { }
 
     private static Response read(Socket from) throws IOException {
@@ -141,7 +141,7 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        // what is replaced in a good head, by what; status and word
+        // text replaced in a valid header | replacement | expected status | expected error code
         "POST /v1/inferences | POST /v2/inferences | 404 | no-such-path", "POST | GET | 405 | not-post",
         "application/json | text/plain | 415 | wrong-type", "webhook-id: x | webhook-id: y | 401 | not-signed",
         "webhook-id: x\\r\\n | `` | 400 | no-id", "v1, | v7, | 400 | no-signature",
@@ -174,7 +174,7 @@
         assertEquals(0, gateway.counts().value("inferences_taken"));
     }
 
-    /** Guards against a refusal that is lost to a reset, since its client had not yet written all of its body. */
+    /** Guards against a rejection that is lost to a connection reset because the client was still sending its body. */
     @ParameterizedTest
     @CsvSource({"x, 413", "LONG, 431"})
     void aRejectionReachesAClientThatIsStillSending(String host, int status) throws IOException {
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Slow heads, slow bodies, and bytes of no protocol: cut off at the stated time, nothing taken. */
+    /** A slow header, a slow body and an incomplete HTTP/2 preface time out, and no inference is accepted. */
     @ParameterizedTest
     @CsvSource({"head, 408", "body, 408", "preface, 0"})
     void slowSendersTimeOut(String what, int status) throws IOException {
@@ -214,7 +214,7 @@
         for (int i = 0; i < 13; i++) {
             open[i] = openConnection();
         }
-        // Which of them is the one too many is for the event loops to settle.
+        // Which connection is rejected depends on the scheduling of the event loops.
         waitUntil(() -> gateway.counts().limits().stream().anyMatch(
                 l -> l.name.equals("client_connections") && l.rejections() == 1 && l.inUse() == 12));
         int closed = 0;
@@ -223,12 +223,12 @@
             try {
                 closed += socket.getInputStream().read() < 0 ? 1 : 0;
             } catch (java.net.SocketTimeoutException e) {
-                // it stands
+                // still open
             }
             socket.close();
         }
         assertEquals(1, closed);
-        // And the places come free again.
+        // Closed connections no longer count.
         waitUntil(() -> {
             try {
                 return infer("c", "look-1", 5) != null;
@@ -238,7 +238,7 @@
         });
     }
 
-    /** RFC 9112, 9.3.2: answers in the order of asking, the slow first as well. */
+    /** Responses are sent in the order of the requests, even if the first one is slow (RFC 9112, 9.3.2). */
     @Test
     void pipelinedMessagesAreAnsweredInOrder() throws IOException {
         infer("warm", "look-1", 5);
@@ -252,7 +252,7 @@
         }
     }
 
-    /** A message of another model than those behind it: what it takes tells nothing of theirs. */
+    /** Starts a long inference of another model than those that follow, so that it does not affect their expected answer time. */
     private void startLongInference(Socket socket) throws Exception {
         infer("warm", "look-1", 5);
         infer("warm-too", "book-1", 5);
@@ -264,7 +264,7 @@
         assertEquals(id, answer.body.at("/data/id").asText(), answer.toString());
     }
 
-    /** Guards against refusing a message that came whole as too slow, in place of the answer that is still worked on. */
+    /** Guards against timing out a complete message that is queued behind an inference in progress. */
     @Test
     void aQueuedPipelinedMessageDoesNotTimeOut() throws Exception {
         try (Socket socket = openConnection()) {
@@ -276,7 +276,7 @@
         }
     }
 
-    /** Guards against a refusal of a later message that overtakes an earlier one's answer, or ends its connection. */
+    /** Guards against a rejection of a later message that overtakes an earlier answer or closes its connection. */
     @ParameterizedTest
     @CsvSource({"slow, 408, too-slow", "large, 413, body-too-large", "expected, 413, body-too-large", "head, 431, head-too-large",
         "protocol, 400, bad-http"})
@@ -301,7 +301,7 @@
         assertEquals(3, gateway.counts().value("inferences_taken"));
     }
 
-    /** Guards against an interim response that a client would take for one to its earlier message. */
+    /** Guards against an interim response that is sent before the answer to an earlier message. */
     @Test
     void interimResponsesToPipelinedMessagesAreSentInOrder() throws Exception {
         byte[] body = body("look-1", 2);
@@ -316,7 +316,7 @@
         }
     }
 
-    /** Guards against closing a connection, as the front end stops, over messages that were read from it. */
+    /** Guards against closing a connection on shutdown without answering messages that were read from it. */
     @Test
     void pipelinedMessagesAreAnsweredOnShutdown() throws Exception {
         infer("warm", "look-1", 5);
@@ -344,7 +344,7 @@
         }
     }
 
-    /** Guards against working on a message behind the one with which its client said that it closes (RFC 9112, 9.6). */
+    /** Guards against accepting a message that follows one with {@code Connection: close} (RFC 9112, 9.6). */
     @Test
     void messagesAfterTheLastOneOfAConnectionAreIgnored() throws Exception {
         byte[] body = body("look-1", 5);
@@ -387,7 +387,7 @@
         waitUntil(() -> gateway.counts().value("forwards_ended_cancelled") == 1);
     }
 
-    /** The stated answer of a non-retriable inference by how its forward broke; and that it ran no second time. */
+    /** The answer to a non-retriable inference depends on how its forward broke, and it is not forwarded again. */
     @ParameterizedTest
     @CsvSource({"reset_within, book-1, 502", "reset_after, book-1, 502", "unanswered, book-1, 504"})
     void aBrokenForwardDeterminesTheFinalAnswer(String kind, String model, int status) throws Exception {
@@ -401,8 +401,8 @@
     }
 
     /**
-     * What may run again goes to the other executor. Where a model stands follows the executors' ports, which differ
-     * from run to run: models are asked for until one was sent to the broken one.
+     * Retriable inferences are forwarded again to the other executor. Models are placed by the executors' ports, which differ
+     * from run to run, so models are requested until one has been sent to the broken executor.
      */
     @Test
     void retriableInferencesAreRetriedOnAnotherExecutor() throws Exception {
--- a/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
+++ b/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** From inferences by webhook to series at a receiver. */
+/** Metrics of inferences received by webhook, pushed to a remote-write receiver. */
 @Timeout(60)
 class MetricsPushTest {
     private final String secret = WebhookKey.newSecret(new SecureRandom());
@@ -48,7 +48,7 @@
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(), HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
-    /** What was asked and returned is what the receiver has, whether or not it drops half of what it is sent. */
+    /** The series at the receiver match the inferences served, even if it drops half of the requests. */
     @ParameterizedTest
     @ValueSource(strings = {"none", "drop-half", "only-one"})
     void pushedSeriesMatchTheServedInferences(String fault) throws Exception {
@@ -65,7 +65,7 @@
             }
             String[] labels = {"group", "look", "instance", "fe-7", "job", "gradereach", "hall", "halle-a"};
             waitUntil(() -> receiver.store.lastValue("gradereach_group_inferences_total", labels) == 10);
-            // Each may come by another write.
+            // Each series may arrive with a different request.
             waitUntil(() -> receiver.store.lastValue("gradereach_model_inferences_total", "model", "book-1") == 10);
             waitUntil(() -> receiver.store.lastValue("gradereach_customer_value_asked_total", "customer", "yard") == 20);
             waitUntil(() -> receiver.store.lastValue("gradereach_load_orders_sent_total") >= 2);
--- a/gateway/src/test/java/gradereach/serve/WarmUpTest.java
+++ b/gateway/src/test/java/gradereach/serve/WarmUpTest.java
@@ -37,13 +37,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the first callers of a new process meet. */
+/** Answers to the first clients of a new process. */
 @Timeout(60)
 class WarmUpTest {
     private static final double BUDGET_MILLIS = 300;
-    /** One that did not answer is distrusted: each call finds another. */
+    /** An executor that did not answer is avoided, so each call needs another one. */
     private static final int EXECUTOR_COUNT = 12;
-    /** A line of {@code -Xlog:class+load} that names a class of the program or of the libraries its answers go through. */
+    /** Matches lines of {@code -Xlog:class+load} for classes of the program and of the libraries used to answer. */
     private static final String LOADED_CLASS_LINE = ".*\\] ?(gradereach|com\\.google|io\\.grpc|io\\.netty)\\..*";
 
     private final String secret = WebhookKey.newSecret(new SecureRandom());
@@ -51,7 +51,7 @@
     @TempDir
     private Path folder;
 
-    /** Guards against a first refusal that is late because the classes of its words are loaded only then. */
+    /** Guards against a first rejection that is late because its classes are loaded only then. */
     @Test
     void theFirstRejectionsAndFailuresLoadNoClasses() throws Exception {
         List<ServerSocket> silent = new ArrayList<>();
