--- a/gateway/src/main/java/gradereach/counts/Counts.java
+++ b/gateway/src/main/java/gradereach/counts/Counts.java
@@ -15,9 +15,9 @@
         private final AtomicLong inUse = new AtomicLong();
         private final LongAdder rejections = new LongAdder();
 
-        private Limit(String name, long bound) {
+        private Limit(String name, long capacity) {
             this.name = name;
-            this.capacity = bound;
+            this.capacity = capacity;
         }
 
         /** Acquires {@code amount} if all of it is available; otherwise counts a rejection and returns false. */
@@ -30,6 +30,7 @@
             return true;
         }
 
+        /** Returns an amount acquired before. */
         public void release(long amount) {
             inUse.addAndGet(-amount);
         }
@@ -58,13 +59,15 @@
 
     /** Returns the counter of this name, created on first use. Hot paths should keep the reference instead of looking it up. */
     public LongAdder counter(String name) {
-        return counters.computeIfAbsent(name, n -> new LongAdder());
+        return counters.computeIfAbsent(name, key -> new LongAdder());
     }
 
-    public Limit limit(String name, long bound) {
-        return limits.computeIfAbsent(name, n -> new Limit(n, bound));
+    /** Returns the limit of this name, created with {@code capacity} on first use. */
+    public Limit limit(String name, long capacity) {
+        return limits.computeIfAbsent(name, key -> new Limit(key, capacity));
     }
 
+    /** Returns the value of a counter, 0 if nothing has been counted under this name. */
     public long value(String counter) {
         LongAdder adder = counters.get(counter);
         return adder == null ? 0 : adder.sum();
--- a/gateway/src/main/java/gradereach/counts/CountsSource.java
+++ b/gateway/src/main/java/gradereach/counts/CountsSource.java
@@ -12,28 +12,29 @@
     private final Counts counts;
     private final long startedAtMillis;
 
-    public CountsSource(Counts counts, long sinceMillis) {
+    /** @param startedAtMillis Unix time since when the counters count */
+    public CountsSource(Counts counts, long startedAtMillis) {
         this.counts = counts;
-        this.startedAtMillis = sinceMillis;
+        this.startedAtMillis = startedAtMillis;
     }
 
     @Override
-    public void collect(List<MetricFamily> into) {
-        new TreeMap<>(counts.counters()).forEach((name, value) -> into.add(new MetricFamily("gradereach_" + name, Type.COUNTER, "",
+    public void collect(List<MetricFamily> families) {
+        new TreeMap<>(counts.counters()).forEach((name, value) -> families.add(new MetricFamily("gradereach_" + name, Type.COUNTER, "",
                 "Counted since the start", List.of(new Point(List.of(), value.sum(), null, startedAtMillis)))));
-        List<Point> present = new ArrayList<>();
-        List<Point> bound = new ArrayList<>();
-        List<Point> refused = new ArrayList<>();
+        List<Point> inUse = new ArrayList<>();
+        List<Point> capacity = new ArrayList<>();
+        List<Point> rejections = new ArrayList<>();
         for (Counts.Limit limit : counts.limits()) {
-            List<String> which = List.of("limit", limit.name);
-            present.add(new Point(which, limit.inUse(), null, 0));
+            List<String> labels = List.of("limit", limit.name);
+            inUse.add(new Point(labels, limit.inUse(), null, 0));
             if (limit.capacity < Long.MAX_VALUE) {
-                bound.add(new Point(which, limit.capacity, null, 0));
+                capacity.add(new Point(labels, limit.capacity, null, 0));
             }
-            refused.add(new Point(which, limit.rejections(), null, startedAtMillis));
+            rejections.add(new Point(labels, limit.rejections(), null, startedAtMillis));
         }
-        into.add(new MetricFamily("gradereach_limit_present", Type.GAUGE, "", "What is in use of something bounded", present));
-        into.add(new MetricFamily("gradereach_limit_bound", Type.GAUGE, "", "Its bound", bound));
-        into.add(new MetricFamily("gradereach_limit_refused", Type.COUNTER, "", "How often there was no room", refused));
+        families.add(new MetricFamily("gradereach_limit_present", Type.GAUGE, "", "What is in use of something bounded", inUse));
+        families.add(new MetricFamily("gradereach_limit_bound", Type.GAUGE, "", "Its bound", capacity));
+        families.add(new MetricFamily("gradereach_limit_refused", Type.COUNTER, "", "How often there was no room", rejections));
     }
 }
--- a/gateway/src/main/java/gradereach/counts/FailureText.java
+++ b/gateway/src/main/java/gradereach/counts/FailureText.java
@@ -7,9 +7,9 @@
     /** Returns the exception's simple class name and the first message found along its chain of causes. */
     public static String describe(Throwable failure) {
         String kind = failure.getClass().getSimpleName();
-        for (Throwable at = failure; at != null; at = at.getCause()) {
-            if (at.getMessage() != null) {
-                return kind + ": " + at.getMessage();
+        for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
+            if (cause.getMessage() != null) {
+                return kind + ": " + cause.getMessage();
             }
         }
         return failure.getCause() == null ? kind : kind + ": " + failure.getCause().getClass().getSimpleName();
--- a/gateway/src/main/java/gradereach/front/Http2IdleHandler.java
+++ b/gateway/src/main/java/gradereach/front/Http2IdleHandler.java
@@ -12,8 +12,8 @@
     private boolean hadStreamsAtLastCheck = true;
 
     /** @param checkIntervalMillis time between two checks */
-    Http2IdleHandler(long idle) {
-        this.checkIntervalMillis = idle;
+    Http2IdleHandler(long checkIntervalMillis) {
+        this.checkIntervalMillis = checkIntervalMillis;
     }
 
     @Override
@@ -28,12 +28,12 @@
     /** Closes the connection if it is idle and returns whether it did. A stream whose frames are still unread counts as open. */
     boolean closeIfIdle(ChannelHandlerContext ctx) {
         UnreadBytes.read(ctx.channel());
-        boolean streams = ctx.pipeline().get(Http2FrameCodec.class).connection().numActiveStreams() > 0;
-        boolean idleSinceLastLook = !streams && !hadStreamsAtLastCheck;
-        hadStreamsAtLastCheck = streams;
-        if (idleSinceLastLook) {
+        boolean hasStreams = ctx.pipeline().get(Http2FrameCodec.class).connection().numActiveStreams() > 0;
+        boolean idle = !hasStreams && !hadStreamsAtLastCheck;
+        hadStreamsAtLastCheck = hasStreams;
+        if (idle) {
             ctx.close();
         }
-        return idleSinceLastLook;
+        return idle;
     }
 }
--- a/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
+++ b/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
@@ -40,9 +40,9 @@
     private boolean readingPaused;
 
     /** @param maxQueuedBytes content bytes of queued messages from which on reading is paused */
-    HttpPipeliningHandler(MessageTimeoutHandler messageClock, int mostHeldBytes) {
-        this.timeoutHandler = messageClock;
-        this.maxQueuedBytes = mostHeldBytes;
+    HttpPipeliningHandler(MessageTimeoutHandler timeoutHandler, int maxQueuedBytes) {
+        this.timeoutHandler = timeoutHandler;
+        this.maxQueuedBytes = maxQueuedBytes;
     }
 
     /** Returns the arrival time of the first byte of the message dispatched last, in monotonic milliseconds. */
--- a/gateway/src/main/java/gradereach/front/MessageTimeoutHandler.java
+++ b/gateway/src/main/java/gradereach/front/MessageTimeoutHandler.java
@@ -45,12 +45,13 @@
      * @param clock monotonic milliseconds
      * @param earliestArrival earliest time at which bytes that are read now may have arrived
      */
-    MessageTimeoutHandler(long wholeWithin, long idle, DoubleSupplier clock, DoubleSupplier arrivals, Counts.Limit slow) {
-        this.messageTimeoutMillis = wholeWithin;
-        this.idleTimeoutMillis = idle;
+    MessageTimeoutHandler(long messageTimeoutMillis, long idleTimeoutMillis, DoubleSupplier clock, DoubleSupplier earliestArrival,
+            Counts.Limit timeouts) {
+        this.messageTimeoutMillis = messageTimeoutMillis;
+        this.idleTimeoutMillis = idleTimeoutMillis;
         this.clock = clock;
-        this.earliestArrival = arrivals;
-        this.timeouts = slow;
+        this.earliestArrival = earliestArrival;
+        this.timeouts = timeouts;
     }
 
     @Override
@@ -75,11 +76,11 @@
             return false;
         }
         UnreadBytes.read(ctx.channel());
-        boolean closes = isIdle();
-        if (closes) {
+        boolean closing = isIdle();
+        if (closing) {
             ctx.close();
         }
-        return closes;
+        return closing;
     }
 
     private boolean isIdle() {
@@ -104,7 +105,7 @@
         ctx.fireChannelReadComplete();
     }
 
-    /** Starts timing a message. Also called by the decoder's successor where one read contained several messages. */
+    /** Starts timing a message; also called by the handler behind the decoder, as one read may contain several messages. */
     void beginMessage(ChannelHandlerContext ctx) {
         if (messageInProgress || stopped) {
             return;
--- a/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
+++ b/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
@@ -47,10 +47,10 @@
     private final HttpPipeliningHandler pipelining;
     private WaitingConnection waitingClient;
 
-    WebhookRequestHandler(Intake intake, Outbox outbox, MessageTimeoutHandler messageClock, HttpPipeliningHandler pipelining) {
+    WebhookRequestHandler(Intake intake, Outbox outbox, MessageTimeoutHandler timeoutHandler, HttpPipeliningHandler pipelining) {
         this.intake = intake;
         this.outbox = outbox;
-        this.timeoutHandler = messageClock;
+        this.timeoutHandler = timeoutHandler;
         this.pipelining = pipelining;
     }
 
@@ -59,14 +59,14 @@
         double arrivedAt = pipelining == null ? timeoutHandler.endMessage() : pipelining.arrivedAt();
         boolean keepAlive = HttpUtil.isKeepAlive(request);
         if (!request.decoderResult().isSuccess()) {
-            boolean long_ = String.valueOf(request.decoderResult().cause()).contains("TooLong");
-            rejectAndClose(ctx, long_ ? 431 : 400, long_ ? "head-too-large" : "bad-http",
-                    long_ ? "the head is larger than allowed" : "no proper HTTP");
+            boolean headerTooLong = String.valueOf(request.decoderResult().cause()).contains("TooLong");
+            rejectAndClose(ctx, headerTooLong ? 431 : 400, headerTooLong ? "head-too-large" : "bad-http",
+                    headerTooLong ? "the head is larger than allowed" : "no proper HTTP");
             return;
         }
         String path = request.uri();
-        int query = path.indexOf('?');
-        if (!(query < 0 ? path : path.substring(0, query)).equals(PATH)) {
+        int queryStart = path.indexOf('?');
+        if (!(queryStart < 0 ? path : path.substring(0, queryStart)).equals(PATH)) {
             reject(ctx, 404, "no-such-path", "inferences go to " + PATH, keepAlive);
             return;
         }
@@ -74,8 +74,8 @@
             reject(ctx, 405, "not-post", "inferences are posted", keepAlive);
             return;
         }
-        String type = request.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
-        if (!type.regionMatches(true, 0, "application/json", 0, 16)) {
+        String contentType = request.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
+        if (!contentType.regionMatches(true, 0, "application/json", 0, 16)) {
             reject(ctx, 415, "wrong-type", "content-type is not application/json", keepAlive);
             return;
         }
@@ -86,16 +86,16 @@
         byte[] body = ByteBufUtil.getBytes(request.content());
         String id = request.headers().get("webhook-id");
         Channel connection = connection(ctx);
-        Integer likely = connection.attr(LIKELY_CUSTOMER).get();
-        KeyRing.VerificationResult verdict = intake.authenticate(id, request.headers().get("webhook-timestamp"),
-                request.headers().get("webhook-signature"), body, likely == null ? -1 : likely);
-        if (verdict.rejection() != null) {
-            boolean forged = verdict.rejection() == gradereach.webhook.SignatureRejection.NOT_SIGNED;
-            reject(ctx, forged ? 401 : 400, verdict.rejection().name().toLowerCase().replace('_', '-'),
-                    verdict.rejection().detail, keepAlive && !(forged && recordBadSignature(connection)));
+        Integer likelyCustomer = connection.attr(LIKELY_CUSTOMER).get();
+        KeyRing.VerificationResult verification = intake.authenticate(id, request.headers().get("webhook-timestamp"),
+                request.headers().get("webhook-signature"), body, likelyCustomer == null ? -1 : likelyCustomer);
+        if (verification.rejection() != null) {
+            boolean badSignature = verification.rejection() == gradereach.webhook.SignatureRejection.NOT_SIGNED;
+            reject(ctx, badSignature ? 401 : 400, verification.rejection().name().toLowerCase().replace('_', '-'),
+                    verification.rejection().detail, keepAlive && !(badSignature && recordBadSignature(connection)));
             return;
         }
-        connection.attr(LIKELY_CUSTOMER).set(verdict.customer());
+        connection.attr(LIKELY_CUSTOMER).set(verification.customer());
         InferenceMessage message;
         try {
             message = InferenceMessage.parse(body);
@@ -108,8 +108,8 @@
             reject(ctx, 404, "unknown-model", "data.model: not in this deployment", keepAlive);
             return;
         }
-        boolean async = request.headers().getAll("prefer").stream().anyMatch(p -> p.contains("respond-async"))
-                && outbox.hasEndpoint(verdict.customer());
+        boolean async = request.headers().getAll("prefer").stream().anyMatch(preference -> preference.contains("respond-async"))
+                && outbox.hasEndpoint(verification.customer());
         InferenceInput input;
         try {
             input = intake.toInput(message.input(), model.name());
@@ -118,14 +118,14 @@
             return;
         }
         byte[] digest = Intake.digest(body);
-        WaitingConnection asker = new WaitingConnection(ctx, id, verdict.customer(), keepAlive, async);
-        IncomingMessage arrival = new IncomingMessage(verdict.customer(), id, Intake.longAt(digest, 0), Intake.longAt(digest, 8), model,
-                input, message.budgetMillis(), arrivedAt,
+        WaitingConnection client = new WaitingConnection(ctx, id, verification.customer(), keepAlive, async);
+        IncomingMessage incoming = new IncomingMessage(verification.customer(), id, Intake.longAt(digest, 0),
+                Intake.longAt(digest, 8), model, input, message.budgetMillis(), arrivedAt,
                 Long.parseLong(request.headers().get("webhook-timestamp")),
                 new IncomingMessage.SignedBody(request.headers().get("webhook-signature"), body),
-                async ? outbox.webhookObserver(verdict.customer(), id, asker) : asker);
-        waitingClient = async ? null : asker;
-        if (!intake.admit(arrival, asker)) {
+                async ? outbox.webhookObserver(verification.customer(), id, client) : client);
+        waitingClient = async ? null : client;
+        if (!intake.admit(incoming, client)) {
             waitingClient = null;
         }
     }
@@ -135,9 +135,10 @@
                 ? ctx.channel().parent() : ctx.channel();
     }
 
+    /** Counts a bad signature and returns whether the connection has now had too many. */
     private static boolean recordBadSignature(Channel connection) {
-        Integer before = connection.attr(BAD_SIGNATURES).get();
-        int count = before == null ? 1 : before + 1;
+        Integer previous = connection.attr(BAD_SIGNATURES).get();
+        int count = previous == null ? 1 : previous + 1;
         connection.attr(BAD_SIGNATURES).set(count);
         return count >= MAX_BAD_SIGNATURES;
     }
@@ -154,10 +155,10 @@
     /** The client closed the connection or reset the stream, which cancels its inference. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        WaitingConnection gone = waitingClient;
+        WaitingConnection client = waitingClient;
         waitingClient = null;
-        if (gone != null) {
-            gone.cancel();
+        if (client != null) {
+            client.cancel();
         }
         ctx.fireChannelInactive();
     }
@@ -171,17 +172,17 @@
         }
     }
 
-    private void reject(ChannelHandlerContext ctx, int status, String word, String why, boolean keepAlive) {
-        intake.countRefusal(word);
-        FullHttpResponse response = response(status, FinalAnswer.refusal(status, word, why),
+    private void reject(ChannelHandlerContext ctx, int status, String errorCode, String detail, boolean keepAlive) {
+        intake.countRefusal(errorCode);
+        FullHttpResponse response = response(status, FinalAnswer.refusal(status, errorCode, detail),
                 "application/problem+json");
         send(ctx, response, keepAlive);
     }
 
     /** Rejects a message that was not received completely: its client may still be sending, so no further message is read. */
-    private void rejectAndClose(ChannelHandlerContext ctx, int status, String word, String why) {
-        intake.countRefusal(word);
-        FullHttpResponse response = response(status, FinalAnswer.refusal(status, word, why), "application/problem+json");
+    private void rejectAndClose(ChannelHandlerContext ctx, int status, String errorCode, String detail) {
+        intake.countRefusal(errorCode);
+        FullHttpResponse response = response(status, FinalAnswer.refusal(status, errorCode, detail), "application/problem+json");
         timeoutHandler.recordAnswer();
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
         timeoutHandler.stop();
@@ -194,23 +195,23 @@
         });
     }
 
-    static FullHttpResponse response(int status, byte[] body, String type) {
+    static FullHttpResponse response(int status, byte[] body, String contentType) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
         return response;
     }
 
     private void send(ChannelHandlerContext ctx, FullHttpResponse response, boolean keepAlive) {
-        boolean open = keepAlive && (!intake.stopping() || hasQueuedMessage(ctx));
+        boolean keepOpen = keepAlive && (!intake.stopping() || hasQueuedMessage(ctx));
         timeoutHandler.recordAnswer();
-        if (!open) {
+        if (!keepOpen) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
             timeoutHandler.stop();
         }
         ctx.writeAndFlush(response).addListener(write -> {
-            if (!open || !write.isSuccess()) {
+            if (!keepOpen || !write.isSuccess()) {
                 ctx.close();
             }
         });
@@ -243,8 +244,8 @@
         }
 
         @Override
-        public void onAccepted(InferenceState taken) {
-            super.onAccepted(taken);
+        public void onAccepted(InferenceState inference) {
+            super.onAccepted(inference);
             if (async) {
                 // RFC 7240, 4.1: the preference is honoured; the answer will be delivered to the registered endpoint.
                 ctx.executor().execute(() -> {
@@ -267,21 +268,21 @@
                     response.headers().set(HttpHeaderNames.RETRY_AFTER, (long) Math.ceil(answer.retryAfterMillis() / 1000));
                 }
                 String answerId = answer.webhookId(id);
-                long at = intake.unixSeconds();
+                long timestamp = intake.unixSeconds();
                 response.headers().set("webhook-id", answerId);
-                response.headers().set("webhook-timestamp", at);
+                response.headers().set("webhook-timestamp", timestamp);
                 response.headers().set("webhook-signature",
-                        intake.signature(customer, answerId, at, answer.body()));
+                        intake.signature(customer, answerId, timestamp, answer.body()));
                 send(ctx, response, keepAlive);
                 intake.recordAnswerWritten(decidedAt);
             });
         }
 
         @Override
-        public void onRejected(int status, String word, String why) {
+        public void onRejected(int status, String errorCode, String detail) {
             ctx.executor().execute(() -> {
                 waitingClient = null;
-                WebhookRequestHandler.this.reject(ctx, status, word, why, keepAlive);
+                WebhookRequestHandler.this.reject(ctx, status, errorCode, detail, keepAlive);
             });
         }
     }
--- a/gateway/src/main/java/gradereach/front/WebhookServer.java
+++ b/gateway/src/main/java/gradereach/front/WebhookServer.java
@@ -39,7 +39,8 @@
  */
 public final class WebhookServer implements AutoCloseable {
     /** Limits of the listener. */
-    public record Limits(int maxConnections, int maxHeaderBytes, int maxBodyBytes, long messageTimeoutMillis, long idleTimeoutMillis, int maxConcurrentStreams) { }
+    public record Limits(int maxConnections, int maxHeaderBytes, int maxBodyBytes, long messageTimeoutMillis,
+            long idleTimeoutMillis, int maxConcurrentStreams) { }
 
     private static final byte[] HTTP2_PREFACE = "PRI * HTTP/2.0".getBytes(StandardCharsets.US_ASCII);
     /** Stream resets that a client may send in ten seconds; more is a rapid reset attack (CVE-2023-44487). */
@@ -53,32 +54,32 @@
     private final ChannelGroup openConnections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private Channel listener;
 
-    public WebhookServer(Intake intake, Outbox outbox, Limits bounds, Counts counts) {
+    public WebhookServer(Intake intake, Outbox outbox, Limits limits, Counts counts) {
         this.intake = intake;
         this.outbox = outbox;
-        this.limits = bounds;
-        connectionLimit = counts.limit("client_connections", bounds.maxConnections);
+        this.limits = limits;
+        connectionLimit = counts.limit("client_connections", limits.maxConnections);
         messageTimeouts = counts.limit("slow_messages", Long.MAX_VALUE);
     }
 
     /** Starts to listen and returns the bound address, with the actual port where port 0 was requested. */
-    public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
-            Class<? extends ServerChannel> type) throws InterruptedException {
-        listener = new ServerBootstrap().group(boss, workers).channel(type)
+    public InetSocketAddress listen(InetSocketAddress address, EventLoopGroup boss, EventLoopGroup workers,
+            Class<? extends ServerChannel> channelType) throws InterruptedException {
+        listener = new ServerBootstrap().group(boss, workers).channel(channelType)
                 .option(ChannelOption.SO_BACKLOG, 4096).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
+                    protected void initChannel(Channel channel) {
                         if (!connectionLimit.tryAcquire(1)) {
-                            ch.close();
+                            channel.close();
                             return;
                         }
-                        openConnections.add(ch);
-                        ch.closeFuture().addListener(closed -> connectionLimit.release(1));
-                        ch.pipeline().addLast(new ProtocolDetector());
+                        openConnections.add(channel);
+                        channel.closeFuture().addListener(closed -> connectionLimit.release(1));
+                        channel.pipeline().addLast(new ProtocolDetector());
                     }
-                }).bind(at).sync().channel();
+                }).bind(address).sync().channel();
         return (InetSocketAddress) listener.localAddress();
     }
 
@@ -89,21 +90,22 @@
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
             // The timeout counts from the first byte, also for bytes of neither protocol.
-            timeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, limits.idleTimeoutMillis, intake.clock(), intake.earliestArrival(), messageTimeouts);
+            timeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, limits.idleTimeoutMillis, intake.clock(),
+                    intake.earliestArrival(), messageTimeouts);
             ctx.pipeline().addFirst(timeoutHandler);
         }
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-            int n = Math.min(in.readableBytes(), HTTP2_PREFACE.length);
-            for (int i = 0; i < n; i++) {
+            int comparable = Math.min(in.readableBytes(), HTTP2_PREFACE.length);
+            for (int i = 0; i < comparable; i++) {
                 if (in.getByte(in.readerIndex() + i) != HTTP2_PREFACE[i]) {
                     configureHttp1(ctx.pipeline());
                     ctx.pipeline().remove(this);
                     return;
                 }
             }
-            if (n == HTTP2_PREFACE.length) {
+            if (comparable == HTTP2_PREFACE.length) {
                 configureHttp2(ctx.pipeline());
                 ctx.pipeline().remove(this);
             }
@@ -140,12 +142,12 @@
             pipeline.addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel stream) {
-                    MessageTimeoutHandler streamClock = new MessageTimeoutHandler(limits.messageTimeoutMillis, 0, intake.clock(),
-                            intake.earliestArrival(), messageTimeouts);
-                    stream.pipeline().addLast(streamClock);
+                    MessageTimeoutHandler streamTimeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, 0,
+                            intake.clock(), intake.earliestArrival(), messageTimeouts);
+                    stream.pipeline().addLast(streamTimeoutHandler);
                     stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true));
                     stream.pipeline().addLast(new MessageAggregator(limits.maxBodyBytes));
-                    stream.pipeline().addLast(new WebhookRequestHandler(intake, outbox, streamClock, null));
+                    stream.pipeline().addLast(new WebhookRequestHandler(intake, outbox, streamTimeoutHandler, null));
                 }
             }));
             pipeline.addLast(new Http2IdleHandler(limits.idleTimeoutMillis));
@@ -154,16 +156,16 @@
 
     /** Aggregates a message, and fires an exception where its body is too large. */
     private static final class MessageAggregator extends HttpObjectAggregator {
-        MessageAggregator(int most) {
-            super(most, true);
+        MessageAggregator(int maxContentLength) {
+            super(maxContentLength, true);
         }
 
         /** Returns only 100 Continue; rejections are left to {@link WebhookRequestHandler}, which sends them in order. */
         @Override
-        protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
-            Object response = super.newContinueResponse(start, most, pipeline);
-            boolean goesOn = response instanceof HttpResponse interim && interim.status().equals(HttpResponseStatus.CONTINUE);
-            return goesOn ? response : null;
+        protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
+            Object response = super.newContinueResponse(start, maxContentLength, pipeline);
+            boolean isContinue = response instanceof HttpResponse interim && interim.status().equals(HttpResponseStatus.CONTINUE);
+            return isContinue ? response : null;
         }
 
         @Override
@@ -181,9 +183,9 @@
         if (listener != null) {
             listener.close();
         }
-        for (Channel ch : openConnections) {
-            if (ch.pipeline().get(Http2MultiplexHandler.class) != null) {
-                ch.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(0));
+        for (Channel channel : openConnections) {
+            if (channel.pipeline().get(Http2MultiplexHandler.class) != null) {
+                channel.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(0));
             }
         }
     }
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
@@ -28,8 +28,9 @@
     private static final int MAX_BAD_SIGNATURES = 16;
 
     private final AtomicInteger likelyCustomer = new AtomicInteger(-1);
-    private final AtomicInteger forged = new AtomicInteger();
+    private final AtomicInteger badSignatures = new AtomicInteger();
 
+    /** Returns the customer whose key verified the last message, -1 before the first one. */
     int likelyCustomer() {
         return likelyCustomer.get();
     }
@@ -38,27 +39,27 @@
         likelyCustomer.lazySet(customer);
     }
 
-    void forged() {
-        forged.incrementAndGet();
+    void recordBadSignature() {
+        badSignatures.incrementAndGet();
     }
 
     /** Returns whether signatures on this connection are no longer checked, after too many bad ones. */
     boolean hasTooManyBadSignatures() {
-        return forged.get() >= MAX_BAD_SIGNATURES;
+        return badSignatures.get() >= MAX_BAD_SIGNATURES;
     }
 
     /** Returns a filter that attaches a {@link GrpcConnection} to each transport and counts the open ones. */
-    static ServerTransportFilter transportFilter(LongAdder open) {
+    static ServerTransportFilter transportFilter(LongAdder openConnections) {
         return new ServerTransportFilter() {
             @Override
             public Attributes transportReady(Attributes attributes) {
-                open.increment();
+                openConnections.increment();
                 return attributes.toBuilder().set(CONNECTION_ATTRIBUTE, new GrpcConnection()).build();
             }
 
             @Override
             public void transportTerminated(Attributes attributes) {
-                open.decrement();
+                openConnections.decrement();
             }
         };
     }
@@ -68,19 +69,19 @@
         @Override
         public ServerStreamTracer newServerStreamTracer(String method, Metadata headers) {
             return new ServerStreamTracer() {
-                private Context.CancellableContext ofCall;
+                private Context.CancellableContext callContext;
 
                 @Override
                 public Context filterContext(Context context) {
-                    ofCall = context.withCancellation();
-                    Runnable reset = () -> ofCall.cancel(new TimeoutException());
-                    return ofCall.withValue(RESET_STREAM, reset);
+                    callContext = context.withCancellation();
+                    Runnable reset = () -> callContext.cancel(new TimeoutException());
+                    return callContext.withValue(RESET_STREAM, reset);
                 }
 
                 @Override
                 public void streamClosed(Status status) {
-                    if (ofCall != null) {
-                        ofCall.cancel(null);
+                    if (callContext != null) {
+                        callContext.cancel(null);
                     }
                 }
             };
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
@@ -63,13 +63,13 @@
     final long stalledReaderTimeoutMillis;
     private final Set<StreamingCall> openStreams = ConcurrentHashMap.newKeySet();
 
-    GrpcInferenceService(Intake intake, EventLoopGroup loops, BooleanSupplier ready, GrpcServer.Limits bounds, Counts counts) {
+    GrpcInferenceService(Intake intake, EventLoopGroup eventLoops, BooleanSupplier ready, GrpcServer.Limits limits, Counts counts) {
         this.intake = intake;
-        this.eventLoops = loops;
+        this.eventLoops = eventLoops;
         this.ready = ready;
-        stalledReaderTimeoutMillis = bounds.stalledReaderTimeoutMillis();
-        callLimit = counts.limit("grpc_calls", bounds.maxCalls());
-        queuedStreamBytes = counts.limit("grpc_stream_bytes_waiting", bounds.maxQueuedBytes());
+        stalledReaderTimeoutMillis = limits.stalledReaderTimeoutMillis();
+        callLimit = counts.limit("grpc_calls", limits.maxCalls());
+        queuedStreamBytes = counts.limit("grpc_stream_bytes_waiting", limits.maxQueuedBytes());
         stalledReaders = counts.limit("grpc_readers_that_stopped", Long.MAX_VALUE);
     }
 
@@ -79,42 +79,42 @@
 
     // ---- calls answered without an executor ------------------------------------------------------------------
 
-    private static <T> void respond(StreamObserver<T> to, T what) {
-        to.onNext(what);
-        to.onCompleted();
+    private static <T> void respond(StreamObserver<T> observer, T response) {
+        observer.onNext(response);
+        observer.onCompleted();
     }
 
     @Override
-    public void serverLive(ServerLiveRequest request, StreamObserver<ServerLiveResponse> to) {
-        respond(to, ServerLiveResponse.newBuilder().setLive(true).build());
+    public void serverLive(ServerLiveRequest request, StreamObserver<ServerLiveResponse> observer) {
+        respond(observer, ServerLiveResponse.newBuilder().setLive(true).build());
     }
 
     @Override
-    public void serverReady(ServerReadyRequest request, StreamObserver<ServerReadyResponse> to) {
-        respond(to, ServerReadyResponse.newBuilder().setReady(ready.getAsBoolean()).build());
+    public void serverReady(ServerReadyRequest request, StreamObserver<ServerReadyResponse> observer) {
+        respond(observer, ServerReadyResponse.newBuilder().setReady(ready.getAsBoolean()).build());
     }
 
     /** Models are loaded on demand, so every model of the deployment counts as ready. */
     @Override
-    public void modelReady(ModelReadyRequest request, StreamObserver<ModelReadyResponse> to) {
-        respond(to, ModelReadyResponse.newBuilder().setReady(ready.getAsBoolean() && intake.findModel(request.getName()) != null)
+    public void modelReady(ModelReadyRequest request, StreamObserver<ModelReadyResponse> observer) {
+        respond(observer, ModelReadyResponse.newBuilder().setReady(ready.getAsBoolean() && intake.findModel(request.getName()) != null)
                 .build());
     }
 
     @Override
-    public void serverMetadata(ServerMetadataRequest request, StreamObserver<ServerMetadataResponse> to) {
+    public void serverMetadata(ServerMetadataRequest request, StreamObserver<ServerMetadataResponse> observer) {
         String version = GrpcInferenceService.class.getPackage().getImplementationVersion();
-        respond(to, ServerMetadataResponse.newBuilder().setName("gradereach").setVersion(version == null ? "" : version).build());
+        respond(observer, ServerMetadataResponse.newBuilder().setName("gradereach").setVersion(version == null ? "" : version).build());
     }
 
     @Override
-    public void modelMetadata(ModelMetadataRequest request, StreamObserver<ModelMetadataResponse> to) {
+    public void modelMetadata(ModelMetadataRequest request, StreamObserver<ModelMetadataResponse> observer) {
         ModelCatalog.Entry model = intake.findModel(request.getName());
         if (model == null) {
-            to.onError(GrpcStatuses.rejection(404, "unknown-model", "not in this deployment").asRuntimeException());
+            observer.onError(GrpcStatuses.rejection(404, "unknown-model", "not in this deployment").asRuntimeException());
             return;
         }
-        respond(to, ModelMetadataResponse.newBuilder().setName(model.name()).setPlatform("gradereach").build());
+        respond(observer, ModelMetadataResponse.newBuilder().setName(model.name()).setPlatform("gradereach").build());
     }
 
     // ---- inferences ------------------------------------------------------------------------------------------
@@ -125,10 +125,10 @@
         final int httpStatus;
         final String errorCode;
 
-        CallRejectedException(int status, String word, String why) {
-            super(why, null, false, false);
-            this.httpStatus = status;
-            this.errorCode = word;
+        CallRejectedException(int httpStatus, String errorCode, String detail) {
+            super(detail, null, false, false);
+            this.httpStatus = httpStatus;
+            this.errorCode = errorCode;
         }
     }
 
@@ -141,27 +141,27 @@
      * @param bare the request without the parameters that carry its signature
      * @param budgetMillis time until the deadline of the call, 0 for none
      */
-    IncomingMessage toIncomingMessage(GrpcConnection caller, String method, SignatureFields by, ModelInferRequest bare, double budget, WaitingClient waiter)
-            throws CallRejectedException {
+    IncomingMessage toIncomingMessage(GrpcConnection connection, String method, SignatureFields signature, ModelInferRequest bare,
+            double budgetMillis, WaitingClient client) throws CallRejectedException {
         if (bare == LenientRequestParsing.MALFORMED_REQUEST) {
             throw new CallRejectedException(400, "bad-message", "no message of this method");
         }
         double arrivedAt = intake.earliestArrival().getAsDouble();
         byte[] digest = CallSignature.digest(bare);
-        if (caller.hasTooManyBadSignatures()) {
+        if (connection.hasTooManyBadSignatures()) {
             throw new CallRejectedException(401, "not-signed", "too many bad signatures on this connection");
         }
-        KeyRing.VerificationResult verdict = intake.authenticate(by.id, by.timestamp, by.signature, CallSignature.signedContent(method, digest),
-                caller.likelyCustomer());
-        if (verdict.rejection() != null) {
-            boolean forged = verdict.rejection() == SignatureRejection.NOT_SIGNED;
-            if (forged) {
-                caller.forged();
+        KeyRing.VerificationResult verification = intake.authenticate(signature.id, signature.timestamp, signature.signature,
+                CallSignature.signedContent(method, digest), connection.likelyCustomer());
+        if (verification.rejection() != null) {
+            boolean badSignature = verification.rejection() == SignatureRejection.NOT_SIGNED;
+            if (badSignature) {
+                connection.recordBadSignature();
             }
-            throw new CallRejectedException(forged ? 401 : 400, verdict.rejection().name().toLowerCase().replace('_', '-'),
-                    verdict.rejection().detail);
+            throw new CallRejectedException(badSignature ? 401 : 400, verification.rejection().name().toLowerCase().replace('_', '-'),
+                    verification.rejection().detail);
         }
-        caller.setLikelyCustomer(verdict.customer());
+        connection.setLikelyCustomer(verification.customer());
         ModelCatalog.Entry model = intake.findModel(bare.getModelName());
         if (model == null) {
             throw new CallRejectedException(404, "unknown-model", "model_name: not in this deployment");
@@ -172,54 +172,55 @@
         } catch (InvalidMessageException e) {
             throw new CallRejectedException(400, "bad-message", e.getMessage());
         }
-        return new IncomingMessage(verdict.customer(), by.id, Intake.longAt(digest, 0), Intake.longAt(digest, 8), model, input,
-                shorterBudget(budget, budgetParameter(bare)),
-                arrivedAt, Long.parseLong(by.timestamp), null, waiter);
+        return new IncomingMessage(verification.customer(), signature.id, Intake.longAt(digest, 0), Intake.longAt(digest, 8), model, input,
+                shorterBudget(budgetMillis, budgetParameter(bare)), arrivedAt, Long.parseLong(signature.timestamp), null, client);
     }
 
+    /** Returns the shorter of two budgets, where 0 means none. */
     private static double shorterBudget(double one, double other) {
         return one <= 0 ? other : other <= 0 ? one : Math.min(one, other);
     }
 
     /** Returns the budget of a single inference, which may be shorter than the deadline of its call; 0 for none. */
     private static double budgetParameter(ModelInferRequest bare) throws CallRejectedException {
-        InferParameter told = bare.getParametersMap().get(BUDGET_PARAMETER);
-        if (told == null) {
+        InferParameter parameter = bare.getParametersMap().get(BUDGET_PARAMETER);
+        if (parameter == null) {
             return 0;
         }
-        double budget = told.hasDoubleParam() ? told.getDoubleParam() : told.getInt64Param();
-        if (!(budget > 0 && budget < Double.MAX_VALUE)) {
+        double budgetMillis = parameter.hasDoubleParam() ? parameter.getDoubleParam() : parameter.getInt64Param();
+        if (!(budgetMillis > 0 && budgetMillis < Double.MAX_VALUE)) {
             throw new CallRejectedException(400, "bad-message", "parameters." + BUDGET_PARAMETER + ": no number above 0");
         }
-        return budget;
+        return budgetMillis;
     }
 
     /** Request parameter for the milliseconds that a client waits for one inference, like {@code data.budget_ms} of a webhook. */
     private static final String BUDGET_PARAMETER = "gradereach-budget-ms";
 
+    /** Returns the milliseconds until a deadline, at least 1; 0 for none. */
     private static double remainingBudget(Deadline deadline) {
         return deadline == null ? 0 : Math.max(1, deadline.timeRemaining(TimeUnit.MICROSECONDS) / 1000d);
     }
 
     @Override
     public void modelInfer(ModelInferRequest request, StreamObserver<ModelInferResponse> observer) {
-        ServerCallStreamObserver<ModelInferResponse> to = (ServerCallStreamObserver<ModelInferResponse>) observer;
+        ServerCallStreamObserver<ModelInferResponse> responseObserver = (ServerCallStreamObserver<ModelInferResponse>) observer;
         if (!callLimit.tryAcquire(1)) {
-            to.onError(GrpcStatuses.rejection(429, "too-many-calls", "this front end has as many calls open as it may")
+            responseObserver.onError(GrpcStatuses.rejection(429, "too-many-calls", "this front end has as many calls open as it may")
                     .asRuntimeException());
             return;
         }
-        UnaryCall call = new UnaryCall(to);
-        to.setOnCancelHandler(() -> {
+        UnaryCall call = new UnaryCall(responseObserver);
+        responseObserver.setOnCancelHandler(() -> {
             call.closeOnce();
             call.cancel();
         });
         Metadata headers = GrpcConnection.HEADERS.get();
         try {
-            SignatureFields by = new SignatureFields(headers.get(ID), headers.get(TIMESTAMP), headers.get(SIGNATURE));
-            call.id = by.id;
-            intake.admit(toIncomingMessage(GrpcConnection.CURRENT_CONNECTION.get(), UNARY_METHOD, by, CallSignature.withoutSignature(request),
-                    remainingBudget(Context.current().getDeadline()), call), call);
+            SignatureFields signature = new SignatureFields(headers.get(ID), headers.get(TIMESTAMP), headers.get(SIGNATURE));
+            call.id = signature.id;
+            intake.admit(toIncomingMessage(GrpcConnection.CURRENT_CONNECTION.get(), UNARY_METHOD, signature,
+                    CallSignature.withoutSignature(request), remainingBudget(Context.current().getDeadline()), call), call);
         } catch (CallRejectedException e) {
             call.onRejected(e.httpStatus, e.errorCode, e.getMessage());
         }
@@ -238,23 +239,25 @@
         return eventLoops.next();
     }
 
+    /** A client that waits for the answer to a unary call. */
     private final class UnaryCall extends WaitingClient {
         private final ServerCallStreamObserver<ModelInferResponse> responseObserver;
         private final EventLoop eventLoop = connectionEventLoop();
         private final java.util.concurrent.atomic.AtomicBoolean open = new java.util.concurrent.atomic.AtomicBoolean(true);
         private String id;
 
-        UnaryCall(ServerCallStreamObserver<ModelInferResponse> to) {
+        UnaryCall(ServerCallStreamObserver<ModelInferResponse> responseObserver) {
             super(intake);
-            this.responseObserver = to;
+            this.responseObserver = responseObserver;
         }
 
+        /** Closes the call and returns whether it was open. */
         boolean closeOnce() {
-            boolean was = open.getAndSet(false);
-            if (was) {
+            boolean wasOpen = open.getAndSet(false);
+            if (wasOpen) {
                 callLimit.release(1);
             }
-            return was;
+            return wasOpen;
         }
 
         @Override
@@ -284,32 +287,33 @@
         }
 
         @Override
-        public void onRejected(int status, String word, String why) {
-            intake.countRefusal(word);
+        public void onRejected(int httpStatus, String errorCode, String detail) {
+            intake.countRefusal(errorCode);
             eventLoop.execute(() -> {
                 if (closeOnce()) {
-                    responseObserver.onError(GrpcStatuses.rejection(status, word, why).asRuntimeException());
+                    responseObserver.onError(GrpcStatuses.rejection(httpStatus, errorCode, detail).asRuntimeException());
                 }
             });
         }
     }
 
     /** Returns the status for an inference that ran but whose output is no inference response of the protocol. */
-    static StatusRuntimeException unconvertibleAnswer(IOException why) {
-        return Status.UNKNOWN.withDescription("the executor's answer is no inference response: " + why.getMessage())
+    static StatusRuntimeException unconvertibleAnswer(IOException cause) {
+        return Status.UNKNOWN.withDescription("the executor's answer is no inference response: " + cause.getMessage())
                 .asRuntimeException();
     }
 
     @Override
     public StreamObserver<ModelInferRequest> modelStreamInfer(StreamObserver<ModelStreamInferResponse> observer) {
-        ServerCallStreamObserver<ModelStreamInferResponse> to = (ServerCallStreamObserver<ModelStreamInferResponse>) observer;
+        ServerCallStreamObserver<ModelStreamInferResponse> responseObserver =
+                (ServerCallStreamObserver<ModelStreamInferResponse>) observer;
         if (!callLimit.tryAcquire(1)) {
-            to.onError(GrpcStatuses.rejection(429, "too-many-calls", "this front end has as many calls open as it may")
+            responseObserver.onError(GrpcStatuses.rejection(429, "too-many-calls", "this front end has as many calls open as it may")
                     .asRuntimeException());
             return new DiscardingObserver();
         }
         StreamingCall call = new StreamingCall(this, intake, connectionEventLoop(), GrpcConnection.CURRENT_CONNECTION.get(),
-                Context.current().getDeadline(), GrpcConnection.RESET_STREAM.get(), to);
+                Context.current().getDeadline(), GrpcConnection.RESET_STREAM.get(), responseObserver);
         openStreams.add(call);
         call.start(() -> {
             openStreams.remove(call);
@@ -324,7 +328,7 @@
         public void onNext(ModelInferRequest request) { }
 
         @Override
-        public void onError(Throwable why) { }
+        public void onError(Throwable cause) { }
 
         @Override
         public void onCompleted() { }
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
@@ -30,8 +30,8 @@
      * @param maxConnectionAgeMillis time after which a connection is closed gracefully, so that clients are balanced again
      * @param connectionAgeGraceMillis time that open calls of such a connection have to end
      */
-    public record Limits(int maxCalls, int maxCallsPerConnection, int maxMetadataBytes, int maxMessageBytes, long maxQueuedBytes, long stalledReaderTimeoutMillis,
-            long idleTimeoutMillis, long maxConnectionAgeMillis, long connectionAgeGraceMillis) { }
+    public record Limits(int maxCalls, int maxCallsPerConnection, int maxMetadataBytes, int maxMessageBytes, long maxQueuedBytes,
+            long stalledReaderTimeoutMillis, long idleTimeoutMillis, long maxConnectionAgeMillis, long connectionAgeGraceMillis) { }
 
     /** Clients that ping more often are attackers or faulty (gRFC A8 recommends five minutes without calls). */
     private static final long MIN_PING_INTERVAL_SECONDS = 10;
@@ -48,18 +48,18 @@
     private GrpcInferenceService service;
     private Server server;
 
-    public GrpcServer(Intake intake, Limits bounds, BooleanSupplier ready, Counts counts) {
+    public GrpcServer(Intake intake, Limits limits, BooleanSupplier ready, Counts counts) {
         this.intake = intake;
-        this.limits = bounds;
+        this.limits = limits;
         this.ready = ready;
         this.counts = counts;
     }
 
     /** Starts to listen and returns the bound address, with the actual port where port 0 was requested. */
-    public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
-            Class<? extends ServerChannel> type) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress address, EventLoopGroup boss, EventLoopGroup workers,
+            Class<? extends ServerChannel> channelType) throws IOException {
         service = new GrpcInferenceService(intake, workers, ready, limits, counts);
-        server = NettyServerBuilder.forAddress(at).bossEventLoopGroup(boss).workerEventLoopGroup(workers).channelType(type)
+        server = NettyServerBuilder.forAddress(address).bossEventLoopGroup(boss).workerEventLoopGroup(workers).channelType(channelType)
                 .directExecutor() // no call blocks its thread
                 .maxConcurrentCallsPerConnection(limits.maxCallsPerConnection).maxInboundMetadataSize(limits.maxMetadataBytes)
                 .maxInboundMessageSize(limits.maxMessageBytes).flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
@@ -70,8 +70,8 @@
                 .maxConnectionAgeGrace(limits.connectionAgeGraceMillis, TimeUnit.MILLISECONDS)
                 .addTransportFilter(GrpcConnection.transportFilter(counts.counter("grpc_connections")))
                 .addStreamTracerFactory(GrpcConnection.RESET_TRACER_FACTORY).intercept(GrpcConnection.CONTEXT_INTERCEPTOR)
-                .addService(LenientRequestParsing.wrap(service.bindService())).addService(health.getHealthService()).addService(ProtoReflectionServiceV1.newInstance())
-                .build().start();
+                .addService(LenientRequestParsing.wrap(service.bindService())).addService(health.getHealthService())
+                .addService(ProtoReflectionServiceV1.newInstance()).build().start();
         health.setStatus(GRPCInferenceServiceGrpc.SERVICE_NAME, ServingStatus.SERVING);
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcStatuses.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcStatuses.java
@@ -36,6 +36,7 @@
         };
     }
 
+    /** Returns the status of a shed or failed answer, with its trailers. */
     static StatusRuntimeException toException(FinalAnswer answer) {
         com.google.rpc.Status.Builder status = com.google.rpc.Status.newBuilder().setCode(code(answer).value())
                 .setMessage(AnswerBodyReader.detail(answer.body()));
@@ -61,14 +62,14 @@
     }
 
     /** Returns the status of a rejected request, given the HTTP status that the webhook server uses for the same rejection. */
-    static Status rejection(int status, String word, String why) {
-        Status base = switch (status) {
+    static Status rejection(int httpStatus, String errorCode, String detail) {
+        Status status = switch (httpStatus) {
             case 401 -> Status.UNAUTHENTICATED;
             case 404 -> Status.NOT_FOUND;
             case 409 -> Status.ALREADY_EXISTS;
             case 413, 429 -> Status.RESOURCE_EXHAUSTED;
             default -> Status.INVALID_ARGUMENT;
         };
-        return base.withDescription(word + ": " + why);
+        return status.withDescription(errorCode + ": " + detail);
     }
 }
--- a/gateway/src/main/java/gradereach/grpcfront/LenientRequestParsing.java
+++ b/gateway/src/main/java/gradereach/grpcfront/LenientRequestParsing.java
@@ -17,10 +17,11 @@
 
     private LenientRequestParsing() { }
 
+    /** Returns the service with a lenient parser of requests in each method. */
     static ServerServiceDefinition wrap(ServerServiceDefinition service) {
-        ServerServiceDefinition.Builder built = ServerServiceDefinition.builder(service.getServiceDescriptor().getName());
-        service.getMethods().forEach(method -> built.addMethod(wrapMethod(method)));
-        return built.build();
+        ServerServiceDefinition.Builder builder = ServerServiceDefinition.builder(service.getServiceDescriptor().getName());
+        service.getMethods().forEach(method -> builder.addMethod(wrapMethod(method)));
+        return builder.build();
     }
 
     private static <Q, A> ServerMethodDefinition<Q, A> wrapMethod(ServerMethodDefinition<Q, A> method) {
--- a/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
+++ b/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
@@ -39,6 +39,7 @@
     static final String PART_NUMBER_PARAMETER = "gradereach-part";
     /** Response parameter that marks the message that ends a streamed answer. */
     static final String FINAL_PARAMETER = "gradereach-final";
+    /** Response parameter that holds the number of parts sent, beside {@link #FINAL_PARAMETER} or an error. */
     static final String PART_COUNT_PARAMETER = "gradereach-parts";
 
     private final GrpcInferenceService service;
@@ -61,19 +62,20 @@
     private boolean closed;
     private Runnable onClosed;
 
-    StreamingCall(GrpcInferenceService front, Intake intake, EventLoop loop, GrpcConnection caller, Deadline deadline,
-            Runnable reset, ServerCallStreamObserver<ModelStreamInferResponse> to) {
-        this.service = front;
+    StreamingCall(GrpcInferenceService service, Intake intake, EventLoop eventLoop, GrpcConnection connection, Deadline deadline,
+            Runnable resetStream, ServerCallStreamObserver<ModelStreamInferResponse> responseObserver) {
+        this.service = service;
         this.intake = intake;
-        this.eventLoop = loop;
-        this.connection = caller;
+        this.eventLoop = eventLoop;
+        this.connection = connection;
         this.deadline = deadline;
-        this.resetStream = reset;
-        this.responseObserver = to;
+        this.resetStream = resetStream;
+        this.responseObserver = responseObserver;
     }
 
-    void start(Runnable over) {
-        onClosed = over;
+    /** @param onClosed called once when the call ends, holding its monitor */
+    void start(Runnable onClosed) {
+        this.onClosed = onClosed;
         responseObserver.disableAutoRequest();
         responseObserver.setOnCancelHandler(this::cancelInferences);
         responseObserver.setOnReadyHandler(this::flush);
@@ -85,28 +87,29 @@
 
     @Override
     public void onNext(ModelInferRequest request) {
-        StreamedInference one = new StreamedInference(request.getId());
+        StreamedInference inference = new StreamedInference(request.getId());
         synchronized (this) {
             if (closed) {
                 return;
             }
-            openInferences.add(one);
+            openInferences.add(inference);
         }
         try {
             String id = stringParameter(request, CallSignature.ID);
-            SignatureFields by = new SignatureFields(id == null ? request.getId() : id, stringParameter(request, CallSignature.TIMESTAMP),
-                    stringParameter(request, CallSignature.SIGNATURE));
-            IncomingMessage arrival = service.toIncomingMessage(connection, GrpcInferenceService.STREAMING_METHOD, by, CallSignature.withoutSignature(request),
-                    deadline == null ? 0 : GrpcInferenceService.remainingMillis(deadline), one);
-            intake.admit(arrival, one);
+            SignatureFields signature = new SignatureFields(id == null ? request.getId() : id,
+                    stringParameter(request, CallSignature.TIMESTAMP), stringParameter(request, CallSignature.SIGNATURE));
+            IncomingMessage incoming = service.toIncomingMessage(connection, GrpcInferenceService.STREAMING_METHOD, signature,
+                    CallSignature.withoutSignature(request),
+                    deadline == null ? 0 : GrpcInferenceService.remainingMillis(deadline), inference);
+            intake.admit(incoming, inference);
         } catch (CallRejectedException e) {
-            one.onRejected(e.httpStatus, e.errorCode, e.getMessage());
+            inference.onRejected(e.httpStatus, e.errorCode, e.getMessage());
         }
     }
 
-    private static String stringParameter(ModelInferRequest request, String parameter) {
-        InferParameter told = request.getParametersMap().get(parameter);
-        return told == null || !told.hasStringParam() ? null : told.getStringParam();
+    private static String stringParameter(ModelInferRequest request, String name) {
+        InferParameter parameter = request.getParametersMap().get(name);
+        return parameter == null || !parameter.hasStringParam() ? null : parameter.getStringParam();
     }
 
     @Override
@@ -123,32 +126,33 @@
 
     /** The request stream failed; the cancellation handler is called as well. */
     @Override
-    public void onError(Throwable why) {
+    public void onError(Throwable cause) {
         cancelInferences();
     }
 
     /** The call was cancelled or its deadline passed: nothing more can be sent, so all open inferences are cancelled. */
     private void cancelInferences() {
-        Set<StreamedInference> left;
+        Set<StreamedInference> open;
         synchronized (this) {
             if (closed) {
                 return;
             }
-            left = close();
+            open = close();
         }
-        left.forEach(WaitingClient::cancel);
+        open.forEach(WaitingClient::cancel);
     }
 
+    /** Closes the call and returns the inferences that were open. */
     private Set<StreamedInference> close() {
         closed = true;
-        Set<StreamedInference> left = Set.copyOf(openInferences);
+        Set<StreamedInference> open = Set.copyOf(openInferences);
         openInferences.clear();
         queuedResponses.clear();
         streamingInferences.clear();
         service.queuedStreamBytes.release(queuedBytes);
         queuedBytes = 0;
         onClosed.run();
-        return left;
+        return open;
     }
 
     private void completeIfDone() {
@@ -159,29 +163,30 @@
     }
 
     /** Queues the last response of an inference. */
-    private void endInference(StreamedInference one, ModelStreamInferResponse what) {
+    private void endInference(StreamedInference inference, ModelStreamInferResponse response) {
         synchronized (this) {
-            if (!closed && openInferences.remove(one) && enqueue(what, true)) {
+            if (!closed && openInferences.remove(inference) && enqueue(response, true)) {
                 flush();
             }
         }
     }
 
     /** Queues a response of an inference that is not its last. */
-    private synchronized void sendPart(StreamedInference one, ModelStreamInferResponse what) {
-        if (!closed && openInferences.contains(one)) {
-            enqueue(what, false);
+    private synchronized void sendPart(StreamedInference inference, ModelStreamInferResponse response) {
+        if (!closed && openInferences.contains(inference)) {
+            enqueue(response, false);
         }
     }
 
-    private boolean enqueue(ModelStreamInferResponse what, boolean end) {
-        int size = what.getSerializedSize();
+    /** Queues a response and returns true, or resets the call where too many bytes are queued. */
+    private boolean enqueue(ModelStreamInferResponse response, boolean endsInference) {
+        int size = response.getSerializedSize();
         if (!service.queuedStreamBytes.tryAcquire(size)) {
-            resetStalledStream(); // too many bytes are queued for slow readers
+            resetStalledStream();
             return false;
         }
         queuedBytes += size;
-        queuedResponses.add(new QueuedResponse(what, end));
+        queuedResponses.add(new QueuedResponse(response, endsInference));
         return true;
     }
 
@@ -203,32 +208,33 @@
     }
 
     private boolean hasQueuedResponse() {
-        return !queuedResponses.isEmpty() || streamingInferences.stream().anyMatch(one -> one.answerStream.hasBufferedParts());
+        return !queuedResponses.isEmpty() || streamingInferences.stream()
+                .anyMatch(inference -> inference.answerStream.hasBufferedParts());
     }
 
     /** Returns the next response to write: queued ones first, then parts of the streamed answers, round-robin. */
     private ModelStreamInferResponse nextResponse() {
-        QueuedResponse whole = queuedResponses.poll();
-        if (whole != null) {
-            int size = whole.response.getSerializedSize();
+        QueuedResponse queued = queuedResponses.poll();
+        if (queued != null) {
+            int size = queued.response.getSerializedSize();
             queuedBytes -= size;
             service.queuedStreamBytes.release(size);
-            if (whole.endsInference) {
+            if (queued.endsInference) {
                 responseObserver.request(1);
             }
-            return whole.response;
+            return queued.response;
         }
-        for (int n = streamingInferences.size(); n > 0; n--) {
-            StreamedInference one = streamingInferences.poll();
-            ModelStreamInferResponse part = (ModelStreamInferResponse) one.answerStream.poll();
+        for (int remaining = streamingInferences.size(); remaining > 0; remaining--) {
+            StreamedInference inference = streamingInferences.poll();
+            ModelStreamInferResponse part = (ModelStreamInferResponse) inference.answerStream.poll();
             if (part != null) {
-                streamingInferences.add(one);
-                return one.withPartNumber(part);
+                streamingInferences.add(inference);
+                return inference.withPartNumber(part);
             }
-            if (!one.answerStream.isFinished()) {
-                streamingInferences.add(one);
-            } else if (one.pendingEnd != null) {
-                one.pendingEnd.run();
+            if (!inference.answerStream.isFinished()) {
+                streamingInferences.add(inference);
+            } else if (inference.pendingEnd != null) {
+                inference.pendingEnd.run();
                 return nextResponse();
             } // otherwise its end follows
         }
@@ -239,20 +245,23 @@
         if (closed || Double.isNaN(stalledSince)) {
             return;
         }
-        double left = stalledSince + service.stalledReaderTimeoutMillis - intake.now();
-        if (left > 0) {
-            eventLoop.schedule(this::checkStalledReader, (long) Math.ceil(left), TimeUnit.MILLISECONDS);
+        double remainingMillis = stalledSince + service.stalledReaderTimeoutMillis - intake.now();
+        if (remainingMillis > 0) {
+            eventLoop.schedule(this::checkStalledReader, (long) Math.ceil(remainingMillis), TimeUnit.MILLISECONDS);
         } else {
             resetStalledStream();
         }
     }
 
-    /** Resets the call of a reader that does not read. Inferences that other clients wait for continue, and answers stay recorded. */
+    /**
+     * Resets the call of a reader that does not read. Its inferences continue if other clients wait for them, and what has run
+     * stays recorded for repeats.
+     */
     private void resetStalledStream() {
         service.stalledReaders.recordRejection();
-        Set<StreamedInference> left = close();
+        Set<StreamedInference> open = close();
         resetStream.run();
-        left.forEach(WaitingClient::cancel);
+        open.forEach(WaitingClient::cancel);
     }
 
     /** One inference of the call. */
@@ -275,22 +284,23 @@
         }
 
         @Override
-        public void onStreamStarted(AnswerStream<?> begun) {
+        public void onStreamStarted(AnswerStream<?> stream) {
             eventLoop.execute(() -> {
                 synchronized (StreamingCall.this) {
                     if (closed) {
                         return; // the call is over, and the coordinator ends the answer stream
                     }
-                    answerStream = begun;
+                    answerStream = stream;
                     streamingInferences.add(this);
                 }
-                begun.subscribe(StreamingCall.this::flush);
+                stream.subscribe(StreamingCall.this::flush);
             });
         }
 
         private ModelStreamInferResponse withPartNumber(ModelStreamInferResponse part) {
-            ModelInferResponse.Builder told = part.getInferResponse().toBuilder().setId(id);
-            return ModelStreamInferResponse.newBuilder().setInferResponse(told.putParameters(PART_NUMBER_PARAMETER, intParameter(++partCount))).build();
+            ModelInferResponse.Builder response = part.getInferResponse().toBuilder().setId(id);
+            return ModelStreamInferResponse.newBuilder()
+                    .setInferResponse(response.putParameters(PART_NUMBER_PARAMETER, intParameter(++partCount))).build();
         }
 
         @Override
@@ -308,7 +318,7 @@
             });
         }
 
-        /** The library flushes in a task that is queued on the event loop before this one. */
+        /** Records the answer as written. The library flushes in a task that is queued on the event loop before this one. */
         private void recordWrittenAfterFlush(double decidedAt) {
             eventLoop.execute(() -> intake.recordAnswerWritten(decidedAt));
         }
@@ -320,8 +330,8 @@
             }
             try {
                 if (answerStream == null && !AnswerBodyReader.isStreamed(answer.body())) {
-                    endInference(this, ModelStreamInferResponse.newBuilder().setInferResponse(AnswerBodyReader.response(answer.body(), id))
-                            .build());
+                    endInference(this, ModelStreamInferResponse.newBuilder()
+                            .setInferResponse(AnswerBodyReader.response(answer.body(), id)).build());
                     return;
                 }
                 if (answerStream == null) {
@@ -338,36 +348,39 @@
             }
         }
 
-        private static InferParameter intParameter(long n) {
-            return InferParameter.newBuilder().setInt64Param(n).build();
+        private static InferParameter intParameter(long value) {
+            return InferParameter.newBuilder().setInt64Param(value).build();
         }
 
         @Override
-        public void onRejected(int status, String word, String why) {
-            intake.countRefusal(word);
-            sendError(GrpcStatuses.rejection(status, word, why).asRuntimeException());
+        public void onRejected(int httpStatus, String errorCode, String detail) {
+            intake.countRefusal(errorCode);
+            sendError(GrpcStatuses.rejection(httpStatus, errorCode, detail).asRuntimeException());
         }
 
-        /** The protocol's error message is plain text, so code, outcome and retry delay are sent as parameters, as unary calls have them. */
-        private void sendError(StatusRuntimeException why) {
-            ModelInferResponse.Builder beside = ModelInferResponse.newBuilder().setId(id);
+        /**
+         * Ends the inference with an error. The protocol's error message is plain text, so code, outcome and retry delay, which
+         * are trailers of unary calls, are sent as parameters.
+         */
+        private void sendError(StatusRuntimeException error) {
+            ModelInferResponse.Builder response = ModelInferResponse.newBuilder().setId(id);
             if (partCount > 0) {
-                beside.putParameters(PART_COUNT_PARAMETER, intParameter(partCount)); // number of parts sent before the error
+                response.putParameters(PART_COUNT_PARAMETER, intParameter(partCount)); // number of parts sent before the error
             }
-            putStringParameter(beside, "grpc-status", why.getStatus().getCode().name());
-            if (why.getTrailers() != null) {
-                putStringParameter(beside, GrpcStatuses.OUTCOME.name(), why.getTrailers().get(GrpcStatuses.OUTCOME));
-                putStringParameter(beside, GrpcStatuses.REPEAT_HARMLESS.name(), why.getTrailers().get(GrpcStatuses.REPEAT_HARMLESS));
-                putStringParameter(beside, GrpcStatuses.PUSHBACK.name(), why.getTrailers().get(GrpcStatuses.PUSHBACK));
-                putStringParameter(beside, GrpcStatuses.STOPPING.name(), why.getTrailers().get(GrpcStatuses.STOPPING));
+            putStringParameter(response, "grpc-status", error.getStatus().getCode().name());
+            if (error.getTrailers() != null) {
+                putStringParameter(response, GrpcStatuses.OUTCOME.name(), error.getTrailers().get(GrpcStatuses.OUTCOME));
+                putStringParameter(response, GrpcStatuses.REPEAT_HARMLESS.name(), error.getTrailers().get(GrpcStatuses.REPEAT_HARMLESS));
+                putStringParameter(response, GrpcStatuses.PUSHBACK.name(), error.getTrailers().get(GrpcStatuses.PUSHBACK));
+                putStringParameter(response, GrpcStatuses.STOPPING.name(), error.getTrailers().get(GrpcStatuses.STOPPING));
             }
-            endInference(this, ModelStreamInferResponse.newBuilder().setErrorMessage(String.valueOf(why.getStatus().getDescription()))
-                    .setInferResponse(beside).build());
+            endInference(this, ModelStreamInferResponse.newBuilder().setErrorMessage(String.valueOf(error.getStatus().getDescription()))
+                    .setInferResponse(response).build());
         }
 
-        private static void putStringParameter(ModelInferResponse.Builder to, String name, String value) {
+        private static void putStringParameter(ModelInferResponse.Builder response, String name, String value) {
             if (value != null) {
-                to.putParameters(name, InferParameter.newBuilder().setStringParam(value).build());
+                response.putParameters(name, InferParameter.newBuilder().setStringParam(value).build());
             }
         }
     }
--- a/gateway/src/main/java/gradereach/oip/InferenceJsonConverter.java
+++ b/gateway/src/main/java/gradereach/oip/InferenceJsonConverter.java
@@ -138,8 +138,8 @@
      *
      * @throws IOException if it cannot be parsed, or its data do not match its shapes
      */
-    public static byte[] responseToJson(byte[] message, int from, int length) throws IOException {
-        ModelInferResponse response = ModelInferResponse.parser().parseFrom(message, from, length);
+    public static byte[] responseToJson(byte[] message, int offset, int length) throws IOException {
+        ModelInferResponse response = ModelInferResponse.parser().parseFrom(message, offset, length);
         try {
             JsonNode converted = JSON.readTree(requestToJson(requestWithTensorsOf(response)));
             ObjectNode out = JSON.createObjectNode().put("model_name", response.getModelName());
--- a/gateway/src/main/java/gradereach/oip/MessageChecks.java
+++ b/gateway/src/main/java/gradereach/oip/MessageChecks.java
@@ -6,15 +6,16 @@
 final class MessageChecks {
     private MessageChecks() { }
 
-    static void require(boolean holds, String place, String otherwise) throws InvalidMessageException {
+    /** Throws an error that names {@code path} unless {@code holds}. */
+    static void require(boolean holds, String path, String error) throws InvalidMessageException {
         if (!holds) {
-            throw new InvalidMessageException(place + ": " + otherwise);
+            throw new InvalidMessageException(path + ": " + error);
         }
     }
 
     /** Returns the value; rejects NaN and infinities, which JSON cannot represent. */
-    static double requireFinite(double value, String place) throws InvalidMessageException {
-        require(Double.isFinite(value), place, "no finite number, which JSON cannot carry to executors");
+    static double requireFinite(double value, String path) throws InvalidMessageException {
+        require(Double.isFinite(value), path, "no finite number, which JSON cannot carry to executors");
         return value;
     }
 }
--- a/gateway/src/main/java/gradereach/oip/TensorWriter.java
+++ b/gateway/src/main/java/gradereach/oip/TensorWriter.java
@@ -23,54 +23,54 @@
     static void writeContents(JsonGenerator out, InferInputTensor tensor, String path) throws IOException, InvalidMessageException {
         long count = elementCount(tensor, path);
         InferTensorContents contents = tensor.getContents();
-        String place = path + ".contents";
+        String dataPath = path + ".contents";
         switch (tensor.getDatatype()) {
             case "BOOL" -> {
-                requireFilled(contents.getBoolContentsCount(), count, place);
+                requireFilled(contents.getBoolContentsCount(), count, dataPath);
                 for (boolean value : contents.getBoolContentsList()) {
                     out.writeBoolean(value);
                 }
             }
             case "INT8", "INT16", "INT32" -> {
-                requireFilled(contents.getIntContentsCount(), count, place);
+                requireFilled(contents.getIntContentsCount(), count, dataPath);
                 for (int i = 0; i < count; i++) {
                     out.writeNumber(contents.getIntContents(i));
                 }
             }
             case "INT64" -> {
-                requireFilled(contents.getInt64ContentsCount(), count, place);
+                requireFilled(contents.getInt64ContentsCount(), count, dataPath);
                 for (int i = 0; i < count; i++) {
                     out.writeNumber(contents.getInt64Contents(i));
                 }
             }
             case "UINT8", "UINT16", "UINT32" -> {
-                requireFilled(contents.getUintContentsCount(), count, place);
+                requireFilled(contents.getUintContentsCount(), count, dataPath);
                 for (int i = 0; i < count; i++) {
                     out.writeNumber(Integer.toUnsignedLong(contents.getUintContents(i)));
                 }
             }
             case "UINT64" -> {
-                requireFilled(contents.getUint64ContentsCount(), count, place);
+                requireFilled(contents.getUint64ContentsCount(), count, dataPath);
                 for (int i = 0; i < count; i++) {
                     out.writeNumber(Long.toUnsignedString(contents.getUint64Contents(i)));
                 }
             }
             case "FP32" -> {
-                requireFilled(contents.getFp32ContentsCount(), count, place);
+                requireFilled(contents.getFp32ContentsCount(), count, dataPath);
                 for (int i = 0; i < count; i++) {
-                    out.writeNumber((float) MessageChecks.requireFinite(contents.getFp32Contents(i), place));
+                    out.writeNumber((float) MessageChecks.requireFinite(contents.getFp32Contents(i), dataPath));
                 }
             }
             case "FP64" -> {
-                requireFilled(contents.getFp64ContentsCount(), count, place);
+                requireFilled(contents.getFp64ContentsCount(), count, dataPath);
                 for (int i = 0; i < count; i++) {
-                    out.writeNumber(MessageChecks.requireFinite(contents.getFp64Contents(i), place));
+                    out.writeNumber(MessageChecks.requireFinite(contents.getFp64Contents(i), dataPath));
                 }
             }
             case "BYTES" -> {
-                requireFilled(contents.getBytesContentsCount(), count, place);
+                requireFilled(contents.getBytesContentsCount(), count, dataPath);
                 for (ByteString value : contents.getBytesContentsList()) {
-                    out.writeString(decodeUtf8(value, place));
+                    out.writeString(decodeUtf8(value, dataPath));
                 }
             }
             default -> throw unsupportedDatatype(tensor, path);
@@ -84,31 +84,31 @@
      * @param dataPath path of the data in the message, for errors
      * @param path path of the tensor in the message, for errors
      */
-    static void writeRaw(JsonGenerator out, InferInputTensor tensor, ByteString data, String place, String path)
+    static void writeRaw(JsonGenerator out, InferInputTensor tensor, ByteString data, String dataPath, String path)
             throws IOException, InvalidMessageException {
         long count = elementCount(tensor, path);
-        ByteBuffer in = data.asReadOnlyByteBuffer().order(ByteOrder.LITTLE_ENDIAN);
+        ByteBuffer buffer = data.asReadOnlyByteBuffer().order(ByteOrder.LITTLE_ENDIAN);
         String datatype = tensor.getDatatype();
         int width = elementBytes(tensor, path);
-        MessageChecks.require(width == 0 || in.remaining() == width * count, place,
-                in.remaining() + " bytes where shape and datatype say " + width * count);
+        MessageChecks.require(width == 0 || buffer.remaining() == width * count, dataPath,
+                buffer.remaining() + " bytes where shape and datatype say " + width * count);
         for (long i = 0; i < count; i++) {
             switch (datatype) {
-                case "BOOL" -> out.writeBoolean(in.get() != 0);
-                case "INT8" -> out.writeNumber(in.get());
-                case "UINT8" -> out.writeNumber(in.get() & 0xff);
-                case "INT16" -> out.writeNumber(in.getShort());
-                case "UINT16" -> out.writeNumber(in.getShort() & 0xffff);
-                case "INT32" -> out.writeNumber(in.getInt());
-                case "UINT32" -> out.writeNumber(Integer.toUnsignedLong(in.getInt()));
-                case "INT64" -> out.writeNumber(in.getLong());
-                case "UINT64" -> out.writeNumber(Long.toUnsignedString(in.getLong()));
-                case "FP32" -> out.writeNumber((float) MessageChecks.requireFinite(in.getFloat(), place));
-                case "FP64" -> out.writeNumber(MessageChecks.requireFinite(in.getDouble(), place));
-                default -> out.writeString(readText(in, i, place));
+                case "BOOL" -> out.writeBoolean(buffer.get() != 0);
+                case "INT8" -> out.writeNumber(buffer.get());
+                case "UINT8" -> out.writeNumber(buffer.get() & 0xff);
+                case "INT16" -> out.writeNumber(buffer.getShort());
+                case "UINT16" -> out.writeNumber(buffer.getShort() & 0xffff);
+                case "INT32" -> out.writeNumber(buffer.getInt());
+                case "UINT32" -> out.writeNumber(Integer.toUnsignedLong(buffer.getInt()));
+                case "INT64" -> out.writeNumber(buffer.getLong());
+                case "UINT64" -> out.writeNumber(Long.toUnsignedString(buffer.getLong()));
+                case "FP32" -> out.writeNumber((float) MessageChecks.requireFinite(buffer.getFloat(), dataPath));
+                case "FP64" -> out.writeNumber(MessageChecks.requireFinite(buffer.getDouble(), dataPath));
+                default -> out.writeString(readText(buffer, i, dataPath));
             }
         }
-        MessageChecks.require(!in.hasRemaining(), place, "goes on after its last element");
+        MessageChecks.require(!buffer.hasRemaining(), dataPath, "goes on after its last element");
     }
 
     /** Returns the size of one element in bytes, 0 for elements of variable length. */
@@ -123,13 +123,13 @@
         };
     }
 
-    private static String readText(ByteBuffer in, long element, String place) throws InvalidMessageException {
-        MessageChecks.require(in.remaining() >= LENGTH_PREFIX_BYTES, place, "ends before element " + element);
-        int length = in.getInt();
-        MessageChecks.require(length >= 0 && length <= in.remaining(), place, "ends within element " + element);
-        ByteBuffer value = in.slice(in.position(), length);
-        in.position(in.position() + length);
-        return decodeUtf8(value, place);
+    private static String readText(ByteBuffer buffer, long index, String path) throws InvalidMessageException {
+        MessageChecks.require(buffer.remaining() >= LENGTH_PREFIX_BYTES, path, "ends before element " + index);
+        int length = buffer.getInt();
+        MessageChecks.require(length >= 0 && length <= buffer.remaining(), path, "ends within element " + index);
+        ByteBuffer value = buffer.slice(buffer.position(), length);
+        buffer.position(buffer.position() + length);
+        return decodeUtf8(value, path);
     }
 
     /** Returns the number of elements by the tensor's shape. */
@@ -144,25 +144,25 @@
         return count;
     }
 
-    private static void requireFilled(int present, long count, String place) throws InvalidMessageException {
-        MessageChecks.require(present == count, place, present + " elements where the shape says " + count);
+    private static void requireFilled(int present, long count, String path) throws InvalidMessageException {
+        MessageChecks.require(present == count, path, present + " elements where the shape says " + count);
     }
 
-    private static String decodeUtf8(ByteString value, String place) throws InvalidMessageException {
-        return decodeUtf8(value.asReadOnlyByteBuffer(), place);
+    private static String decodeUtf8(ByteString value, String path) throws InvalidMessageException {
+        return decodeUtf8(value.asReadOnlyByteBuffer(), path);
     }
 
     /** JSON strings are text, so BYTES elements must be valid UTF-8. */
-    private static String decodeUtf8(ByteBuffer value, String place) throws InvalidMessageException {
+    private static String decodeUtf8(ByteBuffer value, String path) throws InvalidMessageException {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(value).toString();
         } catch (CharacterCodingException e) {
-            throw new InvalidMessageException(place + ": no UTF-8, which JSON cannot carry to executors");
+            throw new InvalidMessageException(path + ": no UTF-8, which JSON cannot carry to executors");
         }
     }
 
     private static InvalidMessageException unsupportedDatatype(InferInputTensor tensor, String path) {
-        String why = tensor.getDatatype().isEmpty() ? "missing" : "not one that JSON can carry";
-        return new InvalidMessageException(path + ".datatype: " + why);
+        String error = tensor.getDatatype().isEmpty() ? "missing" : "not one that JSON can carry";
+        return new InvalidMessageException(path + ".datatype: " + error);
     }
 }
--- a/gateway/src/main/java/gradereach/plan/CustomerSettings.java
+++ b/gateway/src/main/java/gradereach/plan/CustomerSettings.java
@@ -12,6 +12,7 @@
 
 /** The customers of a deployment file, their keys and the keys that sign answers to them. Lists are indexed by customer. */
 final class CustomerSettings {
+    /** A key valid then never expires. */
     private static final long LAST_EPOCH_SECOND = Long.MAX_VALUE - 1;
 
     private final JsonNode root;
@@ -23,8 +24,8 @@
     private final WebhookKey answersKey;
 
     /** @param errors receives the errors found */
-    CustomerSettings(JsonNode tree, KeySettings keySettings, List<String> errors) {
-        this.root = tree;
+    CustomerSettings(JsonNode root, KeySettings keySettings, List<String> errors) {
+        this.root = root;
         this.keySettings = keySettings;
         this.errors = errors;
         answersKey = readAnswersKey();
@@ -37,7 +38,7 @@
         }
         WebhookKey key = keySettings.read("/answers_key", root.path("answers_key"));
         if (key != null && !(key.scheme().equals(KeySettings.KEY_PAIR) && key.canSign())) {
-            errors.add("/answers_key: no whsk_ key");
+            errors.add("/answers_key: not a whsk_ key");
         }
         return key;
     }
@@ -50,7 +51,7 @@
             String path = "/customers/" + i;
             String name = settings.path("name").asText();
             if (!names.add(name)) {
-                errors.add(path + "/name: twice");
+                errors.add(path + "/name: duplicate");
             }
             customers.add(new Customer(name, number(settings, "share", 0), number(settings, "quota_per_second", 0)));
             customerKeys.add(readKeys(path + "/keys", settings.path("keys")));
@@ -58,20 +59,20 @@
     }
 
     private List<WebhookKey> readKeys(String path, JsonNode list) {
-        List<WebhookKey> read = new ArrayList<>();
+        List<WebhookKey> keys = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             WebhookKey key = keySettings.readWithValidity(path + "/" + i, list.path(i));
             if (key != null) {
-                read.add(key);
+                keys.add(key);
             }
         }
-        if (!read.isEmpty() && read.stream().noneMatch(key -> key.isValidAt(LAST_EPOCH_SECOND))) {
-            errors.add(path + ": every key has an end; its customer would be shut out after the last");
+        if (!keys.isEmpty() && keys.stream().noneMatch(key -> key.isValidAt(LAST_EPOCH_SECOND))) {
+            errors.add(path + ": every key expires; the customer would be locked out after the last one");
         }
-        if (!read.isEmpty() && sharedSecrets(read).isEmpty() && answersKey == null) {
-            errors.add(path + ": only v1a keys, so answers need /answers_key to be signed with");
+        if (!keys.isEmpty() && sharedSecrets(keys).isEmpty() && answersKey == null) {
+            errors.add(path + ": only v1a keys, so /answers_key is needed to sign answers");
         }
-        return read;
+        return keys;
     }
 
     private static List<WebhookKey> sharedSecrets(List<WebhookKey> keys) {
--- a/gateway/src/main/java/gradereach/plan/Deployment.java
+++ b/gateway/src/main/java/gradereach/plan/Deployment.java
@@ -83,13 +83,13 @@
     }
 
     private void checkFrontEnd(List<String> errors) {
-        JsonNode tier = tree.path("tier");
-        String location = tier.path("location").asText("");
+        JsonNode settings = tree.path("tier");
+        String location = settings.path("location").asText("");
         if (!location.isEmpty() && !locations().contains(location)) {
-            errors.add("/tier/location: not among /tier/locations");
+            errors.add("/tier/location: not in /tier/locations");
         }
-        if (tier.path("me").asInt(0) >= tier.path("front_ends").asInt(1)) {
-            errors.add("/tier/me: not below /tier/front_ends");
+        if (settings.path("me").asInt(0) >= settings.path("front_ends").asInt(1)) {
+            errors.add("/tier/me: must be less than /tier/front_ends");
         }
     }
 
@@ -177,10 +177,10 @@
 
     /** Returns the number of front ends and the index of this one. */
     public FrontEndSettings frontEndSettings() {
-        JsonNode tier = tree.path("tier");
-        return new FrontEndSettings(tier.path("me").asInt(0), tier.path("front_ends").asInt(1),
-                Math.max(0, locations().indexOf(tier.path("location").asText(""))), false,
-                tree.path("forwards").path("probes").asBoolean(true), false, 0, 0, number(tier, "tick_ms", 4));
+        JsonNode settings = tree.path("tier");
+        return new FrontEndSettings(settings.path("me").asInt(0), settings.path("front_ends").asInt(1),
+                Math.max(0, locations().indexOf(settings.path("location").asText(""))), false,
+                tree.path("forwards").path("probes").asBoolean(true), false, 0, 0, number(settings, "tick_ms", 4));
     }
 
     /** Returns the seed of random choices, null to draw one. */
@@ -225,30 +225,30 @@
 
     /** Returns how much may be sent to an executor that has just started. */
     public ColdStartRule coldStartRule() {
-        JsonNode rule = tree.path("rules").path("cold_start");
-        return new ColdStartRule(number(rule, "start_share", 1), number(rule, "warm_within_ms", 0),
-                number(rule, "fall_multiple", 0), number(rule, "fall_ms", 0));
+        JsonNode settings = tree.path("rules").path("cold_start");
+        return new ColdStartRule(number(settings, "start_share", 1), number(settings, "warm_within_ms", 0),
+                number(settings, "fall_multiple", 0), number(settings, "fall_ms", 0));
     }
 
     /** Returns how many load orders may be sent. */
     public LoadOrderBudget loadOrderBudget() {
-        JsonNode ration = tree.path("rules").path("load_ration");
-        return new LoadOrderBudget(number(ration, "free", 0), number(ration, "share", 0), number(ration, "span_ms", 0));
+        JsonNode settings = tree.path("rules").path("load_ration");
+        return new LoadOrderBudget(number(settings, "free", 0), number(settings, "share", 0), number(settings, "span_ms", 0));
     }
 
     /** Returns how executors load and unload models. */
     public LoadingRules loadingRules() {
-        JsonNode loading = tree.path("loading");
-        return new LoadingRules(loading.path("orders").asBoolean(true), loading.path("loads_by_itself").asBoolean(false),
-                number(loading, "keeps_idle_ms", 10_000), number(loading, "order_timeout_ms", 10_000), 0, List.of());
+        JsonNode settings = tree.path("loading");
+        return new LoadingRules(settings.path("orders").asBoolean(true), settings.path("loads_by_itself").asBoolean(false),
+                number(settings, "keeps_idle_ms", 10_000), number(settings, "order_timeout_ms", 10_000), 0, List.of());
     }
 
     /** Returns how often and for how long an inference is forwarded. */
     public ForwardRules forwardRules() {
-        JsonNode forwards = tree.path("forwards");
-        return new ForwardRules(forwards.path("most").asInt(5), false, forwards.path("cancels").asBoolean(true),
+        JsonNode settings = tree.path("forwards");
+        return new ForwardRules(settings.path("most").asInt(5), false, settings.path("cancels").asBoolean(true),
                 connectTimeoutMillis(), number(tree.path("rules"), "answer_slack_ms", 0),
-                number(forwards, "longest_pause_ms", 2000), true, DRAIN_GRACE_MILLIS);
+                number(settings, "longest_pause_ms", 2000), true, DRAIN_GRACE_MILLIS);
     }
 
     /** Returns a number of {@code /executors}. */
--- a/gateway/src/main/java/gradereach/plan/DeploymentJson.java
+++ b/gateway/src/main/java/gradereach/plan/DeploymentJson.java
@@ -66,7 +66,7 @@
         try (InputStream in = DeploymentJson.class.getResourceAsStream(SCHEMA)) {
             return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(JSON.readTree(in));
         } catch (IOException e) {
-            throw new IllegalStateException("schema not in the jar", e);
+            throw new IllegalStateException("schema is missing in the jar", e);
         }
     }
 
--- a/gateway/src/main/java/gradereach/plan/KeySettings.java
+++ b/gateway/src/main/java/gradereach/plan/KeySettings.java
@@ -44,7 +44,7 @@
             }
             Path file = folder.resolve(settings.path("file").asText());
             if (readableByOthers(file)) {
-                errors.add(path + "/file: others may read it; make it 0600 or 0400");
+                errors.add(path + "/file: readable by others; set its mode to 0600 or 0400");
                 return null;
             }
             return WebhookKey.parse(Files.readString(file));
@@ -65,7 +65,7 @@
     /** Reads a key with the times {@code from} and {@code until} between which it is valid; null on errors. */
     WebhookKey readWithValidity(String path, JsonNode settings) {
         if (settings.has("inline") == settings.has("file")) {
-            errors.add(path + ": one of inline and file is needed");
+            errors.add(path + ": exactly one of inline and file is needed");
             return null;
         }
         WebhookKey key = read(path, settings);
@@ -81,7 +81,7 @@
         try {
             return text.isEmpty() ? defaultValue : Instant.parse(text).getEpochSecond();
         } catch (DateTimeParseException e) {
-            errors.add(path + ": no time like 2027-03-01T06:00:00Z");
+            errors.add(path + ": not a time like 2027-03-01T06:00:00Z");
             return defaultValue;
         }
     }
--- a/gateway/src/main/java/gradereach/plan/MembershipSettings.java
+++ b/gateway/src/main/java/gradereach/plan/MembershipSettings.java
@@ -44,15 +44,15 @@
     }
 
     private void checkGrantors() {
-        List<String> keepers = strings(settings.path("keepers"));
+        List<String> grantors = strings(settings.path("keepers"));
         Set<String> distinct = new HashSet<>();
-        for (int i = 0; i < keepers.size(); i++) {
-            if (!distinct.add(keepers.get(i))) {
-                errors.add("/membership/keepers/" + i + ": twice");
+        for (int i = 0; i < grantors.size(); i++) {
+            if (!distinct.add(grantors.get(i))) {
+                errors.add("/membership/keepers/" + i + ": duplicate");
             }
         }
-        if (!settings.isMissingNode() && !keepers.contains(settings.path("listen").asText())) {
-            errors.add("/membership/keepers: this front end's own address, /membership/listen, is not among them");
+        if (!settings.isMissingNode() && !grantors.contains(settings.path("listen").asText())) {
+            errors.add("/membership/keepers: does not contain the address of this front end, /membership/listen");
         }
     }
 
--- a/gateway/src/main/java/gradereach/plan/ModelSettings.java
+++ b/gateway/src/main/java/gradereach/plan/ModelSettings.java
@@ -37,7 +37,7 @@
             String path = "/model_groups/" + i;
             ModelGroup group = readGroup(path, list.path(i));
             if (byName.put(group.name(), group) != null) {
-                errors.add(path + "/name: twice");
+                errors.add(path + "/name: duplicate");
             }
             groups.add(group);
         }
@@ -45,18 +45,18 @@
     }
 
     private ModelGroup readGroup(String path, JsonNode settings) {
-        RetrySafety repeat = RetrySafety.valueOf(settings.path("repeat").asText().toUpperCase().replace('-', '_'));
+        RetrySafety retrySafety = RetrySafety.valueOf(settings.path("repeat").asText().toUpperCase().replace('-', '_'));
         DedupScope scope = DedupScope.valueOf(settings.path("dedup_scope").asText("all").toUpperCase());
         double window = number(settings, "dedup_window_ms", 0);
-        if (repeat == RetrySafety.DEDUPED && window <= 0) {
-            errors.add(path + "/dedup_window_ms: a deduped group needs the time for which repeats are dropped");
+        if (retrySafety == RetrySafety.DEDUPED && window <= 0) {
+            errors.add(path + "/dedup_window_ms: a deduped group needs the time in which repeats are dropped");
         }
         double slo = number(settings, "slo_ms", 0);
         double timeout = number(settings, "route_timeout_ms", 0);
         if (timeout < slo) {
             errors.add(path + "/route_timeout_ms: shorter than slo_ms");
         }
-        return new ModelGroup(settings.path("name").asText(), repeat, scope, window, slo, 0, timeout,
+        return new ModelGroup(settings.path("name").asText(), retrySafety, scope, window, slo, 0, timeout,
                 number(settings, "value", 1), number(settings, "late_share", 0),
                 settings.path("streamed").asBoolean(false));
     }
@@ -72,7 +72,7 @@
                 errors.add("/models/" + i + "/group: no such model group");
             }
             if (!names.add(name)) {
-                errors.add("/models/" + i + "/name: twice");
+                errors.add("/models/" + i + "/name: duplicate");
             }
             models.add(new ModelCatalog.Entry(name, ModelCatalog.hash(name), group, number(settings, "memory_mb", 0),
                     settings.path("lanes").asInt(1), number(settings, "load_ms", 0)));
--- a/gateway/src/main/java/gradereach/plan/PeerSettings.java
+++ b/gateway/src/main/java/gradereach/plan/PeerSettings.java
@@ -15,7 +15,7 @@
 
 /** Settings of the peers with which this front end replicates claims. */
 final class PeerSettings {
-    private static final int DEFAULT_COPIES = 3;
+    private static final int DEFAULT_REPLICATION_FACTOR = 3;
 
     private final JsonNode tree;
     private final JsonNode settings;
@@ -33,34 +33,36 @@
         }
     }
 
+    /** Checks the settings and reads the key. */
     private void check(KeySettings keySettings) {
         if (!tree.has("ledger")) {
-            errors.add("/peers: claims must survive a restart, so /ledger is needed");
+            errors.add("/peers: requires /ledger, since claims must survive a restart");
         }
         key = keySettings.read("/peers/key", settings.path("key"));
         if (key != null && !key.scheme().equals(KeySettings.SHARED_SECRET)) {
-            errors.add("/peers/key: no whsec_ key");
+            errors.add("/peers/key: not a whsec_ key");
         }
         Set<String> names = checkMembers();
-        JsonNode before = settings.path("before");
-        for (int i = 0; i < before.size(); i++) {
-            if (!names.contains(before.path(i).asText())) {
-                errors.add("/peers/before/" + i + ": not among /peers/members; its address is needed while it is asked");
+        JsonNode previous = settings.path("before");
+        for (int i = 0; i < previous.size(); i++) {
+            if (!names.contains(previous.path(i).asText())) {
+                errors.add("/peers/before/" + i + ": not in /peers/members; its address is needed during the change");
             }
         }
     }
 
+    /** Checks the members and returns their names. */
     private Set<String> checkMembers() {
         Set<String> names = new HashSet<>();
         JsonNode members = settings.path("members");
         for (int i = 0; i < members.size(); i++) {
             if (!names.add(members.path(i).path("name").asText())) {
-                errors.add("/peers/members/" + i + "/name: twice");
+                errors.add("/peers/members/" + i + "/name: duplicate");
             }
         }
-        String own = tree.path("name").asText();
-        if (!names.contains(own)) {
-            errors.add("/peers/members: this front end, " + own + ", is not among them");
+        String ownName = tree.path("name").asText();
+        if (!names.contains(ownName)) {
+            errors.add("/peers/members: this front end, " + ownName + ", is missing");
         }
         return names;
     }
@@ -88,12 +90,12 @@
 
     /** Returns the sets of peers in force: the current one and, during a change, the previous one. */
     List<FrontEndSet> peerSets() {
-        int copies = settings.path("copies").asInt(DEFAULT_COPIES);
-        List<FrontEndSet> lists = new ArrayList<>();
-        lists.add(new FrontEndSet(peers().stream().map(PeerClaims.Peer::name).toList(), copies));
+        int replicationFactor = settings.path("copies").asInt(DEFAULT_REPLICATION_FACTOR);
+        List<FrontEndSet> sets = new ArrayList<>();
+        sets.add(new FrontEndSet(peers().stream().map(PeerClaims.Peer::name).toList(), replicationFactor));
         if (settings.has("before")) {
-            lists.add(new FrontEndSet(strings(settings.path("before")), copies));
+            sets.add(new FrontEndSet(strings(settings.path("before")), replicationFactor));
         }
-        return lists;
+        return sets;
     }
 }
--- a/gateway/src/main/java/gradereach/plan/RemoteWriteSettings.java
+++ b/gateway/src/main/java/gradereach/plan/RemoteWriteSettings.java
@@ -28,7 +28,12 @@
 
     private RemoteWriteSettings() { }
 
-    /** @param settings the object at {@code /metrics/remote_write} */
+    /**
+     * Reads the receiver of pushed metrics.
+     *
+     * @param settings the object at {@code /metrics/remote_write}
+     * @param frontEnd name of this front end
+     */
     static Pusher.Receiver receiver(JsonNode settings, String frontEnd) {
         long interval = settings.path("interval_ms").asLong(DEFAULT_INTERVAL_MILLIS);
         boolean version1 = settings.path("version").asText(DEFAULT_VERSION).equals(VERSION_1);
@@ -47,6 +52,7 @@
         return flat;
     }
 
+    /** Returns the limits of the queue of samples that wait to be sent. */
     private static SendQueue.Limits limits(JsonNode settings, long interval) {
         return new SendQueue.Limits(settings.path("samples").asInt(DEFAULT_MAX_SAMPLES),
                 settings.path("bytes").asLong(DEFAULT_MAX_BYTES),
--- a/gateway/src/main/java/gradereach/serve/AdminServer.java
+++ b/gateway/src/main/java/gradereach/serve/AdminServer.java
@@ -26,29 +26,32 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Serves {@code /healthz}, {@code /readyz}, {@code /metrics} and {@code /members} on a separate address with the JDK's HTTP server. */
+/**
+ * Serves {@code /healthz}, {@code /readyz}, {@code /metrics} and {@code /members} on an address of its own, with the JDK's HTTP
+ * server.
+ */
 final class AdminServer implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newFixedThreadPool(2, work -> {
-        Thread made = new Thread(work, "admin");
-        made.setDaemon(true);
-        return made;
+    private final ExecutorService threads = Executors.newFixedThreadPool(2, task -> {
+        Thread thread = new Thread(task, "admin");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Counts counts;
-    private final Supplier<Membership.View> members;
+    private final Supplier<Membership.View> membership;
 
-    /** @param members supplies null where there is no membership, or none yet */
-    AdminServer(InetSocketAddress at, Counts counts, BooleanSupplier healthy, BooleanSupplier ready, Supplier<Membership.View> members)
-            throws IOException {
+    /** @param membership supplies null where there is no membership, or none yet */
+    AdminServer(InetSocketAddress address, Counts counts, BooleanSupplier healthy, BooleanSupplier ready,
+            Supplier<Membership.View> membership) throws IOException {
         this.counts = counts;
-        this.members = members;
-        server = HttpServer.create(at, 16);
+        this.membership = membership;
+        server = HttpServer.create(address, 16);
         server.setExecutor(threads);
-        server.createContext("/healthz", ask -> respond(ask, healthy.getAsBoolean()));
-        server.createContext("/readyz", ask -> respond(ask, ready.getAsBoolean()));
+        server.createContext("/healthz", exchange -> respond(exchange, healthy.getAsBoolean()));
+        server.createContext("/readyz", exchange -> respond(exchange, ready.getAsBoolean()));
         server.createContext("/metrics", this::handleMetrics);
-        server.createContext("/members", this::members);
+        server.createContext("/members", this::handleMembers);
         server.start();
     }
 
@@ -56,63 +59,63 @@
         return server.getAddress();
     }
 
-    private static void respond(HttpExchange ask, boolean yes) throws IOException {
-        byte[] word = (yes ? "yes\n" : "no\n").getBytes(StandardCharsets.US_ASCII);
-        ask.sendResponseHeaders(yes ? 200 : 503, word.length);
-        ask.getResponseBody().write(word);
-        ask.close();
+    private static void respond(HttpExchange exchange, boolean yes) throws IOException {
+        byte[] body = (yes ? "yes\n" : "no\n").getBytes(StandardCharsets.US_ASCII);
+        exchange.sendResponseHeaders(yes ? 200 : 503, body.length);
+        exchange.getResponseBody().write(body);
+        exchange.close();
     }
 
-    private void handleMetrics(HttpExchange ask) throws IOException {
-        ByteArrayOutputStream text = new ByteArrayOutputStream();
-        PrometheusTextFormatWriter.create().write(text, snapshots(counts));
-        ask.getResponseHeaders().set("content-type", PrometheusTextFormatWriter.CONTENT_TYPE);
-        ask.sendResponseHeaders(200, text.size());
-        text.writeTo(ask.getResponseBody());
-        ask.close();
+    private void handleMetrics(HttpExchange exchange) throws IOException {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        PrometheusTextFormatWriter.create().write(body, snapshots(counts));
+        exchange.getResponseHeaders().set("content-type", PrometheusTextFormatWriter.CONTENT_TYPE);
+        exchange.sendResponseHeaders(200, body.size());
+        body.writeTo(exchange.getResponseBody());
+        exchange.close();
     }
 
-    private void members(HttpExchange ask) throws IOException {
-        Membership.View view = members.get();
-        ObjectNode told = JSON.createObjectNode();
+    private void handleMembers(HttpExchange exchange) throws IOException {
+        Membership.View view = membership.get();
+        ObjectNode json = JSON.createObjectNode();
         if (view != null) {
-            told.put("present", view.presentCount()).put("share", view.share()).put("ailing", view.healthScore());
-            ArrayNode all = told.putArray("members");
-            addMember(all, view.self()).put("self", true);
-            view.members().stream().sorted(Comparator.comparing(Member::name)).forEach(member -> addMember(all, member));
+            json.put("present", view.presentCount()).put("share", view.share()).put("ailing", view.healthScore());
+            ArrayNode members = json.putArray("members");
+            addMember(members, view.self()).put("self", true);
+            view.members().stream().sorted(Comparator.comparing(Member::name)).forEach(member -> addMember(members, member));
         }
-        byte[] text = JSON.writeValueAsBytes(told);
-        ask.getResponseHeaders().set("content-type", "application/json");
-        ask.sendResponseHeaders(view == null ? 404 : 200, text.length);
-        ask.getResponseBody().write(text);
-        ask.close();
+        byte[] body = JSON.writeValueAsBytes(json);
+        exchange.getResponseHeaders().set("content-type", "application/json");
+        exchange.sendResponseHeaders(view == null ? 404 : 200, body.length);
+        exchange.getResponseBody().write(body);
+        exchange.close();
     }
 
-    private static ObjectNode addMember(ArrayNode to, Member member) {
-        return to.addObject().put("name", member.name()).put("address", member.address())
+    private static ObjectNode addMember(ArrayNode members, Member member) {
+        return members.addObject().put("name", member.name()).put("address", member.address())
                 .put("state", member.state().name().toLowerCase()).put("incarnation", member.incarnation());
     }
 
     static MetricSnapshots snapshots(Counts counts) {
-        List<MetricSnapshot> all = new ArrayList<>();
-        counts.counters().forEach((name, value) -> all.add(CounterSnapshot.builder().name("gradereach_" + name)
+        List<MetricSnapshot> snapshots = new ArrayList<>();
+        counts.counters().forEach((name, value) -> snapshots.add(CounterSnapshot.builder().name("gradereach_" + name)
                 .dataPoint(CounterSnapshot.CounterDataPointSnapshot.builder().value(value.sum()).build()).build()));
-        GaugeSnapshot.Builder present = GaugeSnapshot.builder().name("gradereach_limit_present");
-        GaugeSnapshot.Builder bound = GaugeSnapshot.builder().name("gradereach_limit_bound");
-        CounterSnapshot.Builder refused = CounterSnapshot.builder().name("gradereach_limit_refused");
+        GaugeSnapshot.Builder inUse = GaugeSnapshot.builder().name("gradereach_limit_present");
+        GaugeSnapshot.Builder capacity = GaugeSnapshot.builder().name("gradereach_limit_bound");
+        CounterSnapshot.Builder rejections = CounterSnapshot.builder().name("gradereach_limit_refused");
         for (Counts.Limit limit : counts.limits()) {
-            Labels which = Labels.of("limit", limit.name);
-            present.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(which).value(limit.inUse()).build());
+            Labels labels = Labels.of("limit", limit.name);
+            inUse.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(labels).value(limit.inUse()).build());
             if (limit.capacity < Long.MAX_VALUE) {
-                bound.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(which).value(limit.capacity).build());
+                capacity.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(labels).value(limit.capacity).build());
             }
-            refused.dataPoint(CounterSnapshot.CounterDataPointSnapshot.builder().labels(which).value(limit.rejections())
+            rejections.dataPoint(CounterSnapshot.CounterDataPointSnapshot.builder().labels(labels).value(limit.rejections())
                     .build());
         }
-        all.add(present.build());
-        all.add(bound.build());
-        all.add(refused.build());
-        return new MetricSnapshots(all);
+        snapshots.add(inUse.build());
+        snapshots.add(capacity.build());
+        snapshots.add(rejections.build());
+        return new MetricSnapshots(snapshots);
     }
 
     @Override
--- a/gateway/src/main/java/gradereach/serve/EchoExecutor.java
+++ b/gateway/src/main/java/gradereach/serve/EchoExecutor.java
@@ -52,12 +52,12 @@
     }
 
     /** Starts to listen on a free port and returns it. */
-    static int listen(EventLoopGroup loops) throws InterruptedException {
-        Channel listener = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
+    static int listen(EventLoopGroup eventLoops) throws InterruptedException {
+        Channel listener = new ServerBootstrap().group(eventLoops).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(Http2FrameCodecBuilder.forServer().build(),
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(Http2FrameCodecBuilder.forServer().build(),
                                 new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel stream) {
@@ -69,6 +69,7 @@
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
+    /** Answers the request of one stream. */
     private static final class EchoHandler extends ChannelInboundHandlerAdapter {
         private String path = "";
 
@@ -77,24 +78,24 @@
             if (msg instanceof Http2HeadersFrame head) {
                 path = String.valueOf(head.headers().path());
             }
-            boolean whole = msg instanceof Http2HeadersFrame head && head.isEndStream()
+            boolean complete = msg instanceof Http2HeadersFrame head && head.isEndStream()
                     || msg instanceof Http2DataFrame data && data.isEndStream();
             ReferenceCountUtil.release(msg);
-            if (whole) {
-                end(ctx);
+            if (complete) {
+                respond(ctx);
             }
         }
 
-        private void end(ChannelHandlerContext ctx) {
-            boolean inference = path.endsWith("/infer");
-            if (inference && path.contains(SILENT)) {
+        private void respond(ChannelHandlerContext ctx) {
+            boolean isInference = path.endsWith("/infer");
+            if (isInference && path.contains(SILENT)) {
                 return;
             }
-            if (inference && path.contains(RESET)) {
+            if (isInference && path.contains(RESET)) {
                 ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.INTERNAL_ERROR));
                 return;
             }
-            String status = inference && path.contains(ERROR) ? "500" : "200";
+            String status = isInference && path.contains(ERROR) ? "500" : "200";
             byte[] answer = path.contains(TENSOR) ? TENSOR_ANSWER : ANSWER;
             ctx.write(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().status(status).add("model-copies", "8")
                     .add("model-warmth", "loaded").add("model-crowd", "0")
--- a/gateway/src/main/java/gradereach/serve/FaultInjection.java
+++ b/gateway/src/main/java/gradereach/serve/FaultInjection.java
@@ -13,6 +13,8 @@
  * @param executorTransport decorates the transport to the executors
  * @param disk file system of the ledger
  */
-public record FaultInjection(UnaryOperator<RouterActions> routerActions, UnaryOperator<ExecutorTransport> executorTransport, Disk disk) {
+public record FaultInjection(UnaryOperator<RouterActions> routerActions, UnaryOperator<ExecutorTransport> executorTransport,
+        Disk disk) {
+    /** No faults. */
     public static final FaultInjection NONE = new FaultInjection(UnaryOperator.identity(), UnaryOperator.identity(), Disk.FILE_SYSTEM);
 }
--- a/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
+++ b/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
@@ -14,38 +14,40 @@
 public final class FrontEndProcess {
     private FrontEndProcess() { }
 
+    /** @param args the path of the deployment file */
     public static void main(String[] args) throws InterruptedException {
         System.exit(run(Path.of(args[0]), FaultInjection.NONE, System.out, System.err));
     }
 
-    private static String hostAndPort(InetSocketAddress at) {
-        return at.getHostString() + ":" + at.getPort();
+    private static String hostAndPort(InetSocketAddress address) {
+        return address.getHostString() + ":" + address.getPort();
     }
 
-    /** Returns the exit code: 0 after a graceful shutdown, 1 on runtime errors, 2 on an invalid deployment file. */
-    public static int run(Path file, FaultInjection between, PrintStream out, PrintStream err)
+    /** Runs a front end and returns the exit code: 0 after a graceful shutdown, 1 on runtime errors, 2 on an invalid deployment file. */
+    public static int run(Path file, FaultInjection faults, PrintStream out, PrintStream err)
             throws InterruptedException {
-        Deployment plan;
+        Deployment deployment;
         try {
-            plan = Deployment.read(file);
+            deployment = Deployment.read(file);
         } catch (InvalidDeploymentException e) {
             e.errors().forEach(err::println);
             return 2;
         }
-        Gateway gateway = new Gateway(plan, between);
-        CountDownLatch stop = new CountDownLatch(1);
-        Runnable asked = () -> {
-            if (stop.getCount() == 0) {
+        Gateway gateway = new Gateway(deployment, faults);
+        CountDownLatch stopRequested = new CountDownLatch(1);
+        Runnable onSignal = () -> {
+            if (stopRequested.getCount() == 0) {
                 // A second signal forces an immediate exit.
                 Runtime.getRuntime().halt(1);
             }
-            stop.countDown();
+            stopRequested.countDown();
         };
-        Signals.register("TERM", asked);
-        Signals.register("INT", asked);
+        Signals.register("TERM", onSignal);
+        Signals.register("INT", onSignal);
         try {
-            InetSocketAddress at = gateway.start();
-            out.println("listening " + hostAndPort(at) + (gateway.adminAddress() == null ? "" : " admin " + hostAndPort(gateway.adminAddress()))
+            InetSocketAddress address = gateway.start();
+            out.println("listening " + hostAndPort(address)
+                    + (gateway.adminAddress() == null ? "" : " admin " + hostAndPort(gateway.adminAddress()))
                     + (gateway.grpcAddress() == null ? "" : " grpc " + hostAndPort(gateway.grpcAddress())));
             out.flush();
         } catch (BindException e) {
@@ -57,7 +59,7 @@
             gateway.close();
             return 1;
         }
-        stop.await();
+        stopRequested.await();
         return gateway.stop() ? 0 : 1;
     }
 }
--- a/gateway/src/main/java/gradereach/serve/Gateway.java
+++ b/gateway/src/main/java/gradereach/serve/Gateway.java
@@ -71,7 +71,7 @@
     private final LedgerClock ledgerClock = new LedgerClock(clock::now, System::currentTimeMillis);
     private final EventLoopGroup boss = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoopGroup workers;
-    private final StallDetector haltWatch = new StallDetector(clock::now);
+    private final StallDetector stallDetector = new StallDetector(clock::now);
     private final CompactionPlanner compactionPlanner;
     /** Null if the deployment has none. */
     private final DiskLedger ledger;
@@ -86,7 +86,7 @@
     private final GrpcServer grpcServer;
     private InetSocketAddress boundGrpcAddress;
     private final RosterWatch rosterWatch;
-    private final ServiceMetrics service;
+    private final ServiceMetrics serviceMetrics;
     /** Null if shares are fixed. */
     private Membership membership;
     private final Random membershipRandom;
@@ -96,79 +96,93 @@
     private volatile boolean rosterReceived;
     private volatile boolean stopping;
 
-    public Gateway(Deployment plan, FaultInjection between) {
-        this.deployment = plan;
+    /** Creates all components. Nothing is started before {@link #start} or {@link #listen}. */
+    public Gateway(Deployment deployment, FaultInjection faults) {
+        this.deployment = deployment;
         // Half the processors: signatures and codecs are cheap compared with the needs of executors on the same machine.
         workers = new MultiThreadIoEventLoopGroup(Math.max(2, Runtime.getRuntime().availableProcessors() / 2),
                 NioIoHandler.newFactory());
-        long seed = plan.seed() != null ? plan.seed() : new SecureRandom().nextLong();
-        LOG.atInfo().addKeyValue("name", plan.name()).addKeyValue("seed", seed).log("front end starts");
-        Random seeds = new Random(seed);
-        List<String> names = plan.customers().stream().map(Customer::name).toList();
-        service = new ServiceMetrics(plan.groups().stream().map(ModelGroup::name).toList(), plan.maxSeriesPerLabel(), System::currentTimeMillis);
-        int streams = (int) plan.executorSetting("streams", 100);
-        Http2ConnectionPool.Limits links = new Http2ConnectionPool.Limits((int) plan.executorSetting("connections", 4), streams,
-                plan.connectTimeoutMillis(), plan.executorSetting("idle_ms", 15_000),
-                (int) plan.executorSetting("longest_answer_bytes", 16 << 20), 1 << 20);
-        Http2ConnectionPool.Limits openStreams = new Http2ConnectionPool.Limits(links.maxConnections(), streams, links.connectTimeoutMillis(), links.idleTimeoutMillis(),
-                links.maxResponseBytes(), (int) plan.executorSetting("stream_window_bytes", 1 << 16));
-        AnswerStream.Limits parts = new AnswerStream.Limits(plan.limitSetting("parts_held_bytes", 256L << 20),
-                (int) plan.limitSetting("record_bytes", 1 << 16), plan.limitSetting("records_bytes", 64L << 20), counts);
-        compactionPlanner = new CompactionPlanner(MESSAGE_RETENTION_MILLIS, (int) plan.ledgerSetting("open", 100_000));
-        ledger = plan.ledgerFolder() == null ? null : new DiskLedger(between.disk(),
-                new DiskLedger.Limits(plan.ledgerSetting("segment_bytes", 64L << 20), plan.ledgerSetting("reserve_bytes", 256L << 20),
-                        (int) plan.ledgerSetting("waiting", 65_536)), compactionPlanner, ledgerClock,
-                done -> submit(d -> done.run()), counts);
-        decisionLoop = new DecisionLoop(plan.name(), clock, (int) plan.limitSetting("door", 8192), counts, timers -> {
-            MessageStore memory = new MessageStore((int) plan.limitSetting("remembered", 500_000),
-                    plan.limitSetting("remembered_bytes", 64L << 20), MESSAGE_RETENTION_MILLIS,
-                    (int) plan.limitSetting("ids", 5_000_000), new SecureRandom().nextLong());
-            return new InferenceCoordinator(plan.name(), outlet -> createRouter(outlet, new Random(seeds.nextLong()), between.routerActions()),
-                    between.executorTransport().apply(new HttpExecutorTransport(plan.name(), plan.grpcMachineKinds(), workers, NioSocketChannel.class, links, openStreams, parts, counts,
+        long seed = deployment.seed() != null ? deployment.seed() : new SecureRandom().nextLong();
+        LOG.atInfo().addKeyValue("name", deployment.name()).addKeyValue("seed", seed).log("front end starts");
+        Random seedGenerator = new Random(seed);
+        List<String> customerNames = deployment.customers().stream().map(Customer::name).toList();
+        serviceMetrics = new ServiceMetrics(deployment.groups().stream().map(ModelGroup::name).toList(),
+                deployment.maxSeriesPerLabel(), System::currentTimeMillis);
+        int streamsPerConnection = (int) deployment.executorSetting("streams", 100);
+        Http2ConnectionPool.Limits poolLimits = new Http2ConnectionPool.Limits(
+                (int) deployment.executorSetting("connections", 4), streamsPerConnection,
+                deployment.connectTimeoutMillis(), deployment.executorSetting("idle_ms", 15_000),
+                (int) deployment.executorSetting("longest_answer_bytes", 16 << 20), 1 << 20);
+        Http2ConnectionPool.Limits streamingPoolLimits = new Http2ConnectionPool.Limits(poolLimits.maxConnections(),
+                streamsPerConnection, poolLimits.connectTimeoutMillis(), poolLimits.idleTimeoutMillis(),
+                poolLimits.maxResponseBytes(), (int) deployment.executorSetting("stream_window_bytes", 1 << 16));
+        AnswerStream.Limits answerStreamLimits = new AnswerStream.Limits(deployment.limitSetting("parts_held_bytes", 256L << 20),
+                (int) deployment.limitSetting("record_bytes", 1 << 16), deployment.limitSetting("records_bytes", 64L << 20),
+                counts);
+        compactionPlanner = new CompactionPlanner(MESSAGE_RETENTION_MILLIS, (int) deployment.ledgerSetting("open", 100_000));
+        ledger = deployment.ledgerFolder() == null ? null : new DiskLedger(faults.disk(),
+                new DiskLedger.Limits(deployment.ledgerSetting("segment_bytes", 64L << 20),
+                        deployment.ledgerSetting("reserve_bytes", 256L << 20), (int) deployment.ledgerSetting("waiting", 65_536)),
+                compactionPlanner, ledgerClock, callback -> submit(coordinator -> callback.run()), counts);
+        decisionLoop = new DecisionLoop(deployment.name(), clock, (int) deployment.limitSetting("door", 8192), counts, timers -> {
+            MessageStore messageStore = new MessageStore((int) deployment.limitSetting("remembered", 500_000),
+                    deployment.limitSetting("remembered_bytes", 64L << 20), MESSAGE_RETENTION_MILLIS,
+                    (int) deployment.limitSetting("ids", 5_000_000), new SecureRandom().nextLong());
+            return new InferenceCoordinator(deployment.name(),
+                    actions -> createRouter(actions, new Random(seedGenerator.nextLong()), faults.routerActions()),
+                    faults.executorTransport().apply(new HttpExecutorTransport(deployment.name(), deployment.grpcMachineKinds(),
+                            workers, NioSocketChannel.class, poolLimits, streamingPoolLimits, answerStreamLimits, counts,
                             clock::now, this::submit)),
-                    timers, new MetricsRecorder(new InferenceLog(names), service, plan.groups(), names, plan.overQuotaValue()), clock, memory,
+                    timers, new MetricsRecorder(new InferenceLog(customerNames), serviceMetrics, deployment.groups(),
+                            customerNames, deployment.overQuotaValue()), clock, messageStore,
                     ledger == null ? Ledger.NONE : ledger, createPeerClaims(timers),
-                    new InquiryScheduler(plan.executorSetting("outcomes_kept_ms", 0), 32, (int) plan.limitSetting("in_question", 10_000)), AnswerFormat.WEBHOOK,
-                    new InferenceCoordinator.AdmissionLimits((int) plan.limitSetting("held", 20_000), (int) plan.limitSetting("models", 200_000),
-                            (int) plan.limitSetting("waiting_for_one", 8)),
-                    plan.loadingRules(), plan.forwardRules(), plan.coldStartRule(), names, counts);
+                    new InquiryScheduler(deployment.executorSetting("outcomes_kept_ms", 0), 32,
+                            (int) deployment.limitSetting("in_question", 10_000)), AnswerFormat.WEBHOOK,
+                    new InferenceCoordinator.AdmissionLimits((int) deployment.limitSetting("held", 20_000),
+                            (int) deployment.limitSetting("models", 200_000), (int) deployment.limitSetting("waiting_for_one", 8)),
+                    deployment.loadingRules(), deployment.forwardRules(), deployment.coldStartRule(), customerNames, counts);
         });
-        decisionLoop.setFailureListener(failure -> LOG.error("an event failed; it costs itself alone", failure));
-        peerServer = claims == null ? null : new PeerServer(claims, 4 * plan.peers().size() + 16, counts);
-        outbox = new Outbox(names, plan.answerEndpoints(), plan.answerKeys(), ledger == null ? Ledger.NONE : ledger,
-                (int) plan.limitSetting("outbox", 10_000), Outbox.newSchedulerThread(), clock::now,
+        decisionLoop.setFailureListener(failure -> LOG.error("an event failed; other events are not affected", failure));
+        peerServer = claims == null ? null : new PeerServer(claims, 4 * deployment.peers().size() + 16, counts);
+        outbox = new Outbox(customerNames, deployment.answerEndpoints(), deployment.answerKeys(), ledger == null ? Ledger.NONE : ledger,
+                (int) deployment.limitSetting("outbox", 10_000), Outbox.newSchedulerThread(), clock::now,
                 System::currentTimeMillis, counts);
-        intake = new Intake(new KeyRing(plan.customerKeys()), plan.answerKeys(), plan.modelCatalog(), decisionLoop, clock::now, haltWatch,
-                System::currentTimeMillis, plan.forwardRules().maxRetryAfter(),
-                new Intake.InputFormats(true, !plan.grpcMachineKinds().isEmpty()), counts);
+        intake = new Intake(new KeyRing(deployment.customerKeys()), deployment.answerKeys(), deployment.modelCatalog(),
+                decisionLoop, clock::now, stallDetector, System::currentTimeMillis, deployment.forwardRules().maxRetryAfter(),
+                new Intake.InputFormats(true, !deployment.grpcMachineKinds().isEmpty()), counts);
         webhookServer = new WebhookServer(intake, outbox,
-                new WebhookServer.Limits((int) plan.limitSetting("connections", 20_000), (int) plan.limitSetting("head_bytes", 16_384),
-                        (int) plan.limitSetting("body_bytes", 1 << 20), plan.limitSetting("message_ms", 5000),
-                        plan.limitSetting("idle_ms", 60_000), (int) plan.limitSetting("streams", 1000)), counts);
-        grpcServer = plan.grpcListenAddress() == null ? null : new GrpcServer(intake, new GrpcServer.Limits((int) plan.grpcSetting("calls", 20_000),
-                (int) plan.limitSetting("streams", 1000), (int) plan.limitSetting("head_bytes", 16_384),
-                (int) plan.limitSetting("body_bytes", 1 << 20), plan.grpcSetting("stream_bytes", 64L << 20), plan.grpcSetting("stalled_ms", 10_000),
-                plan.limitSetting("idle_ms", 60_000), plan.grpcSetting("age_ms", 1_800_000), plan.grpcSetting("age_grace_ms", 60_000)),
+                new WebhookServer.Limits((int) deployment.limitSetting("connections", 20_000),
+                        (int) deployment.limitSetting("head_bytes", 16_384), (int) deployment.limitSetting("body_bytes", 1 << 20),
+                        deployment.limitSetting("message_ms", 5000), deployment.limitSetting("idle_ms", 60_000),
+                        (int) deployment.limitSetting("streams", 1000)), counts);
+        grpcServer = deployment.grpcListenAddress() == null ? null : new GrpcServer(intake,
+                new GrpcServer.Limits((int) deployment.grpcSetting("calls", 20_000), (int) deployment.limitSetting("streams", 1000),
+                        (int) deployment.limitSetting("head_bytes", 16_384), (int) deployment.limitSetting("body_bytes", 1 << 20),
+                        deployment.grpcSetting("stream_bytes", 64L << 20), deployment.grpcSetting("stalled_ms", 10_000),
+                        deployment.limitSetting("idle_ms", 60_000), deployment.grpcSetting("age_ms", 1_800_000),
+                        deployment.grpcSetting("age_grace_ms", 60_000)),
                 this::acceptsInferences, counts);
-        RosterTracker book = new RosterTracker(new EndpointSliceParser(plan.locations()), (form, lines) -> {
-            decisionLoop.post(d -> {
-                d.onRosterUpdate(form, lines);
+        RosterTracker rosterTracker = new RosterTracker(new EndpointSliceParser(deployment.locations()), (updateKind, entries) -> {
+            decisionLoop.post(coordinator -> {
+                coordinator.onRosterUpdate(updateKind, entries);
                 rosterReceived = true;
             });
-            LOG.atInfo().addKeyValue("form", form).addKeyValue("lines", lines.size()).log("roster");
+            LOG.atInfo().addKeyValue("form", updateKind).addKeyValue("lines", entries.size()).log("roster");
         });
-        pusher = plan.remoteWriteReceiver() == null ? null : new Pusher(plan.remoteWriteReceiver(),
-                List.of(new CountsSource(counts, System.currentTimeMillis()), service), System::currentTimeMillis,
-                new Random(seeds.nextLong()));
-        membershipRandom = new Random(seeds.nextLong());
+        pusher = deployment.remoteWriteReceiver() == null ? null : new Pusher(deployment.remoteWriteReceiver(),
+                List.of(new CountsSource(counts, System.currentTimeMillis()), serviceMetrics), System::currentTimeMillis,
+                new Random(seedGenerator.nextLong()));
+        membershipRandom = new Random(seedGenerator.nextLong());
         // Without probes the roster never expires: an outdated one is better than none, as nothing here tells when a drain counts as
         // announced.
-        boolean asks = plan.frontEndSettings().probesAllowed();
-        rosterWatch = new RosterWatch(book, plan.name(), plan.rosterServer(), plan.rosterFile(), clock::now,
-                (confirmedAt, until) -> decisionLoop.post(desk -> desk.onRosterConfirmed(confirmedAt, asks ? until : Double.POSITIVE_INFINITY)),
+        boolean probesAllowed = deployment.frontEndSettings().probesAllowed();
+        rosterWatch = new RosterWatch(rosterTracker, deployment.name(), deployment.rosterServer(), deployment.rosterFile(), clock::now,
+                (confirmedAt, validUntil) -> decisionLoop.post(coordinator ->
+                        coordinator.onRosterConfirmed(confirmedAt, probesAllowed ? validUntil : Double.POSITIVE_INFINITY)),
                 counts);
     }
 
+    /** Creates the claim service for this front end and its peers. */
     private ClaimService createPeerClaims(gradereach.desk.Timers timers) {
         if (!deployment.hasPeers()) {
             return ClaimService.ALONE;
@@ -183,9 +197,11 @@
         decisionLoop.post(event);
     }
 
-    private Router createRouter(RouterActions outlet, Random chance, UnaryOperator<RouterActions> around) {
-        return new Policy(around.apply(outlet), chance, deployment.frontEndSettings(), deployment.groups(), deployment.customers(),
-                deployment.overQuotaValue(), deployment.coldStartRule(), deployment.loadOrderBudget(), deployment.loadingRules(), deployment.forwardRules());
+    /** Creates a router whose actions are decorated. */
+    private Router createRouter(RouterActions actions, Random random, UnaryOperator<RouterActions> decorator) {
+        return new Policy(decorator.apply(actions), random, deployment.frontEndSettings(), deployment.groups(),
+                deployment.customers(), deployment.overQuotaValue(), deployment.coldStartRule(), deployment.loadOrderBudget(),
+                deployment.loadingRules(), deployment.forwardRules());
     }
 
     /** Warms up, then starts to listen. Returns the address of the webhook server. */
@@ -199,9 +215,9 @@
 
     /** Starts to listen without a warm-up, so that the first inferences are delayed by class loading. */
     public InetSocketAddress listen() throws IOException, InterruptedException {
-        haltWatch.start();
+        stallDetector.start();
         // Listens first: messages that arrive while the ledger is read are queued instead of rejected.
-        InetSocketAddress at = withRetries("listen on " + deployment.listenAddress(),
+        InetSocketAddress webhookAddress = withRetries("listen on " + deployment.listenAddress(),
                 () -> webhookServer.listen(deployment.listenAddress(), boss, workers, RetryingServerSocketChannel.class));
         if (grpcServer != null) {
             boundGrpcAddress = withRetries("listen on " + deployment.grpcListenAddress(),
@@ -217,9 +233,9 @@
         }
         if (deployment.membership() != null) {
             membership = new Membership(deployment.membership(), membershipRandom, clock::now, () -> counts.value("inferences_taken"),
-                    (part, until) -> submit(desk -> desk.share(part, until)), counts);
+                    (fraction, validUntil) -> submit(coordinator -> coordinator.share(fraction, validUntil)), counts);
             // Until this front end holds seats, its share is 0.
-            submit(desk -> desk.share(0, Double.POSITIVE_INFINITY));
+            submit(coordinator -> coordinator.share(0, Double.POSITIVE_INFINITY));
             membership.start();
         }
         rosterWatch.start();
@@ -230,15 +246,16 @@
             adminServer = new AdminServer(deployment.adminAddress(), counts, () -> decisionLoop.fatalError() == null,
                     this::acceptsInferences, this::members);
         }
-        LOG.atInfo().addKeyValue("front", at).addKeyValue("grpc", boundGrpcAddress).addKeyValue("admin", adminServer == null ? "none" : adminServer.address())
-                .log("front end listens");
-        return at;
+        LOG.atInfo().addKeyValue("front", webhookAddress).addKeyValue("grpc", boundGrpcAddress)
+                .addKeyValue("admin", adminServer == null ? "none" : adminServer.address()).log("front end is listening");
+        return webhookAddress;
     }
 
-    private <T> T withRetries(String what, Callable<T> step) throws IOException, InterruptedException {
+    /** Repeats a step of the start while it fails with errors that may be temporary, until the front end is stopped. */
+    private <T> T withRetries(String action, Callable<T> step) throws IOException, InterruptedException {
         try {
             return StartRetry.run(step, () -> !stopping,
-                    failure -> LOG.atWarn().log("cannot {} yet: {}", what, FailureText.describe(failure)));
+                    failure -> LOG.atWarn().log("cannot {}, retrying: {}", action, FailureText.describe(failure)));
         } catch (IOException | InterruptedException | RuntimeException e) {
             throw e;
         } catch (Exception e) {
@@ -246,39 +263,42 @@
         }
     }
 
+    /** Returns whether the front end is ready: it has a roster, is not stopping and its decision thread runs. */
     private boolean acceptsInferences() {
         return rosterReceived && !stopping && decisionLoop.fatalError() == null;
     }
 
+    /** Reads the ledger and restores the state that it holds. */
     private void recover() throws IOException, InterruptedException {
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         LedgerFolder folder = withRetries("open " + deployment.ledgerFolder(), () -> new LedgerFolder(deployment.ledgerFolder()));
         if (claims != null) {
             folder.checkAgainstKnownPosition(claims.queryPeersForPosition(folder.identity()));
         }
-        LedgerState book = new LedgerState();
-        book.markForgottenUpTo(folder.forgottenUpTo());
-        book.markClaimsForgottenUpTo(folder.claimsForgottenUpTo());
-        LedgerFolder.ReadResult found = LedgerFolder.read(deployment.ledgerFolder(), true, (record, segment) -> {
-            book.apply(record);
+        LedgerState state = new LedgerState();
+        state.markForgottenUpTo(folder.forgottenUpTo());
+        state.markClaimsForgottenUpTo(folder.claimsForgottenUpTo());
+        LedgerFolder.ReadResult result = LedgerFolder.read(deployment.ledgerFolder(), true, (record, segment) -> {
+            state.apply(record);
             compactionPlanner.recordWritten(record, segment);
         });
-        found.damage().forEach(damage -> LOG.error("ledger damaged, {}", damage));
-        book.anomalies().forEach(line -> LOG.error("ledger: {}", line));
+        result.damage().forEach(damage -> LOG.error("ledger damaged: {}", damage));
+        state.anomalies().forEach(anomaly -> LOG.error("ledger: {}", anomaly));
         ledgerClock.resume(deployment.ledgerFolder(), compactionPlanner.latestTimestamp());
-        long damagedUpTo = found.damage().isEmpty() ? Long.MIN_VALUE
-                : found.damagedAt() / 1000 + KeyRing.TOLERANCE_SECONDS;
-        long suspect = Math.max(damagedUpTo, folder.suspectUpTo());
-        book.markClaimsForgottenUpTo(suspect);
+        long damagedUpTo = result.damage().isEmpty() ? Long.MIN_VALUE
+                : result.damagedAt() / 1000 + KeyRing.TOLERANCE_SECONDS;
+        long suspectUpTo = Math.max(damagedUpTo, folder.suspectUpTo());
+        state.markClaimsForgottenUpTo(suspectUpTo);
         if (claims != null) {
-            claims.recover(folder.identity(), found.nextSegment(), book, MESSAGE_RETENTION_MILLIS);
+            claims.recover(folder.identity(), result.nextSegment(), state, MESSAGE_RETENTION_MILLIS);
         }
-        ledger.start(folder, found.nextSegment());
-        decisionLoop.runBeforeStart(desk -> desk.recover(book, clock.now(), MESSAGE_RETENTION_MILLIS, deployment.groups(), suspect, outbox::recoveredObserver));
-        LOG.atInfo().addKeyValue("messages", book.size()).addKeyValue("records", found.recordCount())
-                .addKeyValue("bytes", found.bytes()).addKeyValue("torn_bytes", found.tornBytes())
-                .addKeyValue("damage", found.damage().size())
-                .addKeyValue("took_ms", (System.nanoTime() - began) / 1_000_000).log("ledger read");
+        ledger.start(folder, result.nextSegment());
+        decisionLoop.runBeforeStart(coordinator -> coordinator.recover(state, clock.now(), MESSAGE_RETENTION_MILLIS,
+                deployment.groups(), suspectUpTo, outbox::recoveredObserver));
+        LOG.atInfo().addKeyValue("messages", state.size()).addKeyValue("records", result.recordCount())
+                .addKeyValue("bytes", result.bytes()).addKeyValue("torn_bytes", result.tornBytes())
+                .addKeyValue("damage", result.damage().size())
+                .addKeyValue("took_ms", (System.nanoTime() - startedAt) / 1_000_000).log("ledger read");
     }
 
     /** Returns the bound address of the gRPC server, null without one. */
@@ -316,29 +336,30 @@
             return true;
         }
         stopping = true;
-        LOG.info("front end stops: nothing new is taken");
+        LOG.info("front end shuts down: no new inferences are accepted");
         webhookServer.stopAccepting();
         if (grpcServer != null) {
             grpcServer.stopAccepting();
         }
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(deployment.limitSetting("drain_ms", 30_000));
-        int owed = openInferenceCount();
-        while (owed > 0 && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(deployment.limitSetting("drain_ms", 30_000));
+        int unanswered = openInferenceCount();
+        while (unanswered > 0 && System.nanoTime() < deadline) {
             Thread.sleep(10);
-            owed = openInferenceCount();
+            unanswered = openInferenceCount();
         }
         // The event loops may still be writing the last answers.
         Thread.sleep(50);
-        LOG.atInfo().addKeyValue("unanswered", owed).log("front end ends");
+        LOG.atInfo().addKeyValue("unanswered", unanswered).log("front end is closing");
         close();
-        return owed == 0;
+        return unanswered == 0;
     }
 
+    /** Returns the number of open inferences; 1 if the decision thread does not answer, 0 if it has died. */
     private int openInferenceCount() throws InterruptedException {
-        java.util.concurrent.CompletableFuture<Integer> answer = new java.util.concurrent.CompletableFuture<>();
-        decisionLoop.post(d -> answer.complete(d.openInferenceCount()));
+        java.util.concurrent.CompletableFuture<Integer> count = new java.util.concurrent.CompletableFuture<>();
+        decisionLoop.post(coordinator -> count.complete(coordinator.openInferenceCount()));
         try {
-            return answer.get(1, TimeUnit.SECONDS);
+            return count.get(1, TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
             return decisionLoop.fatalError() == null ? 1 : 0;
         }
@@ -346,7 +367,7 @@
 
     @Override
     public void close() {
-        haltWatch.close();
+        stallDetector.close();
         if (membership != null) {
             membership.close();
         }
--- a/gateway/src/main/java/gradereach/serve/InferenceLog.java
+++ b/gateway/src/main/java/gradereach/serve/InferenceLog.java
@@ -19,28 +19,31 @@
     }
 
     @Override
-    public void onInferenceEnded(InferenceState life, double now) {
+    public void onInferenceEnded(InferenceState inference, double now) {
         if (!INFERENCE_LOG.isInfoEnabled()) {
             return;
         }
-        FinalAnswer answer = life.answer();
-        double first = life.firstForwardSentAt();
-        INFERENCE_LOG.atInfo().addKeyValue("id", life.messageId()).addKeyValue("customer", customers.get(life.customer()))
-                .addKeyValue("model", life.modelName()).addKeyValue("forwards", life.forwardCount())
-                .addKeyValue("executor", life.lastExecutorAddress())
+        FinalAnswer answer = inference.answer();
+        double firstForwardAt = inference.firstForwardSentAt();
+        INFERENCE_LOG.atInfo().addKeyValue("id", inference.messageId())
+                .addKeyValue("customer", customers.get(inference.customer()))
+                .addKeyValue("model", inference.modelName()).addKeyValue("forwards", inference.forwardCount())
+                .addKeyValue("executor", inference.lastExecutorAddress())
                 .addKeyValue("outcome", answer == null ? "left" : answer.kind().name().toLowerCase())
-                .addKeyValue("held_ms", round(Double.isNaN(first) ? now - life.acceptedAt() : first - life.acceptedAt()))
-                .addKeyValue("took_ms", round(now - life.acceptedAt())).log("inference");
+                .addKeyValue("held_ms", round(Double.isNaN(firstForwardAt) ? now - inference.acceptedAt()
+                        : firstForwardAt - inference.acceptedAt()))
+                .addKeyValue("took_ms", round(now - inference.acceptedAt())).log("inference");
     }
 
+    /** Rounds to hundredths of a millisecond. */
     private static double round(double millis) {
         return Math.round(millis * 100) / 100.0;
     }
 
     @Override
-    public void onRouterFailed(RuntimeException why, String during, int inferences) {
-        MODULE_LOG.atError().setCause(why).addKeyValue("event", during).addKeyValue("ended_inferences", inferences)
-                .log("the module failed; a fresh one goes on");
+    public void onRouterFailed(RuntimeException cause, String event, int endedInferences) {
+        MODULE_LOG.atError().setCause(cause).addKeyValue("event", event).addKeyValue("ended_inferences", endedInferences)
+                .log("the router failed; a new one continues");
     }
 
     @Override
--- a/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
+++ b/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
@@ -13,49 +13,51 @@
 /** Passes the end of each inference on to another listener, then records it in the metrics. Runs on the decision thread. */
 final class MetricsRecorder implements InferenceCoordinator.InferenceListener {
     private final InferenceCoordinator.InferenceListener delegate;
-    private final ServiceMetrics service;
-    private final Map<ModelGroup, Integer> groups = new HashMap<>();
+    private final ServiceMetrics metrics;
+    private final Map<ModelGroup, Integer> groupIndexes = new HashMap<>();
     private final List<String> customers;
     private final long[] customerHashes;
-    private final double surplusValue;
+    private final double overQuotaValue;
 
-    MetricsRecorder(InferenceCoordinator.InferenceListener log, ServiceMetrics service, List<ModelGroup> groups, List<String> customers, double surplusValue) {
-        this.delegate = log;
-        this.service = service;
+    MetricsRecorder(InferenceCoordinator.InferenceListener delegate, ServiceMetrics metrics, List<ModelGroup> groups,
+            List<String> customers, double overQuotaValue) {
+        this.delegate = delegate;
+        this.metrics = metrics;
         this.customers = customers;
-        this.surplusValue = surplusValue;
-        groups.forEach(group -> this.groups.put(group, this.groups.size()));
+        this.overQuotaValue = overQuotaValue;
+        groups.forEach(group -> groupIndexes.put(group, groupIndexes.size()));
         customerHashes = customers.stream().mapToLong(ModelCatalog::hash).map(MetricsRecorder::mixBits).toArray();
     }
 
     /** Mixes the bits of an FNV hash: its low bits alone would cluster in a hash table. */
     private static long mixBits(long hash) {
-        long h = (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L;
-        return h ^ h >>> 32;
+        long mixed = (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L;
+        return mixed ^ mixed >>> 32;
     }
 
     @Override
-    public void onInferenceEnded(InferenceState life, double now) {
-        delegate.onInferenceEnded(life, now);
-        ModelGroup group = life.modelGroup();
-        FinalAnswer answer = life.answer();
-        ServiceMetrics.EndReason end = answer == null ? ServiceMetrics.EndReason.LEFT : switch (answer.kind()) {
+    public void onInferenceEnded(InferenceState inference, double now) {
+        delegate.onInferenceEnded(inference, now);
+        ModelGroup group = inference.modelGroup();
+        FinalAnswer answer = inference.answer();
+        ServiceMetrics.EndReason endReason = answer == null ? ServiceMetrics.EndReason.LEFT : switch (answer.kind()) {
             case RETURNED -> ServiceMetrics.EndReason.RETURNED;
             case SHED -> ServiceMetrics.EndReason.SHED;
             case FAILED -> ServiceMetrics.EndReason.FAILED;
         };
-        double value = group.value() * (life.overQuota() ? surplusValue : 1);
+        double value = group.value() * (inference.overQuota() ? overQuotaValue : 1);
         // A streamed answer is in time if it started in time.
-        double took = (Double.isNaN(life.answerStartedAt()) ? now : life.answerStartedAt()) - life.acceptedAt();
-        boolean inSlo = took <= group.sloTime();
-        double worth = end != ServiceMetrics.EndReason.RETURNED ? 0 : inSlo ? value : value * group.lateValueFraction();
-        service.recordInference(groups.get(group), customers.get(life.customer()), customerHashes[life.customer()], life.modelName(),
-                mixBits(life.modelId()), end, value, worth, inSlo, took, life.firstForwardSentAt() - life.acceptedAt(), life.forwardCount());
+        double elapsed = (Double.isNaN(inference.answerStartedAt()) ? now : inference.answerStartedAt()) - inference.acceptedAt();
+        boolean inSlo = elapsed <= group.sloTime();
+        double returnedValue = endReason != ServiceMetrics.EndReason.RETURNED ? 0 : inSlo ? value : value * group.lateValueFraction();
+        metrics.recordInference(groupIndexes.get(group), customers.get(inference.customer()), customerHashes[inference.customer()],
+                inference.modelName(), mixBits(inference.modelId()), endReason, value, returnedValue, inSlo, elapsed,
+                inference.firstForwardSentAt() - inference.acceptedAt(), inference.forwardCount());
     }
 
     @Override
-    public void onRouterFailed(RuntimeException why, String during, int inferences) {
-        delegate.onRouterFailed(why, during, inferences);
+    public void onRouterFailed(RuntimeException cause, String event, int endedInferences) {
+        delegate.onRouterFailed(cause, event, endedInferences);
     }
 
     @Override
--- a/gateway/src/main/java/gradereach/serve/WarmUp.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUp.java
@@ -36,17 +36,17 @@
 
     /** Runs the warm-up, over gRPC as well if {@code grpc}. A failure is logged and has no other effect. */
     static void run(boolean grpc) {
-        long start = System.nanoTime();
-        EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Path roster = null;
+        long startedAt = System.nanoTime();
+        EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        Path rosterFile = null;
         try {
-            roster = Files.createTempFile("warm-up", ".json");
-            Files.writeString(roster, rosterJson(loops));
+            rosterFile = Files.createTempFile("warm-up", ".json");
+            Files.writeString(rosterFile, rosterJson(eventLoops));
             String key = WebhookKey.newSecret(new SecureRandom());
-            Gateway gateway = new Gateway(Deployment.of(deployment(roster, key, grpc), roster.getParent()), FaultInjection.NONE);
+            Gateway gateway = new Gateway(Deployment.of(deployment(rosterFile, key, grpc), rosterFile.getParent()), FaultInjection.NONE);
             try {
-                InetSocketAddress at = gateway.listen();
-                try (WarmUpClients clients = new WarmUpClients(loops, at, gateway.grpcAddress(), WebhookKey.parse(key))) {
+                InetSocketAddress address = gateway.listen();
+                try (WarmUpClients clients = new WarmUpClients(eventLoops, address, gateway.grpcAddress(), WebhookKey.parse(key))) {
                     clients.runSuccessful(GROUPS.get(0));
                     clients.runFailing(GROUPS);
                 }
@@ -58,42 +58,42 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+            eventLoops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
             try {
-                if (roster != null) {
-                    Files.deleteIfExists(roster);
+                if (rosterFile != null) {
+                    Files.deleteIfExists(rosterFile);
                 }
             } catch (IOException e) {
-                LOG.debug("warm-up's file stays: {}", roster);
+                LOG.debug("temporary roster of the warm-up not deleted: {}", rosterFile);
             }
-            LOG.atInfo().addKeyValue("took_ms", (System.nanoTime() - start) / 1_000_000).log("warmed up");
+            LOG.atInfo().addKeyValue("took_ms", (System.nanoTime() - startedAt) / 1_000_000).log("warmed up");
         }
     }
 
-    private static ObjectNode deployment(Path roster, String key, boolean grpc) {
-        ObjectNode plan = new ObjectMapper().createObjectNode();
-        plan.put("name", "warm-up").put("listen", "127.0.0.1:0").putObject("roster").put("file", roster.toString());
-        plan.putArray("customers").addObject().put("name", "nobody").putArray("keys").addObject().put("inline", key);
-        ArrayNode groups = plan.putArray("model_groups");
-        ArrayNode models = plan.putArray("models");
+    private static ObjectNode deployment(Path rosterFile, String key, boolean grpc) {
+        ObjectNode deployment = new ObjectMapper().createObjectNode();
+        deployment.put("name", "warm-up").put("listen", "127.0.0.1:0").putObject("roster").put("file", rosterFile.toString());
+        deployment.putArray("customers").addObject().put("name", "nobody").putArray("keys").addObject().put("inline", key);
+        ArrayNode groups = deployment.putArray("model_groups");
+        ArrayNode models = deployment.putArray("models");
         for (String group : GROUPS) {
-            ObjectNode told = groups.addObject().put("name", group).put("repeat", group).put("slo_ms", 1000)
+            ObjectNode settings = groups.addObject().put("name", group).put("repeat", group).put("slo_ms", 1000)
                     .put("route_timeout_ms", 2000);
             if (group.equals("deduped")) {
-                told.put("dedup_scope", "all").put("dedup_window_ms", 5000);
+                settings.put("dedup_scope", "all").put("dedup_window_ms", 5000);
             }
             models.addObject().put("name", group + "-*").put("group", group).put("lanes", 8);
         }
         if (grpc) {
-            plan.putObject("grpc").put("listen", "127.0.0.1:0");
+            deployment.putObject("grpc").put("listen", "127.0.0.1:0");
         }
-        return plan;
+        return deployment;
     }
 
-    private static String rosterJson(EventLoopGroup loops) throws InterruptedException {
+    private static String rosterJson(EventLoopGroup eventLoops) throws InterruptedException {
         List<String> slices = new ArrayList<>();
         for (int i = 0; i < EXECUTOR_COUNT; i++) {
-            slices.add("{\"metadata\":{\"name\":\"slice-" + i + "\"},\"ports\":[{\"port\":" + EchoExecutor.listen(loops)
+            slices.add("{\"metadata\":{\"name\":\"slice-" + i + "\"},\"ports\":[{\"port\":" + EchoExecutor.listen(eventLoops)
                     + "}],\"endpoints\":[{\"addresses\":[\"127.0.0.1\"],\"conditions\":{\"ready\":true}}]}");
         }
         return slices.stream().collect(Collectors.joining(",", "{\"items\":[", "]}"));
--- a/gateway/src/main/java/gradereach/serve/WarmUpClients.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUpClients.java
@@ -46,7 +46,7 @@
     private static final long CANCEL_AFTER_MILLIS = 50;
     private static final List<String> FAILURES = List.of(EchoExecutor.ERROR, EchoExecutor.SILENT, EchoExecutor.RESET);
 
-    private final EventLoopGroup loops;
+    private final EventLoopGroup eventLoops;
     private final InetSocketAddress webhookAddress;
     private final WebhookKey key;
     private final Http2ConnectionPool pool;
@@ -56,20 +56,20 @@
     private int idCount;
 
     /** @param grpcAddress address of the gRPC server, null without one */
-    WarmUpClients(EventLoopGroup loops, InetSocketAddress webhooks, InetSocketAddress calls, WebhookKey key) {
-        this.loops = loops;
-        this.webhookAddress = webhooks;
+    WarmUpClients(EventLoopGroup eventLoops, InetSocketAddress webhookAddress, InetSocketAddress grpcAddress, WebhookKey key) {
+        this.eventLoops = eventLoops;
+        this.webhookAddress = webhookAddress;
         this.key = key;
-        pool = new Http2ConnectionPool(webhooks, loops.next(), NioSocketChannel.class,
-                new Http2ConnectionPool.Limits(2, 100, 1000, 10_000, 1 << 16, 1 << 20), new Http2ConnectionPool.Metrics(new Counts(), "warm_up"),
-                () -> System.nanoTime() / 1e6);
-        channel = calls == null ? null : NettyChannelBuilder.forAddress(calls).usePlaintext().disableRetry().build();
+        pool = new Http2ConnectionPool(webhookAddress, eventLoops.next(), NioSocketChannel.class,
+                new Http2ConnectionPool.Limits(2, 100, 1000, 10_000, 1 << 16, 1 << 20),
+                new Http2ConnectionPool.Metrics(new Counts(), "warm_up"), () -> System.nanoTime() / 1e6);
+        channel = grpcAddress == null ? null : NettyChannelBuilder.forAddress(grpcAddress).usePlaintext().disableRetry().build();
     }
 
     /** Sends inferences of one group that succeed, and some with bad signatures, so that rejections are warmed up as well. */
     void runSuccessful(String group) throws InterruptedException, IOException {
-        long until = newDeadline();
-        for (int i = 0; i < SUCCESSFUL_WEBHOOKS && System.nanoTime() < until; i++) {
+        long deadline = newDeadline();
+        for (int i = 0; i < SUCCESSFUL_WEBHOOKS && System.nanoTime() < deadline; i++) {
             String model = group + "-" + (i % 7 == 0 ? EchoExecutor.TENSOR : "echo") + "-" + i % 5;
             if (i % 20 == 0) {
                 postOverHttp1(model);
@@ -77,40 +77,42 @@
                 post(model, (int) TIMEOUT_MILLIS, i % 50 == 49, false);
             }
         }
-        awaitAll(until);
-        until = newDeadline();
-        for (int i = 0; channel != null && i < SUCCESSFUL_CALLS && System.nanoTime() < until; i++) {
+        awaitAll(deadline);
+        deadline = newDeadline();
+        for (int i = 0; channel != null && i < SUCCESSFUL_CALLS && System.nanoTime() < deadline; i++) {
             String model = group + "-" + (i % 7 == 0 ? EchoExecutor.TENSOR : "echo") + "-" + i % 5;
             call(model, TIMEOUT_MILLIS, i % 2 == 1, i % 50 == 49, false);
         }
-        awaitAll(until);
+        awaitAll(deadline);
     }
 
     /** Sends inferences that executors fail, reset or never answer, and some whose clients cancel. */
     void runFailing(List<String> groups) throws InterruptedException {
-        long until = newDeadline();
-        for (int round = 0; round < FAILING_ROUNDS && System.nanoTime() < until; round++) {
-            for (String end : FAILURES) {
+        long deadline = newDeadline();
+        for (int round = 0; round < FAILING_ROUNDS && System.nanoTime() < deadline; round++) {
+            for (String failure : FAILURES) {
                 for (String group : groups) {
-                    String model = group + "-" + end + "-" + round;
-                    boolean leaves = round == FAILING_ROUNDS - 1 && end.equals(EchoExecutor.SILENT);
-                    post(model, FAILING_BUDGET_MILLIS, false, leaves);
+                    String model = group + "-" + failure + "-" + round;
+                    boolean cancels = round == FAILING_ROUNDS - 1 && failure.equals(EchoExecutor.SILENT);
+                    post(model, FAILING_BUDGET_MILLIS, false, cancels);
                     if (channel != null) {
-                        call(model, FAILING_BUDGET_MILLIS, false, false, leaves);
-                        call(model, FAILING_BUDGET_MILLIS, true, false, leaves);
+                        call(model, FAILING_BUDGET_MILLIS, false, false, cancels);
+                        call(model, FAILING_BUDGET_MILLIS, true, false, cancels);
                     }
                 }
             }
         }
-        awaitAll(until);
+        awaitAll(deadline);
     }
 
+    /** Returns a deadline by {@link System#nanoTime}. */
     private static long newDeadline() {
         return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
     }
 
-    private void awaitAll(long until) throws InterruptedException {
-        if (permits.tryAcquire(MAX_IN_FLIGHT, Math.max(1, until - System.nanoTime()), TimeUnit.NANOSECONDS)) {
+    /** Waits until all requests have ended, or until the deadline. */
+    private void awaitAll(long deadline) throws InterruptedException {
+        if (permits.tryAcquire(MAX_IN_FLIGHT, Math.max(1, deadline - System.nanoTime()), TimeUnit.NANOSECONDS)) {
             permits.release(MAX_IN_FLIGHT);
         }
     }
@@ -119,38 +121,38 @@
         return "warm-up-" + idCount++;
     }
 
-    private static byte[] body(String model, int budget) {
+    private static byte[] body(String model, int budgetMillis) {
         return ("{\"type\":\"inference.requested\",\"timestamp\":\"now\",\"data\":{\"model\":\"" + model + "\",\"budget_ms\":"
-                + budget + ",\"input\":{\"inputs\":[]}}}").getBytes(StandardCharsets.UTF_8);
+                + budgetMillis + ",\"input\":{\"inputs\":[]}}}").getBytes(StandardCharsets.UTF_8);
     }
 
     private static long unixSeconds() {
         return System.currentTimeMillis() / 1000;
     }
 
-    private void post(String model, int budget, boolean forged, boolean leaves) throws InterruptedException {
+    private void post(String model, int budgetMillis, boolean badSignature, boolean cancels) throws InterruptedException {
         permits.acquire();
         String id = nextId();
-        byte[] body = body(model, budget);
-        long time = unixSeconds();
+        byte[] body = body(model, budgetMillis);
+        long timestamp = unixSeconds();
         Http2ConnectionPool.Request request = pool.send("POST", "/v1/inferences", body,
                 (end, status, headers, content) -> permits.release(), "content-type", "application/json", "webhook-id", id,
-                "webhook-timestamp", Long.toString(time), "webhook-signature",
-                "v1," + key.sign(forged ? "forged" : id, time, body));
-        if (leaves) {
-            loops.schedule(request::cancel, CANCEL_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+                "webhook-timestamp", Long.toString(timestamp), "webhook-signature",
+                "v1," + key.sign(badSignature ? "forged" : id, timestamp, body));
+        if (cancels) {
+            eventLoops.schedule(request::cancel, CANCEL_AFTER_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void postOverHttp1(String model) throws IOException {
         String id = nextId();
         byte[] body = body(model, (int) TIMEOUT_MILLIS);
-        long time = unixSeconds();
+        long timestamp = unixSeconds();
         try (Socket socket = new Socket(webhookAddress.getAddress(), webhookAddress.getPort());
                 OutputStream out = socket.getOutputStream()) {
             socket.setSoTimeout((int) TIMEOUT_MILLIS);
             out.write(("POST /v1/inferences HTTP/1.1\r\nhost: warm-up\r\ncontent-type: application/json\r\nwebhook-id: " + id
-                    + "\r\nwebhook-timestamp: " + time + "\r\nwebhook-signature: v1," + key.sign(id, time, body)
+                    + "\r\nwebhook-timestamp: " + timestamp + "\r\nwebhook-signature: v1," + key.sign(id, timestamp, body)
                     + "\r\ncontent-length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             out.write(body);
             out.flush();
@@ -158,37 +160,37 @@
         }
     }
 
-    private void call(String model, long budget, boolean streamed, boolean forged, boolean leaves)
+    private void call(String model, long budgetMillis, boolean streamed, boolean badSignature, boolean cancels)
             throws InterruptedException {
         permits.acquire();
         ModelInferRequest bare = ModelInferRequest.newBuilder().setModelName(model).setId(nextId())
-                .putParameters("gradereach-budget-ms", InferParameter.newBuilder().setInt64Param(budget).build()).build();
-        long time = unixSeconds();
+                .putParameters("gradereach-budget-ms", InferParameter.newBuilder().setInt64Param(budgetMillis).build()).build();
+        long timestamp = unixSeconds();
         String method = (streamed ? GRPCInferenceServiceGrpc.getModelStreamInferMethod()
                 : GRPCInferenceServiceGrpc.getModelInferMethod()).getFullMethodName();
-        String signature = "v1," + key.sign(forged ? "forged" : bare.getId(), time,
+        String signature = "v1," + key.sign(badSignature ? "forged" : bare.getId(), timestamp,
                 CallSignature.signedContent(method, CallSignature.digest(bare)));
         GRPCInferenceServiceGrpc.GRPCInferenceServiceStub stub = GRPCInferenceServiceGrpc.newStub(channel)
                 .withDeadlineAfter(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        CallObserver<?> answer;
+        CallObserver<?> observer;
         if (streamed) {
-            CallObserver<ModelStreamInferResponse> parts = new CallObserver<>();
-            StreamObserver<ModelInferRequest> to = stub.modelStreamInfer(parts);
-            to.onNext(bare.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(time)))
+            CallObserver<ModelStreamInferResponse> streamObserver = new CallObserver<>();
+            StreamObserver<ModelInferRequest> requests = stub.modelStreamInfer(streamObserver);
+            requests.onNext(bare.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(timestamp)))
                     .putParameters(CallSignature.SIGNATURE, stringParameter(signature)).build());
-            to.onCompleted();
-            answer = parts;
+            requests.onCompleted();
+            observer = streamObserver;
         } else {
             Metadata headers = new Metadata();
-            Map.of(CallSignature.ID, bare.getId(), CallSignature.TIMESTAMP, Long.toString(time), CallSignature.SIGNATURE,
+            Map.of(CallSignature.ID, bare.getId(), CallSignature.TIMESTAMP, Long.toString(timestamp), CallSignature.SIGNATURE,
                     signature).forEach((name, value) -> headers.put(
                             Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER), value));
-            CallObserver<ModelInferResponse> whole = new CallObserver<>();
-            stub.withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers)).modelInfer(bare, whole);
-            answer = whole;
+            CallObserver<ModelInferResponse> unaryObserver = new CallObserver<>();
+            stub.withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers)).modelInfer(bare, unaryObserver);
+            observer = unaryObserver;
         }
-        if (leaves) {
-            loops.schedule(answer::cancel, CANCEL_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+        if (cancels) {
+            eventLoops.schedule(observer::cancel, CANCEL_AFTER_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -206,14 +208,14 @@
         }
 
         void cancel() {
-            call.cancel("its client leaves", null);
+            call.cancel("the client cancels", null);
         }
 
         @Override
-        public void onNext(T answer) { }
+        public void onNext(T response) { }
 
         @Override
-        public void onError(Throwable why) {
+        public void onError(Throwable cause) {
             permits.release();
         }
 
