--- a/gateway/src/main/java/gradereach/counts/Counts.java
+++ b/gateway/src/main/java/gradereach/counts/Counts.java
@@ -10,7 +10,9 @@
 public final class Counts {
     /** A bounded resource: its capacity, the amount in use and the number of rejections. */
     public static final class Limit {
+        /** Value of the label {@code limit} in the metrics. */
         public final String name;
+        /** {@link Long#MAX_VALUE} for a resource that is only counted. */
         public final long capacity;
         private final AtomicLong inUse = new AtomicLong();
         private final LongAdder rejections = new LongAdder();
@@ -45,10 +47,12 @@
             inUse.lazySet(amount);
         }
 
+        /** Returns the amount in use. */
         public long inUse() {
             return inUse.get();
         }
 
+        /** Returns the number of rejections so far. */
         public long rejections() {
             return rejections.sum();
         }
@@ -73,10 +77,12 @@
         return adder == null ? 0 : adder.sum();
     }
 
+    /** Returns all counters by name. */
     public Map<String, LongAdder> counters() {
         return counters;
     }
 
+    /** Returns all limits. */
     public Collection<Limit> limits() {
         return limits.values();
     }
--- a/gateway/src/main/java/gradereach/counts/CountsSource.java
+++ b/gateway/src/main/java/gradereach/counts/CountsSource.java
@@ -12,7 +12,7 @@
     private final Counts counts;
     private final long startedAtMillis;
 
-    /** @param startedAtMillis Unix time since when the counters count */
+    /** @param startedAtMillis Unix time in milliseconds at which counting started */
     public CountsSource(Counts counts, long startedAtMillis) {
         this.counts = counts;
         this.startedAtMillis = startedAtMillis;
--- a/gateway/src/main/java/gradereach/front/WebhookServer.java
+++ b/gateway/src/main/java/gradereach/front/WebhookServer.java
@@ -54,6 +54,7 @@
     private final ChannelGroup openConnections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private Channel listener;
 
+    /** Creates a server; {@link #listen} starts it. */
     public WebhookServer(Intake intake, Outbox outbox, Limits limits, Counts counts) {
         this.intake = intake;
         this.outbox = outbox;
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
@@ -48,6 +48,11 @@
     private GrpcInferenceService service;
     private Server server;
 
+    /**
+     * Creates a server; {@link #listen} starts it.
+     *
+     * @param ready whether the front end accepts inferences
+     */
     public GrpcServer(Intake intake, Limits limits, BooleanSupplier ready, Counts counts) {
         this.intake = intake;
         this.limits = limits;
--- a/gateway/src/main/java/gradereach/serve/Gateway.java
+++ b/gateway/src/main/java/gradereach/serve/Gateway.java
@@ -59,7 +59,8 @@
 
 /**
  * One running front end: its listeners, its decision thread, its transport to executors and its roster. Components are created
- * from the inside out, and the listeners that depend on others are started after them.
+ * from the inside out and those that face outward are started last, so that no event arrives before there is a component to
+ * handle it.
  */
 public final class Gateway implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
@@ -251,7 +252,7 @@
         return webhookAddress;
     }
 
-    /** Repeats a step of the start while it fails with errors that may be temporary, until the front end is stopped. */
+    /** Runs a step of the start, and repeats it for some seconds while it fails with errors that may be temporary. */
     private <T> T withRetries(String action, Callable<T> step) throws IOException, InterruptedException {
         try {
             return StartRetry.run(step, () -> !stopping,
@@ -317,10 +318,11 @@
     }
 
     /** Returns what became of the samples to push, null if no metrics are pushed. */
-    public Pusher.PushStatistics pushTally() {
+    public Pusher.PushStatistics pushStatistics() {
         return pusher == null ? null : pusher.statistics();
     }
 
+    /** Returns the counters and limits of this front end. */
     public Counts counts() {
         return counts;
     }
--- a/gateway/src/test/java/gradereach/front/IdleConnectionTest.java
+++ b/gateway/src/test/java/gradereach/front/IdleConnectionTest.java
@@ -65,14 +65,15 @@
 
     @Test
     void anUnreadMessageKeepsAConnectionOpen() throws Exception {
-        MessageTimeoutHandler messageClock = new MessageTimeoutHandler(IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS, time::get, time::get, new Counts().limit("slow", 1));
-        InetSocketAddress address = listen(messageClock);
+        MessageTimeoutHandler timeoutHandler = new MessageTimeoutHandler(IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS, time::get,
+                time::get, new Counts().limit("slow", 1));
+        InetSocketAddress address = listen(timeoutHandler);
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             Channel channel = accepted.get();
             assertFalse(onServer(() -> {
                 time.set(IDLE_TIMEOUT_MILLIS);
                 socket.getOutputStream().write("POST".getBytes(StandardCharsets.US_ASCII));
-                return messageClock.closeIfIdle(channel.pipeline().context(messageClock));
+                return timeoutHandler.closeIfIdle(channel.pipeline().context(timeoutHandler));
             }));
             assertTrue(channel.isActive());
         }
@@ -80,13 +81,14 @@
 
     @Test
     void anIdleConnectionIsClosed() throws Exception {
-        MessageTimeoutHandler messageClock = new MessageTimeoutHandler(IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS, time::get, time::get, new Counts().limit("slow", 1));
-        InetSocketAddress address = listen(messageClock);
+        MessageTimeoutHandler timeoutHandler = new MessageTimeoutHandler(IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS, time::get,
+                time::get, new Counts().limit("slow", 1));
+        InetSocketAddress address = listen(timeoutHandler);
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             Channel channel = accepted.get();
             assertTrue(onServer(() -> {
                 time.set(IDLE_TIMEOUT_MILLIS);
-                return messageClock.closeIfIdle(channel.pipeline().context(messageClock));
+                return timeoutHandler.closeIfIdle(channel.pipeline().context(timeoutHandler));
             }));
             assertTrue(socket.getInputStream().read() < 0);
         }
@@ -94,10 +96,10 @@
 
     @Test
     void anUnreadStreamKeepsAConnectionOpen() throws Exception {
-        Http2IdleHandler idleStreams = new Http2IdleHandler(IDLE_TIMEOUT_MILLIS);
-        CompletableFuture<Void> settled = new CompletableFuture<>();
+        Http2IdleHandler idleHandler = new Http2IdleHandler(IDLE_TIMEOUT_MILLIS);
+        CompletableFuture<Void> settingsReceived = new CompletableFuture<>();
         InetSocketAddress address = listen(Http2FrameCodecBuilder.forServer().build(),
-                new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()), idleStreams);
+                new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()), idleHandler);
         Channel connection = new Bootstrap().group(client).channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -107,20 +109,20 @@
                                 new ChannelInboundHandlerAdapter() {
                                     @Override
                                     public void channelRead(ChannelHandlerContext ctx, Object frame) {
-                                        settled.complete(null); // the server's SETTINGS frame
+                                        settingsReceived.complete(null); // the server's SETTINGS frame
                                     }
                                 });
                     }
                 }).connect(address).sync().channel();
-        settled.get();
+        settingsReceived.get();
         Channel channel = accepted.get();
-        assertFalse(onServer(() -> idleStreams.closeIfIdle(channel.pipeline().context(idleStreams))));
+        assertFalse(onServer(() -> idleHandler.closeIfIdle(channel.pipeline().context(idleHandler))));
         assertFalse(onServer(() -> {
             Channel stream = new Http2StreamChannelBootstrap(connection).handler(new ChannelInboundHandlerAdapter())
                     .open().get();
             stream.writeAndFlush(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().method("POST").path("/")
                     .scheme("http").authority("a"))).get();
-            return idleStreams.closeIfIdle(channel.pipeline().context(idleStreams));
+            return idleHandler.closeIfIdle(channel.pipeline().context(idleHandler));
         }));
         assertTrue(onServer(() -> channel.pipeline().get(Http2FrameCodec.class).connection().numActiveStreams() == 1));
         connection.close().sync();
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
@@ -79,11 +79,11 @@
     @BeforeEach
     void start() throws Exception {
         fleet = new SmallFleet(folder, 2);
-        ObjectNode plan = fleet.createDeployment("fe", secret);
-        plan.putObject("grpc").put("listen", "127.0.0.1:0").put("stalled_ms", 300).put("stream_bytes", 4 << 20);
-        plan.putObject("ledger").put("folder", folder.resolve("ledger").toString());
-        plan.putObject("limits").put("body_bytes", 1 << 16).put("streams", 600);
-        gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
+        ObjectNode deployment = fleet.createDeployment("fe", secret);
+        deployment.putObject("grpc").put("listen", "127.0.0.1:0").put("stalled_ms", 300).put("stream_bytes", 4 << 20);
+        deployment.putObject("ledger").put("folder", folder.resolve("ledger").toString());
+        deployment.putObject("limits").put("body_bytes", 1 << 16).put("streams", 600);
+        gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
         webhookAddress = gateway.listen();
         waitUntil(gateway::isReady);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry()
@@ -97,23 +97,23 @@
         fleet.close();
     }
 
-    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
-        while (!holds.getAsBoolean()) {
+    private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private static <T> Metadata.Key<T> key(String name, Metadata.AsciiMarshaller<T> as) {
-        return Metadata.Key.of(name, as);
+    private static <T> Metadata.Key<T> key(String name, Metadata.AsciiMarshaller<T> marshaller) {
+        return Metadata.Key.of(name, marshaller);
     }
 
     private GRPCInferenceServiceGrpc.GRPCInferenceServiceBlockingStub signedStub(String id, ModelInferRequest request,
-            WebhookKey by) {
+            WebhookKey signingKey) {
         long now = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
         headers.put(key("webhook-id", Metadata.ASCII_STRING_MARSHALLER), id);
         headers.put(key("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
-        headers.put(key("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + by.sign(id, now,
+        headers.put(key("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + signingKey.sign(id, now,
                 CallSignature.signedContent(GrpcInferenceService.UNARY_METHOD, CallSignature.digest(request))));
         return GRPCInferenceServiceGrpc.newBlockingStub(channel)
                 .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
@@ -129,7 +129,7 @@
         } catch (StatusRuntimeException e) {
             return e;
         }
-        throw new AssertionError("was returned");
+        throw new AssertionError("the call succeeded");
     }
 
     private long runCount(String id) throws Exception {
@@ -170,37 +170,37 @@
         "raw-beside, INVALID_ARGUMENT, beside raw", "huge-shape, INVALID_ARGUMENT, inputs[0].shape: more than",
         "nan, INVALID_ARGUMENT, no finite number", "too-large, RESOURCE_EXHAUSTED, exceeds maximum",
     })
-    void invalidRequestsGetASpecificStatus(String what, Status.Code code, String says) throws Exception {
-        ModelInferRequest good = request("look-1", 5);
-        ModelInferRequest.InferInputTensor tensor = good.getInputs(0);
-        ModelInferRequest asked = switch (what) {
-            case "unknown-model" -> good.toBuilder().setModelName("none").build();
-            case "half-filled" -> good.toBuilder().setInputs(0, tensor.toBuilder().setContents(
+    void invalidRequestsGetASpecificStatus(String kind, Status.Code code, String expected) throws Exception {
+        ModelInferRequest valid = request("look-1", 5);
+        ModelInferRequest.InferInputTensor tensor = valid.getInputs(0);
+        ModelInferRequest request = switch (kind) {
+            case "unknown-model" -> valid.toBuilder().setModelName("none").build();
+            case "half-filled" -> valid.toBuilder().setInputs(0, tensor.toBuilder().setContents(
                     InferTensorContents.newBuilder().addFp32Contents(1))).build();
-            case "no-datatype" -> good.toBuilder().setInputs(0, tensor.toBuilder().clearDatatype()).build();
-            case "raw-too-short" -> good.toBuilder().setInputs(0, tensor.toBuilder().clearContents())
+            case "no-datatype" -> valid.toBuilder().setInputs(0, tensor.toBuilder().clearDatatype()).build();
+            case "raw-too-short" -> valid.toBuilder().setInputs(0, tensor.toBuilder().clearContents())
                     .addRawInputContents(ByteString.copyFrom(new byte[3])).build();
-            case "raw-beside" -> good.toBuilder().addRawInputContents(ByteString.copyFrom(new byte[8])).build();
-            case "huge-shape" -> good.toBuilder().setInputs(0, tensor.toBuilder().addShape(Long.MAX_VALUE)).build();
-            case "nan" -> good.toBuilder().setInputs(0, tensor.toBuilder().setContents(
+            case "raw-beside" -> valid.toBuilder().addRawInputContents(ByteString.copyFrom(new byte[8])).build();
+            case "huge-shape" -> valid.toBuilder().setInputs(0, tensor.toBuilder().addShape(Long.MAX_VALUE)).build();
+            case "nan" -> valid.toBuilder().setInputs(0, tensor.toBuilder().setContents(
                     InferTensorContents.newBuilder().addFp32Contents(1).addFp32Contents(Float.NaN))).build();
-            case "too-large" -> good.toBuilder().addRawInputContents(ByteString.copyFrom(new byte[1 << 17])).build();
-            default -> good;
+            case "too-large" -> valid.toBuilder().addRawInputContents(ByteString.copyFrom(new byte[1 << 17])).build();
+            default -> valid;
         };
         Status status;
         try {
-            switch (what) {
-                case "stranger" -> signedStub("x", asked, unregisteredKey).modelInfer(asked);
-                case "other-message" -> signedStub("x", request("look-1", 6), key).modelInfer(asked);
-                case "unsigned" -> GRPCInferenceServiceGrpc.newBlockingStub(channel).modelInfer(asked);
-                default -> infer("x", asked);
+            switch (kind) {
+                case "stranger" -> signedStub("x", request, unregisteredKey).modelInfer(request);
+                case "other-message" -> signedStub("x", request("look-1", 6), key).modelInfer(request);
+                case "unsigned" -> GRPCInferenceServiceGrpc.newBlockingStub(channel).modelInfer(request);
+                default -> infer("x", request);
             }
-            throw new AssertionError("was returned");
+            throw new AssertionError("the call succeeded");
         } catch (StatusRuntimeException e) {
             status = e.getStatus();
         }
         assertEquals(code, status.getCode(), status.toString());
-        assertTrue(status.getDescription().contains(says), status.toString());
+        assertTrue(status.getDescription().contains(expected), status.toString());
         // It leaves no open call, and the connection remains usable.
         assertNotNull(infer("after", request("look-1", 5)));
         assertEquals(0, inUse("grpc_calls"));
@@ -208,11 +208,11 @@
     }
 
     private long rejections(String name) {
-        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().rejections();
+        return gateway.counts().limits().stream().filter(limit -> limit.name.equals(name)).findFirst().orElseThrow().rejections();
     }
 
     private long inUse(String name) {
-        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().inUse();
+        return gateway.counts().limits().stream().filter(limit -> limit.name.equals(name)).findFirst().orElseThrow().inUse();
     }
 
     @Test
@@ -220,18 +220,18 @@
         MethodDescriptor<byte[], byte[]> method = MethodDescriptor.<byte[], byte[]>newBuilder()
                 .setType(MethodDescriptor.MethodType.UNARY).setFullMethodName(GrpcInferenceService.UNARY_METHOD)
                 .setRequestMarshaller(BYTE_ARRAY_MARSHALLER).setResponseMarshaller(BYTE_ARRAY_MARSHALLER).build();
-        CompletableFuture<Status> ended = new CompletableFuture<>();
+        CompletableFuture<Status> endStatus = new CompletableFuture<>();
         ClientCall<byte[], byte[]> call = channel.newCall(method, CallOptions.DEFAULT);
         call.start(new ClientCall.Listener<>() {
             @Override
             public void onClose(Status status, Metadata trailers) {
-                ended.complete(status);
+                endStatus.complete(status);
             }
         }, new Metadata());
         call.sendMessage(new byte[] {(byte) 0xff, (byte) 0xff, 1, 2});
         call.halfClose();
         call.request(1);
-        assertEquals(Status.Code.INVALID_ARGUMENT, ended.get().getCode(), ended.get().toString());
+        assertEquals(Status.Code.INVALID_ARGUMENT, endStatus.get().getCode(), endStatus.get().toString());
     }
 
     private static final MethodDescriptor.Marshaller<byte[]> BYTE_ARRAY_MARSHALLER = new MethodDescriptor.Marshaller<>() {
@@ -257,14 +257,14 @@
         ModelInferRequest slow = request("book-1", 1500);
         try {
             signedStub("slow", slow, key).withDeadlineAfter(300, TimeUnit.MILLISECONDS).modelInfer(slow);
-            throw new AssertionError("was returned");
+            throw new AssertionError("the call succeeded");
         } catch (StatusRuntimeException e) {
             assertEquals(Status.Code.DEADLINE_EXCEEDED, e.getStatus().getCode());
         }
         waitUntil(() -> inUse("grpc_calls") == 0);
-        StatusRuntimeException again = inferAndFail("slow", slow);
-        assertEquals(Status.Code.DEADLINE_EXCEEDED, again.getStatus().getCode());
-        assertEquals("false", again.getTrailers().get(GrpcStatuses.REPEAT_HARMLESS));
+        StatusRuntimeException repeat = inferAndFail("slow", slow);
+        assertEquals(Status.Code.DEADLINE_EXCEEDED, repeat.getStatus().getCode());
+        assertEquals("false", repeat.getTrailers().get(GrpcStatuses.REPEAT_HARMLESS));
         assertTrue(runCount("slow") <= 1);
     }
 
@@ -282,8 +282,8 @@
         StatusRuntimeException shed = GrpcStatuses.toException(gradereach.message.FinalAnswer.shed("a", "no room", 1250));
         assertEquals(Status.Code.UNAVAILABLE, shed.getStatus().getCode());
         assertEquals("1250", shed.getTrailers().get(GrpcStatuses.PUSHBACK));
-        com.google.rpc.RetryInfo told = StatusProto.fromThrowable(shed).getDetails(0).unpack(com.google.rpc.RetryInfo.class);
-        assertEquals(1_250_000_000L, told.getRetryDelay().getSeconds() * 1_000_000_000L + told.getRetryDelay().getNanos());
+        com.google.rpc.RetryInfo retryInfo = StatusProto.fromThrowable(shed).getDetails(0).unpack(com.google.rpc.RetryInfo.class);
+        assertEquals(1_250_000_000L, retryInfo.getRetryDelay().getSeconds() * 1_000_000_000L + retryInfo.getRetryDelay().getNanos());
     }
 
     @Test
@@ -305,15 +305,15 @@
         return GrpcTestSupport.signedRequest(key, id, request(model, work));
     }
 
-    private StreamObserver<ModelInferRequest> openStream(RecordingClient heard) {
-        return GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(heard);
+    private StreamObserver<ModelInferRequest> openStream(RecordingClient client) {
+        return GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(client);
     }
 
     @Test
     void inferencesOfOneStreamAreAnsweredInOrderOfCompletion() throws Exception {
         infer("warm", request("look-1", 1));
-        RecordingClient heard = new RecordingClient(true);
-        StreamObserver<ModelInferRequest> stream = openStream(heard);
+        RecordingClient client = new RecordingClient(true);
+        StreamObserver<ModelInferRequest> stream = openStream(client);
         stream.onNext(signedStreamRequest("slow", "look-1", 400));
         Set<String> sent = new HashSet<>(Set.of("slow"));
         for (int i = 0; i < 300; i++) {
@@ -321,15 +321,15 @@
             sent.add("s" + i);
         }
         stream.onNext(signedStreamRequest("none", "none", 1));
-        ModelInferRequest forged = signedStreamRequest("forged", "look-1", 1);
-        stream.onNext(forged.toBuilder().setModelName("look-2").build());
+        ModelInferRequest badlySigned = signedStreamRequest("forged", "look-1", 1);
+        stream.onNext(badlySigned.toBuilder().setModelName("look-2").build());
         stream.onCompleted();
-        assertEquals(Status.Code.OK, heard.endStatus.get().getCode());
+        assertEquals(Status.Code.OK, client.endStatus.get().getCode());
         Set<String> returned = new HashSet<>();
         List<String> failed = new ArrayList<>();
-        for (ModelStreamInferResponse answer : heard.answers) {
+        for (ModelStreamInferResponse answer : client.answers) {
             if (answer.getErrorMessage().isEmpty()) {
-                assertTrue(returned.add(answer.getInferResponse().getId()), "twice");
+                assertTrue(returned.add(answer.getInferResponse().getId()), "answered twice");
             } else {
                 failed.add(answer.getInferResponse().getId() + " "
                         + answer.getInferResponse().getParametersOrThrow("grpc-status").getStringParam());
@@ -337,29 +337,29 @@
         }
         assertEquals(sent, returned);
         assertEquals(List.of("forged UNAUTHENTICATED", "none NOT_FOUND"), failed.stream().sorted().toList());
-        assertTrue(heard.answers.indexOf(heard.answers.stream().filter(a -> a.getInferResponse().getId().equals("slow"))
-                .findFirst().orElseThrow()) > 10, "answered in the order of asking");
+        assertTrue(client.answers.indexOf(client.answers.stream().filter(answered -> answered.getInferResponse().getId().equals("slow"))
+                .findFirst().orElseThrow()) > 10, "answered in the order of the requests");
         waitUntil(() -> inUse("grpc_calls") == 0 && inUse("inferences_held") == 0);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"cancel", "deadline", "connection"})
-    void clientSideTerminationReleasesEverything(String how) throws Exception {
+    void clientSideTerminationReleasesEverything(String cause) throws Exception {
         infer("warm", request("look-1", 1));
-        RecordingClient heard = new RecordingClient(true);
+        RecordingClient client = new RecordingClient(true);
         GRPCInferenceServiceGrpc.GRPCInferenceServiceStub stub = GRPCInferenceServiceGrpc.newStub(channel);
-        StreamObserver<ModelInferRequest> stream = (how.equals("deadline") ? stub.withDeadlineAfter(200, TimeUnit.MILLISECONDS)
-                : stub).modelStreamInfer(heard);
+        StreamObserver<ModelInferRequest> stream = (cause.equals("deadline") ? stub.withDeadlineAfter(200, TimeUnit.MILLISECONDS)
+                : stub).modelStreamInfer(client);
         for (int i = 0; i < 20; i++) {
             stream.onNext(signedStreamRequest("s" + i, "look-1", 3000));
         }
         waitUntil(() -> gateway.counts().value("inferences_taken") >= 5);
-        if (how.equals("cancel")) {
-            heard.call.cancel("enough", null);
-        } else if (how.equals("connection")) {
+        if (cause.equals("cancel")) {
+            client.call.cancel("enough", null);
+        } else if (cause.equals("connection")) {
             channel.shutdownNow();
         }
-        assertTrue(heard.endStatus.get().getCode() != Status.Code.OK);
+        assertTrue(client.endStatus.get().getCode() != Status.Code.OK);
         waitUntil(() -> inUse("grpc_calls") == 0 && inUse("grpc_stream_bytes_waiting") == 0);
     }
 
@@ -367,40 +367,40 @@
     @Test
     void aStalledReaderIsResetAndDelaysNobody() throws Exception {
         infer("warm", request("look-1", 1));
-        ManagedChannel narrow = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext()
+        ManagedChannel smallWindowChannel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext()
                 .flowControlWindow(1024).build();
-        RecordingClient stopped = new RecordingClient(false);
-        StreamObserver<ModelInferRequest> stream = GRPCInferenceServiceGrpc.newStub(narrow).modelStreamInfer(stopped);
+        RecordingClient stalled = new RecordingClient(false);
+        StreamObserver<ModelInferRequest> stream = GRPCInferenceServiceGrpc.newStub(smallWindowChannel).modelStreamInfer(stalled);
         for (int i = 0; rejections("grpc_readers_that_stopped") == 0; i++) {
-            if (stopped.call.isReady()) {
+            if (stalled.call.isReady()) {
                 stream.onNext(signedStreamRequest("stopped" + i, "look-1", 1));
             } else {
                 assertNotNull(infer("fast" + i, request("look-1", 1)));
             }
         }
         // The client sees the reset once it has read what was sent before.
-        stopped.call.request(Integer.MAX_VALUE);
-        assertEquals(Status.Code.CANCELLED, stopped.endStatus.get().getCode(), stopped.endStatus.get().toString());
+        stalled.call.request(Integer.MAX_VALUE);
+        assertEquals(Status.Code.CANCELLED, stalled.endStatus.get().getCode(), stalled.endStatus.get().toString());
         waitUntil(() -> inUse("grpc_calls") == 0 && inUse("grpc_stream_bytes_waiting") == 0);
-        narrow.shutdownNow();
+        smallWindowChannel.shutdownNow();
     }
 
     /** On shutdown each open inference is answered and each stream ends with OK. */
     @Test
     void openStreamsAreAnsweredOnShutdown() throws Exception {
         infer("warm", request("look-1", 1));
-        List<RecordingClient> all = new ArrayList<>();
+        List<RecordingClient> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            RecordingClient heard = new RecordingClient(true);
-            StreamObserver<ModelInferRequest> stream = openStream(heard);
+            RecordingClient client = new RecordingClient(true);
+            StreamObserver<ModelInferRequest> stream = openStream(client);
             stream.onNext(signedStreamRequest("stop" + i, "look-1", 200));
-            all.add(heard);
+            clients.add(client);
         }
         waitUntil(() -> gateway.counts().value("inferences_taken") == 101);
         assertTrue(gateway.stop());
-        for (RecordingClient heard : all) {
-            assertEquals(Status.Code.OK, heard.endStatus.get().getCode(), heard.endStatus.get().toString());
-            assertEquals(1, heard.answers.size());
+        for (RecordingClient client : clients) {
+            assertEquals(Status.Code.OK, client.endStatus.get().getCode(), client.endStatus.get().toString());
+            assertEquals(1, client.answers.size());
         }
     }
 
@@ -408,19 +408,19 @@
     void manyStreamsCanBeOpenAtOnce() throws Exception {
         infer("warm", request("look-1", 1));
         List<StreamObserver<ModelInferRequest>> streams = new ArrayList<>();
-        List<RecordingClient> all = new ArrayList<>();
+        List<RecordingClient> clients = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            RecordingClient heard = new RecordingClient(true);
-            StreamObserver<ModelInferRequest> stream = openStream(heard);
+            RecordingClient client = new RecordingClient(true);
+            StreamObserver<ModelInferRequest> stream = openStream(client);
             stream.onNext(signedStreamRequest("many" + i, "look-1", 1));
             streams.add(stream);
-            all.add(heard);
+            clients.add(client);
         }
-        waitUntil(() -> all.stream().allMatch(h -> h.answers.size() == 1 || h.endStatus.isDone()));
+        waitUntil(() -> clients.stream().allMatch(client -> client.answers.size() == 1 || client.endStatus.isDone()));
         assertEquals(500, inUse("grpc_calls"));
         streams.forEach(StreamObserver::onCompleted);
-        for (RecordingClient heard : all) {
-            assertEquals(Status.Code.OK, heard.endStatus.get().getCode());
+        for (RecordingClient client : clients) {
+            assertEquals(Status.Code.OK, client.endStatus.get().getCode());
         }
     }
 }
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
@@ -22,9 +22,10 @@
         return InferParameter.newBuilder().setStringParam(value).build();
     }
 
-    static ModelInferRequest request(String model, double work) {
+    /** Returns an unsigned request with one tensor; the stand-in executor works on it for {@code workMillis}. */
+    static ModelInferRequest request(String model, double workMillis) {
         return ModelInferRequest.newBuilder().setModelName(model)
-                .putParameters("work_ms", InferParameter.newBuilder().setDoubleParam(work).build())
+                .putParameters("work_ms", InferParameter.newBuilder().setDoubleParam(workMillis).build())
                 .addInputs(ModelInferRequest.InferInputTensor.newBuilder().setName("x").setDatatype("FP32").addShape(2)
                         .setContents(InferTensorContents.newBuilder().addFp32Contents(1.5f).addFp32Contents(2)))
                 .build();
@@ -51,10 +52,10 @@
         }
 
         @Override
-        public void beforeStart(ClientCallStreamObserver<ModelInferRequest> to) {
-            call = to;
+        public void beforeStart(ClientCallStreamObserver<ModelInferRequest> started) {
+            call = started;
             if (!readsAll) {
-                to.disableAutoRequestWithInitial(1);
+                started.disableAutoRequestWithInitial(1);
             }
         }
 
@@ -64,8 +65,8 @@
         }
 
         @Override
-        public void onError(Throwable why) {
-            endStatus.complete(Status.fromThrowable(why));
+        public void onError(Throwable cause) {
+            endStatus.complete(Status.fromThrowable(cause));
         }
 
         @Override
--- a/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
@@ -45,25 +45,25 @@
     @TempDir
     private Path folder;
     private SmallFleet fleet;
-    private ObjectNode plan;
+    private ObjectNode deployment;
     private Gateway gateway;
     private ManagedChannel channel;
-    private int stalledMillis = 30_000;
+    private int stalledReaderTimeoutMillis = 30_000;
 
     @BeforeEach
     void start() throws Exception {
         fleet = new SmallFleet(folder, 1);
-        plan = fleet.createDeployment("fe", secret);
-        plan.putObject("grpc").put("listen", "127.0.0.1:0");
-        plan.putObject("ledger").put("folder", folder.resolve("ledger").toString());
-        plan.putObject("executors").put("stream_window_bytes", 4096).putArray("grpc_kinds").add(0);
-        plan.putObject("limits").put("record_bytes", 20_000);
+        deployment = fleet.createDeployment("fe", secret);
+        deployment.putObject("grpc").put("listen", "127.0.0.1:0");
+        deployment.putObject("ledger").put("folder", folder.resolve("ledger").toString());
+        deployment.putObject("executors").put("stream_window_bytes", 4096).putArray("grpc_kinds").add(0);
+        deployment.putObject("limits").put("record_bytes", 20_000);
         startGateway();
     }
 
     private void startGateway() throws Exception {
-        plan.withObject("/grpc").put("stalled_ms", stalledMillis);
-        gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
+        deployment.withObject("/grpc").put("stalled_ms", stalledReaderTimeoutMillis);
+        gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
         gateway.listen();
         waitUntil(gateway::isReady);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry()
@@ -77,38 +77,40 @@
         fleet.close();
     }
 
-    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
-        while (!holds.getAsBoolean()) {
+    private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private ModelInferRequest signedRequest(String id, String model, int parts, int bytes, int every) {
-        ModelInferRequest.Builder asked = GrpcTestSupport.request(model, 1).toBuilder();
-        asked.putParameters("parts", intParameter(parts)).putParameters("part_bytes", intParameter(bytes)).putParameters("part_ms", intParameter(every));
-        return GrpcTestSupport.signedRequest(key, id, asked.build());
+    /** Returns a request whose answer has {@code parts} parts of {@code partBytes} bytes each. */
+    private ModelInferRequest signedRequest(String id, String model, int parts, int partBytes, int partIntervalMillis) {
+        ModelInferRequest.Builder request = GrpcTestSupport.request(model, 1).toBuilder();
+        request.putParameters("parts", intParameter(parts)).putParameters("part_bytes", intParameter(partBytes))
+                .putParameters("part_ms", intParameter(partIntervalMillis));
+        return GrpcTestSupport.signedRequest(key, id, request.build());
     }
 
-    private static InferParameter intParameter(long n) {
-        return InferParameter.newBuilder().setInt64Param(n).build();
+    private static InferParameter intParameter(long value) {
+        return InferParameter.newBuilder().setInt64Param(value).build();
     }
 
-    private StreamObserver<ModelInferRequest> openStream(RecordingClient heard) {
-        return GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(heard);
+    private StreamObserver<ModelInferRequest> openStream(RecordingClient client) {
+        return GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(client);
     }
 
     /** Sends one inference in a streaming call of its own and waits for the end of the call. */
     private RecordingClient infer(ModelInferRequest request) throws Exception {
-        RecordingClient heard = new RecordingClient(true);
-        StreamObserver<ModelInferRequest> to = openStream(heard);
-        to.onNext(request);
-        to.onCompleted();
-        assertEquals(Status.Code.OK, heard.endStatus.get().getCode(), heard.endStatus.get().toString());
-        return heard;
+        RecordingClient client = new RecordingClient(true);
+        StreamObserver<ModelInferRequest> requests = openStream(client);
+        requests.onNext(request);
+        requests.onCompleted();
+        assertEquals(Status.Code.OK, client.endStatus.get().getCode(), client.endStatus.get().toString());
+        return client;
     }
 
     private long inUse(String name) {
-        return gateway.counts().limits().stream().filter(l -> l.name.equals(name)).findFirst().orElseThrow().inUse();
+        return gateway.counts().limits().stream().filter(limit -> limit.name.equals(name)).findFirst().orElseThrow().inUse();
     }
 
     private void awaitAllReleased() throws InterruptedException {
@@ -119,35 +121,35 @@
     }
 
     /** Returns the answer to an inference as "1 2 3 final 3", or as "1 UNKNOWN after 1" if it broke. */
-    private static String summary(RecordingClient heard, String id) {
-        List<String> words = new ArrayList<>();
-        for (ModelStreamInferResponse answer : heard.answers) {
-            ModelInferResponse told = answer.getInferResponse();
-            if (told.getId().equals(id)) {
-                long parts = told.getParametersOrDefault(StreamingCall.PART_COUNT_PARAMETER, intParameter(0)).getInt64Param();
-                words.add(!answer.getErrorMessage().isEmpty()
-                        ? told.getParametersOrThrow("grpc-status").getStringParam() + " after " + parts
-                        : told.containsParameters(StreamingCall.FINAL_PARAMETER) ? "final " + parts
-                        : String.valueOf(told.getParametersOrThrow(StreamingCall.PART_NUMBER_PARAMETER).getInt64Param()));
+    private static String summary(RecordingClient client, String id) {
+        List<String> events = new ArrayList<>();
+        for (ModelStreamInferResponse answer : client.answers) {
+            ModelInferResponse response = answer.getInferResponse();
+            if (response.getId().equals(id)) {
+                long parts = response.getParametersOrDefault(StreamingCall.PART_COUNT_PARAMETER, intParameter(0)).getInt64Param();
+                events.add(!answer.getErrorMessage().isEmpty()
+                        ? response.getParametersOrThrow("grpc-status").getStringParam() + " after " + parts
+                        : response.containsParameters(StreamingCall.FINAL_PARAMETER) ? "final " + parts
+                        : String.valueOf(response.getParametersOrThrow(StreamingCall.PART_NUMBER_PARAMETER).getInt64Param()));
             }
         }
-        return String.join(" ", words);
+        return String.join(" ", events);
     }
 
     /** A repeat gets the same parts from memory and, for non-retriable inferences after a restart, from the ledger. */
     @ParameterizedTest
     @ValueSource(strings = {"tell-1", "sign-1"})
     void partsArriveInOrderAndARepeatGetsTheSame(String model) throws Exception {
-        ModelInferRequest asked = signedRequest("p", model, 5, 10, 1);
-        RecordingClient first = infer(asked);
+        ModelInferRequest request = signedRequest("p", model, 5, 10, 1);
+        RecordingClient first = infer(request);
         assertEquals("1 2 3 4 5 final 5", summary(first, "p"));
-        assertEquals(first.answers, infer(asked).answers);
+        assertEquals(first.answers, infer(request).answers);
         awaitAllReleased();
         if (model.startsWith("sign")) {
             channel.shutdownNow();
             gateway.close();
             startGateway();
-            assertEquals(first.answers, infer(asked).answers);
+            assertEquals(first.answers, infer(request).answers);
         }
         assertEquals(1, fleet.closeAndCountRuns().get("yard/p"));
     }
@@ -156,15 +158,15 @@
     @ParameterizedTest
     @CsvSource({"tell-1, 2", "sign-1, 1"})
     void anUnrecordedAnswerRunsAgainOnlyIfRetriable(String model, int runs) throws Exception {
-        ModelInferRequest asked = signedRequest("long", model, 30, 1000, 0);
-        assertTrue(summary(infer(asked), "long").endsWith("30 final 30"));
+        ModelInferRequest request = signedRequest("long", model, 30, 1000, 0);
+        assertTrue(summary(infer(request), "long").endsWith("30 final 30"));
         awaitAllReleased();
-        RecordingClient again = infer(asked);
+        RecordingClient repeat = infer(request);
         if (runs == 2) {
-            assertTrue(summary(again, "long").endsWith("30 final 30"));
+            assertTrue(summary(repeat, "long").endsWith("30 final 30"));
         } else {
-            assertEquals(1, again.answers.size());
-            assertEquals(false, again.answers.get(0).getInferResponse().getParametersOrThrow("gradereach-parts-kept").getBoolParam());
+            assertEquals(1, repeat.answers.size());
+            assertEquals(false, repeat.answers.get(0).getInferResponse().getParametersOrThrow("gradereach-parts-kept").getBoolParam());
         }
         assertEquals(runs, fleet.closeAndCountRuns().get("yard/long"));
     }
@@ -180,14 +182,14 @@
         "reset_head, tell-1, 1 2 3 4 final 4, 2", "reset_part, tell-1, 1 ABORTED after 1, 1",
         "reset_status, tell-1, 1 2 3 4 ABORTED after 4, 1",
     })
-    void aBrokenStreamReportsItsPartCount(String fault, String model, String says, int leastForwards) throws Exception {
+    void aBrokenStreamReportsItsPartCount(String fault, String model, String expected, int minForwards) throws Exception {
         infer(signedRequest("warm", model, 1, 1, 0));
-        long before = gateway.counts().value("forwards_sent");
+        long forwardsBefore = gateway.counts().value("forwards_sent");
         fleet.injectFault(JSON.readTree("{\"kind\":\"" + fault + "\",\"ex\":0,\"for_ms\":150}"));
-        RecordingClient heard = infer(signedRequest("b", model, 4, 10, 1));
-        assertEquals(says, summary(heard, "b"));
-        long forwards = gateway.counts().value("forwards_sent") - before;
-        assertTrue(leastForwards == 1 ? forwards == 1 : forwards >= leastForwards, forwards + " forwards");
+        RecordingClient client = infer(signedRequest("b", model, 4, 10, 1));
+        assertEquals(expected, summary(client, "b"));
+        long forwards = gateway.counts().value("forwards_sent") - forwardsBefore;
+        assertTrue(minForwards == 1 ? forwards == 1 : forwards >= minForwards, forwards + " forwards");
         awaitAllReleased();
     }
 
@@ -199,17 +201,17 @@
     void aSlowReaderSlowsOnlyItsOwnExecutorStream() throws Exception {
         infer(signedRequest("warm", "tell-1", 1, 1, 0));
         RecordingClient slow = new RecordingClient(false);
-        ManagedChannel narrow = channel;
+        ManagedChannel smallWindowChannel = channel;
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry().build();
-        StreamObserver<ModelInferRequest> to = GRPCInferenceServiceGrpc.newStub(narrow).modelStreamInfer(slow);
-        to.onNext(signedRequest("slow", "tell-1", 400, 1000, 0));
-        to.onCompleted();
+        StreamObserver<ModelInferRequest> requests = GRPCInferenceServiceGrpc.newStub(smallWindowChannel).modelStreamInfer(slow);
+        requests.onNext(signedRequest("slow", "tell-1", 400, 1000, 0));
+        requests.onCompleted();
         waitUntil(() -> slow.answers.size() == 1);
         for (int i = 0; i < 20; i++) {
             assertEquals("1 2 3 final 3", summary(infer(signedRequest("fast" + i, "tell-1", 3, 1000, 0)), "fast" + i));
         }
         // At most two windows are buffered, whatever the length of the answer.
-        assertTrue(inUse("stream_parts_held_bytes") <= 2 * 4096 + 1100, "held " + inUse("stream_parts_held_bytes"));
+        assertTrue(inUse("stream_parts_held_bytes") <= 2 * 4096 + 1100, "buffered " + inUse("stream_parts_held_bytes"));
         while (!slow.endStatus.isDone()) {
             slow.call.request(1);
             Thread.sleep(0, 100_000);
@@ -217,35 +219,35 @@
         assertEquals(Status.Code.OK, slow.endStatus.get().getCode());
         assertTrue(summary(slow, "slow").endsWith(" 399 400 final 400"));
         awaitAllReleased();
-        narrow.shutdownNow();
+        smallWindowChannel.shutdownNow();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"stopped", "cancelled", "deadline"})
-    void aTerminatedReaderReleasesEverything(String how) throws Exception {
-        if (how.equals("stopped")) {
+    void aTerminatedReaderReleasesEverything(String cause) throws Exception {
+        if (cause.equals("stopped")) {
             end();
-            stalledMillis = 300;
+            stalledReaderTimeoutMillis = 300;
             start();
         }
         infer(signedRequest("warm", "tell-1", 1, 1, 0));
-        RecordingClient heard = new RecordingClient(!how.equals("stopped"));
+        RecordingClient client = new RecordingClient(!cause.equals("stopped"));
         GRPCInferenceServiceGrpc.GRPCInferenceServiceStub stub = GRPCInferenceServiceGrpc.newStub(channel);
-        StreamObserver<ModelInferRequest> to = (how.equals("deadline") ? stub.withDeadlineAfter(300, TimeUnit.MILLISECONDS) : stub)
-                .modelStreamInfer(heard);
-        to.onNext(signedRequest("left", "tell-1", 1_000_000, 1000, 1));
+        StreamObserver<ModelInferRequest> requests = (cause.equals("deadline") ? stub.withDeadlineAfter(300, TimeUnit.MILLISECONDS) : stub)
+                .modelStreamInfer(client);
+        requests.onNext(signedRequest("left", "tell-1", 1_000_000, 1000, 1));
         waitUntil(() -> gateway.counts().value("answers_started") == 2);
-        if (how.equals("cancelled")) {
-            heard.call.cancel("enough", null);
+        if (cause.equals("cancelled")) {
+            client.call.cancel("enough", null);
         }
         waitUntil(() -> gateway.counts().value("forwards_ended_cancelled") == 1);
         awaitAllReleased();
-        Counts.Limit cut = gateway.counts().limits().stream().filter(l -> l.name.equals("grpc_readers_that_stopped")).findFirst()
-                .orElseThrow();
-        assertEquals(how.equals("stopped") ? 1 : 0, cut.rejections());
-        if (how.equals("stopped")) {
-            heard.call.request(Integer.MAX_VALUE);
-            assertEquals(Status.Code.CANCELLED, heard.endStatus.get().getCode(), heard.endStatus.get().toString());
+        Counts.Limit stalledReaders = gateway.counts().limits().stream()
+                .filter(limit -> limit.name.equals("grpc_readers_that_stopped")).findFirst().orElseThrow();
+        assertEquals(cause.equals("stopped") ? 1 : 0, stalledReaders.rejections());
+        if (cause.equals("stopped")) {
+            client.call.request(Integer.MAX_VALUE);
+            assertEquals(Status.Code.CANCELLED, client.endStatus.get().getCode(), client.endStatus.get().toString());
         }
     }
 
@@ -253,28 +255,28 @@
     @Test
     void answersOfOneCallAreInterleaved() throws Exception {
         infer(signedRequest("warm", "tell-1", 1, 1, 0));
-        RecordingClient heard = new RecordingClient(false);
-        StreamObserver<ModelInferRequest> to = openStream(heard);
+        RecordingClient client = new RecordingClient(false);
+        StreamObserver<ModelInferRequest> requests = openStream(client);
         for (int i = 0; i < 4; i++) {
-            to.onNext(signedRequest("t" + i, "tell-1", 50, 1000, 0));
+            requests.onNext(signedRequest("t" + i, "tell-1", 50, 1000, 0));
         }
-        to.onCompleted();
+        requests.onCompleted();
         waitUntil(() -> gateway.counts().value("answers_started") == 5);
-        while (!heard.endStatus.isDone()) {
-            heard.call.request(1);
+        while (!client.endStatus.isDone()) {
+            client.call.request(1);
             Thread.sleep(1);
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(summary(heard, "t" + i).endsWith("50 final 50"));
+            assertTrue(summary(client, "t" + i).endsWith("50 final 50"));
         }
         // Once all answers have started, none is far ahead of another.
-        int[] had = new int[4];
-        int apart = 0;
-        for (ModelStreamInferResponse answer : heard.answers) {
-            had[answer.getInferResponse().getId().charAt(1) - '0']++;
-            int least = java.util.Arrays.stream(had).min().getAsInt();
-            apart = least == 0 || least > 45 ? apart : Math.max(apart, java.util.Arrays.stream(had).max().getAsInt() - least);
+        int[] received = new int[4];
+        int maxLead = 0;
+        for (ModelStreamInferResponse answer : client.answers) {
+            received[answer.getInferResponse().getId().charAt(1) - '0']++;
+            int min = java.util.Arrays.stream(received).min().getAsInt();
+            maxLead = min == 0 || min > 45 ? maxLead : Math.max(maxLead, java.util.Arrays.stream(received).max().getAsInt() - min);
         }
-        assertTrue(apart < 45, "apart by " + apart);
+        assertTrue(maxLead < 45, "ahead by " + maxLead);
     }
 }
--- a/gateway/src/test/java/gradereach/oip/InferenceJsonConverterTest.java
+++ b/gateway/src/test/java/gradereach/oip/InferenceJsonConverterTest.java
@@ -16,12 +16,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Conversions between the gRPC and JSON forms of requests and responses. */
 class InferenceJsonConverterTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private static JsonNode tensor(String type, String shape, String data) throws Exception {
+    private static JsonNode requestWithTensor(String datatype, String shape, String data) throws Exception {
         return JSON.readTree("{\"parameters\":{\"b\":true,\"n\":-7,\"s\":\"x\",\"d\":0.5},\"inputs\":[{\"name\":\"x\",\"shape\":" + shape
-                + ",\"datatype\":\"" + type + "\",\"parameters\":{\"k\":1},\"data\":" + data + "}],\"outputs\":[{\"name\":\"y\"}]}");
+                + ",\"datatype\":\"" + datatype + "\",\"parameters\":{\"k\":1},\"data\":" + data + "}],\"outputs\":[{\"name\":\"y\"}]}");
     }
 
     /** Every datatype, nested or flat, is converted to gRPC and back without loss, including the limits of its range. */
@@ -32,16 +33,16 @@
         "UINT32 | [2] | [0,4294967295]", "UINT64 | [1] | [18446744073709551615]", "FP32 | [3] | [0.1,-3.4028235E38,1.4E-45]",
         "FP64 | [2] | [0.1,1.7976931348623157E308]", "BYTES | [2] | [\"\",\"sch\u00fcr\"]", "FP32 | [2,0] | []",
     })
-    void everyDatatypeRoundTrips(String type, String shape, String data) throws Exception {
-        JsonNode told = tensor(type, shape, data);
-        ModelInferRequest request = InferenceJsonConverter.requestFromJson(told, "m");
-        JsonNode again = JSON.readTree(InferenceJsonConverter.requestToJson(request));
-        assertEquals(told.at("/inputs/0/data").toString(), again.at("/inputs/0/data").toString());
-        assertEquals(told.at("/inputs/0/shape"), again.at("/inputs/0/shape"));
-        assertEquals(told.path("parameters"), again.path("parameters"));
-        assertEquals(told.path("outputs"), again.path("outputs"));
+    void everyDatatypeRoundTrips(String datatype, String shape, String data) throws Exception {
+        JsonNode original = requestWithTensor(datatype, shape, data);
+        ModelInferRequest request = InferenceJsonConverter.requestFromJson(original, "m");
+        JsonNode converted = JSON.readTree(InferenceJsonConverter.requestToJson(request));
+        assertEquals(original.at("/inputs/0/data").toString(), converted.at("/inputs/0/data").toString());
+        assertEquals(original.at("/inputs/0/shape"), converted.at("/inputs/0/shape"));
+        assertEquals(original.path("parameters"), converted.path("parameters"));
+        assertEquals(original.path("outputs"), converted.path("outputs"));
         // Responses of executors are converted in the same way.
-        String output = told.toString().replace("\"outputs\"", "\"ignored\"").replace("\"inputs\"", "\"outputs\"");
+        String output = original.toString().replace("\"outputs\"", "\"ignored\"").replace("\"inputs\"", "\"outputs\"");
         ModelInferResponse response = InferenceJsonConverter.responseFromJson(JSON.readTree(output), "m", "i");
         assertEquals(request.getInputs(0).getContents(), response.getOutputs(0).getContents());
         assertEquals(request.getParametersMap(), response.getParametersMap());
@@ -57,24 +58,25 @@
         "BYTES, 00000000ff, goes on after its last element", "FP16, 0000, inputs[0].datatype: not one that JSON can carry",
         "INT32, 000000, 3 bytes where shape and datatype say 4",
     })
-    void rawContentsAreLittleEndian(String type, String hex, String says) throws Exception {
+    void rawContentsAreLittleEndian(String datatype, String hex, String expected) throws Exception {
         byte[] raw = HexFormat.of().parseHex(hex);
-        JsonNode data = says.startsWith("[") ? JSON.readTree(says) : null;
-        int count = data != null ? data.size() : says.contains("UTF-8") ? 3 : 1;
+        JsonNode data = expected.startsWith("[") ? JSON.readTree(expected) : null;
+        int count = data != null ? data.size() : expected.contains("UTF-8") ? 3 : 1;
         ModelInferRequest request = ModelInferRequest.newBuilder().setModelName("m").addInputs(
-                ModelInferRequest.InferInputTensor.newBuilder().setName("x").setDatatype(type).addShape(count))
+                ModelInferRequest.InferInputTensor.newBuilder().setName("x").setDatatype(datatype).addShape(count))
                 .addRawInputContents(ByteString.copyFrom(raw)).build();
         if (data != null) {
             assertEquals(data, JSON.readTree(InferenceJsonConverter.requestToJson(request)).at("/inputs/0/data"));
         } else {
-            String why = assertThrows(InvalidMessageException.class, () -> InferenceJsonConverter.requestToJson(request)).getMessage();
-            assertTrue(why.contains(says), why);
+            String error = assertThrows(InvalidMessageException.class, () -> InferenceJsonConverter.requestToJson(request)).getMessage();
+            assertTrue(error.contains(expected), error);
         }
     }
 
     @Test
     void aParameterWithoutAValueIsRejected() {
         ModelInferRequest request = ModelInferRequest.newBuilder().putParameters("p", InferParameter.getDefaultInstance()).build();
-        assertEquals("parameters.p: no value", assertThrows(InvalidMessageException.class, () -> InferenceJsonConverter.requestToJson(request)).getMessage());
+        assertEquals("parameters.p: no value",
+                assertThrows(InvalidMessageException.class, () -> InferenceJsonConverter.requestToJson(request)).getMessage());
     }
 }
--- a/gateway/src/test/java/gradereach/plan/DeploymentTest.java
+++ b/gateway/src/test/java/gradereach/plan/DeploymentTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Reading and validating deployment files. */
 class DeploymentTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     @TempDir
@@ -35,12 +36,12 @@
     @Test
     void aValidFileIsRead() throws Exception {
         Files.writeString(folder.resolve("fe.json"), validDeployment().toString());
-        Deployment plan = Deployment.read(folder.resolve("fe.json"));
-        assertEquals(folder.resolve("r.json"), plan.rosterFile());
-        assertEquals(2, plan.frontEndSettings().frontEnds());
-        assertEquals(3, plan.modelCatalog().find("m1").lanes());
-        assertEquals(1, plan.modelCatalog().find("m2").lanes());
-        assertEquals(null, plan.modelCatalog().find("x"));
+        Deployment deployment = Deployment.read(folder.resolve("fe.json"));
+        assertEquals(folder.resolve("r.json"), deployment.rosterFile());
+        assertEquals(2, deployment.frontEndSettings().frontEnds());
+        assertEquals(3, deployment.modelCatalog().find("m1").lanes());
+        assertEquals(1, deployment.modelCatalog().find("m2").lanes());
+        assertEquals(null, deployment.modelCatalog().find("x"));
     }
 
     @ParameterizedTest
@@ -48,65 +49,68 @@
         // JSON pointer of the member to set | its value | start of the expected error
         "/name | \"a b\" | /name: ", "/nam | 1 | /: property 'nam'", "/listen | \"x\" | /listen: ",
         "/listen | \"h:99999\" | /listen: port above 65535", "/roster/server | \"http://h\" | /roster: ",
-        "/tier/me | 2 | /tier/me: not below", "/tier/location | \"c\" | /tier/location: not among",
-        "/tier/tick_ms | 0 | /tier/tick_ms: ", "/customers/0/keys/0/inline | \"whsec_AA==\" | /customers/0/keys/0: whsec_ key holds 1 bytes",
+        "/tier/me | 2 | /tier/me: must be less than /tier/front_ends", "/tier/location | \"c\" | /tier/location: not in /tier/locations",
+        "/tier/tick_ms | 0 | /tier/tick_ms: ",
+        "/customers/0/keys/0/inline | \"whsec_AA==\" | /customers/0/keys/0: whsec_ key holds 1 bytes",
         "/customers/0/keys/0 | {\"file\":\"none\"} | /customers/0/keys/0/file: cannot be read",
         "/customers/0/keys/0 | {} | /customers/0/keys/0: ", "/model_groups/0/repeat | \"x\" | /model_groups/0/repeat: ",
         "/model_groups/0/dedup_window_ms | 0 | /model_groups/0/dedup_window_ms: a deduped",
         "/model_groups/0/route_timeout_ms | 4 | /model_groups/0/route_timeout_ms: shorter",
-        "/models/0/group | \"h\" | /models/0/group: no such", "/models/0/name | \"m1\" | /models/1/name: twice",
-        "/customers/0/keys/0/until | \"2027-03-01T06:00:00Z\" | /customers/0/keys: every key has an end",
-        "/customers/0/keys/0/from | \"spring\" | /customers/0/keys/0/from: no time like",
-        "/limits | {\"held\":0} | /limits/held: ", "/answers_key | {\"inline\":\"whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw\"} | /answers_key: no whsk_ key",
+        "/models/0/group | \"h\" | /models/0/group: no such", "/models/0/name | \"m1\" | /models/1/name: duplicate",
+        "/customers/0/keys/0/until | \"2027-03-01T06:00:00Z\" | /customers/0/keys: every key expires",
+        "/customers/0/keys/0/from | \"spring\" | /customers/0/keys/0/from: not a time like",
+        "/limits | {\"held\":0} | /limits/held: ",
+        "/answers_key | {\"inline\":\"whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw\"} | /answers_key: not a whsk_ key",
     })
-    void everyErrorNamesItsPath(String pointer, String value, String says) throws Exception {
-        ObjectNode plan = validDeployment();
+    void everyErrorNamesItsPath(String pointer, String value, String expected) throws Exception {
+        ObjectNode deployment = validDeployment();
         int slash = pointer.lastIndexOf('/');
-        var parent = plan.at(pointer.substring(0, slash));
+        var parent = deployment.at(pointer.substring(0, slash));
         String name = pointer.substring(slash + 1);
         if (parent.isArray()) {
             ((com.fasterxml.jackson.databind.node.ArrayNode) parent).set(Integer.parseInt(name), JSON.readTree(value));
         } else {
             ((ObjectNode) parent).set(name, JSON.readTree(value));
         }
-        InvalidDeploymentException bad = assertThrows(InvalidDeploymentException.class, () -> Deployment.of(plan, folder));
-        assertEquals(1, bad.errors().size(), bad.getMessage());
-        assertTrue(bad.errors().get(0).startsWith(says), bad.getMessage());
-        assertFalse(bad.getMessage().contains("MfKQ9r8"), "quotes a key");
+        InvalidDeploymentException exception = assertThrows(InvalidDeploymentException.class, () -> Deployment.of(deployment, folder));
+        assertEquals(1, exception.errors().size(), exception.getMessage());
+        assertTrue(exception.errors().get(0).startsWith(expected), exception.getMessage());
+        assertFalse(exception.getMessage().contains("MfKQ9r8"), "quotes a key");
     }
 
     @ParameterizedTest
     @CsvSource({"rw-------, true", "r--------, true", "rw-r-----, false", "rw----r--, false"})
-    void keyFilesMustBeAccessibleToTheirOwnerOnly(String mode, boolean good) throws Exception {
+    void keyFilesMustBeAccessibleToTheirOwnerOnly(String mode, boolean valid) throws Exception {
         Path key = folder.resolve("k");
         Files.writeString(key, WebhookKey.newSecret(new SecureRandom()) + "\n");
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString(mode));
-        ObjectNode plan = validDeployment();
-        ((ObjectNode) plan.at("/customers/0")).putArray("keys").addObject().put("file", "k");
-        if (good) {
-            assertEquals("v1", Deployment.of(plan, folder).customerKeys().get(0).get(0).scheme());
+        ObjectNode deployment = validDeployment();
+        ((ObjectNode) deployment.at("/customers/0")).putArray("keys").addObject().put("file", "k");
+        if (valid) {
+            assertEquals("v1", Deployment.of(deployment, folder).customerKeys().get(0).get(0).scheme());
         } else {
-            assertTrue(assertThrows(InvalidDeploymentException.class, () -> Deployment.of(plan, folder)).getMessage()
-                    .startsWith("/customers/0/keys/0/file: others may read it"));
+            assertTrue(assertThrows(InvalidDeploymentException.class, () -> Deployment.of(deployment, folder)).getMessage()
+                    .startsWith("/customers/0/keys/0/file: readable by others"));
         }
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {"{ | :1:", "{\"a\":1,\"a\":2} | Duplicate field 'a'"})
-    void malformedJsonIsReportedWithItsPosition(String text, String says) throws Exception {
+    void malformedJsonIsReportedWithItsPosition(String text, String expected) throws Exception {
         Path file = folder.resolve("fe.json");
         Files.writeString(file, text);
         String error = assertThrows(InvalidDeploymentException.class, () -> Deployment.read(file)).getMessage();
-        assertTrue(error.startsWith(file.toString()) && error.contains(says), error);
+        assertTrue(error.startsWith(file.toString()) && error.contains(expected), error);
     }
 
     @Test
     void customersWithOnlyPublicKeysRequireAnAnswersKey() throws Exception {
-        ObjectNode plan = validDeployment();
+        ObjectNode deployment = validDeployment();
         String pair = WebhookKey.newPrivate(new SecureRandom());
-        ((ObjectNode) plan.at("/customers/0")).putArray("keys").addObject().put("inline", WebhookKey.parse(pair).publicKeyText());
-        assertTrue(assertThrows(InvalidDeploymentException.class, () -> Deployment.of(plan, folder)).getMessage().contains("/answers_key"));
-        plan.putObject("answers_key").put("inline", pair);
-        assertEquals("v1a", Deployment.of(plan, folder).answerKeys().get(0).get(0).scheme());
+        ((ObjectNode) deployment.at("/customers/0")).putArray("keys").addObject().put("inline", WebhookKey.parse(pair).publicKeyText());
+        assertTrue(assertThrows(InvalidDeploymentException.class, () -> Deployment.of(deployment, folder)).getMessage()
+                .contains("/answers_key"));
+        deployment.putObject("answers_key").put("inline", pair);
+        assertEquals("v1a", Deployment.of(deployment, folder).answerKeys().get(0).get(0).scheme());
     }
 }
--- a/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
@@ -95,25 +95,25 @@
         }
         fleet.injectFault(JSON.readTree("{\"kind\":\"roster_away\",\"for_ms\":60000}"));
         fleet.injectFault(JSON.readTree("{\"kind\":\"drain_unheard\",\"ex\":0,\"for_ms\":60000}"));
-        double from = Transcript.now();
-        double told = from + FAILED_ATTEMPT_MILLIS + ROSTER_VALIDITY_MILLIS + DRAIN_GRACE_MILLIS + SLACK_MILLIS;
-        int late = 0;
-        int served = 0;
-        while (Transcript.now() < from + OUTAGE_MILLIS) {
-            boolean isLate = Transcript.now() > told;
+        double outageStart = Transcript.now();
+        double drainDeadline = outageStart + FAILED_ATTEMPT_MILLIS + ROSTER_VALIDITY_MILLIS + DRAIN_GRACE_MILLIS + SLACK_MILLIS;
+        int lateRequests = 0;
+        int servedLateRequests = 0;
+        while (Transcript.now() < outageStart + OUTAGE_MILLIS) {
+            boolean isLate = Transcript.now() > drainDeadline;
             int status = infer();
-            late += isLate ? 1 : 0;
-            served += isLate && status == 200 ? 1 : 0;
+            lateRequests += isLate ? 1 : 0;
+            servedLateRequests += isLate && status == 200 ? 1 : 0;
         }
         String draining = fleet.addresses().get(0);
         gateway.close();
         fleet.close();
-        List<String> breaches = transcript().stream().filter(event -> event.path("t").asDouble() > told)
+        List<String> violations = transcript().stream().filter(event -> event.path("t").asDouble() > drainDeadline)
                 .filter(event -> event.path("ex").asText().equals(draining))
                 .filter(event -> event.path("ev").asText().equals("arrived")
                         || event.path("ev").asText().equals("order") && event.path("copies").asInt() > 0)
                 .map(JsonNode::toString).toList();
-        assertEquals(List.of(), breaches);
-        assertTrue(late > 0 && served >= 0.9 * late, served + " of " + late + " served");
+        assertEquals(List.of(), violations);
+        assertTrue(lateRequests > 0 && servedLateRequests >= 0.9 * lateRequests, servedLateRequests + " of " + lateRequests + " served");
     }
 }
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -43,22 +43,22 @@
 
     @BeforeEach
     void start() throws Exception {
-        ObjectNode shared = (ObjectNode) JSON.readTree("""
+        ObjectNode models = (ObjectNode) JSON.readTree("""
                 {"model_groups": [
                   {"name": "look", "repeat": "retriable", "slo_ms": 400, "route_timeout_ms": 3000},
                   {"name": "book", "repeat": "non-retriable", "slo_ms": 400, "route_timeout_ms": 3000}],
                  "models": [{"name": "look-*", "group": "look", "lanes": 4, "load_ms": 20},
                   {"name": "book-*", "group": "book", "lanes": 4, "load_ms": 20}]}""");
-        ObjectNode told = shared.deepCopy().put("executors", 2).put("work_ms", 10);
-        fleet = new StandInFleet(told, folder.resolve("t.jsonl"));
-        ObjectNode plan = shared.deepCopy().put("name", "fe").put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
-        plan.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
-        plan.putArray("customers").addObject().put("name", "yard")
+        ObjectNode fleetSettings = models.deepCopy().put("executors", 2).put("work_ms", 10);
+        fleet = new StandInFleet(fleetSettings, folder.resolve("t.jsonl"));
+        ObjectNode deployment = models.deepCopy().put("name", "fe").put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
+        deployment.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
+        deployment.putArray("customers").addObject().put("name", "yard")
                 .put("answers_to", "http://127.0.0.1:" + fleet.controlPort() + "/answers")
                 .putArray("keys").addObject().put("inline", secret);
-        plan.putObject("limits").put("message_ms", 300).put("connections", 12).put("head_bytes", 2048)
+        deployment.putObject("limits").put("message_ms", 300).put("connections", 12).put("head_bytes", 2048)
                 .put("body_bytes", 4096);
-        gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
+        gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
         address = gateway.listen();
         waitUntil(gateway::isReady);
     }
@@ -69,22 +69,22 @@
         fleet.close();
     }
 
-    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
-        while (!holds.getAsBoolean()) {
+    private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private byte[] body(String model, double work) {
+    private byte[] body(String model, double workMillis) {
         return ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
-                + "\",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":" + work + "}}}}").getBytes(StandardCharsets.UTF_8);
+                + "\",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":" + workMillis + "}}}}").getBytes(StandardCharsets.UTF_8);
     }
 
     private String requestHead(String id, byte[] body, String... more) {
         long now = System.currentTimeMillis() / 1000;
         return "POST /v1/inferences HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\nwebhook-id: " + id
                 + "\r\nwebhook-timestamp: " + now + "\r\nwebhook-signature: v1," + key.sign(id, now, body)
-                + "\r\ncontent-length: " + body.length + "\r\n" + String.join("", more) + "\r\n";
+                + "\r\ncontent-length: " + body.length + "\r\n" + String.join("", extraHeaders) + "\r\n";
     }
 
     private Socket openConnection() throws IOException {
@@ -93,33 +93,33 @@
         return socket;
     }
 
-    private static void write(Socket to, String head, byte[] body) throws IOException {
-        to.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-        to.getOutputStream().write(body);
-        to.getOutputStream().flush();
+    private static void write(Socket socket, String head, byte[] body) throws IOException {
+        socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream().write(body);
+        socket.getOutputStream().flush();
     }
 
     /** Status, header and body of a response. */
     private record Response(int status, String head, JsonNode body) { }
 
-    private static Response read(Socket from) throws IOException {
-        InputStream in = from.getInputStream();
+    private static Response read(Socket socket) throws IOException {
+        InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int next = in.read();
-            if (next < 0) {
+            int character = in.read();
+            if (character < 0) {
                 return null;
             }
-            head.append((char) next);
+            head.append((char) character);
         }
-        String lower = head.toString().toLowerCase();
-        int length = Integer.parseInt(lower.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
+        String lowerCaseHead = head.toString().toLowerCase();
+        int length = Integer.parseInt(lowerCaseHead.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
         return new Response(Integer.parseInt(head.substring(9, 12)), head.toString(), JSON.readTree(in.readNBytes(length)));
     }
 
-    private Response infer(String id, String model, double work) throws IOException {
+    private Response infer(String id, String model, double workMillis) throws IOException {
         try (Socket socket = openConnection()) {
-            write(socket, requestHead(id, body(model, work)), body(model, work));
+            write(socket, requestHead(id, body(model, workMillis)), body(model, workMillis));
             return read(socket);
         }
     }
@@ -148,17 +148,19 @@
         "webhook-timestamp: 1 | webhook-timestamp: 0 | 400 | too-old", "host: x | host: LONG | 431 | head-too-large",
         "webhook-timestamp: 1 | webhook-timestamp: 2 | 400 | too-new", "HTTP/1.1 | HTTQ | 400 | bad-http",
     })
-    void invalidRequestsAreRejectedWithASpecificReason(String replaced, String by, int status, String word) throws IOException {
+    void invalidRequestsAreRejectedWithASpecificReason(String replaced, String replacement, int status, String errorCode)
+            throws IOException {
         byte[] body = body("look-1", 5);
-        String head = requestHead("x", body).replace(replaced.replace("\\r\\n", "\r\n"), by == null ? "" : by.replace("LONG", "l".repeat(3000)));
+        String head = requestHead("x", body).replace(replaced.replace("\\r\\n", "\r\n"),
+                replacement == null ? "" : replacement.replace("LONG", "l".repeat(3000)));
         try (Socket socket = openConnection()) {
             write(socket, head, body);
             Response answer = read(socket);
             assertEquals(status, answer.status);
-            assertEquals(word, answer.body.path("outcome").asText());
+            assertEquals(errorCode, answer.body.path("outcome").asText());
         }
         assertEquals(0, gateway.counts().value("inferences_taken"));
-        assertEquals(1, gateway.counts().value("refused_" + word.replace('-', '_')));
+        assertEquals(1, gateway.counts().value("refused_" + errorCode.replace('-', '_')));
     }
 
     @Test
@@ -195,12 +197,12 @@
     /** A slow header, a slow body and an incomplete HTTP/2 preface time out, and no inference is accepted. */
     @ParameterizedTest
     @CsvSource({"head, 408", "body, 408", "preface, 0"})
-    void slowSendersTimeOut(String what, int status) throws IOException {
+    void slowSendersTimeOut(String slowPart, int status) throws IOException {
         byte[] body = body("look-1", 5);
         try (Socket socket = openConnection()) {
             String head = requestHead("s", body);
-            write(socket, what.equals("head") ? head.substring(0, 60) : what.equals("body") ? head : "PRI * HT",
-                    what.equals("body") ? new byte[] {'{'} : new byte[0]);
+            write(socket, slowPart.equals("head") ? head.substring(0, 60) : slowPart.equals("body") ? head : "PRI * HT",
+                    slowPart.equals("body") ? new byte[] {'{'} : new byte[0]);
             Response answer = read(socket);
             assertEquals(status, answer == null ? 0 : answer.status);
             assertEquals(-1, socket.getInputStream().read());
@@ -216,7 +218,7 @@
         }
         // Which connection is rejected depends on the scheduling of the event loops.
         waitUntil(() -> gateway.counts().limits().stream().anyMatch(
-                l -> l.name.equals("client_connections") && l.rejections() == 1 && l.inUse() == 12));
+                limit -> limit.name.equals("client_connections") && limit.rejections() == 1 && limit.inUse() == 12));
         int closed = 0;
         for (Socket socket : open) {
             socket.setSoTimeout(100);
@@ -280,12 +282,12 @@
     @ParameterizedTest
     @CsvSource({"slow, 408, too-slow", "large, 413, body-too-large", "expected, 413, body-too-large", "head, 431, head-too-large",
         "protocol, 400, bad-http"})
-    void rejectionsOfPipelinedMessagesAreSentInOrder(String what, int status, String word) throws Exception {
+    void rejectionsOfPipelinedMessagesAreSentInOrder(String kind, int status, String errorCode) throws Exception {
         byte[] body = body("look-1", 2);
         byte[] large = new byte[5000];
         try (Socket socket = openConnection()) {
             startLongInference(socket);
-            switch (what) {
+            switch (kind) {
                 case "slow" -> write(socket, requestHead("p1", body), new byte[] {'{'});
                 case "large" -> write(socket, requestHead("p1", large), large);
                 case "expected" -> write(socket, requestHead("p1", large, "expect: 100-continue\r\n"), new byte[0]);
@@ -293,9 +295,9 @@
                 default -> write(socket, "no protocol at all\r\n\r\n", body);
             }
             assertReturned("p0", read(socket));
-            Response refusal = read(socket);
-            assertEquals(status, refusal.status);
-            assertEquals(word, refusal.body.path("outcome").asText());
+            Response rejection = read(socket);
+            assertEquals(status, rejection.status);
+            assertEquals(errorCode, rejection.body.path("outcome").asText());
             assertEquals(-1, socket.getInputStream().read());
         }
         assertEquals(3, gateway.counts().value("inferences_taken"));
@@ -349,7 +351,8 @@
     void messagesAfterTheLastOneOfAConnectionAreIgnored() throws Exception {
         byte[] body = body("look-1", 5);
         try (Socket socket = openConnection()) {
-            write(socket, requestHead("p0", body, "connection: close\r\n") + new String(body, StandardCharsets.UTF_8) + requestHead("p1", body), body);
+            write(socket, requestHead("p0", body, "connection: close\r\n") + new String(body, StandardCharsets.UTF_8)
+                    + requestHead("p1", body), body);
             assertReturned("p0", read(socket));
             assertEquals(-1, socket.getInputStream().read());
         }
@@ -429,11 +432,11 @@
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-        }).filter(l -> l.path("ev").asText().equals("webhook")).toList();
+        }).filter(event -> event.path("ev").asText().equals("webhook")).toList();
         assertEquals(1, webhooks.size());
-        JsonNode got = webhooks.get(0);
-        assertEquals(0, new KeyRing(List.of(List.of(key))).verify("async.answer", got.path("timestamp").asText(),
-                got.path("signature").asText(), got.path("body").asText().getBytes(StandardCharsets.UTF_8),
+        JsonNode webhook = webhooks.get(0);
+        assertEquals(0, new KeyRing(List.of(List.of(key))).verify("async.answer", webhook.path("timestamp").asText(),
+                webhook.path("signature").asText(), webhook.path("body").asText().getBytes(StandardCharsets.UTF_8),
                 System.currentTimeMillis() / 1000, -1).customer());
     }
 
--- a/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
+++ b/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
@@ -31,17 +31,18 @@
     @TempDir
     private Path folder;
 
-    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
-        while (!holds.getAsBoolean()) {
+    private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private int infer(String at, String id, String model, int budget) throws Exception {
-        byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model + "\",\"budget_ms\":" + budget
-                + ",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":1}}}}").getBytes(StandardCharsets.UTF_8);
+    private int infer(String url, String id, String model, int budgetMillis) throws Exception {
+        byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
+                + "\",\"budget_ms\":" + budgetMillis + ",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":1}}}}")
+                .getBytes(StandardCharsets.UTF_8);
         long now = System.currentTimeMillis() / 1000;
-        return client.send(HttpRequest.newBuilder(URI.create(at)).version(HttpClient.Version.HTTP_1_1)
+        return client.send(HttpRequest.newBuilder(URI.create(url)).version(HttpClient.Version.HTTP_1_1)
                 .header("content-type", "application/json").header("webhook-id", id)
                 .header("webhook-timestamp", Long.toString(now))
                 .header("webhook-signature", "v1," + WebhookKey.parse(secret).sign(id, now, body))
@@ -54,14 +55,14 @@
     void pushedSeriesMatchTheServedInferences(String fault) throws Exception {
         try (RemoteWriteServer receiver = new RemoteWriteServer(); SmallFleet fleet = new SmallFleet(folder, 2)) {
             receiver.fault = fault;
-            ObjectNode plan = fleet.createDeployment("fe-7", secret);
-            plan.putObject("metrics").putObject("remote_write").put("url", receiver.url()).put("interval_ms", 100)
+            ObjectNode deployment = fleet.createDeployment("fe-7", secret);
+            deployment.putObject("metrics").putObject("remote_write").put("url", receiver.url()).put("interval_ms", 100)
                     .put("first_pause_ms", 5).put("longest_pause_ms", 50).putObject("labels").put("hall", "halle-a");
-            Gateway gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
-            String at = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
+            Gateway gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
+            String url = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
             waitUntil(gateway::isReady);
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, infer(at, "m" + i, i % 2 == 0 ? "look-1" : "book-1", 8000));
+                assertEquals(200, infer(url, "m" + i, i % 2 == 0 ? "look-1" : "book-1", 8000));
             }
             String[] labels = {"group", "look", "instance", "fe-7", "job", "gradereach", "hall", "halle-a"};
             waitUntil(() -> receiver.store.lastValue("gradereach_group_inferences_total", labels) == 10);
@@ -73,9 +74,9 @@
             assertTrue(receiver.store.lastValue("gradereach_group_value_in_slo_total", labels) <= 10);
             receiver.fault = fault.equals("only-one") ? fault : "none";
             gateway.close();
-            Pusher.PushStatistics end = gateway.pushTally();
-            assertEquals(end.added(), end.accepted() + end.dropped(DropReason.STOPPED));
-            assertEquals(0, end.pending());
+            Pusher.PushStatistics statistics = gateway.pushStatistics();
+            assertEquals(statistics.added(), statistics.accepted() + statistics.dropped(DropReason.STOPPED));
+            assertEquals(0, statistics.pending());
         }
     }
 }
--- a/gateway/src/test/java/gradereach/serve/WarmUpTest.java
+++ b/gateway/src/test/java/gradereach/serve/WarmUpTest.java
@@ -54,19 +54,19 @@
     /** Guards against a first rejection that is late because its classes are loaded only then. */
     @Test
     void theFirstRejectionsAndFailuresLoadNoClasses() throws Exception {
-        List<ServerSocket> silent = new ArrayList<>();
+        List<ServerSocket> silentExecutors = new ArrayList<>();
         try {
             for (int i = 0; i < EXECUTOR_COUNT; i++) {
-                silent.add(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
+                silentExecutors.add(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
             }
-            Process frontEnd = startFrontEnd(deployment(silent.stream().mapToInt(ServerSocket::getLocalPort).toArray()));
-            try (BufferedReader said = frontEnd.inputReader()) {
-                String[] words = said.readLine().split(" ");
-                awaitReady("http://" + words[3] + "/readyz");
+            Process frontEnd = startFrontEnd(deployment(silentExecutors.stream().mapToInt(ServerSocket::getLocalPort).toArray()));
+            try (BufferedReader output = frontEnd.inputReader()) {
+                String[] listeningLine = output.readLine().split(" ");
+                awaitReady("http://" + listeningLine[3] + "/readyz");
                 List<String> before = loadedClasses();
-                assertEquals(503, post("http://" + words[1], "shed-0"));
-                assertEquals(504, post("http://" + words[1], "fail-0"));
-                ManagedChannel channel = NettyChannelBuilder.forTarget(words[5]).usePlaintext().build();
+                assertEquals(503, post("http://" + listeningLine[1], "shed-0"));
+                assertEquals(504, post("http://" + listeningLine[1], "fail-0"));
+                ManagedChannel channel = NettyChannelBuilder.forTarget(listeningLine[5]).usePlaintext().build();
                 try {
                     assertEquals("UNAVAILABLE", call(channel, "shed-0"));
                     assertEquals("DEADLINE_EXCEEDED", call(channel, "fail-0"));
@@ -82,7 +82,7 @@
                 assertTrue(frontEnd.waitFor(20, TimeUnit.SECONDS));
             }
         } finally {
-            for (ServerSocket executor : silent) {
+            for (ServerSocket executor : silentExecutors) {
                 executor.close();
             }
         }
@@ -95,27 +95,27 @@
                 .redirectError(folder.resolve("front-end.log").toFile()).start();
     }
 
-    private Path deployment(int[] executors) throws Exception {
-        ObjectNode plan = (ObjectNode) new ObjectMapper().readTree("""
+    private Path deployment(int[] executorPorts) throws Exception {
+        ObjectNode deployment = (ObjectNode) new ObjectMapper().readTree("""
                 {"name": "fe", "listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "grpc": {"listen": "127.0.0.1:0"},
                  "model_groups": [
                   {"name": "shed", "repeat": "retriable", "slo_ms": 100, "route_timeout_ms": 2000},
                   {"name": "fail", "repeat": "non-retriable", "slo_ms": 100, "route_timeout_ms": 2000}],
                  "models": [{"name": "shed-*", "group": "shed", "lanes": 4}, {"name": "fail-*", "group": "fail", "lanes": 4}]}""");
-        plan.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject().put("inline", secret);
-        plan.putObject("roster").put("file", "roster.json");
-        String slices = IntStream.range(0, executors.length).mapToObj(i -> "{\"metadata\":{\"name\":\"slice-" + i
-                + "\"},\"ports\":[{\"port\":" + executors[i]
+        deployment.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject().put("inline", secret);
+        deployment.putObject("roster").put("file", "roster.json");
+        String slices = IntStream.range(0, executorPorts.length).mapToObj(i -> "{\"metadata\":{\"name\":\"slice-" + i
+                + "\"},\"ports\":[{\"port\":" + executorPorts[i]
                 + "}],\"endpoints\":[{\"addresses\":[\"127.0.0.1\"],\"conditions\":{\"ready\":true}}]}")
                 .collect(Collectors.joining(","));
         Files.writeString(folder.resolve("roster.json"), "{\"items\":[" + slices + "]}");
-        return Files.write(folder.resolve("deployment.json"), new ObjectMapper().writeValueAsBytes(plan));
+        return Files.write(folder.resolve("deployment.json"), new ObjectMapper().writeValueAsBytes(deployment));
     }
 
     private static void awaitReady(String url) throws Exception {
         HttpClient client = HttpClient.newHttpClient();
-        HttpRequest ask = HttpRequest.newBuilder(URI.create(url)).build();
-        while (client.send(ask, HttpResponse.BodyHandlers.discarding()).statusCode() != 200) {
+        HttpRequest request = HttpRequest.newBuilder(URI.create(url)).build();
+        while (client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() != 200) {
             Thread.sleep(5);
         }
     }
@@ -124,11 +124,11 @@
         return Files.readAllLines(folder.resolve("classes.log")).stream().filter(line -> line.matches(LOADED_CLASS_LINE)).toList();
     }
 
-    private int post(String front, String model) throws Exception {
+    private int post(String baseUrl, String model) throws Exception {
         byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
                 + "\",\"budget_ms\":" + BUDGET_MILLIS + ",\"input\":{\"inputs\":[]}}}").getBytes();
         long now = System.currentTimeMillis() / 1000;
-        return HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(front + "/v1/inferences"))
+        return HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(baseUrl + "/v1/inferences"))
                 .header("content-type", "application/json").header("webhook-id", model + "-w")
                 .header("webhook-timestamp", Long.toString(now)).header("webhook-signature", "v1," + key.sign(model + "-w", now, body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(), HttpResponse.BodyHandlers.discarding()).statusCode();
@@ -159,27 +159,27 @@
     private String stream(ManagedChannel channel, String model) throws Exception {
         ModelInferRequest bare = request(model + "-s", model);
         long now = System.currentTimeMillis() / 1000;
-        CompletableFuture<ModelStreamInferResponse> heard = new CompletableFuture<>();
-        StreamObserver<ModelInferRequest> to = GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(new StreamObserver<>() {
+        CompletableFuture<ModelStreamInferResponse> response = new CompletableFuture<>();
+        StreamObserver<ModelInferRequest> requests = GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(new StreamObserver<>() {
             @Override
             public void onNext(ModelStreamInferResponse answer) {
-                heard.complete(answer);
+                response.complete(answer);
             }
 
             @Override
-            public void onError(Throwable why) {
-                heard.completeExceptionally(why);
+            public void onError(Throwable cause) {
+                response.completeExceptionally(cause);
             }
 
             @Override
             public void onCompleted() { }
         });
-        to.onNext(bare.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
+        requests.onNext(bare.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
                 .putParameters("webhook-signature", stringParameter("v1," + key.sign(bare.getId(), now,
                         CallSignature.signedContent("inference.GRPCInferenceService/ModelStreamInfer", CallSignature.digest(bare)))))
                 .build());
-        to.onCompleted();
-        return heard.get(10, TimeUnit.SECONDS).getInferResponse().getParametersOrThrow("grpc-status").getStringParam();
+        requests.onCompleted();
+        return response.get(10, TimeUnit.SECONDS).getInferResponse().getParametersOrThrow("grpc-status").getStringParam();
     }
 
     private static InferParameter stringParameter(String value) {
