--- a/gateway/src/main/java/gradereach/front/WebhookServer.java
+++ b/gateway/src/main/java/gradereach/front/WebhookServer.java
@@ -34,15 +34,16 @@
 import java.util.List;
 
 /**
- * Listens for signed inferences over HTTP/1.1 and HTTP/2 without TLS; the first bytes tell which (prior knowledge,
- * RFC 9113, 3.3).
+ * Accepts signed inferences over HTTP/1.1 and HTTP/2 without TLS. The protocol is detected by the first bytes of a connection
+ * (HTTP/2 with prior knowledge, RFC 9113, 3.3).
  */
 public final class WebhookServer implements AutoCloseable {
-    /** Bounds of the listener; times in milliseconds, sizes in bytes. */
-    public record Limits(int maxConnections, int maxHeaderBytes, int maxBodyBytes, long messageTimeoutMillis, long idleTimeoutMillis, int maxConcurrentStreams) { }
+    /** Limits of the listener. */
+    public record Limits(int maxConnections, int maxHeaderBytes, int maxBodyBytes, long messageTimeoutMillis,
+            long idleTimeoutMillis, int maxConcurrentStreams) { }
 
     private static final byte[] HTTP2_PREFACE = "PRI * HTTP/2.0".getBytes(StandardCharsets.US_ASCII);
-    /** Resets of its own streams that a client may send in ten seconds (CVE-2023-44487). */
+    /** Stream resets that a client may send in ten seconds; more is a rapid reset attack (CVE-2023-44487). */
     private static final int MAX_RESETS_PER_WINDOW = 400;
 
     private final Intake intake;
@@ -53,57 +54,59 @@
     private final ChannelGroup openConnections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private Channel listener;
 
-    public WebhookServer(Intake intake, Outbox outbox, Limits bounds, Counts counts) {
+    /** Creates a server; {@link #listen} starts it. */
+    public WebhookServer(Intake intake, Outbox outbox, Limits limits, Counts counts) {
         this.intake = intake;
         this.outbox = outbox;
-        this.limits = bounds;
-        connectionLimit = counts.limit("client_connections", bounds.maxConnections);
+        this.limits = limits;
+        connectionLimit = counts.limit("client_connections", limits.maxConnections);
         messageTimeouts = counts.limit("slow_messages", Long.MAX_VALUE);
     }
 
-    /** Returns the address bound, with the port that was chosen for 0. */
-    public InetSocketAddress listen(InetSocketAddress at, EventLoopGroup boss, EventLoopGroup workers,
-            Class<? extends ServerChannel> type) throws InterruptedException {
-        listener = new ServerBootstrap().group(boss, workers).channel(type)
+    /** Starts to listen and returns the bound address, with the actual port where port 0 was requested. */
+    public InetSocketAddress listen(InetSocketAddress address, EventLoopGroup boss, EventLoopGroup workers,
+            Class<? extends ServerChannel> channelType) throws InterruptedException {
+        listener = new ServerBootstrap().group(boss, workers).channel(channelType)
                 .option(ChannelOption.SO_BACKLOG, 4096).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
+                    protected void initChannel(Channel channel) {
                         if (!connectionLimit.tryAcquire(1)) {
-                            ch.close();
+                            channel.close();
                             return;
                         }
-                        openConnections.add(ch);
-                        ch.closeFuture().addListener(closed -> connectionLimit.release(1));
-                        ch.pipeline().addLast(new ProtocolDetector());
+                        openConnections.add(channel);
+                        channel.closeFuture().addListener(closed -> connectionLimit.release(1));
+                        channel.pipeline().addLast(new ProtocolDetector());
                     }
-                }).bind(at).sync().channel();
+                }).bind(address).sync().channel();
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Tells HTTP/2 from HTTP/1.1 by the connection preface, then steps aside. */
+    /** Detects HTTP/2 by its connection preface, configures the pipeline for the protocol and removes itself. */
     private final class ProtocolDetector extends ByteToMessageDecoder {
         private MessageTimeoutHandler timeoutHandler;
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            // The clock runs from the first byte, also over bytes that are neither protocol.
-            timeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, limits.idleTimeoutMillis, intake.clock(), intake.earliestArrival(), messageTimeouts);
+            // The timeout counts from the first byte, also for bytes of neither protocol.
+            timeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, limits.idleTimeoutMillis, intake.clock(),
+                    intake.earliestArrival(), messageTimeouts);
             ctx.pipeline().addFirst(timeoutHandler);
         }
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-            int n = Math.min(in.readableBytes(), HTTP2_PREFACE.length);
-            for (int i = 0; i < n; i++) {
+            int comparable = Math.min(in.readableBytes(), HTTP2_PREFACE.length);
+            for (int i = 0; i < comparable; i++) {
                 if (in.getByte(in.readerIndex() + i) != HTTP2_PREFACE[i]) {
                     configureHttp1(ctx.pipeline());
                     ctx.pipeline().remove(this);
                     return;
                 }
             }
-            if (n == HTTP2_PREFACE.length) {
+            if (comparable == HTTP2_PREFACE.length) {
                 configureHttp2(ctx.pipeline());
                 ctx.pipeline().remove(this);
             }
@@ -112,7 +115,7 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
             if (event == MessageTimeoutHandler.TIMEOUT_EVENT) {
-                ctx.close(); // not even a protocol yet
+                ctx.close(); // the protocol is still unknown, so no response can be sent
             } else {
                 super.userEventTriggered(ctx, event);
             }
@@ -128,7 +131,7 @@
         }
 
         private void configureHttp2(ChannelPipeline pipeline) {
-            // Streams are timed one by one; the connection only for idleness.
+            // Each stream has a timeout handler of its own; the connection only has an idle timeout.
             pipeline.remove(timeoutHandler);
             pipeline.addLast(Http2FrameCodecBuilder.forServer()
                     .initialSettings(Http2Settings.defaultSettings().maxConcurrentStreams(limits.maxConcurrentStreams)
@@ -140,30 +143,30 @@
             pipeline.addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel stream) {
-                    MessageTimeoutHandler streamClock = new MessageTimeoutHandler(limits.messageTimeoutMillis, 0, intake.clock(),
-                            intake.earliestArrival(), messageTimeouts);
-                    stream.pipeline().addLast(streamClock);
+                    MessageTimeoutHandler streamTimeoutHandler = new MessageTimeoutHandler(limits.messageTimeoutMillis, 0,
+                            intake.clock(), intake.earliestArrival(), messageTimeouts);
+                    stream.pipeline().addLast(streamTimeoutHandler);
                     stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true));
                     stream.pipeline().addLast(new MessageAggregator(limits.maxBodyBytes));
-                    stream.pipeline().addLast(new WebhookRequestHandler(intake, outbox, streamClock, null));
+                    stream.pipeline().addLast(new WebhookRequestHandler(intake, outbox, streamTimeoutHandler, null));
                 }
             }));
             pipeline.addLast(new Http2IdleHandler(limits.idleTimeoutMillis));
         }
     }
 
-    /** A message in one piece, or the exception that says it is too large. */
+    /** Aggregates a message, and fires an exception where its body is too large. */
     private static final class MessageAggregator extends HttpObjectAggregator {
-        MessageAggregator(int most) {
-            super(most, true);
+        MessageAggregator(int maxContentLength) {
+            super(maxContentLength, true);
         }
 
-        /** Refusals are the handler's to write, in their turn: only the leave to go on is given here. */
+        /** Returns only 100 Continue; rejections are left to {@link WebhookRequestHandler}, which sends them in order. */
         @Override
-        protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
-            Object response = super.newContinueResponse(start, most, pipeline);
-            boolean goesOn = response instanceof HttpResponse interim && interim.status().equals(HttpResponseStatus.CONTINUE);
-            return goesOn ? response : null;
+        protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
+            Object response = super.newContinueResponse(start, maxContentLength, pipeline);
+            boolean isContinue = response instanceof HttpResponse interim && interim.status().equals(HttpResponseStatus.CONTINUE);
+            return isContinue ? response : null;
         }
 
         @Override
@@ -173,17 +176,17 @@
     }
 
     /**
-     * No new connection, no new message: HTTP/2 clients hear GOAWAY, HTTP/1.1 clients {@code Connection: close} with
-     * their next answer. What was taken is still answered.
+     * Stops accepting connections and messages. HTTP/2 clients receive GOAWAY, HTTP/1.1 clients {@code Connection: close} with
+     * their next answer. Accepted inferences are still answered.
      */
     public void stopAccepting() {
         intake.stop();
         if (listener != null) {
             listener.close();
         }
-        for (Channel ch : openConnections) {
-            if (ch.pipeline().get(Http2MultiplexHandler.class) != null) {
-                ch.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(0));
+        for (Channel channel : openConnections) {
+            if (channel.pipeline().get(Http2MultiplexHandler.class) != null) {
+                channel.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(0));
             }
         }
     }
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
@@ -14,22 +14,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.LongAdder;
 
-/** One client connection: whose message came last on it, and how many bad signatures it has brought. */
+/** State of one client connection: the customer of its last message and the number of bad signatures received on it. */
 final class GrpcConnection {
     private static final Attributes.Key<GrpcConnection> CONNECTION_ATTRIBUTE = Attributes.Key.create("caller");
     static final Context.Key<GrpcConnection> CURRENT_CONNECTION = Context.key("caller");
     /**
-     * Resets the stream. A status alone would wait behind what its reader does not take; the library resets only where a
-     * call's time is up, so that is what it is told.
+     * Resets the stream of the call. A status alone would wait behind the messages that its reader does not read. The library
+     * resets a stream only when the deadline of its call has passed, so the context is cancelled with a timeout.
      */
     static final Context.Key<Runnable> RESET_STREAM = Context.key("reset");
     static final Context.Key<Metadata> HEADERS = Context.key("headers");
-    /** As on the webhook front: each costs a check with every key, so few are borne. */
+    /** Same limit as on the webhook server. Each bad signature costs a check with every key, so only a few are tolerated. */
     private static final int MAX_BAD_SIGNATURES = 16;
 
     private final AtomicInteger likelyCustomer = new AtomicInteger(-1);
-    private final AtomicInteger forged = new AtomicInteger();
+    private final AtomicInteger badSignatures = new AtomicInteger();
 
+    /** Returns the customer whose key verified the last message, -1 before the first one. */
     int likelyCustomer() {
         return likelyCustomer.get();
     }
@@ -38,56 +39,56 @@
         likelyCustomer.lazySet(customer);
     }
 
-    void forged() {
-        forged.incrementAndGet();
+    void recordBadSignature() {
+        badSignatures.incrementAndGet();
     }
 
-    /** Nothing more of this connection is checked. */
+    /** Returns whether signatures on this connection are no longer checked, after too many bad ones. */
     boolean hasTooManyBadSignatures() {
-        return forged.get() >= MAX_BAD_SIGNATURES;
+        return badSignatures.get() >= MAX_BAD_SIGNATURES;
     }
 
-    /** Gives each connection its {@link Caller} and counts it. */
-    static ServerTransportFilter transportFilter(LongAdder open) {
+    /** Returns a filter that attaches a {@link GrpcConnection} to each transport and counts the open ones. */
+    static ServerTransportFilter transportFilter(LongAdder openConnections) {
         return new ServerTransportFilter() {
             @Override
             public Attributes transportReady(Attributes attributes) {
-                open.increment();
+                openConnections.increment();
                 return attributes.toBuilder().set(CONNECTION_ATTRIBUTE, new GrpcConnection()).build();
             }
 
             @Override
             public void transportTerminated(Attributes attributes) {
-                open.decrement();
+                openConnections.decrement();
             }
         };
     }
 
-    /** Gives each call its {@link #RESET}. */
+    /** Puts {@link #RESET_STREAM} into the context of each call. */
     static final ServerStreamTracer.Factory RESET_TRACER_FACTORY = new ServerStreamTracer.Factory() {
         @Override
         public ServerStreamTracer newServerStreamTracer(String method, Metadata headers) {
             return new ServerStreamTracer() {
-                private Context.CancellableContext ofCall;
+                private Context.CancellableContext callContext;
 
                 @Override
                 public Context filterContext(Context context) {
-                    ofCall = context.withCancellation();
-                    Runnable reset = () -> ofCall.cancel(new TimeoutException());
-                    return ofCall.withValue(RESET_STREAM, reset);
+                    callContext = context.withCancellation();
+                    Runnable reset = () -> callContext.cancel(new TimeoutException());
+                    return callContext.withValue(RESET_STREAM, reset);
                 }
 
                 @Override
                 public void streamClosed(Status status) {
-                    if (ofCall != null) {
-                        ofCall.cancel(null);
+                    if (callContext != null) {
+                        callContext.cancel(null);
                     }
                 }
             };
         }
     };
 
-    /** Puts headers and caller where a call finds them. */
+    /** Puts the headers and the connection into the context of each call. */
     static final ServerInterceptor CONTEXT_INTERCEPTOR = new ServerInterceptor() {
         @Override
         public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata headers,
--- a/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
+++ b/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
@@ -25,20 +25,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One streamed call: many inferences, each signed by itself, answered by id in the order in which they end. So many are
- * open at once that the next is read when one has been answered and its answer taken off our hands: a slow reader slows
- * itself and nobody else. One that stops reading is cut after a while.
+ * One streaming call: carries many inferences, each signed individually, and answers them by id in the order in which they
+ * end. The number of open inferences is limited: the next request is read only when an answer has been written, so a slow
+ * reader delays only itself. A call whose reader stops reading is reset after a timeout.
  *
- * Calls come from the connection's thread, the deciding thread and the timer; a lock keeps them apart, and nothing under
- * it waits.
+ * Methods are called by the event loop of the connection, the decision thread and the stall timer. All state is guarded by the
+ * monitor of this object, and nothing blocks while holding it.
  */
 final class StreamingCall implements StreamObserver<ModelInferRequest> {
-    /** Inferences of one stream at once; as many as an executor's connection has streams by default. */
+    /** Open inferences of one call; equals the default number of streams on a connection to an executor. */
     private static final int MAX_OPEN_INFERENCES = 100;
-    /** Beside a part: its number, from 1. */
+    /** Response parameter that holds the number of a part, from 1. */
     static final String PART_NUMBER_PARAMETER = "gradereach-part";
-    /** Beside the message that ends an answer in parts: that it does, and how many there were. */
+    /** Response parameter that marks the message that ends a streamed answer. */
     static final String FINAL_PARAMETER = "gradereach-final";
+    /** Response parameter that holds the number of parts sent, beside {@link #FINAL_PARAMETER} or an error. */
     static final String PART_COUNT_PARAMETER = "gradereach-parts";
 
     private final GrpcInferenceService service;
@@ -50,9 +51,9 @@
     private final ServerCallStreamObserver<ModelStreamInferResponse> responseObserver;
     private final Set<StreamedInference> openInferences = new HashSet<>();
     private final ArrayDeque<QueuedResponse> queuedResponses = new ArrayDeque<>();
-    /** Answers that flow, the next to be asked for a part first. */
+    /** Inferences with a streamed answer, in round-robin order: the head is the next to supply a part. */
     private final ArrayDeque<StreamedInference> streamingInferences = new ArrayDeque<>();
-    /** Something to be written; {@code end} where it is the last of its inference. */
+    /** A response to be written; {@code endsInference} if it is the last one of its inference. */
     private record QueuedResponse(ModelStreamInferResponse response, boolean endsInference) { }
 
     private long queuedBytes;
@@ -61,19 +62,20 @@
     private boolean closed;
     private Runnable onClosed;
 
-    StreamingCall(GrpcInferenceService front, Intake intake, EventLoop loop, GrpcConnection caller, Deadline deadline,
-            Runnable reset, ServerCallStreamObserver<ModelStreamInferResponse> to) {
-        this.service = front;
+    StreamingCall(GrpcInferenceService service, Intake intake, EventLoop eventLoop, GrpcConnection connection, Deadline deadline,
+            Runnable resetStream, ServerCallStreamObserver<ModelStreamInferResponse> responseObserver) {
+        this.service = service;
         this.intake = intake;
-        this.eventLoop = loop;
-        this.connection = caller;
+        this.eventLoop = eventLoop;
+        this.connection = connection;
         this.deadline = deadline;
-        this.resetStream = reset;
-        this.responseObserver = to;
+        this.resetStream = resetStream;
+        this.responseObserver = responseObserver;
     }
 
-    void start(Runnable over) {
-        onClosed = over;
+    /** @param onClosed called once when the call ends, holding its monitor */
+    void start(Runnable onClosed) {
+        this.onClosed = onClosed;
         responseObserver.disableAutoRequest();
         responseObserver.setOnCancelHandler(this::cancelInferences);
         responseObserver.setOnReadyHandler(this::flush);
@@ -85,28 +87,29 @@
 
     @Override
     public void onNext(ModelInferRequest request) {
-        StreamedInference one = new StreamedInference(request.getId());
+        StreamedInference inference = new StreamedInference(request.getId());
         synchronized (this) {
             if (closed) {
                 return;
             }
-            openInferences.add(one);
+            openInferences.add(inference);
         }
         try {
             String id = stringParameter(request, CallSignature.ID);
-            SignatureFields by = new SignatureFields(id == null ? request.getId() : id, stringParameter(request, CallSignature.TIMESTAMP),
-                    stringParameter(request, CallSignature.SIGNATURE));
-            IncomingMessage arrival = service.toIncomingMessage(connection, GrpcInferenceService.STREAMING_METHOD, by, CallSignature.withoutSignature(request),
-                    deadline == null ? 0 : GrpcInferenceService.remainingMillis(deadline), one);
-            intake.admit(arrival, one);
+            SignatureFields signature = new SignatureFields(id == null ? request.getId() : id,
+                    stringParameter(request, CallSignature.TIMESTAMP), stringParameter(request, CallSignature.SIGNATURE));
+            IncomingMessage incoming = service.toIncomingMessage(connection, GrpcInferenceService.STREAMING_METHOD, signature,
+                    CallSignature.withoutSignature(request),
+                    deadline == null ? 0 : GrpcInferenceService.remainingMillis(deadline), inference);
+            intake.admit(incoming, inference);
         } catch (CallRejectedException e) {
-            one.onRejected(e.httpStatus, e.errorCode, e.getMessage());
+            inference.onRejected(e.httpStatus, e.errorCode, e.getMessage());
         }
     }
 
-    private static String stringParameter(ModelInferRequest request, String parameter) {
-        InferParameter told = request.getParametersMap().get(parameter);
-        return told == null || !told.hasStringParam() ? null : told.getStringParam();
+    private static String stringParameter(ModelInferRequest request, String name) {
+        InferParameter parameter = request.getParametersMap().get(name);
+        return parameter == null || !parameter.hasStringParam() ? null : parameter.getStringParam();
     }
 
     @Override
@@ -115,40 +118,41 @@
         completeIfDone();
     }
 
-    /** The front end stops: what is open is answered, then the call ends, and its client opens one elsewhere. */
+    /** Shuts the call down gracefully: open inferences are answered, then the call is completed. */
     synchronized void drain() {
         halfClosed = true;
         completeIfDone();
     }
 
-    /** The client's end of the call broke; its cancellation is told as well. */
+    /** The request stream failed; the cancellation handler is called as well. */
     @Override
-    public void onError(Throwable why) {
+    public void onError(Throwable cause) {
         cancelInferences();
     }
 
-    /** Cancelled, or its deadline passed: nothing more can be said. */
+    /** The call was cancelled or its deadline passed: nothing more can be sent, so all open inferences are cancelled. */
     private void cancelInferences() {
-        Set<StreamedInference> left;
+        Set<StreamedInference> open;
         synchronized (this) {
             if (closed) {
                 return;
             }
-            left = close();
+            open = close();
         }
-        left.forEach(WaitingClient::cancel);
+        open.forEach(WaitingClient::cancel);
     }
 
+    /** Closes the call and returns the inferences that were open. */
     private Set<StreamedInference> close() {
         closed = true;
-        Set<StreamedInference> left = Set.copyOf(openInferences);
+        Set<StreamedInference> open = Set.copyOf(openInferences);
         openInferences.clear();
         queuedResponses.clear();
         streamingInferences.clear();
         service.queuedStreamBytes.release(queuedBytes);
         queuedBytes = 0;
         onClosed.run();
-        return left;
+        return open;
     }
 
     private void completeIfDone() {
@@ -158,34 +162,35 @@
         }
     }
 
-    /** The end of one inference. */
-    private void endInference(StreamedInference one, ModelStreamInferResponse what) {
+    /** Queues the last response of an inference. */
+    private void endInference(StreamedInference inference, ModelStreamInferResponse response) {
         synchronized (this) {
-            if (!closed && openInferences.remove(one) && enqueue(what, true)) {
+            if (!closed && openInferences.remove(inference) && enqueue(response, true)) {
                 flush();
             }
         }
     }
 
-    /** Something of one inference before its end. */
-    private synchronized void sendPart(StreamedInference one, ModelStreamInferResponse what) {
-        if (!closed && openInferences.contains(one)) {
-            enqueue(what, false);
+    /** Queues a response of an inference that is not its last. */
+    private synchronized void sendPart(StreamedInference inference, ModelStreamInferResponse response) {
+        if (!closed && openInferences.contains(inference)) {
+            enqueue(response, false);
         }
     }
 
-    private boolean enqueue(ModelStreamInferResponse what, boolean end) {
-        int size = what.getSerializedSize();
+    /** Queues a response and returns true, or resets the call where too many bytes are queued. */
+    private boolean enqueue(ModelStreamInferResponse response, boolean endsInference) {
+        int size = response.getSerializedSize();
         if (!service.queuedStreamBytes.tryAcquire(size)) {
-            resetStalledStream(); // answers wait for too many slow readers
+            resetStalledStream();
             return false;
         }
         queuedBytes += size;
-        queuedResponses.add(new QueuedResponse(what, end));
+        queuedResponses.add(new QueuedResponse(response, endsInference));
         return true;
     }
 
-    /** Writes while the reader takes it; each end written makes room for the next message. */
+    /** Writes responses while the transport is ready; each inference that ends lets one more request be read. */
     private synchronized void flush() {
         while (!closed && responseObserver.isReady()) {
             ModelStreamInferResponse next = nextResponse();
@@ -203,34 +208,35 @@
     }
 
     private boolean hasQueuedResponse() {
-        return !queuedResponses.isEmpty() || streamingInferences.stream().anyMatch(one -> one.answerStream.hasBufferedParts());
+        return !queuedResponses.isEmpty() || streamingInferences.stream()
+                .anyMatch(inference -> inference.answerStream.hasBufferedParts());
     }
 
-    /** Ends and whole answers first, then a part of each answer that flows, in turn. */
+    /** Returns the next response to write: queued ones first, then parts of the streamed answers, round-robin. */
     private ModelStreamInferResponse nextResponse() {
-        QueuedResponse whole = queuedResponses.poll();
-        if (whole != null) {
-            int size = whole.response.getSerializedSize();
+        QueuedResponse queued = queuedResponses.poll();
+        if (queued != null) {
+            int size = queued.response.getSerializedSize();
             queuedBytes -= size;
             service.queuedStreamBytes.release(size);
-            if (whole.endsInference) {
+            if (queued.endsInference) {
                 responseObserver.request(1);
             }
-            return whole.response;
+            return queued.response;
         }
-        for (int n = streamingInferences.size(); n > 0; n--) {
-            StreamedInference one = streamingInferences.poll();
-            ModelStreamInferResponse part = (ModelStreamInferResponse) one.answerStream.poll();
+        for (int remaining = streamingInferences.size(); remaining > 0; remaining--) {
+            StreamedInference inference = streamingInferences.poll();
+            ModelStreamInferResponse part = (ModelStreamInferResponse) inference.answerStream.poll();
             if (part != null) {
-                streamingInferences.add(one);
-                return one.withPartNumber(part);
+                streamingInferences.add(inference);
+                return inference.withPartNumber(part);
             }
-            if (!one.answerStream.isFinished()) {
-                streamingInferences.add(one);
-            } else if (one.pendingEnd != null) {
-                one.pendingEnd.run();
+            if (!inference.answerStream.isFinished()) {
+                streamingInferences.add(inference);
+            } else if (inference.pendingEnd != null) {
+                inference.pendingEnd.run();
                 return nextResponse();
-            } // else its end is on its way
+            } // otherwise its end follows
         }
         return null;
     }
@@ -239,29 +245,32 @@
         if (closed || Double.isNaN(stalledSince)) {
             return;
         }
-        double left = stalledSince + service.stalledReaderTimeoutMillis - intake.now();
-        if (left > 0) {
-            eventLoop.schedule(this::checkStalledReader, (long) Math.ceil(left), TimeUnit.MILLISECONDS);
+        double remainingMillis = stalledSince + service.stalledReaderTimeoutMillis - intake.now();
+        if (remainingMillis > 0) {
+            eventLoop.schedule(this::checkStalledReader, (long) Math.ceil(remainingMillis), TimeUnit.MILLISECONDS);
         } else {
             resetStalledStream();
         }
     }
 
-    /** Its inferences go on where others wait for them; what ran stays on record for repeats. */
+    /**
+     * Resets the call of a reader that does not read. Its inferences continue if other clients wait for them, and what has run
+     * stays recorded for repeats.
+     */
     private void resetStalledStream() {
         service.stalledReaders.recordRejection();
-        Set<StreamedInference> left = close();
+        Set<StreamedInference> open = close();
         resetStream.run();
-        left.forEach(WaitingClient::cancel);
+        open.forEach(WaitingClient::cancel);
     }
 
-    /** One inference of the stream. */
+    /** One inference of the call. */
     private final class StreamedInference extends WaitingClient {
         private final String id;
-        /** Guarded by the call, as what follows; null for an answer that does not flow. */
+        /** Null for an answer that is not streamed. This field and the following ones are guarded by the call. */
         private AnswerStream<?> answerStream;
         private long partCount;
-        /** What tells its end, once that is known and while parts still wait before it. */
+        /** Sends the final answer; set while parts are still queued before it. */
         private Runnable pendingEnd;
 
         StreamedInference(String id) {
@@ -275,22 +284,23 @@
         }
 
         @Override
-        public void onStreamStarted(AnswerStream<?> begun) {
+        public void onStreamStarted(AnswerStream<?> stream) {
             eventLoop.execute(() -> {
                 synchronized (StreamingCall.this) {
                     if (closed) {
-                        return; // it has left, and the desk ends the flow
+                        return; // the call is over, and the coordinator ends the answer stream
                     }
-                    answerStream = begun;
+                    answerStream = stream;
                     streamingInferences.add(this);
                 }
-                begun.subscribe(StreamingCall.this::flush);
+                stream.subscribe(StreamingCall.this::flush);
             });
         }
 
         private ModelStreamInferResponse withPartNumber(ModelStreamInferResponse part) {
-            ModelInferResponse.Builder told = part.getInferResponse().toBuilder().setId(id);
-            return ModelStreamInferResponse.newBuilder().setInferResponse(told.putParameters(PART_NUMBER_PARAMETER, intParameter(++partCount))).build();
+            ModelInferResponse.Builder response = part.getInferResponse().toBuilder().setId(id);
+            return ModelStreamInferResponse.newBuilder()
+                    .setInferResponse(response.putParameters(PART_NUMBER_PARAMETER, intParameter(++partCount))).build();
         }
 
         @Override
@@ -308,7 +318,7 @@
             });
         }
 
-        /** The library flushes in a task of the connection's event loop, which stands before this one. */
+        /** Records the answer as written. The library flushes in a task that is queued on the event loop before this one. */
         private void recordWrittenAfterFlush(double decidedAt) {
             eventLoop.execute(() -> intake.recordAnswerWritten(decidedAt));
         }
@@ -320,12 +330,12 @@
             }
             try {
                 if (answerStream == null && !AnswerBodyReader.isStreamed(answer.body())) {
-                    endInference(this, ModelStreamInferResponse.newBuilder().setInferResponse(AnswerBodyReader.response(answer.body(), id))
-                            .build());
+                    endInference(this, ModelStreamInferResponse.newBuilder()
+                            .setInferResponse(AnswerBodyReader.response(answer.body(), id)).build());
                     return;
                 }
                 if (answerStream == null) {
-                    // On record from before: the same parts again.
+                    // A recorded answer to a repeated message: sends the same parts again.
                     for (ModelInferResponse part : AnswerBodyReader.responseParts(answer.body(), id)) {
                         sendPart(this, withPartNumber(ModelStreamInferResponse.newBuilder().setInferResponse(part).build()));
                     }
@@ -338,36 +348,39 @@
             }
         }
 
-        private static InferParameter intParameter(long n) {
-            return InferParameter.newBuilder().setInt64Param(n).build();
+        private static InferParameter intParameter(long value) {
+            return InferParameter.newBuilder().setInt64Param(value).build();
         }
 
         @Override
-        public void onRejected(int status, String word, String why) {
-            intake.countRefusal(word);
-            sendError(GrpcStatuses.rejection(status, word, why).asRuntimeException());
+        public void onRejected(int httpStatus, String errorCode, String detail) {
+            intake.countRefusal(errorCode);
+            sendError(GrpcStatuses.rejection(httpStatus, errorCode, detail).asRuntimeException());
         }
 
-        /** The protocol has a sentence for it; code, outcome and pause go beside it, as unary calls have them. */
-        private void sendError(StatusRuntimeException why) {
-            ModelInferResponse.Builder beside = ModelInferResponse.newBuilder().setId(id);
+        /**
+         * Ends the inference with an error. The protocol's error message is plain text, so code, outcome and retry delay, which
+         * are trailers of unary calls, are sent as parameters.
+         */
+        private void sendError(StatusRuntimeException error) {
+            ModelInferResponse.Builder response = ModelInferResponse.newBuilder().setId(id);
             if (partCount > 0) {
-                beside.putParameters(PART_COUNT_PARAMETER, intParameter(partCount)); // so far it came
+                response.putParameters(PART_COUNT_PARAMETER, intParameter(partCount)); // number of parts sent before the error
             }
-            putStringParameter(beside, "grpc-status", why.getStatus().getCode().name());
-            if (why.getTrailers() != null) {
-                putStringParameter(beside, GrpcStatuses.OUTCOME.name(), why.getTrailers().get(GrpcStatuses.OUTCOME));
-                putStringParameter(beside, GrpcStatuses.REPEAT_HARMLESS.name(), why.getTrailers().get(GrpcStatuses.REPEAT_HARMLESS));
-                putStringParameter(beside, GrpcStatuses.PUSHBACK.name(), why.getTrailers().get(GrpcStatuses.PUSHBACK));
-                putStringParameter(beside, GrpcStatuses.STOPPING.name(), why.getTrailers().get(GrpcStatuses.STOPPING));
+            putStringParameter(response, "grpc-status", error.getStatus().getCode().name());
+            if (error.getTrailers() != null) {
+                putStringParameter(response, GrpcStatuses.OUTCOME.name(), error.getTrailers().get(GrpcStatuses.OUTCOME));
+                putStringParameter(response, GrpcStatuses.REPEAT_HARMLESS.name(), error.getTrailers().get(GrpcStatuses.REPEAT_HARMLESS));
+                putStringParameter(response, GrpcStatuses.PUSHBACK.name(), error.getTrailers().get(GrpcStatuses.PUSHBACK));
+                putStringParameter(response, GrpcStatuses.STOPPING.name(), error.getTrailers().get(GrpcStatuses.STOPPING));
             }
-            endInference(this, ModelStreamInferResponse.newBuilder().setErrorMessage(String.valueOf(why.getStatus().getDescription()))
-                    .setInferResponse(beside).build());
+            endInference(this, ModelStreamInferResponse.newBuilder().setErrorMessage(String.valueOf(error.getStatus().getDescription()))
+                    .setInferResponse(response).build());
         }
 
-        private static void putStringParameter(ModelInferResponse.Builder to, String name, String value) {
+        private static void putStringParameter(ModelInferResponse.Builder response, String name, String value) {
             if (value != null) {
-                to.putParameters(name, InferParameter.newBuilder().setStringParam(value).build());
+                response.putParameters(name, InferParameter.newBuilder().setStringParam(value).build());
             }
         }
     }
--- a/gateway/src/main/java/gradereach/oip/MessageChecks.java
+++ b/gateway/src/main/java/gradereach/oip/MessageChecks.java
@@ -2,19 +2,20 @@
 
 import gradereach.message.InvalidMessageException;
 
-/** Refusals of messages that cannot be converted; each names the place in the message. */
+/** Checks of messages before their conversion; each error names the path of the faulty field. */
 final class MessageChecks {
     private MessageChecks() { }
 
-    static void require(boolean holds, String place, String otherwise) throws InvalidMessageException {
+    /** Throws an error that names {@code path} unless {@code holds}. */
+    static void require(boolean holds, String path, String error) throws InvalidMessageException {
         if (!holds) {
-            throw new InvalidMessageException(place + ": " + otherwise);
+            throw new InvalidMessageException(path + ": " + error);
         }
     }
 
-    /** The value itself, refused where JSON has no form for it. */
-    static double requireFinite(double value, String place) throws InvalidMessageException {
-        require(Double.isFinite(value), place, "no finite number, which JSON cannot carry to executors");
+    /** Returns the value; rejects NaN and infinities, which JSON cannot represent. */
+    static double requireFinite(double value, String path) throws InvalidMessageException {
+        require(Double.isFinite(value), path, "no finite number, which JSON cannot carry to executors");
         return value;
     }
 }
--- a/gateway/src/main/java/gradereach/plan/KeySettings.java
+++ b/gateway/src/main/java/gradereach/plan/KeySettings.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the keys that a deployment file holds itself ({@code inline}) or names ({@code file}). */
+/** Reads keys that a deployment file contains ({@code inline}) or refers to ({@code file}). */
 final class KeySettings {
-    /** Scheme of the keys that both sides know, {@code whsec_}. */
+    /** Scheme of shared secrets, {@code whsec_}. */
     static final String SHARED_SECRET = "v1";
     /** Scheme of private and public keys, {@code whsk_} and {@code whpk_}. */
     static final String KEY_PAIR = "v1a";
@@ -26,15 +26,17 @@
     private final List<String> errors;
 
     /**
-     * @param folder where relative paths of key files start
-     * @param errors takes the errors found
+     * Creates a reader of keys.
+     *
+     * @param folder folder against which relative paths of key files are resolved
+     * @param errors receives the errors found
      */
     KeySettings(Path folder, List<String> errors) {
         this.folder = folder;
         this.errors = errors;
     }
 
-    /** The key at a path of the deployment file; null where there is an error. */
+    /** Reads the key at a path of the deployment file; null on errors. */
     WebhookKey read(String path, JsonNode settings) {
         try {
             if (settings.has("inline")) {
@@ -42,7 +44,7 @@
             }
             Path file = folder.resolve(settings.path("file").asText());
             if (readableByOthers(file)) {
-                errors.add(path + "/file: others may read it; make it 0600 or 0400");
+                errors.add(path + "/file: readable by others; set its mode to 0600 or 0400");
                 return null;
             }
             return WebhookKey.parse(Files.readString(file));
@@ -60,10 +62,10 @@
         return !permissions.isEmpty();
     }
 
-    /** A key with the times {@code from} and {@code until} between which it is valid; null where there is an error. */
+    /** Reads a key with the times {@code from} and {@code until} between which it is valid; null on errors. */
     WebhookKey readWithValidity(String path, JsonNode settings) {
         if (settings.has("inline") == settings.has("file")) {
-            errors.add(path + ": one of inline and file is needed");
+            errors.add(path + ": exactly one of inline and file is needed");
             return null;
         }
         WebhookKey key = read(path, settings);
@@ -79,7 +81,7 @@
         try {
             return text.isEmpty() ? defaultValue : Instant.parse(text).getEpochSecond();
         } catch (DateTimeParseException e) {
-            errors.add(path + ": no time like 2027-03-01T06:00:00Z");
+            errors.add(path + ": not a time like 2027-03-01T06:00:00Z");
             return defaultValue;
         }
     }
--- a/gateway/src/main/java/gradereach/plan/MembershipSettings.java
+++ b/gateway/src/main/java/gradereach/plan/MembershipSettings.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** How shares follow which front ends are there. */
+/** Settings by which the share of this front end follows the membership. */
 final class MembershipSettings {
     private static final String DEFAULT_CLUSTER = "gradereach";
     private static final int DEFAULT_SEATS = 240;
@@ -24,7 +24,7 @@
     private final List<String> errors;
     private final List<byte[]> secrets = new ArrayList<>();
 
-    /** @param errors takes the errors found */
+    /** @param errors receives the errors found */
     MembershipSettings(JsonNode tree, KeySettings keySettings, List<String> errors) {
         this.tree = tree;
         this.errors = errors;
@@ -44,19 +44,19 @@
     }
 
     private void checkGrantors() {
-        List<String> keepers = strings(settings.path("keepers"));
+        List<String> grantors = strings(settings.path("keepers"));
         Set<String> distinct = new HashSet<>();
-        for (int i = 0; i < keepers.size(); i++) {
-            if (!distinct.add(keepers.get(i))) {
-                errors.add("/membership/keepers/" + i + ": twice");
+        for (int i = 0; i < grantors.size(); i++) {
+            if (!distinct.add(grantors.get(i))) {
+                errors.add("/membership/keepers/" + i + ": duplicate");
             }
         }
-        if (!settings.isMissingNode() && !keepers.contains(settings.path("listen").asText())) {
-            errors.add("/membership/keepers: this front end's own address, /membership/listen, is not among them");
+        if (!settings.isMissingNode() && !grantors.contains(settings.path("listen").asText())) {
+            errors.add("/membership/keepers: does not contain the address of this front end, /membership/listen");
         }
     }
 
-    /** Null where shares are fixed by the number of front ends. */
+    /** Returns null if shares are fixed by the number of front ends. */
     Membership.Config config() {
         if (settings.isMissingNode()) {
             return null;
--- a/gateway/src/main/java/gradereach/serve/EchoExecutor.java
+++ b/gateway/src/main/java/gradereach/serve/EchoExecutor.java
@@ -25,17 +25,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An executor that holds every model and answers at once: for warming up, and to measure what the front end adds. Models
- * with one of the words below in their name end otherwise.
+ * An executor that has every model loaded and answers at once, used to warm up a front end and to measure its overhead.
+ * Inferences of models whose name contains one of the constants below end differently.
  */
 public final class EchoExecutor {
-    /** Returned with a tensor. */
+    /** The answer contains a tensor. */
     static final String TENSOR = "tensor";
-    /** Never answered. */
+    /** There is no answer. */
     static final String SILENT = "silent";
-    /** Answered with status 500. */
+    /** The answer has status 500. */
     static final String ERROR = "error";
-    /** Its stream is reset. */
+    /** The stream is reset. */
     static final String RESET = "reset";
 
     private static final byte[] ANSWER = "{\"model_name\":\"m\",\"outputs\":[]}".getBytes(StandardCharsets.UTF_8);
@@ -44,20 +44,20 @@
 
     private EchoExecutor() { }
 
-    /** As a process: prints its port and ends with its input. */
+    /** Runs as a process: prints the port and exits when standard input ends. */
     public static void main(String[] args) throws InterruptedException, IOException {
         System.out.println("port " + listen(new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory())));
         while (System.in.read() >= 0) { }
         System.exit(0);
     }
 
-    /** Returns the port. */
-    static int listen(EventLoopGroup loops) throws InterruptedException {
-        Channel listener = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
+    /** Starts to listen on a free port and returns it. */
+    static int listen(EventLoopGroup eventLoops) throws InterruptedException {
+        Channel listener = new ServerBootstrap().group(eventLoops).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(Http2FrameCodecBuilder.forServer().build(),
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(Http2FrameCodecBuilder.forServer().build(),
                                 new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel stream) {
@@ -69,6 +69,7 @@
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
+    /** Answers the request of one stream. */
     private static final class EchoHandler extends ChannelInboundHandlerAdapter {
         private String path = "";
 
@@ -77,24 +78,24 @@
             if (msg instanceof Http2HeadersFrame head) {
                 path = String.valueOf(head.headers().path());
             }
-            boolean whole = msg instanceof Http2HeadersFrame head && head.isEndStream()
+            boolean complete = msg instanceof Http2HeadersFrame head && head.isEndStream()
                     || msg instanceof Http2DataFrame data && data.isEndStream();
             ReferenceCountUtil.release(msg);
-            if (whole) {
-                end(ctx);
+            if (complete) {
+                respond(ctx);
             }
         }
 
-        private void end(ChannelHandlerContext ctx) {
-            boolean inference = path.endsWith("/infer");
-            if (inference && path.contains(SILENT)) {
+        private void respond(ChannelHandlerContext ctx) {
+            boolean isInference = path.endsWith("/infer");
+            if (isInference && path.contains(SILENT)) {
                 return;
             }
-            if (inference && path.contains(RESET)) {
+            if (isInference && path.contains(RESET)) {
                 ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.INTERNAL_ERROR));
                 return;
             }
-            String status = inference && path.contains(ERROR) ? "500" : "200";
+            String status = isInference && path.contains(ERROR) ? "500" : "200";
             byte[] answer = path.contains(TENSOR) ? TENSOR_ANSWER : ANSWER;
             ctx.write(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().status(status).add("model-copies", "8")
                     .add("model-warmth", "loaded").add("model-crowd", "0")
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** What tests of the gRPC front send and hear. */
+/** Requests and a recording client for tests of the gRPC server. */
 final class GrpcTestSupport {
     private GrpcTestSupport() { }
 
@@ -22,15 +22,16 @@
         return InferParameter.newBuilder().setStringParam(value).build();
     }
 
-    static ModelInferRequest request(String model, double work) {
+    /** Returns an unsigned request with one tensor; the stand-in executor works on it for {@code workMillis}. */
+    static ModelInferRequest request(String model, double workMillis) {
         return ModelInferRequest.newBuilder().setModelName(model)
-                .putParameters("work_ms", InferParameter.newBuilder().setDoubleParam(work).build())
+                .putParameters("work_ms", InferParameter.newBuilder().setDoubleParam(workMillis).build())
                 .addInputs(ModelInferRequest.InferInputTensor.newBuilder().setName("x").setDatatype("FP32").addShape(2)
                         .setContents(InferTensorContents.newBuilder().addFp32Contents(1.5f).addFp32Contents(2)))
                 .build();
     }
 
-    /** One message of a stream, signed inside. */
+    /** Returns a request for a streaming call, which carries its signature in its parameters. */
     static ModelInferRequest signedRequest(WebhookKey key, String id, ModelInferRequest request) {
         ModelInferRequest bare = request.toBuilder().setId(id).build();
         long now = System.currentTimeMillis() / 1000;
@@ -39,7 +40,7 @@
                         CallSignature.signedContent(GrpcInferenceService.STREAMING_METHOD, CallSignature.digest(bare))))).build();
     }
 
-    /** A stream's client: what it heard and how it ended; it reads only what it is told to. */
+    /** Client of a streaming call that records the responses and the final status. Without {@code readsAll} it reads one response only. */
     static final class RecordingClient implements ClientResponseObserver<ModelInferRequest, ModelStreamInferResponse> {
         final List<ModelStreamInferResponse> answers = Collections.synchronizedList(new ArrayList<>());
         final CompletableFuture<Status> endStatus = new CompletableFuture<>();
@@ -51,10 +52,10 @@
         }
 
         @Override
-        public void beforeStart(ClientCallStreamObserver<ModelInferRequest> to) {
-            call = to;
+        public void beforeStart(ClientCallStreamObserver<ModelInferRequest> started) {
+            call = started;
             if (!readsAll) {
-                to.disableAutoRequestWithInitial(1);
+                started.disableAutoRequestWithInitial(1);
             }
         }
 
@@ -64,8 +65,8 @@
         }
 
         @Override
-        public void onError(Throwable why) {
-            endStatus.complete(Status.fromThrowable(why));
+        public void onError(Throwable cause) {
+            endStatus.complete(Status.fromThrowable(cause));
         }
 
         @Override
--- a/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
@@ -28,17 +28,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole front end whose roster cannot be read while one of its executors drains: it serves by the other. */
+/** A front end whose roster is unavailable while one of its executors drains: it uses only the other one. */
 @Timeout(60)
 class GatewayRosterOutageTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MODELS = 6;
-    /** How long the roster counts after a failure, the grace of the rule, and a failed try before it; milliseconds. */
+    /** How long the roster stays valid after a failure, the drain grace, and the duration of a failed attempt before it. */
     private static final double ROSTER_VALIDITY_MILLIS = 4000;
     private static final double DRAIN_GRACE_MILLIS = 500;
     private static final double FAILED_ATTEMPT_MILLIS = 600;
     private static final double OUTAGE_MILLIS = 8000;
-    /** For the last forward's way and the transcript of both; one machine's clock. */
+    /** Allows for the way of the last forward and the recording of both events, which use the clock of one machine. */
     private static final double SLACK_MILLIS = 50;
 
     private final String secret = WebhookKey.newSecret(new SecureRandom());
@@ -87,7 +87,7 @@
         return events;
     }
 
-    /** Guards against going on with executors that drain while the roster cannot be read (rule 3), and against not serving. */
+    /** Guards against using a draining executor while the roster is unavailable (rule 3), and against serving nothing at all. */
     @Test
     void aDrainingExecutorGetsNothingDuringARosterOutage() throws Exception {
         for (int i = 0; i < 2 * MODELS; i++) {
@@ -95,25 +95,25 @@
         }
         fleet.injectFault(JSON.readTree("{\"kind\":\"roster_away\",\"for_ms\":60000}"));
         fleet.injectFault(JSON.readTree("{\"kind\":\"drain_unheard\",\"ex\":0,\"for_ms\":60000}"));
-        double from = Transcript.now();
-        double told = from + FAILED_ATTEMPT_MILLIS + ROSTER_VALIDITY_MILLIS + DRAIN_GRACE_MILLIS + SLACK_MILLIS;
-        int late = 0;
-        int served = 0;
-        while (Transcript.now() < from + OUTAGE_MILLIS) {
-            boolean isLate = Transcript.now() > told;
+        double outageStart = Transcript.now();
+        double drainDeadline = outageStart + FAILED_ATTEMPT_MILLIS + ROSTER_VALIDITY_MILLIS + DRAIN_GRACE_MILLIS + SLACK_MILLIS;
+        int lateRequests = 0;
+        int servedLateRequests = 0;
+        while (Transcript.now() < outageStart + OUTAGE_MILLIS) {
+            boolean isLate = Transcript.now() > drainDeadline;
             int status = infer();
-            late += isLate ? 1 : 0;
-            served += isLate && status == 200 ? 1 : 0;
+            lateRequests += isLate ? 1 : 0;
+            servedLateRequests += isLate && status == 200 ? 1 : 0;
         }
         String draining = fleet.addresses().get(0);
         gateway.close();
         fleet.close();
-        List<String> breaches = transcript().stream().filter(event -> event.path("t").asDouble() > told)
+        List<String> violations = transcript().stream().filter(event -> event.path("t").asDouble() > drainDeadline)
                 .filter(event -> event.path("ex").asText().equals(draining))
                 .filter(event -> event.path("ev").asText().equals("arrived")
                         || event.path("ev").asText().equals("order") && event.path("copies").asInt() > 0)
                 .map(JsonNode::toString).toList();
-        assertEquals(List.of(), breaches);
-        assertTrue(late > 0 && served >= 0.9 * late, served + " of " + late + " served");
+        assertEquals(List.of(), violations);
+        assertTrue(lateRequests > 0 && servedLateRequests >= 0.9 * lateRequests, servedLateRequests + " of " + lateRequests + " served");
     }
 }
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A front end on loopback sockets with stand-in executors, bytes in and bytes out. */
+/** A front end on loopback sockets with stand-in executors, tested by the bytes that are sent and received. */
 @Timeout(60)
 class GatewayTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,22 +43,22 @@
 
     @BeforeEach
     void start() throws Exception {
-        ObjectNode shared = (ObjectNode) JSON.readTree("""
+        ObjectNode models = (ObjectNode) JSON.readTree("""
                 {"model_groups": [
                   {"name": "look", "repeat": "retriable", "slo_ms": 400, "route_timeout_ms": 3000},
                   {"name": "book", "repeat": "non-retriable", "slo_ms": 400, "route_timeout_ms": 3000}],
                  "models": [{"name": "look-*", "group": "look", "lanes": 4, "load_ms": 20},
                   {"name": "book-*", "group": "book", "lanes": 4, "load_ms": 20}]}""");
-        ObjectNode told = shared.deepCopy().put("executors", 2).put("work_ms", 10);
-        fleet = new StandInFleet(told, folder.resolve("t.jsonl"));
-        ObjectNode plan = shared.deepCopy().put("name", "fe").put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
-        plan.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
-        plan.putArray("customers").addObject().put("name", "yard")
+        ObjectNode fleetSettings = models.deepCopy().put("executors", 2).put("work_ms", 10);
+        fleet = new StandInFleet(fleetSettings, folder.resolve("t.jsonl"));
+        ObjectNode deployment = models.deepCopy().put("name", "fe").put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
+        deployment.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
+        deployment.putArray("customers").addObject().put("name", "yard")
                 .put("answers_to", "http://127.0.0.1:" + fleet.controlPort() + "/answers")
                 .putArray("keys").addObject().put("inline", secret);
-        plan.putObject("limits").put("message_ms", 300).put("connections", 12).put("head_bytes", 2048)
+        deployment.putObject("limits").put("message_ms", 300).put("connections", 12).put("head_bytes", 2048)
                 .put("body_bytes", 4096);
-        gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
+        gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
         address = gateway.listen();
         waitUntil(gateway::isReady);
     }
@@ -69,22 +69,22 @@
         fleet.close();
     }
 
-    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
-        while (!holds.getAsBoolean()) {
+    private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private byte[] body(String model, double work) {
+    private byte[] body(String model, double workMillis) {
         return ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
-                + "\",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":" + work + "}}}}").getBytes(StandardCharsets.UTF_8);
+                + "\",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":" + workMillis + "}}}}").getBytes(StandardCharsets.UTF_8);
     }
 
     private String requestHead(String id, byte[] body, String... more) {
         long now = System.currentTimeMillis() / 1000;
         return "POST /v1/inferences HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\nwebhook-id: " + id
                 + "\r\nwebhook-timestamp: " + now + "\r\nwebhook-signature: v1," + key.sign(id, now, body)
-                + "\r\ncontent-length: " + body.length + "\r\n" + String.join("", more) + "\r\n";
+                + "\r\ncontent-length: " + body.length + "\r\n" + String.join("", extraHeaders) + "\r\n";
     }
 
     private Socket openConnection() throws IOException {
@@ -93,33 +93,33 @@
         return socket;
     }
 
-    private static void write(Socket to, String head, byte[] body) throws IOException {
-        to.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-        to.getOutputStream().write(body);
-        to.getOutputStream().flush();
+    private static void write(Socket socket, String head, byte[] body) throws IOException {
+        socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream().write(body);
+        socket.getOutputStream().flush();
     }
 
-    /** Status, head and body of the next answer. */
+    /** Status, header and body of a response. */
     private record Response(int status, String head, JsonNode body) { }
 
-    private static Response read(Socket from) throws IOException {
-        InputStream in = from.getInputStream();
+    private static Response read(Socket socket) throws IOException {
+        InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int next = in.read();
-            if (next < 0) {
+            int character = in.read();
+            if (character < 0) {
                 return null;
             }
-            head.append((char) next);
+            head.append((char) character);
         }
-        String lower = head.toString().toLowerCase();
-        int length = Integer.parseInt(lower.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
+        String lowerCaseHead = head.toString().toLowerCase();
+        int length = Integer.parseInt(lowerCaseHead.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
         return new Response(Integer.parseInt(head.substring(9, 12)), head.toString(), JSON.readTree(in.readNBytes(length)));
     }
 
-    private Response infer(String id, String model, double work) throws IOException {
+    private Response infer(String id, String model, double workMillis) throws IOException {
         try (Socket socket = openConnection()) {
-            write(socket, requestHead(id, body(model, work)), body(model, work));
+            write(socket, requestHead(id, body(model, workMillis)), body(model, workMillis));
             return read(socket);
         }
     }
@@ -141,24 +141,26 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        // what is replaced in a good head, by what; status and word
+        // text replaced in a valid header | replacement | expected status | expected error code
         "POST /v1/inferences | POST /v2/inferences | 404 | no-such-path", "POST | GET | 405 | not-post",
         "application/json | text/plain | 415 | wrong-type", "webhook-id: x | webhook-id: y | 401 | not-signed",
         "webhook-id: x\\r\\n | `` | 400 | no-id", "v1, | v7, | 400 | no-signature",
         "webhook-timestamp: 1 | webhook-timestamp: 0 | 400 | too-old", "host: x | host: LONG | 431 | head-too-large",
         "webhook-timestamp: 1 | webhook-timestamp: 2 | 400 | too-new", "HTTP/1.1 | HTTQ | 400 | bad-http",
     })
-    void invalidRequestsAreRejectedWithASpecificReason(String replaced, String by, int status, String word) throws IOException {
+    void invalidRequestsAreRejectedWithASpecificReason(String replaced, String replacement, int status, String errorCode)
+            throws IOException {
         byte[] body = body("look-1", 5);
-        String head = requestHead("x", body).replace(replaced.replace("\\r\\n", "\r\n"), by == null ? "" : by.replace("LONG", "l".repeat(3000)));
+        String head = requestHead("x", body).replace(replaced.replace("\\r\\n", "\r\n"),
+                replacement == null ? "" : replacement.replace("LONG", "l".repeat(3000)));
         try (Socket socket = openConnection()) {
             write(socket, head, body);
             Response answer = read(socket);
             assertEquals(status, answer.status);
-            assertEquals(word, answer.body.path("outcome").asText());
+            assertEquals(errorCode, answer.body.path("outcome").asText());
         }
         assertEquals(0, gateway.counts().value("inferences_taken"));
-        assertEquals(1, gateway.counts().value("refused_" + word.replace('-', '_')));
+        assertEquals(1, gateway.counts().value("refused_" + errorCode.replace('-', '_')));
     }
 
     @Test
@@ -174,7 +176,7 @@
         assertEquals(0, gateway.counts().value("inferences_taken"));
     }
 
-    /** Guards against a refusal that is lost to a reset, since its client had not yet written all of its body. */
+    /** Guards against a rejection that is lost to a connection reset because the client was still sending its body. */
     @ParameterizedTest
     @CsvSource({"x, 413", "LONG, 431"})
     void aRejectionReachesAClientThatIsStillSending(String host, int status) throws IOException {
@@ -192,15 +194,15 @@
         }
     }
 
-    /** Slow heads, slow bodies, and bytes of no protocol: cut off at the stated time, nothing taken. */
+    /** A slow header, a slow body and an incomplete HTTP/2 preface time out, and no inference is accepted. */
     @ParameterizedTest
     @CsvSource({"head, 408", "body, 408", "preface, 0"})
-    void slowSendersTimeOut(String what, int status) throws IOException {
+    void slowSendersTimeOut(String slowPart, int status) throws IOException {
         byte[] body = body("look-1", 5);
         try (Socket socket = openConnection()) {
             String head = requestHead("s", body);
-            write(socket, what.equals("head") ? head.substring(0, 60) : what.equals("body") ? head : "PRI * HT",
-                    what.equals("body") ? new byte[] {'{'} : new byte[0]);
+            write(socket, slowPart.equals("head") ? head.substring(0, 60) : slowPart.equals("body") ? head : "PRI * HT",
+                    slowPart.equals("body") ? new byte[] {'{'} : new byte[0]);
             Response answer = read(socket);
             assertEquals(status, answer == null ? 0 : answer.status);
             assertEquals(-1, socket.getInputStream().read());
@@ -214,21 +216,21 @@
         for (int i = 0; i < 13; i++) {
             open[i] = openConnection();
         }
-        // Which of them is the one too many is for the event loops to settle.
+        // Which connection is rejected depends on the scheduling of the event loops.
         waitUntil(() -> gateway.counts().limits().stream().anyMatch(
-                l -> l.name.equals("client_connections") && l.rejections() == 1 && l.inUse() == 12));
+                limit -> limit.name.equals("client_connections") && limit.rejections() == 1 && limit.inUse() == 12));
         int closed = 0;
         for (Socket socket : open) {
             socket.setSoTimeout(100);
             try {
                 closed += socket.getInputStream().read() < 0 ? 1 : 0;
             } catch (java.net.SocketTimeoutException e) {
-                // it stands
+                // still open
             }
             socket.close();
         }
         assertEquals(1, closed);
-        // And the places come free again.
+        // Closed connections no longer count.
         waitUntil(() -> {
             try {
                 return infer("c", "look-1", 5) != null;
@@ -238,7 +240,7 @@
         });
     }
 
-    /** RFC 9112, 9.3.2: answers in the order of asking, the slow first as well. */
+    /** Responses are sent in the order of the requests, even if the first one is slow (RFC 9112, 9.3.2). */
     @Test
     void pipelinedMessagesAreAnsweredInOrder() throws IOException {
         infer("warm", "look-1", 5);
@@ -252,7 +254,7 @@
         }
     }
 
-    /** A message of another model than those behind it: what it takes tells nothing of theirs. */
+    /** Starts a long inference of another model than those that follow, so that it does not affect their expected answer time. */
     private void startLongInference(Socket socket) throws Exception {
         infer("warm", "look-1", 5);
         infer("warm-too", "book-1", 5);
@@ -264,7 +266,7 @@
         assertEquals(id, answer.body.at("/data/id").asText(), answer.toString());
     }
 
-    /** Guards against refusing a message that came whole as too slow, in place of the answer that is still worked on. */
+    /** Guards against timing out a complete message that is queued behind an inference in progress. */
     @Test
     void aQueuedPipelinedMessageDoesNotTimeOut() throws Exception {
         try (Socket socket = openConnection()) {
@@ -276,16 +278,16 @@
         }
     }
 
-    /** Guards against a refusal of a later message that overtakes an earlier one's answer, or ends its connection. */
+    /** Guards against a rejection of a later message that overtakes an earlier answer or closes its connection. */
     @ParameterizedTest
     @CsvSource({"slow, 408, too-slow", "large, 413, body-too-large", "expected, 413, body-too-large", "head, 431, head-too-large",
         "protocol, 400, bad-http"})
-    void rejectionsOfPipelinedMessagesAreSentInOrder(String what, int status, String word) throws Exception {
+    void rejectionsOfPipelinedMessagesAreSentInOrder(String kind, int status, String errorCode) throws Exception {
         byte[] body = body("look-1", 2);
         byte[] large = new byte[5000];
         try (Socket socket = openConnection()) {
             startLongInference(socket);
-            switch (what) {
+            switch (kind) {
                 case "slow" -> write(socket, requestHead("p1", body), new byte[] {'{'});
                 case "large" -> write(socket, requestHead("p1", large), large);
                 case "expected" -> write(socket, requestHead("p1", large, "expect: 100-continue\r\n"), new byte[0]);
@@ -293,15 +295,15 @@
                 default -> write(socket, "no protocol at all\r\n\r\n", body);
             }
             assertReturned("p0", read(socket));
-            Response refusal = read(socket);
-            assertEquals(status, refusal.status);
-            assertEquals(word, refusal.body.path("outcome").asText());
+            Response rejection = read(socket);
+            assertEquals(status, rejection.status);
+            assertEquals(errorCode, rejection.body.path("outcome").asText());
             assertEquals(-1, socket.getInputStream().read());
         }
         assertEquals(3, gateway.counts().value("inferences_taken"));
     }
 
-    /** Guards against an interim response that a client would take for one to its earlier message. */
+    /** Guards against an interim response that is sent before the answer to an earlier message. */
     @Test
     void interimResponsesToPipelinedMessagesAreSentInOrder() throws Exception {
         byte[] body = body("look-1", 2);
@@ -316,7 +318,7 @@
         }
     }
 
-    /** Guards against closing a connection, as the front end stops, over messages that were read from it. */
+    /** Guards against closing a connection on shutdown without answering messages that were read from it. */
     @Test
     void pipelinedMessagesAreAnsweredOnShutdown() throws Exception {
         infer("warm", "look-1", 5);
@@ -344,12 +346,13 @@
         }
     }
 
-    /** Guards against working on a message behind the one with which its client said that it closes (RFC 9112, 9.6). */
+    /** Guards against accepting a message that follows one with {@code Connection: close} (RFC 9112, 9.6). */
     @Test
     void messagesAfterTheLastOneOfAConnectionAreIgnored() throws Exception {
         byte[] body = body("look-1", 5);
         try (Socket socket = openConnection()) {
-            write(socket, requestHead("p0", body, "connection: close\r\n") + new String(body, StandardCharsets.UTF_8) + requestHead("p1", body), body);
+            write(socket, requestHead("p0", body, "connection: close\r\n") + new String(body, StandardCharsets.UTF_8)
+                    + requestHead("p1", body), body);
             assertReturned("p0", read(socket));
             assertEquals(-1, socket.getInputStream().read());
         }
@@ -387,7 +390,7 @@
         waitUntil(() -> gateway.counts().value("forwards_ended_cancelled") == 1);
     }
 
-    /** The stated answer of a non-retriable inference by how its forward broke; and that it ran no second time. */
+    /** The answer to a non-retriable inference depends on how its forward broke, and it is not forwarded again. */
     @ParameterizedTest
     @CsvSource({"reset_within, book-1, 502", "reset_after, book-1, 502", "unanswered, book-1, 504"})
     void aBrokenForwardDeterminesTheFinalAnswer(String kind, String model, int status) throws Exception {
@@ -401,8 +404,8 @@
     }
 
     /**
-     * What may run again goes to the other executor. Where a model stands follows the executors' ports, which differ
-     * from run to run: models are asked for until one was sent to the broken one.
+     * Retriable inferences are forwarded again to the other executor. Models are placed by the executors' ports, which differ
+     * from run to run, so models are requested until one has been sent to the broken executor.
      */
     @Test
     void retriableInferencesAreRetriedOnAnotherExecutor() throws Exception {
@@ -429,11 +432,11 @@
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-        }).filter(l -> l.path("ev").asText().equals("webhook")).toList();
+        }).filter(event -> event.path("ev").asText().equals("webhook")).toList();
         assertEquals(1, webhooks.size());
-        JsonNode got = webhooks.get(0);
-        assertEquals(0, new KeyRing(List.of(List.of(key))).verify("async.answer", got.path("timestamp").asText(),
-                got.path("signature").asText(), got.path("body").asText().getBytes(StandardCharsets.UTF_8),
+        JsonNode webhook = webhooks.get(0);
+        assertEquals(0, new KeyRing(List.of(List.of(key))).verify("async.answer", webhook.path("timestamp").asText(),
+                webhook.path("signature").asText(), webhook.path("body").asText().getBytes(StandardCharsets.UTF_8),
                 System.currentTimeMillis() / 1000, -1).customer());
     }
 
