--- a/standins/src/main/java/gradereach/standins/ForwardOutcomes.java
+++ b/standins/src/main/java/gradereach/standins/ForwardOutcomes.java
@@ -9,41 +9,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one process of an executor knows of the forwards that came to it; gone with the process. A forward that it has not
- * seen when it is asked about it is fenced: refused from then on for as long as the process lives, so that "never seen"
- * stays true whenever the forward is delivered. Questions and forwards may come on different threads.
+ * Outcomes of the forwards received by one executor process; they are lost with the process. An outcome inquiry about a forward
+ * that the process has not received fences the forward: it is rejected for the lifetime of the process, so that the answer
+ * "never seen" stays true even if the forward is delivered later. Thread-safe; inquiries and forwards may arrive on different
+ * threads.
  */
 final class ForwardOutcomes {
-    private static final long RETENTION_MILLIS = 60_000; // milliseconds after its end
+    private static final long RETENTION_MILLIS = 60_000; // how long an outcome is kept after the end of its forward
     private static final int MAX_FENCES = 100_000;
 
     /**
-     * 200 with its answer, 202 while it runs, 404 for one that this process has not seen.
+     * Result of an outcome inquiry.
      *
-     * @param fenced it is refused from now on
+     * @param status 200 with the answer, 202 for a running forward, 404 for one that this process has not received
+     * @param fenced whether the forward is rejected from now on
      */
     record ForwardLookup(int status, String output, boolean fenced) { }
 
     private final EventLoop loop;
     private final long upSince;
     private final int maxFences;
-    /** Tells this process from any other: 15 digits, so that two do not meet. */
+    /** Random id of this process; up to 15 digits make it practically unique. */
     private final long processId = new SecureRandom().nextLong(1_000_000_000_000_000L);
-    /** Empty while they run, then their answers. */
+    /** Answers by forward; empty while the forward runs. */
     private final Map<String, String> outputs = new HashMap<>();
-    /** Never taken out again: a forward may be delivered at any time. */
+    /** Fences are never removed, since a forward may be delivered at any time. */
     private final Set<String> fencedForwards = new HashSet<>();
 
-    /** @param upSince Unix milliseconds by the clock of the executor's machine */
+    /** @param upSince start of the process in Unix milliseconds, by the clock of its machine */
     ForwardOutcomes(EventLoop loop, double upSince) {
         this(loop, upSince, MAX_FENCES);
     }
 
-    /** @param mostFences once there are so many, no other forward is fenced, and none is said to be */
-    ForwardOutcomes(EventLoop loop, double upSince, int mostFences) {
+    /** @param maxFences beyond this number further forwards are neither fenced nor reported as fenced */
+    ForwardOutcomes(EventLoop loop, double upSince, int maxFences) {
         this.loop = loop;
         this.upSince = (long) upSince;
-        this.maxFences = mostFences;
+        this.maxFences = maxFences;
     }
 
     long upSince() {
@@ -54,7 +56,7 @@
         return processId;
     }
 
-    /** False for one that is fenced: it must not run. */
+    /** Starts a forward; returns false if it is fenced and must not run. */
     synchronized boolean tryStart(String forward) {
         if (fencedForwards.contains(forward)) {
             return false;
@@ -68,12 +70,12 @@
         loop.schedule(() -> remove(forward), RETENTION_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** It was refused, or is forgotten. */
+    /** Removes a forward that was rejected or whose retention has ended. */
     synchronized void remove(String forward) {
         outputs.remove(forward);
     }
 
-    /** What became of a forward; one that has not been seen is fenced, if there is room. */
+    /** Looks up the outcome of a forward; an unknown forward is fenced unless the limit of fences is reached. */
     synchronized ForwardLookup findOrFence(String forward) {
         String output = outputs.get(forward);
         if (output == null) {
--- a/standins/src/main/java/gradereach/standins/LagIntervals.java
+++ b/standins/src/main/java/gradereach/standins/LagIntervals.java
@@ -3,18 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Times during which threads that date what they see did nothing: what they dated then may have come before. Any thread. */
+/**
+ * Intervals in which observing threads did not run. An event that such a thread read at the end of an interval may have arrived
+ * at any time during it. Thread-safe.
+ */
 public final class LagIntervals {
     private record Lag(double from, double until) { }
 
     private final List<Lag> lags = new ArrayList<>();
 
-    /** One of the threads did nothing between these times. */
+    /** Adds an interval in which one of the threads did not run. */
     public synchronized void add(double from, double until) {
         lags.add(new Lag(from, until));
     }
 
-    /** The earliest time at which what is dated {@code time} may have come. */
+    /** The earliest time at which an event that was read at {@code time} may have arrived. */
     public synchronized double earliestArrival(double time) {
         double earliest = time;
         for (Lag lag : lags) {
@@ -25,7 +28,7 @@
         return earliest;
     }
 
-    /** The longest of them, milliseconds. */
+    /** Length of the longest interval in milliseconds; 0 if there is none. */
     public synchronized double longestMillis() {
         return lags.stream().mapToDouble(lag -> lag.until - lag.from).max().orElse(0);
     }
--- a/standins/src/main/java/gradereach/standins/ReservedPort.java
+++ b/standins/src/main/java/gradereach/standins/ReservedPort.java
@@ -14,12 +14,12 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** A port on loopback that stays reserved while nothing listens there: no outgoing connection is given it meanwhile. */
+/** A loopback port that stays reserved while nothing listens on it, so that it is not assigned to an outgoing connection. */
 final class ReservedPort implements AutoCloseable {
     private static final int MAX_BIND_ATTEMPTS = 400;
-    private static final long BIND_RETRY_MILLIS = 5; // milliseconds
+    private static final long BIND_RETRY_MILLIS = 5;
 
-    /** Bound and never connected: whoever binds with SO_REUSEADDR as well may listen at the same port. */
+    /** Bound but never connected; a listener that also sets SO_REUSEADDR can bind the same port. */
     private final Socket reservingSocket = new Socket();
 
     ReservedPort() {
@@ -36,17 +36,17 @@
     }
 
     /**
-     * Listens here. A listener that was closed lets go of its socket with the next turn of its event loop only, and until
-     * then binding fails.
+     * Listens on this port. A closed listener releases its socket only in the next iteration of its event loop; binding fails
+     * until then and is retried.
      */
-    Channel listen(EventLoop loop, ChannelHandler forConnections) throws InterruptedException {
+    Channel listen(EventLoop loop, ChannelHandler connectionHandler) throws InterruptedException {
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), number());
-        ServerBootstrap listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).childHandler(forConnections);
-        ChannelFuture bound = listener.bind(address).await();
+        ServerBootstrap bootstrap = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true).childHandler(connectionHandler);
+        ChannelFuture bound = bootstrap.bind(address).await();
         for (int tries = 1; bound.cause() instanceof BindException && tries < MAX_BIND_ATTEMPTS; tries++) {
             Thread.sleep(BIND_RETRY_MILLIS);
-            bound = listener.bind(address).await();
+            bound = bootstrap.bind(address).await();
         }
         return bound.sync().channel();
     }
--- a/standins/src/main/java/gradereach/standins/RosterServer.java
+++ b/standins/src/main/java/gradereach/standins/RosterServer.java
@@ -19,7 +19,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** EndpointSlices by list and watch, one slice an executor; writes to the transcript what each front end was told. */
+/**
+ * Serves the roster as Kubernetes EndpointSlices by list and watch, one slice per executor. Every entry sent to a front end is
+ * written to the transcript.
+ */
 final class RosterServer implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -27,17 +30,17 @@
 
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
-        Thread made = new Thread(work, "roster-server");
-        made.setDaemon(true);
-        return made;
+        Thread thread = new Thread(work, "roster-server");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Transcript transcript;
     private final Map<String, ObjectNode> slices = new LinkedHashMap<>();
     private final CopyOnWriteArrayList<Watcher> watchers = new CopyOnWriteArrayList<>();
     private long version = 1;
-    /** Open watches end, and whatever is asked is answered 503. */
+    /** Whether open watches end and every request is answered 503. */
     volatile boolean unavailable;
-    /** Each executor has a uid, which the next one at its address does not have. */
+    /** Whether slices contain a uid, which a later executor at the same address does not share. */
     volatile boolean includeUids;
 
     RosterServer(Transcript transcript) throws IOException {
@@ -52,29 +55,29 @@
         return server.getAddress().getPort();
     }
 
-    /** {@code state}: ready, draining or gone. */
-    synchronized void publish(StandInExecutor ex, String state) {
-        String name = ex.instance();
+    /** @param state ready, draining or gone (removed) */
+    synchronized void publish(StandInExecutor executor, String state) {
+        String name = executor.instance();
         ObjectNode slice = JSON.createObjectNode();
-        ObjectNode meta = slice.putObject("metadata").put("name", name).put("namespace", "rehearsal")
+        ObjectNode metadata = slice.putObject("metadata").put("name", name).put("namespace", "rehearsal")
                 .put("resourceVersion", Long.toString(++version));
-        if (ex.startedAt > 0) {
-            meta.putObject("annotations").put("gradereach.io/started-at",
-                    Instant.ofEpochMilli((long) ex.startedAt).toString());
+        if (executor.startedAt > 0) {
+            metadata.putObject("annotations").put("gradereach.io/started-at",
+                    Instant.ofEpochMilli((long) executor.startedAt).toString());
         }
         slice.put("addressType", "IPv4");
         slice.putArray("ports").addObject().put("name", "http2")
-                .put("port", Integer.parseInt(ex.address().substring(ex.address().indexOf(':') + 1)));
+                .put("port", Integer.parseInt(executor.address().substring(executor.address().indexOf(':') + 1)));
         ObjectNode endpoint = slice.putArray("endpoints").addObject();
         endpoint.putArray("addresses").add("127.0.0.1");
         endpoint.putObject("conditions").put("ready", state.equals("ready")).put("serving", true)
                 .put("terminating", state.equals("draining"));
-        endpoint.put("zone", ex.zone);
+        endpoint.put("zone", executor.zone);
         if (includeUids) {
             endpoint.putObject("targetRef").put("uid", name);
         }
-        boolean known = slices.containsKey(name);
-        if (!known && state.equals("gone")) {
+        boolean listed = slices.containsKey(name);
+        if (!listed && state.equals("gone")) {
             return;
         }
         if (state.equals("gone")) {
@@ -83,78 +86,79 @@
             slices.put(name, slice);
         }
         ObjectNode event = JSON.createObjectNode().put("type",
-                state.equals("gone") ? "DELETED" : known ? "MODIFIED" : "ADDED");
+                state.equals("gone") ? "DELETED" : listed ? "MODIFIED" : "ADDED");
         event.set("object", slice);
-        watchers.forEach(w -> w.events.add(event));
+        watchers.forEach(watcher -> watcher.events.add(event));
     }
 
-    private void handleRequest(HttpExchange ask) throws IOException {
-        String agent = String.valueOf(ask.getRequestHeaders().getFirst("user-agent")).replace("gradereach/", "");
+    private void handleRequest(HttpExchange exchange) throws IOException {
+        String frontEnd = String.valueOf(exchange.getRequestHeaders().getFirst("user-agent")).replace("gradereach/", "");
         if (unavailable) {
-            ask.sendResponseHeaders(503, -1);
-            ask.close();
+            exchange.sendResponseHeaders(503, -1);
+            exchange.close();
             return;
         }
-        ask.getResponseHeaders().set("content-type", "application/json");
-        if (!String.valueOf(ask.getRequestURI().getQuery()).contains("watch=1")) {
+        exchange.getResponseHeaders().set("content-type", "application/json");
+        if (!String.valueOf(exchange.getRequestURI().getQuery()).contains("watch=1")) {
             byte[] list;
             synchronized (this) {
-                ObjectNode all = JSON.createObjectNode().put("kind", "EndpointSliceList");
-                all.putObject("metadata").put("resourceVersion", Long.toString(version));
-                ArrayNode items = all.putArray("items");
+                ObjectNode endpointSliceList = JSON.createObjectNode().put("kind", "EndpointSliceList");
+                endpointSliceList.putObject("metadata").put("resourceVersion", Long.toString(version));
+                ArrayNode items = endpointSliceList.putArray("items");
                 slices.values().forEach(items::add);
-                list = JSON.writeValueAsBytes(all);
-                slices.values().forEach(slice -> recordTold(agent, "ADDED", slice));
+                list = JSON.writeValueAsBytes(endpointSliceList);
+                slices.values().forEach(slice -> recordTold(frontEnd, "ADDED", slice));
             }
-            ask.sendResponseHeaders(200, list.length);
-            ask.getResponseBody().write(list);
-            ask.close();
+            exchange.sendResponseHeaders(200, list.length);
+            exchange.getResponseBody().write(list);
+            exchange.close();
             return;
         }
-        Watcher watcher = new Watcher(agent, new LinkedBlockingQueue<>());
+        Watcher watcher = new Watcher(frontEnd, new LinkedBlockingQueue<>());
         synchronized (this) {
-            String since = ask.getRequestURI().getQuery().replaceAll(".*resourceVersion=(\\d+).*", "$1");
+            String since = exchange.getRequestURI().getQuery().replaceAll(".*resourceVersion=(\\d+).*", "$1");
             if (!since.equals(Long.toString(version))) {
-                ObjectNode gone = JSON.createObjectNode().put("type", "ERROR");
-                gone.putObject("object").put("kind", "Status").put("code", 410);
-                watcher.events.add(gone);
+                ObjectNode expired = JSON.createObjectNode().put("type", "ERROR");
+                expired.putObject("object").put("kind", "Status").put("code", 410);
+                watcher.events.add(expired);
             }
             watchers.add(watcher);
         }
-        ask.sendResponseHeaders(200, 0);
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds(ask.getRequestURI().getQuery()));
-        try (OutputStream out = ask.getResponseBody()) {
-            while (!unavailable && System.nanoTime() < end) {
+        exchange.sendResponseHeaders(200, 0);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds(exchange.getRequestURI().getQuery()));
+        try (OutputStream out = exchange.getResponseBody()) {
+            while (!unavailable && System.nanoTime() < deadline) {
                 ObjectNode event = watcher.events.poll(200, TimeUnit.MILLISECONDS);
                 if (event == null) {
                     out.write('\n');
                 } else {
-                    recordTold(agent, event.path("type").asText(), (ObjectNode) event.path("object"));
+                    recordTold(frontEnd, event.path("type").asText(), (ObjectNode) event.path("object"));
                     out.write((event + "\n").getBytes(StandardCharsets.UTF_8));
                 }
                 out.flush();
             }
         } catch (IOException | InterruptedException e) {
-            // its reader has gone, or this server ends
+            // the reader closed the connection, or this server is being closed
         } finally {
             watchers.remove(watcher);
         }
     }
 
-    /** How long a watch is asked to last. */
+    /** The requested duration of a watch. */
     private static long timeoutSeconds(String query) {
-        return query.contains("timeoutSeconds=") ? Long.parseLong(query.replaceAll(".*timeoutSeconds=(\\d+).*", "$1")) : DEFAULT_WATCH_SECONDS;
+        return query.contains("timeoutSeconds=") ? Long.parseLong(query.replaceAll(".*timeoutSeconds=(\\d+).*", "$1"))
+                : DEFAULT_WATCH_SECONDS;
     }
 
-    private static final long DEFAULT_WATCH_SECONDS = 1800; // seconds; where no time is asked for
+    private static final long DEFAULT_WATCH_SECONDS = 1800; // used if the request has no timeout
 
-    private void recordTold(String agent, String type, ObjectNode slice) {
+    private void recordTold(String frontEnd, String type, ObjectNode slice) {
         if (!slice.has("ports")) {
             return;
         }
         boolean ready = slice.path("endpoints").path(0).path("conditions").path("ready").asBoolean()
                 && !type.equals("DELETED");
-        transcript.write("told", "fe", agent, "ex", "127.0.0.1:" + slice.path("ports").path(0).path("port").asInt(),
+        transcript.write("told", "fe", frontEnd, "ex", "127.0.0.1:" + slice.path("ports").path(0).path("port").asInt(),
                 "ready", ready);
     }
 
--- a/standins/src/main/java/gradereach/standins/SimulatedMachine.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedMachine.java
@@ -13,20 +13,21 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * What an executor does with models and work: copies with lanes that share cores, loads through the store, idle
- * copies that lapse, a cold start that falls over when pushed. Of one event loop; knows no protocol.
+ * Simulates how an executor hosts models and runs inferences: the lanes of all copies share the cores, copies are loaded
+ * through the model store and evicted when idle, and a cold machine crashes when it is overloaded. Independent of the
+ * protocol; used by one event loop only.
  */
 final class SimulatedMachine {
-    /** One kind of machine; memory in MB, times in milliseconds. */
-    record MachineConfig(double cores, double memoryMb, int maxQueuedJobs, int maxConcurrentLoads, double idleTimeoutMillis, double startFraction,
-            double warmUpMillis, double overloadMultiple, double overloadWindowMillis) { }
+    /** Capacity and limits of a machine; memory in MB, times in milliseconds. */
+    record MachineConfig(double cores, double memoryMb, int maxQueuedJobs, int maxConcurrentLoads, double idleTimeoutMillis,
+            double startFraction, double warmUpMillis, double overloadMultiple, double overloadWindowMillis) { }
 
-    /** What is to be known of a model. */
+    /** Properties of a model; memory in MB, times in milliseconds. */
     record ModelSpec(String name, String group, String retrySafety, double memoryMb, int lanes, double loadMillis, double workMillis) { }
 
-    /** How a job ended; {@code warmth} as the protocol has it. */
+    /** Receives the end of a job; {@code loadStatus} is the value of the protocol's {@code model-warmth} header. */
     interface JobListener {
-        void onCompleted(String warmth, int crowd);
+        void onCompleted(String loadStatus, int concurrency);
 
         void onModelUnavailable(boolean loadFailed);
 
@@ -42,16 +43,16 @@
         double remainingWork;
         boolean running;
 
-        Job(JobListener end, double work, HostedModel held, int crowd) {
-            this.listener = end;
+        Job(JobListener listener, double work, HostedModel model, int concurrency) {
+            this.listener = listener;
             this.work = work;
             this.remainingWork = work;
-            this.model = held;
-            this.concurrency = crowd;
+            this.model = model;
+            this.concurrency = concurrency;
         }
     }
 
-    /** One model here. */
+    /** The copies, jobs and pending load orders of one model. */
     private static final class HostedModel {
         final ModelSpec spec;
         int copies;
@@ -69,8 +70,8 @@
     private record PendingLoadOrder(int copies, BiConsumer<Integer, Integer> answer) { }
 
     private final EventLoop loop;
-    private final MachineConfig kind;
-    private final SimulatedModelStore store;
+    private final MachineConfig config;
+    private final SimulatedModelStore modelStore;
     private final Consumer<String> eventSink;
     private final Map<String, HostedModel> hostedModels = new LinkedHashMap<>();
     private final List<Job> runningJobs = new ArrayList<>();
@@ -85,14 +86,14 @@
     double stalledUntil;
     boolean overloaded;
 
-    /** {@code cold} false for one that has run for long. */
-    SimulatedMachine(EventLoop loop, MachineConfig kind, SimulatedModelStore store, boolean cold, Consumer<String> tells) {
+    /** @param cold whether the machine has just started; false for one that has been running for long */
+    SimulatedMachine(EventLoop loop, MachineConfig config, SimulatedModelStore modelStore, boolean cold, Consumer<String> eventSink) {
         this.loop = loop;
-        this.kind = kind;
-        this.store = store;
-        this.eventSink = tells;
+        this.config = config;
+        this.modelStore = modelStore;
+        this.eventSink = eventSink;
         advancedAt = now();
-        startedAt = cold ? advancedAt : advancedAt - kind.warmUpMillis - 1;
+        startedAt = cold ? advancedAt : advancedAt - config.warmUpMillis - 1;
         loop.scheduleWithFixedDelay(this::evictIdleCopies, 200, 200, TimeUnit.MILLISECONDS);
     }
 
@@ -101,13 +102,13 @@
     }
 
     private double capacityFraction(double at) {
-        return kind.warmUpMillis <= 0 ? 1
-                : Math.min(1, kind.startFraction + (1 - kind.startFraction) * (at - startedAt) / kind.warmUpMillis);
+        return config.warmUpMillis <= 0 ? 1
+                : Math.min(1, config.startFraction + (1 - config.startFraction) * (at - startedAt) / config.warmUpMillis);
     }
 
     // ---- work --------------------------------------------------------------------------------------------
 
-    /** The work that the model's inferences usually take counts against a cold machine, whatever becomes of them. */
+    /** Adds the usual work of the model to the recent load of a cold machine, even if the inference is rejected later. */
     private void recordRecentWork(ModelSpec spec) {
         double now = now();
         if (capacityFraction(now) >= 1) {
@@ -115,39 +116,40 @@
         }
         recentWork.add(new double[] {now, spec.workMillis});
         recentWorkSum += spec.workMillis;
-        while (recentWork.peek()[0] < now - kind.overloadWindowMillis) {
+        while (recentWork.peek()[0] < now - config.overloadWindowMillis) {
             recentWorkSum -= recentWork.poll()[1];
         }
-        if (kind.overloadMultiple > 0 && recentWorkSum > kind.overloadMultiple * capacityFraction(now) * kind.cores * kind.overloadWindowMillis) {
+        if (config.overloadMultiple > 0
+                && recentWorkSum > config.overloadMultiple * capacityFraction(now) * config.cores * config.overloadWindowMillis) {
             overloaded = true;
             eventSink.accept("fell");
         }
     }
 
-    void submit(ModelSpec spec, double work, JobListener end) {
+    void submit(ModelSpec spec, double work, JobListener listener) {
         recordRecentWork(spec);
-        HostedModel h = hostedModels.get(spec.name());
-        if (h == null || h.copies + h.loadingCopies == 0) {
-            end.onModelUnavailable(false);
+        HostedModel hosted = hostedModels.get(spec.name());
+        if (hosted == null || hosted.copies + hosted.loadingCopies == 0) {
+            listener.onModelUnavailable(false);
             return;
         }
-        if (h.queue.size() >= kind.maxQueuedJobs) {
-            end.onQueueFull();
+        if (hosted.queue.size() >= config.maxQueuedJobs) {
+            listener.onQueueFull();
             return;
         }
-        Job job = new Job(end, work, h, h.runningJobs + h.queue.size());
-        job.loadStatus = h.copies > 0 ? "loaded" : "waited-for-load";
-        h.queue.add(job);
-        startQueuedJobs(h);
+        Job job = new Job(listener, work, hosted, hosted.runningJobs + hosted.queue.size());
+        job.loadStatus = hosted.copies > 0 ? "loaded" : "waited-for-load";
+        hosted.queue.add(job);
+        startQueuedJobs(hosted);
     }
 
-    private void startQueuedJobs(HostedModel h) {
+    private void startQueuedJobs(HostedModel hosted) {
         advance();
-        while (!h.queue.isEmpty() && h.runningJobs < h.copies * h.spec.lanes()) {
-            Job job = h.queue.poll();
+        while (!hosted.queue.isEmpty() && hosted.runningJobs < hosted.copies * hosted.spec.lanes()) {
+            Job job = hosted.queue.poll();
             job.running = true;
-            h.runningJobs++;
-            h.lastUsedAt = now();
+            hosted.runningJobs++;
+            hosted.lastUsedAt = now();
             runningJobs.add(job);
         }
         scheduleNextCompletion();
@@ -157,7 +159,7 @@
         if (runningJobs.isEmpty() || at < stalledUntil) {
             return 0;
         }
-        return Math.min(1, kind.cores * capacityFraction(at) / runningJobs.size()) / slowdown;
+        return Math.min(1, config.cores * capacityFraction(at) / runningJobs.size()) / slowdown;
     }
 
     private void advance() {
@@ -178,33 +180,33 @@
         if (runningJobs.isEmpty()) {
             return;
         }
-        double least = Double.POSITIVE_INFINITY;
+        double leastRemaining = Double.POSITIVE_INFINITY;
         for (Job job : runningJobs) {
-            least = Math.min(least, job.remainingWork);
+            leastRemaining = Math.min(leastRemaining, job.remainingWork);
         }
         double now = now();
         double rate = workRate(now);
-        // A stall or a warming machine changes the pace: looked at again in 20 ms at the latest then.
-        double in = rate == 0 ? 20 : least / rate;
-        in = capacityFraction(now) < 1 ? Math.min(20, in) : in;
-        nextCompletion = loop.schedule(this::completeFinishedJobs, (long) (Math.max(0.05, in) * 1000), TimeUnit.MICROSECONDS);
+        // The rate changes during a stall or a warm-up, so check again within 20 ms then.
+        double delayMillis = rate == 0 ? 20 : leastRemaining / rate;
+        delayMillis = capacityFraction(now) < 1 ? Math.min(20, delayMillis) : delayMillis;
+        nextCompletion = loop.schedule(this::completeFinishedJobs, (long) (Math.max(0.05, delayMillis) * 1000), TimeUnit.MICROSECONDS);
     }
 
     void completeFinishedJobs() {
         advance();
-        List<Job> ended = new ArrayList<>();
+        List<Job> finished = new ArrayList<>();
         for (Job job : runningJobs) {
             if (job.remainingWork <= 1e-6) {
-                ended.add(job);
+                finished.add(job);
             }
         }
-        runningJobs.removeAll(ended);
-        for (Job job : ended) {
+        runningJobs.removeAll(finished);
+        for (Job job : finished) {
             job.model.runningJobs--;
             job.model.lastUsedAt = now();
             job.listener.onCompleted(job.loadStatus, job.concurrency);
         }
-        for (Job job : ended) {
+        for (Job job : finished) {
             startQueuedJobs(job.model);
         }
         scheduleNextCompletion();
@@ -212,37 +214,37 @@
 
     // ---- copies ------------------------------------------------------------------------------------------
 
-    /** {@code answer} gets an HTTP status and the copies that stand. */
+    /** Loads missing copies; {@code answer} receives an HTTP status and the number of loaded copies. */
     void ensureLoaded(ModelSpec spec, int copies, BiConsumer<Integer, Integer> answer) {
-        HostedModel h = hostedModels.computeIfAbsent(spec.name(), n -> new HostedModel(spec));
+        HostedModel hosted = hostedModels.computeIfAbsent(spec.name(), n -> new HostedModel(spec));
         if (copies == 0) {
-            answer.accept(200, h.copies);
+            answer.accept(200, hosted.copies);
             return;
         }
-        h.lastUsedAt = now();
-        if (h.copies >= copies) {
-            answer.accept(200, h.copies);
+        hosted.lastUsedAt = now();
+        if (hosted.copies >= copies) {
+            answer.accept(200, hosted.copies);
             return;
         }
-        while (h.copies + h.loadingCopies < copies) {
-            if (loadQueue.size() >= 2 * kind.maxConcurrentLoads || !makeRoom(spec.memoryMb())) {
-                answer.accept(503, h.copies);
+        while (hosted.copies + hosted.loadingCopies < copies) {
+            if (loadQueue.size() >= 2 * config.maxConcurrentLoads || !makeRoom(spec.memoryMb())) {
+                answer.accept(503, hosted.copies);
                 return;
             }
-            h.loadingCopies++;
-            loadQueue.add(h);
+            hosted.loadingCopies++;
+            loadQueue.add(hosted);
         }
-        h.pendingLoadOrders.add(new PendingLoadOrder(copies, answer));
+        hosted.pendingLoadOrders.add(new PendingLoadOrder(copies, answer));
         startQueuedLoads();
     }
 
-    private boolean makeRoom(double memory) {
-        while (usedMemory() + memory > kind.memoryMb) {
+    private boolean makeRoom(double requiredMb) {
+        while (usedMemory() + requiredMb > config.memoryMb) {
             HostedModel oldest = null;
-            for (HostedModel h : hostedModels.values()) {
-                boolean idle = h.copies > 0 && h.runningJobs < h.copies * h.spec.lanes() && h.runningJobs == 0;
-                if (idle && (oldest == null || h.lastUsedAt < oldest.lastUsedAt)) {
-                    oldest = h;
+            for (HostedModel hosted : hostedModels.values()) {
+                boolean idle = hosted.copies > 0 && hosted.runningJobs < hosted.copies * hosted.spec.lanes() && hosted.runningJobs == 0;
+                if (idle && (oldest == null || hosted.lastUsedAt < oldest.lastUsedAt)) {
+                    oldest = hosted;
                 }
             }
             if (oldest == null) {
@@ -255,74 +257,75 @@
 
     private double usedMemory() {
         double sum = 0;
-        for (HostedModel h : hostedModels.values()) {
-            sum += (h.copies + h.loadingCopies) * h.spec.memoryMb();
+        for (HostedModel hosted : hostedModels.values()) {
+            sum += (hosted.copies + hosted.loadingCopies) * hosted.spec.memoryMb();
         }
         return sum;
     }
 
     private void startQueuedLoads() {
-        while (activeLoads < kind.maxConcurrentLoads && !loadQueue.isEmpty()) {
-            HostedModel h = loadQueue.poll();
-            // Half of a load is the fetch from the store, half the start.
-            double fetch = store.startFetch(h.spec.loadMillis() / 2);
+        while (activeLoads < config.maxConcurrentLoads && !loadQueue.isEmpty()) {
+            HostedModel hosted = loadQueue.poll();
+            // Half of the load time is the fetch from the store, half the start of the copy.
+            double fetch = modelStore.startFetch(hosted.spec.loadMillis() / 2);
             if (fetch < 0) {
-                loadFinished(h, false);
+                loadFinished(hosted, false);
                 continue;
             }
             activeLoads++;
             loop.schedule(() -> {
-                store.endFetch();
+                modelStore.endFetch();
                 loop.schedule(() -> {
                     activeLoads--;
-                    loadFinished(h, true);
+                    loadFinished(hosted, true);
                     startQueuedLoads();
-                }, (long) (h.spec.loadMillis() / 2 * slowdown), TimeUnit.MILLISECONDS);
+                }, (long) (hosted.spec.loadMillis() / 2 * slowdown), TimeUnit.MILLISECONDS);
             }, (long) fetch, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void loadFinished(HostedModel h, boolean ok) {
-        h.loadingCopies = Math.max(0, h.loadingCopies - 1);
-        h.copies += ok ? 1 : 0;
-        h.lastUsedAt = now();
-        for (PendingLoadOrder wish : List.copyOf(h.pendingLoadOrders)) {
-            boolean stands = h.copies >= wish.copies;
-            if (stands || h.copies + h.loadingCopies < wish.copies) {
-                h.pendingLoadOrders.remove(wish);
-                wish.answer.accept(stands ? 200 : 500, h.copies);
+    private void loadFinished(HostedModel hosted, boolean ok) {
+        hosted.loadingCopies = Math.max(0, hosted.loadingCopies - 1);
+        hosted.copies += ok ? 1 : 0;
+        hosted.lastUsedAt = now();
+        for (PendingLoadOrder order : List.copyOf(hosted.pendingLoadOrders)) {
+            boolean ready = hosted.copies >= order.copies;
+            if (ready || hosted.copies + hosted.loadingCopies < order.copies) {
+                hosted.pendingLoadOrders.remove(order);
+                order.answer.accept(ready ? 200 : 500, hosted.copies);
             }
         }
-        if (h.copies + h.loadingCopies == 0) {
-            for (Job job; (job = h.queue.poll()) != null;) {
+        if (hosted.copies + hosted.loadingCopies == 0) {
+            for (Job job; (job = hosted.queue.poll()) != null;) {
                 job.listener.onModelUnavailable(true);
             }
         }
-        startQueuedJobs(h);
+        startQueuedJobs(hosted);
     }
 
     void unloadIdle(String model) {
-        HostedModel h = hostedModels.get(model);
-        if (h != null) {
-            h.copies = Math.min(h.copies, (int) Math.ceil((double) h.runningJobs / h.spec.lanes()));
+        HostedModel hosted = hostedModels.get(model);
+        if (hosted != null) {
+            hosted.copies = Math.min(hosted.copies, (int) Math.ceil((double) hosted.runningJobs / hosted.spec.lanes()));
         }
     }
 
-    /** A new release: idle copies of a share of the models are void. */
-    void flush(double part) {
+    /** Unloads the idle copies of a fraction of the models, like a new release of these models. */
+    void flush(double fraction) {
         int n = 0;
-        for (HostedModel h : hostedModels.values()) {
-            if (n++ < hostedModels.size() * part) {
-                unloadIdle(h.spec.name());
+        for (HostedModel hosted : hostedModels.values()) {
+            if (n++ < hostedModels.size() * fraction) {
+                unloadIdle(hosted.spec.name());
             }
         }
     }
 
     private void evictIdleCopies() {
         double now = now();
-        for (HostedModel h : hostedModels.values()) {
-            if (h.copies > 0 && h.runningJobs == 0 && h.queue.isEmpty() && now - h.lastUsedAt >= kind.idleTimeoutMillis) {
-                h.copies--;
+        for (HostedModel hosted : hostedModels.values()) {
+            if (hosted.copies > 0 && hosted.runningJobs == 0 && hosted.queue.isEmpty()
+                    && now - hosted.lastUsedAt >= config.idleTimeoutMillis) {
+                hosted.copies--;
             }
         }
     }
@@ -331,10 +334,10 @@
 
     String loadReport() {
         int queued = 0;
-        for (HostedModel h : hostedModels.values()) {
-            queued += h.queue.size();
+        for (HostedModel hosted : hostedModels.values()) {
+            queued += hosted.queue.size();
         }
-        return "TEXT cpu_utilization=" + Math.min(1, runningJobs.size() / kind.cores) + ",named_metrics.in_flight="
+        return "TEXT cpu_utilization=" + Math.min(1, runningJobs.size() / config.cores) + ",named_metrics.in_flight="
                 + (runningJobs.size() + queued) + ",named_metrics.queued=" + queued + ",named_metrics.loads="
                 + (activeLoads + loadQueue.size());
     }
--- a/standins/src/main/java/gradereach/standins/SimulatedModelStore.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedModelStore.java
@@ -1,24 +1,24 @@
 package gradereach.standins;
 
-/** The shared model store: fetches slow each other down when many, and some are turned away beyond a limit. */
+/** Simulates the shared model store: concurrent fetches slow each other down, and fetches beyond a limit are rejected. */
 final class SimulatedModelStore {
     private final int fullSpeedFetches;
     private final int maxFetches;
     private int activeFetches;
     volatile double slowdown = 1;
 
-    SimulatedModelStore(int atFullPace, int most) {
-        this.fullSpeedFetches = atFullPace;
-        this.maxFetches = most;
+    SimulatedModelStore(int fullSpeedFetches, int maxFetches) {
+        this.fullSpeedFetches = fullSpeedFetches;
+        this.maxFetches = maxFetches;
     }
 
-    /** How long a fetch of that usual time takes now, milliseconds; -1 where it is turned away. */
-    synchronized double startFetch(double usual) {
+    /** Starts a fetch and returns how many milliseconds it takes under the current load; -1 if it is rejected. */
+    synchronized double startFetch(double usualMillis) {
         if (activeFetches >= maxFetches) {
             return -1;
         }
         activeFetches++;
-        return usual * slowdown * Math.max(1, (double) activeFetches / fullSpeedFetches);
+        return usualMillis * slowdown * Math.max(1, (double) activeFetches / fullSpeedFetches);
     }
 
     synchronized void endFetch() {
--- a/standins/src/main/java/gradereach/standins/SmallFleet.java
+++ b/standins/src/main/java/gradereach/standins/SmallFleet.java
@@ -11,13 +11,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** A few stand-ins in this very process, and the deployment file that fits them: for tests on loopback. */
+/** A few stand-ins in the current process, with a matching deployment file, for tests on loopback. */
 public final class SmallFleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Path transcriptFile;
     private final StandInFleet fleet;
 
-    /** Models {@code look-*} are retriable, {@code book-*} non-retriable, {@code tell-*} and {@code sign-*} the same in parts; each loads in 20 ms and works for 5. */
+    /**
+     * Starts the stand-ins. Models {@code look-*} are retriable and {@code book-*} non-retriable; {@code tell-*} and
+     * {@code sign-*} are the same with streamed answers. Each model loads in 20 ms, and an inference takes 5 ms.
+     */
     public SmallFleet(Path folder, int executors) throws IOException, InterruptedException {
         transcriptFile = folder.resolve("t.jsonl");
         fleet = new StandInFleet(modelConfig().put("executors", executors).put("work_ms", 5), transcriptFile);
@@ -36,22 +39,22 @@
                   {"name": "book-*", "group": "book", "lanes": 16, "load_ms": 20}]}""");
     }
 
-    /** For a front end of that name, with one customer, {@code yard}, whose key is {@code secret}. */
+    /** Creates the deployment file of a front end with one customer, {@code yard}, whose key is {@code secret}. */
     public ObjectNode createDeployment(String name, String secret) throws JsonProcessingException {
-        ObjectNode plan = modelConfig().put("name", name).put("listen", "127.0.0.1:0");
-        plan.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
-        plan.putArray("customers").addObject().put("name", "yard")
+        ObjectNode deployment = modelConfig().put("name", name).put("listen", "127.0.0.1:0");
+        deployment.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
+        deployment.putArray("customers").addObject().put("name", "yard")
                 .put("answers_to", "http://127.0.0.1:" + fleet.controlPort() + "/answers")
                 .putArray("keys").addObject().put("inline", secret);
-        return plan;
+        return deployment;
     }
 
-    /** One fault, as the control port takes it. */
+    /** Injects one fault, in the form of the control port. */
     public void injectFault(JsonNode fault) throws InterruptedException {
         fleet.injectFault(fault);
     }
 
-    /** Of the executors, in their order. */
+    /** Addresses of the executors, in their order. */
     public List<String> addresses() {
         return fleet.addresses();
     }
@@ -60,7 +63,7 @@
         return fleet.controlPort();
     }
 
-    /** Ends the stand-ins and tells how often each inference ran, by {@code customer/id}. */
+    /** Closes the stand-ins and returns how often each inference ran, by {@code customer/id}. */
     public Map<String, Integer> closeAndCountRuns() throws IOException {
         fleet.close();
         Map<String, Integer> runs = new HashMap<>();
--- a/standins/src/main/java/gradereach/standins/StandInExecutor.java
+++ b/standins/src/main/java/gradereach/standins/StandInExecutor.java
@@ -32,25 +32,26 @@
 import java.util.function.Function;
 
 /**
- * An executor on the Open Inference Protocol over HTTP/2, with the model repository extension, the ready check and
- * ORCA reports; see docs/proofs.md for its marks. It writes what came, ran and was answered to the transcript.
+ * A stand-in executor that speaks the Open Inference Protocol over HTTP/2, with the model repository extension, the ready
+ * check and ORCA load reports; docs/proofs.md describes its headers and transcript events. Every request that arrives, runs
+ * or is answered is written to the transcript.
  */
 final class StandInExecutor {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What goes wrong here; set by the control port. */
+    /** Injected faults of this executor, set through the control port. */
     static final class Faults {
         volatile String fullForCustomer;
         volatile String unansweredGroup;
         volatile boolean refuseConnections;
         volatile String resetPoint;
-        /** It is not ready for new work, and the roster does not say so; what comes all the same it takes. */
+        /** Reports itself as not ready, while the roster shows no drain; requests that arrive anyway are accepted. */
         volatile boolean unannouncedDrain;
-        /** Its process runs what comes and answers none of it; a new process does. */
+        /** Runs inferences without answering them, until the next start of the process. */
         volatile boolean dropAnswers;
-        /** Milliseconds by which the clock of its machine is ahead, as a process starts there. */
+        /** How far the clock of the machine is ahead when a process starts there. */
         volatile double clockAheadMillis;
-        /** What that clock shows at every start of a process, Unix milliseconds; NaN where it goes on. */
+        /** Unix time in milliseconds that the clock shows at every process start; NaN for a clock that runs normally. */
         volatile double clockAtStart = Double.NaN;
     }
 
@@ -61,28 +62,28 @@
     private final SimulatedModelStore modelStore;
     private final Function<String, SimulatedMachine.ModelSpec> modelSpecs;
     private final Transcript transcript;
-    /** Marks of deduped inferences that ran somewhere in the fleet, with their answers. */
+    /** Answers of the deduped inferences that ran anywhere in the fleet, by dedup key. */
     private final Map<String, byte[]> dedupAnswers;
     private final ChannelGroup openConnections;
     private Channel listener;
     private ReservedPort reservedPort = new ReservedPort();
     private volatile SimulatedMachine machine;
-    /** Discovery's name for it, from its first address. */
+    /** Instance name in discovery, derived from the first address. */
     private volatile String instance;
-    /** Of the present process. */
+    /** Forward outcomes of the current process. */
     private volatile ForwardOutcomes forwardOutcomes;
     volatile double startedAt;
     volatile boolean running;
 
-    StandInExecutor(String zone, EventLoop loop, SimulatedMachine.MachineConfig kind, SimulatedModelStore store, Function<String, SimulatedMachine.ModelSpec> specs,
-            Transcript transcript, Map<String, byte[]> seen) {
+    StandInExecutor(String zone, EventLoop loop, SimulatedMachine.MachineConfig machineConfig, SimulatedModelStore modelStore,
+            Function<String, SimulatedMachine.ModelSpec> modelSpecs, Transcript transcript, Map<String, byte[]> dedupAnswers) {
         this.zone = zone;
         this.loop = loop;
-        this.machineConfig = kind;
-        this.modelStore = store;
-        this.modelSpecs = specs;
+        this.machineConfig = machineConfig;
+        this.modelStore = modelStore;
+        this.modelSpecs = modelSpecs;
         this.transcript = transcript;
-        this.dedupAnswers = seen;
+        this.dedupAnswers = dedupAnswers;
         openConnections = new DefaultChannelGroup(loop);
     }
 
@@ -95,13 +96,14 @@
     }
 
     void start(boolean cold) throws InterruptedException {
-        machine = new SimulatedMachine(loop, machineConfig, modelStore, cold, word -> {
-            transcript.write(word, "ex", address());
+        machine = new SimulatedMachine(loop, machineConfig, modelStore, cold, event -> {
+            transcript.write(event, "ex", address());
             loop.execute(this::kill);
         });
         startedAt = cold ? Transcript.now() : 0;
-        boolean goesOn = Double.isNaN(faults.clockAtStart);
-        forwardOutcomes = new ForwardOutcomes(loop, goesOn ? Transcript.now() + faults.clockAheadMillis : faults.clockAtStart);
+        boolean clockRunsNormally = Double.isNaN(faults.clockAtStart);
+        forwardOutcomes = new ForwardOutcomes(loop,
+                clockRunsNormally ? Transcript.now() + faults.clockAheadMillis : faults.clockAtStart);
         faults.dropAnswers = false;
         listen();
         instance = instance == null ? "ex-" + address().replace(':', '-').replace('.', '-') : instance;
@@ -132,30 +134,30 @@
         });
     }
 
-    /** What comes on the connections that are open now waits unread until {@link #readConnections}. */
+    /** Stops reading from all open connections until {@link #resumeReadingConnections}. */
     void stopReadingConnections() {
         openConnections.forEach(connection -> connection.config().setAutoRead(false));
     }
 
-    /** What came meanwhile is read, also where its sender has ended since. */
+    /** Resumes reading; data that arrived meanwhile is read even if its sender has exited since. */
     void resumeReadingConnections() {
         openConnections.forEach(connection -> connection.config().setAutoRead(true));
     }
 
-    /** The process as it is, with all that it holds, at the address of one that has ended. */
-    void takeOverAddress(StandInExecutor ended) throws InterruptedException {
+    /** Moves this process with its whole state to the address of an executor that has terminated. */
+    void takeOverAddress(StandInExecutor terminated) throws InterruptedException {
         kill();
         listener.closeFuture().sync();
-        ended.listener.closeFuture().sync();
+        terminated.listener.closeFuture().sync();
         ReservedPort own = reservedPort;
-        reservedPort = ended.reservedPort;
-        ended.reservedPort = own;
+        reservedPort = terminated.reservedPort;
+        terminated.reservedPort = own;
         listen();
         running = true;
         transcript.write("start", "ex", address(), "cold", false, "zone", zone);
     }
 
-    /** Ends at once, as a killed process does. */
+    /** Closes the listener and all connections at once, like a killed process. */
     void kill() {
         running = false;
         listener.close();
@@ -163,7 +165,7 @@
         transcript.write("down", "ex", address());
     }
 
-    /** For good: its address is free for anybody. */
+    /** Terminates permanently and releases the address. */
     void close() {
         if (running) {
             kill();
@@ -182,7 +184,7 @@
         private String forward = "";
         private String dedupKey = "";
         private boolean grpc;
-        /** How an answer in parts flows; null for a whole one. */
+        /** The streamed answer; null if the answer is a single message. */
         private StreamedAnswer streamedAnswer;
         private SimulatedMachine servingMachine;
         private ForwardOutcomes servingOutcomes;
@@ -192,19 +194,20 @@
             servingMachine = machine;
             servingOutcomes = forwardOutcomes;
             String path = request.uri();
-            String agent = request.headers().get("user-agent", "").replace("gradereach/", "");
+            String frontEnd = request.headers().get("user-agent", "").replace("gradereach/", "");
             if (path.startsWith("/v2/outcomes/")) {
                 answerInquiry(ctx, URLDecoder.decode(path.substring(13), StandardCharsets.UTF_8));
             } else if (path.equals("/v2/health/ready")) {
                 respond(ctx, faults.unannouncedDrain ? 503 : 200, "{}", null);
             } else if (path.startsWith("/v2/repository/models/")) {
-                handleLoadOrder(ctx, path, request, agent);
+                handleLoadOrder(ctx, path, request, frontEnd);
             } else if (path.startsWith("/v2/models/") && path.endsWith("/infer")) {
                 JsonNode input = JSON.readTree(ByteBufUtil.getBytes(request.content()));
-                handleInference(ctx, modelName(path, 11, 6), input.path("parameters").path("work_ms").asDouble(Double.NaN), request, agent);
+                handleInference(ctx, modelName(path, 11, 6), input.path("parameters").path("work_ms").asDouble(Double.NaN), request,
+                        frontEnd);
             } else if (path.startsWith("/inference.GRPCInferenceService/Model")) {
                 grpc = true;
-                // One message behind its flag and length.
+                // One gRPC message, after its compression flag and length.
                 ModelInferRequest message = ModelInferRequest.parseFrom(
                         ByteBufUtil.getBytes(request.content(), 5, request.content().readableBytes() - 5));
                 InferParameter work = message.getParametersMap().get("work_ms");
@@ -213,27 +216,27 @@
                             intParameter(message, "part_ms", 5), loop, faults, transcript);
                 }
                 handleInference(ctx, message.getModelName(), work == null ? Double.NaN : work.hasDoubleParam() ? work.getDoubleParam()
-                        : work.getInt64Param(), request, agent);
+                        : work.getInt64Param(), request, frontEnd);
             } else {
                 respond(ctx, 404, "{\"error\":\"no such path\"}", null);
             }
         }
 
-        /** What became of a forward: finished (200, its answer), running (202), never seen by this process (404). */
-        private void answerInquiry(ChannelHandlerContext ctx, String of) {
-            ForwardOutcomes.ForwardLookup found = servingOutcomes.findOrFence(of);
-            transcript.write("asked-about", "ex", address(), "fwd", of, "finished", found.status() == 200);
+        /** Answers an inquiry about a forward: finished (200, with its answer), running (202) or unknown to this process (404). */
+        private void answerInquiry(ChannelHandlerContext ctx, String inquiredForward) {
+            ForwardOutcomes.ForwardLookup found = servingOutcomes.findOrFence(inquiredForward);
+            transcript.write("asked-about", "ex", address(), "fwd", inquiredForward, "finished", found.status() == 200);
             FullHttpResponse response = jsonResponse(found.status(), found.output());
             response.headers().set("executor-up-since", servingOutcomes.upSince()).set("executor-process", servingOutcomes.processId())
                     .set("forward-fenced", found.fenced() ? "yes" : "no");
             ctx.writeAndFlush(response);
         }
 
-        private String modelName(String path, int from, int tail) {
-            return URLDecoder.decode(path.substring(from, path.length() - tail), StandardCharsets.UTF_8);
+        private String modelName(String path, int prefixLength, int suffixLength) {
+            return URLDecoder.decode(path.substring(prefixLength, path.length() - suffixLength), StandardCharsets.UTF_8);
         }
 
-        private void handleLoadOrder(ChannelHandlerContext ctx, String path, FullHttpRequest request, String agent)
+        private void handleLoadOrder(ChannelHandlerContext ctx, String path, FullHttpRequest request, String frontEnd)
                 throws IOException {
             boolean unload = path.endsWith("/unload");
             SimulatedMachine.ModelSpec spec = modelSpecs.apply(modelName(path, 22, unload ? 7 : 5));
@@ -242,23 +245,23 @@
                 return;
             }
             if (unload) {
-                transcript.write("unload", "ex", address(), "fe", agent, "model", spec.name());
+                transcript.write("unload", "ex", address(), "fe", frontEnd, "model", spec.name());
                 servingMachine.unloadIdle(spec.name());
                 respond(ctx, 200, "{}", null);
                 return;
             }
             JsonNode body = JSON.readTree(ByteBufUtil.getBytes(request.content()));
             int copies = body.path("parameters").path("copies").asInt(1);
-            transcript.write("order", "ex", address(), "fe", agent, "model", spec.name(), "copies", copies);
-            servingMachine.ensureLoaded(spec, copies, (status, standing) -> respond(ctx, status, "{}", standing));
+            transcript.write("order", "ex", address(), "fe", frontEnd, "model", spec.name(), "copies", copies);
+            servingMachine.ensureLoaded(spec, copies, (status, loadedCopies) -> respond(ctx, status, "{}", loadedCopies));
         }
 
-        private void handleInference(ChannelHandlerContext ctx, String model, double asked, FullHttpRequest request, String agent)
-                throws IOException {
+        private void handleInference(ChannelHandlerContext ctx, String model, double requestedWork, FullHttpRequest request,
+                String frontEnd) throws IOException {
             forward = request.headers().get("x-request-id", "");
             dedupKey = request.headers().get("idempotency-key", "");
             SimulatedMachine.ModelSpec spec = modelSpecs.apply(model);
-            transcript.write("arrived", "ex", address(), "fe", agent, "fwd", forward, "mark", dedupKey, "model", model);
+            transcript.write("arrived", "ex", address(), "fe", frontEnd, "fwd", forward, "mark", dedupKey, "model", model);
             String customer = dedupKey.substring(0, Math.max(0, dedupKey.indexOf('/')));
             if ("before".equals(faults.resetPoint)) {
                 resetStream(ctx);
@@ -271,12 +274,13 @@
             if (spec.group().equals(faults.unansweredGroup)) {
                 return;
             }
-            double work = Double.isNaN(asked) ? spec.workMillis() : asked;
+            double work = Double.isNaN(requestedWork) ? spec.workMillis() : requestedWork;
             boolean deduped = spec.retrySafety().equals("deduped");
-            byte[] before = deduped ? dedupAnswers.get(dedupKey) : null;
-            if (before != null && streamedAnswer == null) {
+            byte[] earlierAnswer = deduped ? dedupAnswers.get(dedupKey) : null;
+            if (earlierAnswer != null && streamedAnswer == null) {
                 transcript.write("dropped", "ex", address(), "fwd", forward, "mark", dedupKey);
-                ctx.writeAndFlush(grpc ? grpcInferResponse(model, work) : jsonResponse(200, new String(before, StandardCharsets.UTF_8)));
+                ctx.writeAndFlush(grpc ? grpcInferResponse(model, work)
+                        : jsonResponse(200, new String(earlierAnswer, StandardCharsets.UTF_8)));
                 return;
             }
             String output = "{\"model_name\":" + JSON.writeValueAsString(model) + ",\"outputs\":[{\"name\":\"out\","
@@ -287,9 +291,9 @@
             }
             servingMachine.submit(spec, work, new SimulatedMachine.JobListener() {
                 @Override
-                public void onCompleted(String warmth, int crowd) {
+                public void onCompleted(String loadStatus, int concurrency) {
                     if (!running || machine != servingMachine) {
-                        return; // it died with the process
+                        return; // the process was killed meanwhile
                     }
                     servingOutcomes.complete(forward, output);
                     if (deduped && dedupAnswers.putIfAbsent(dedupKey, output.getBytes(StandardCharsets.UTF_8)) != null) {
@@ -305,12 +309,13 @@
                         return;
                     }
                     if (streamedAnswer != null) {
-                        streamedAnswer.start(ctx, new StreamedAnswer.AnswerSource(address(), forward, servingMachine, () -> running && machine == servingMachine), warmth, crowd);
+                        streamedAnswer.start(ctx, new StreamedAnswer.AnswerSource(address(), forward, servingMachine,
+                                () -> running && machine == servingMachine), loadStatus, concurrency);
                         return;
                     }
                     FullHttpResponse response = grpc ? grpcInferResponse(model, work) : jsonResponse(200, output);
-                    response.headers().set("model-warmth", warmth);
-                    response.headers().set("model-crowd", crowd);
+                    response.headers().set("model-warmth", loadStatus);
+                    response.headers().set("model-crowd", concurrency);
                     ctx.writeAndFlush(response);
                 }
 
@@ -327,13 +332,13 @@
                 }
             });
             if ("within".equals(faults.resetPoint)) {
-                resetStream(ctx); // the work goes on
+                resetStream(ctx); // the machine continues the work
             }
         }
 
-        private int intParameter(ModelInferRequest in, String name, int otherwise) {
-            InferParameter told = in.getParametersMap().get(name);
-            return told == null ? otherwise : (int) Math.max(told.getInt64Param(), told.getDoubleParam());
+        private int intParameter(ModelInferRequest request, String name, int defaultValue) {
+            InferParameter value = request.getParametersMap().get(name);
+            return value == null ? defaultValue : (int) Math.max(value.getInt64Param(), value.getDoubleParam());
         }
 
         @Override
@@ -357,7 +362,8 @@
 
         private void reject(ChannelHandlerContext ctx, int status, boolean loadFailed) {
             transcript.write("refused", "ex", address(), "fwd", forward, "mark", dedupKey, "status", status);
-            FullHttpResponse response = grpc ? grpcResponse(grpcStatus(status), new byte[0]) : jsonResponse(status, "{\"error\":\"not begun\"}");
+            FullHttpResponse response = grpc ? grpcResponse(grpcStatus(status), new byte[0])
+                    : jsonResponse(status, "{\"error\":\"not begun\"}");
             response.headers().set("inference-begun", "no");
             if (loadFailed) {
                 response.headers().set("model-warmth", "load-failed");
@@ -365,7 +371,7 @@
             ctx.writeAndFlush(response);
         }
 
-        /** NOT_FOUND, FAILED_PRECONDITION or UNAVAILABLE. */
+        /** Maps an HTTP status to the gRPC status NOT_FOUND, FAILED_PRECONDITION or UNAVAILABLE. */
         private static int grpcStatus(int status) {
             return switch (status) {
                 case 404 -> 5;
@@ -386,16 +392,17 @@
         }
 
         private FullHttpResponse grpcInferResponse(String model, double work) {
-            ModelInferResponse.Builder of = ModelInferResponse.newBuilder().setModelName(model);
-            of.addOutputsBuilder().setName("out").setDatatype("FP32").addShape(1).getContentsBuilder().addFp32Contents((float) work);
-            byte[] message = of.build().toByteArray();
-            return grpcResponse(0, java.nio.ByteBuffer.allocate(5 + message.length).put((byte) 0).putInt(message.length).put(message).array());
+            ModelInferResponse.Builder builder = ModelInferResponse.newBuilder().setModelName(model);
+            builder.addOutputsBuilder().setName("out").setDatatype("FP32").addShape(1).getContentsBuilder().addFp32Contents((float) work);
+            byte[] message = builder.build().toByteArray();
+            return grpcResponse(0,
+                    java.nio.ByteBuffer.allocate(5 + message.length).put((byte) 0).putInt(message.length).put(message).array());
         }
 
-        /** With {@code status} in the trailers, as gRPC has it. */
-        private FullHttpResponse grpcResponse(int status, byte[] framed) {
+        /** A gRPC response, with {@code status} in the trailers. */
+        private FullHttpResponse grpcResponse(int status, byte[] framedMessage) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    Unpooled.wrappedBuffer(framed));
+                    Unpooled.wrappedBuffer(framedMessage));
             response.headers().set("content-type", "application/grpc");
             response.trailingHeaders().set("grpc-status", status).set("endpoint-load-metrics", servingMachine.loadReport());
             return response;
--- a/standins/src/main/java/gradereach/standins/StandInFleet.java
+++ b/standins/src/main/java/gradereach/standins/StandInFleet.java
@@ -22,17 +22,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * All stand-ins of a rehearsal in one process: executors, their store, the roster, a webhook receiver, and a control
- * port that takes faults ({@code POST /fault}, docs/rehearsal.md). They decide nothing of the product's.
+ * All stand-ins of a rehearsal in one process: executors, their model store, the roster server, a webhook receiver, and a
+ * control port that injects faults ({@code POST /fault}, docs/rehearsal.md). It contains none of the product's logic.
  */
 public final class StandInFleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2, work -> {
-        Thread made = new Thread(work, "fleet");
-        made.setDaemon(true);
-        return made;
+        Thread thread = new Thread(work, "fleet");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Transcript transcript;
     private final SimulatedModelStore modelStore;
@@ -46,21 +46,24 @@
     private final List<StandInExecutor> executors = new ArrayList<>();
     private final double noticeMillis;
 
-    /** {@code fleet}: see docs/rehearsal.md; {@code models} and {@code model_groups} as in a deployment file. */
+    /**
+     * Starts the fleet. docs/rehearsal.md describes {@code fleet}; its {@code models} and {@code model_groups} are those of a
+     * deployment file.
+     */
     public StandInFleet(JsonNode fleet, Path transcriptFile) throws IOException, InterruptedException {
         transcript = new Transcript(transcriptFile);
-        JsonNode m = fleet.path("machine");
-        machineConfig = new SimulatedMachine.MachineConfig(m.path("cores").asDouble(4), m.path("memory_mb").asDouble(4000),
-                m.path("queue").asInt(64), m.path("loads_at_once").asInt(4), m.path("keeps_idle_ms").asDouble(10_000),
-                m.path("start_share").asDouble(0.2), m.path("warm_within_ms").asDouble(0),
-                m.path("fall_multiple").asDouble(0), m.path("fall_ms").asDouble(3000));
+        JsonNode machine = fleet.path("machine");
+        machineConfig = new SimulatedMachine.MachineConfig(machine.path("cores").asDouble(4), machine.path("memory_mb").asDouble(4000),
+                machine.path("queue").asInt(64), machine.path("loads_at_once").asInt(4), machine.path("keeps_idle_ms").asDouble(10_000),
+                machine.path("start_share").asDouble(0.2), machine.path("warm_within_ms").asDouble(0),
+                machine.path("fall_multiple").asDouble(0), machine.path("fall_ms").asDouble(3000));
         modelStore = new SimulatedModelStore(fleet.path("store").path("at_full_pace").asInt(8), fleet.path("store").path("most").asInt(40));
         noticeMillis = fleet.path("notice_ms").asDouble(0);
-        Map<String, String> repeats = new HashMap<>();
-        fleet.path("model_groups").forEach(g -> repeats.put(g.path("name").asText(), g.path("repeat").asText()));
+        Map<String, String> retrySafetyByGroup = new HashMap<>();
+        fleet.path("model_groups").forEach(g -> retrySafetyByGroup.put(g.path("name").asText(), g.path("repeat").asText()));
         for (JsonNode model : fleet.path("models")) {
             SimulatedMachine.ModelSpec spec = new SimulatedMachine.ModelSpec(model.path("name").asText(), model.path("group").asText(),
-                    repeats.getOrDefault(model.path("group").asText(), "retriable"),
+                    retrySafetyByGroup.getOrDefault(model.path("group").asText(), "retriable"),
                     model.path("memory_mb").asDouble(100), model.path("lanes").asInt(1),
                     model.path("load_ms").asDouble(100), fleet.path("work_ms").asDouble(20));
             if (spec.name().endsWith("*")) {
@@ -75,14 +78,14 @@
         int count = fleet.path("executors").asInt(4);
         int listed = fleet.path("listed").asInt(count);
         for (int i = 0; i < count; i++) {
-            StandInExecutor ex = new StandInExecutor(zones.isEmpty() ? "" : zones.path(i % zones.size()).asText(),
+            StandInExecutor executor = new StandInExecutor(zones.isEmpty() ? "" : zones.path(i % zones.size()).asText(),
                     eventLoops.next(), machineConfig, modelStore, this::findModel, transcript, dedupAnswers);
-            ex.faults.clockAheadMillis = fleet.path("clock_ahead_ms").asDouble(0);
-            ex.faults.clockAtStart = fleet.path("shown_at_start_ms").asDouble(Double.NaN);
-            ex.start(false);
-            executors.add(ex);
+            executor.faults.clockAheadMillis = fleet.path("clock_ahead_ms").asDouble(0);
+            executor.faults.clockAtStart = fleet.path("shown_at_start_ms").asDouble(Double.NaN);
+            executor.start(false);
+            executors.add(executor);
             if (i < listed) {
-                roster.publish(ex, "ready");
+                roster.publish(executor, "ready");
             }
         }
         controlServer = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 16);
@@ -96,9 +99,10 @@
     private SimulatedMachine.ModelSpec findModel(String name) {
         SimulatedMachine.ModelSpec known = modelsByName.get(name);
         return known != null ? known : resolvedModels.computeIfAbsent(name, n -> {
-            for (SimulatedMachine.ModelSpec f : modelPatterns) {
-                if (n.startsWith(f.name().substring(0, f.name().length() - 1))) {
-                    return new SimulatedMachine.ModelSpec(n, f.group(), f.retrySafety(), f.memoryMb(), f.lanes(), f.loadMillis(), f.workMillis());
+            for (SimulatedMachine.ModelSpec pattern : modelPatterns) {
+                if (n.startsWith(pattern.name().substring(0, pattern.name().length() - 1))) {
+                    return new SimulatedMachine.ModelSpec(n, pattern.group(), pattern.retrySafety(), pattern.memoryMb(),
+                            pattern.lanes(), pattern.loadMillis(), pattern.workMillis());
                 }
             }
             return null;
@@ -109,7 +113,7 @@
         return roster.port();
     }
 
-    /** Takes faults at {@code /fault} and answers by webhook at {@code /answers}. */
+    /** Port that accepts faults at {@code /fault} and answers delivered by webhook at {@code /answers}. */
     public int controlPort() {
         return controlServer.getAddress().getPort();
     }
@@ -118,140 +122,141 @@
         return executors.stream().map(StandInExecutor::address).toList();
     }
 
-    /** What the transcript has of the next such event in which {@code name} has {@code value}. */
+    /** Completes with the pairs of the next transcript event of this type whose {@code name} equals {@code value}. */
     public CompletableFuture<Map<String, Object>> nextEvent(String event, String name, Object value) {
         return transcript.nextEvent(event, name, value);
     }
 
-    private void receiveWebhook(HttpExchange ask) throws IOException {
-        byte[] body = ask.getRequestBody().readAllBytes();
-        transcript.write("webhook", "id", String.valueOf(ask.getRequestHeaders().getFirst("webhook-id")), "signature",
-                String.valueOf(ask.getRequestHeaders().getFirst("webhook-signature")), "timestamp",
-                String.valueOf(ask.getRequestHeaders().getFirst("webhook-timestamp")), "body",
+    private void receiveWebhook(HttpExchange exchange) throws IOException {
+        byte[] body = exchange.getRequestBody().readAllBytes();
+        transcript.write("webhook", "id", String.valueOf(exchange.getRequestHeaders().getFirst("webhook-id")), "signature",
+                String.valueOf(exchange.getRequestHeaders().getFirst("webhook-signature")), "timestamp",
+                String.valueOf(exchange.getRequestHeaders().getFirst("webhook-timestamp")), "body",
                 new String(body, StandardCharsets.UTF_8));
-        ask.sendResponseHeaders(204, -1);
-        ask.close();
+        exchange.sendResponseHeaders(204, -1);
+        exchange.close();
     }
 
-    private void handleFaultRequest(HttpExchange ask) throws IOException {
+    private void handleFaultRequest(HttpExchange exchange) throws IOException {
         int status = 200;
         try {
-            injectFault(JSON.readTree(ask.getRequestBody()));
+            injectFault(JSON.readTree(exchange.getRequestBody()));
         } catch (IOException | IllegalArgumentException | InterruptedException e) {
             status = 400;
         }
-        ask.sendResponseHeaders(status, -1);
-        ask.close();
+        exchange.sendResponseHeaders(status, -1);
+        exchange.close();
     }
 
     /**
-     * Brings about one fault: {@code kind}, {@code part} of the executors (or one {@code ex} by number),
-     * {@code for_ms}, {@code size}.
+     * Injects one fault. Fields: {@code kind}, {@code part} (fraction of the executors, or {@code ex} for the index of a
+     * single one), {@code for_ms}, {@code size}.
      */
     public void injectFault(JsonNode fault) throws InterruptedException {
-        String what = fault.path("kind").asText();
-        long length = fault.path("for_ms").asLong(1000);
+        String kind = fault.path("kind").asText();
+        long durationMillis = fault.path("for_ms").asLong(1000);
         double size = fault.path("size").asDouble(5);
-        transcript.write("fault", "kind", what, "for", length, "size", size);
+        transcript.write("fault", "kind", kind, "for", durationMillis, "size", size);
         int first = fault.path("ex").asInt(0);
         int count = fault.has("ex") ? 1 : (int) Math.ceil(fault.path("part").asDouble(1) * executors.size());
         if (first + count > executors.size()) {
             throw new IllegalArgumentException("no such executor");
         }
-        List<StandInExecutor> hit = executors.subList(first, first + count);
-        switch (what) {
+        List<StandInExecutor> affected = executors.subList(first, first + count);
+        switch (kind) {
             case "store_slow" -> {
                 modelStore.slowdown = size;
-                schedule(length, () -> modelStore.slowdown = 1);
+                schedule(durationMillis, () -> modelStore.slowdown = 1);
             }
-            case "flush" -> hit.forEach(ex -> ex.runOnMachine(m -> m.flush(fault.path("models").asDouble(1))));
+            case "flush" -> affected.forEach(executor -> executor.runOnMachine(m -> m.flush(fault.path("models").asDouble(1))));
             case "slow" -> {
-                hit.forEach(ex -> ex.runOnMachine(m -> m.slowdown = size));
-                schedule(length, () -> hit.forEach(ex -> ex.runOnMachine(m -> m.slowdown = 1)));
+                affected.forEach(executor -> executor.runOnMachine(m -> m.slowdown = size));
+                schedule(durationMillis, () -> affected.forEach(executor -> executor.runOnMachine(m -> m.slowdown = 1)));
             }
-            case "stall" -> hit.forEach(ex -> ex.runOnMachine(m -> m.stalledUntil = SimulatedMachine.now() + length));
+            case "stall" -> affected.forEach(executor -> executor.runOnMachine(
+                    m -> m.stalledUntil = SimulatedMachine.now() + durationMillis));
             case "full_for" -> {
-                hit.forEach(ex -> ex.faults.fullForCustomer = fault.path("customer").asText());
-                schedule(length, () -> hit.forEach(ex -> ex.faults.fullForCustomer = null));
+                affected.forEach(executor -> executor.faults.fullForCustomer = fault.path("customer").asText());
+                schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.fullForCustomer = null));
             }
             case "unanswered" -> {
-                hit.forEach(ex -> ex.faults.unansweredGroup = fault.path("group").asText());
-                schedule(length, () -> hit.forEach(ex -> ex.faults.unansweredGroup = null));
+                affected.forEach(executor -> executor.faults.unansweredGroup = fault.path("group").asText());
+                schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.unansweredGroup = null));
             }
             case "refuse" -> {
-                hit.forEach(ex -> ex.faults.refuseConnections = true);
-                schedule(length, () -> hit.forEach(ex -> ex.faults.refuseConnections = false));
+                affected.forEach(executor -> executor.faults.refuseConnections = true);
+                schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.refuseConnections = false));
             }
             case "reset_before", "reset_within", "reset_after", "reset_head", "reset_part", "reset_status" -> {
-                hit.forEach(ex -> ex.faults.resetPoint = what.substring(6));
-                schedule(length, () -> hit.forEach(ex -> ex.faults.resetPoint = null));
+                affected.forEach(executor -> executor.faults.resetPoint = kind.substring(6));
+                schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.resetPoint = null));
             }
             case "drain_unheard" -> {
-                hit.forEach(ex -> ex.faults.unannouncedDrain = true);
-                schedule(length, () -> hit.forEach(ex -> ex.faults.unannouncedDrain = false));
+                affected.forEach(executor -> executor.faults.unannouncedDrain = true);
+                schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.unannouncedDrain = false));
             }
             case "answers_lost" -> {
-                hit.forEach(ex -> ex.faults.dropAnswers = true);
-                schedule(length, () -> hit.forEach(ex -> ex.faults.dropAnswers = false));
+                affected.forEach(executor -> executor.faults.dropAnswers = true);
+                schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.dropAnswers = false));
             }
-            case "unread" -> hit.forEach(StandInExecutor::stopReadingConnections);
-            case "read_on" -> hit.forEach(StandInExecutor::resumeReadingConnections);
-            case "clock" -> hit.forEach(ex -> ex.faults.clockAheadMillis = size);
-            case "taken_over" -> takeOverAddress(hit.get(0), executors.get(fault.path("by").asInt()));
+            case "unread" -> affected.forEach(StandInExecutor::stopReadingConnections);
+            case "read_on" -> affected.forEach(StandInExecutor::resumeReadingConnections);
+            case "clock" -> affected.forEach(executor -> executor.faults.clockAheadMillis = size);
+            case "taken_over" -> takeOverAddress(affected.get(0), executors.get(fault.path("by").asInt()));
             case "roster_away" -> {
                 roster.unavailable = true;
-                schedule(length, () -> roster.unavailable = false);
+                schedule(durationMillis, () -> roster.unavailable = false);
             }
-            case "crash" -> hit.forEach(ex -> crash(ex, length));
+            case "crash" -> affected.forEach(executor -> crash(executor, durationMillis));
             case "drain" -> {
-                // One after the other: draining, down, back cold under the same address.
-                long gap = length / Math.max(1, hit.size());
-                for (int i = 0; i < hit.size(); i++) {
-                    StandInExecutor ex = hit.get(i);
+                // One executor after the other drains, crashes, and restarts cold at the same address.
+                long gap = durationMillis / Math.max(1, affected.size());
+                for (int i = 0; i < affected.size(); i++) {
+                    StandInExecutor executor = affected.get(i);
                     schedule(i * gap, () -> {
-                        roster.publish(ex, "draining");
-                        schedule(fault.path("drain_ms").asLong(1500), () -> crash(ex, 200));
+                        roster.publish(executor, "draining");
+                        schedule(fault.path("drain_ms").asLong(1500), () -> crash(executor, 200));
                     });
                 }
             }
-            default -> throw new IllegalArgumentException("unknown fault " + what);
+            default -> throw new IllegalArgumentException("unknown fault " + kind);
         }
     }
 
-    private void crash(StandInExecutor ex, long length) {
-        ex.kill();
+    private void crash(StandInExecutor executor, long durationMillis) {
+        executor.kill();
         schedule((long) noticeMillis, () -> {
-            if (!ex.running) {
-                roster.publish(ex, "gone");
+            if (!executor.running) {
+                roster.publish(executor, "gone");
             }
         });
-        schedule(length + (long) noticeMillis + 50, () -> {
+        schedule(durationMillis + (long) noticeMillis + 50, () -> {
             try {
-                ex.start(true);
-                roster.publish(ex, "ready");
+                executor.start(true);
+                roster.publish(executor, "ready");
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
     }
 
-    /** One executor dies, and another, with all that it holds, goes on at its address. */
-    private void takeOverAddress(StandInExecutor ended, StandInExecutor by) throws InterruptedException {
-        ended.kill();
-        roster.publish(ended, "gone");
-        roster.publish(by, "gone");
-        by.takeOverAddress(ended);
-        roster.publish(by, "ready");
+    /** Kills one executor and moves another one, with its whole state, to the address of the first. */
+    private void takeOverAddress(StandInExecutor terminated, StandInExecutor successor) throws InterruptedException {
+        terminated.kill();
+        roster.publish(terminated, "gone");
+        roster.publish(successor, "gone");
+        successor.takeOverAddress(terminated);
+        roster.publish(successor, "ready");
     }
 
-    private void schedule(long in, Runnable what) {
+    private void schedule(long delayMillis, Runnable action) {
         timer.schedule(() -> {
             try {
-                what.run();
-            } catch (Exception e) { // a failed bind is checked, and thrown all the same
+                action.run();
+            } catch (Exception e) { // also a failed bind: Netty throws the checked BindException without declaring it
                 transcript.write("stand-in-failed", "why", String.valueOf(e));
             }
-        }, in, TimeUnit.MILLISECONDS);
+        }, delayMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/standins/src/main/java/gradereach/standins/StandInProcess.java
+++ b/standins/src/main/java/gradereach/standins/StandInProcess.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Path;
 
-/** The stand-ins as a process: {@code FLEET.json TRANSCRIPT}. Prints its ports in one line and ends with its input. */
+/**
+ * Runs the stand-ins as a process with the arguments {@code FLEET.json TRANSCRIPT}. Prints its ports in one line and exits at the
+ * end of its input.
+ */
 public final class StandInProcess {
     private StandInProcess() { }
 
--- a/standins/src/main/java/gradereach/standins/StandInWarmUp.java
+++ b/standins/src/main/java/gradereach/standins/StandInWarmUp.java
@@ -29,8 +29,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Has a small fleet of its own take forwards, orders and questions before the real one begins. A stand-in that loads its
- * classes at the first forwards dates them half a second late beside a busy machine's other processes.
+ * Sends forwards, load orders and inquiries to a small temporary fleet before the real one starts. Without this warm-up a
+ * stand-in loads its classes during the first forwards and, on a busy machine, records their times half a second late.
  */
 final class StandInWarmUp {
     private static final int ROUNDS = 40;
@@ -61,8 +61,8 @@
         int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
         return new Bootstrap().group(loops).channel(NioSocketChannel.class).handler(new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(Channel made) {
-                made.pipeline().addLast(Http2FrameCodecBuilder.forClient().build(),
+            protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(Http2FrameCodecBuilder.forClient().build(),
                         new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()));
             }
         }).connect("127.0.0.1", port).sync().channel();
@@ -70,25 +70,28 @@
 
     private static void sendAll(Channel connection, int round) throws InterruptedException {
         byte[] json = INPUT_JSON.getBytes(StandardCharsets.UTF_8);
-        byte[] none = "{}".getBytes(StandardCharsets.UTF_8);
+        byte[] emptyJson = "{}".getBytes(StandardCharsets.UTF_8);
         byte[] grpc = ModelInferRequest.newBuilder().setModelName("r-0").build().toByteArray();
-        byte[] framed = ByteBuffer.allocate(5 + grpc.length).put((byte) 0).putInt(grpc.length).put(grpc).array();
-        List<WarmUpRequest> asks = List.of(new WarmUpRequest("/v2/health/ready", none), new WarmUpRequest("/v2/outcomes/warm-up-" + round, none),
-                new WarmUpRequest("/v2/repository/models/r-0/load", none), new WarmUpRequest("/v2/repository/models/d-0/load", none),
+        byte[] framedGrpc = ByteBuffer.allocate(5 + grpc.length).put((byte) 0).putInt(grpc.length).put(grpc).array();
+        List<WarmUpRequest> requests = List.of(new WarmUpRequest("/v2/health/ready", emptyJson),
+                new WarmUpRequest("/v2/outcomes/warm-up-" + round, emptyJson),
+                new WarmUpRequest("/v2/repository/models/r-0/load", emptyJson),
+                new WarmUpRequest("/v2/repository/models/d-0/load", emptyJson),
                 new WarmUpRequest("/v2/models/r-0/infer", json), new WarmUpRequest("/v2/models/d-0/infer", json),
-                new WarmUpRequest("/v2/models/unknown/infer", json), new WarmUpRequest("/v2/repository/models/r-0/unload", none),
-                new WarmUpRequest("/inference.GRPCInferenceService/ModelInfer", framed),
-                new WarmUpRequest("/inference.GRPCInferenceService/ModelStreamInfer", framed));
-        CountDownLatch ends = new CountDownLatch(asks.size());
-        for (WarmUpRequest ask : asks) {
-            send(connection, ask, "warm-up-" + round, ends);
+                new WarmUpRequest("/v2/models/unknown/infer", json), new WarmUpRequest("/v2/repository/models/r-0/unload", emptyJson),
+                new WarmUpRequest("/inference.GRPCInferenceService/ModelInfer", framedGrpc),
+                new WarmUpRequest("/inference.GRPCInferenceService/ModelStreamInfer", framedGrpc));
+        CountDownLatch pendingResponses = new CountDownLatch(requests.size());
+        for (WarmUpRequest request : requests) {
+            send(connection, request, "warm-up-" + round, pendingResponses);
         }
-        ends.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        pendingResponses.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private record WarmUpRequest(String path, byte[] body) { }
 
-    private static void send(Channel connection, WarmUpRequest ask, String id, CountDownLatch ends) throws InterruptedException {
+    private static void send(Channel connection, WarmUpRequest request, String id, CountDownLatch pendingResponses)
+            throws InterruptedException {
         Channel stream = new Http2StreamChannelBootstrap(connection).handler(new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -97,12 +100,12 @@
 
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                ends.countDown();
+                pendingResponses.countDown();
             }
         }).open().sync().getNow();
-        stream.write(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().method("POST").path(ask.path).scheme("http")
-                .authority("warm-up").add("x-request-id", id).add("idempotency-key", "nobody/" + id + ask.path)
-                .add("user-agent", "gradereach/warm-up").addInt("content-length", ask.body.length)));
-        stream.writeAndFlush(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(ask.body), true));
+        stream.write(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().method("POST").path(request.path).scheme("http")
+                .authority("warm-up").add("x-request-id", id).add("idempotency-key", "nobody/" + id + request.path)
+                .add("user-agent", "gradereach/warm-up").addInt("content-length", request.body.length)));
+        stream.writeAndFlush(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(request.body), true));
     }
 }
--- a/standins/src/main/java/gradereach/standins/StreamedAnswer.java
+++ b/standins/src/main/java/gradereach/standins/StreamedAnswer.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** A streamed answer: so many parts, one every so many milliseconds, no faster than they are taken. */
+/** Sends a streamed answer part by part at a fixed interval, waiting while the channel is not writable. */
 final class StreamedAnswer {
-    /** Whose answer it is; {@code lives} while that process does. */
+    /** The executor process that gives the answer; {@code isAlive} is false once the process was killed. */
     record AnswerSource(String address, String forward, SimulatedMachine machine, BooleanSupplier isAlive) { }
 
     private final ModelInferRequest request;
@@ -29,28 +29,28 @@
     private final EventLoop loop;
     private final StandInExecutor.Faults faults;
     private final Transcript transcript;
-    /** Null before it begins. */
+    /** Null before {@link #start}. */
     private AnswerSource source;
     private int partsSent;
     private boolean waitingForWritable;
     private boolean finished;
 
-    StreamedAnswer(ModelInferRequest of, int count, int bytes, int every, EventLoop loop, StandInExecutor.Faults faults,
-            Transcript transcript) {
-        this.request = of;
-        this.partCount = count;
-        this.partBytes = bytes;
-        this.intervalMillis = every;
+    StreamedAnswer(ModelInferRequest request, int partCount, int partBytes, int intervalMillis, EventLoop loop,
+            StandInExecutor.Faults faults, Transcript transcript) {
+        this.request = request;
+        this.partCount = partCount;
+        this.partBytes = partBytes;
+        this.intervalMillis = intervalMillis;
         this.loop = loop;
         this.faults = faults;
         this.transcript = transcript;
     }
 
-    void start(ChannelHandlerContext ctx, AnswerSource from, String warmth, int crowd) {
-        source = from;
-        DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        head.headers().set("content-type", "application/grpc").set("model-warmth", warmth).set("model-crowd", crowd);
-        ctx.writeAndFlush(head);
+    void start(ChannelHandlerContext ctx, AnswerSource answerSource, String loadStatus, int concurrency) {
+        source = answerSource;
+        DefaultHttpResponse headers = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        headers.headers().set("content-type", "application/grpc").set("model-warmth", loadStatus).set("model-crowd", concurrency);
+        ctx.writeAndFlush(headers);
         if ("head".equals(faults.resetPoint)) {
             finished = true;
             reset(ctx, transcript, source.address(), source.forward());
@@ -77,15 +77,15 @@
                 .setDatatype("BYTES").addShape(1).getContentsBuilder()
                 .addBytesContents(ByteString.copyFromUtf8("x".repeat(partBytes)));
         byte[] message = part.build().toByteArray();
-        ByteBuf framed = Unpooled.buffer(5 + message.length).writeByte(0).writeInt(message.length).writeBytes(message);
+        ByteBuf framedMessage = Unpooled.buffer(5 + message.length).writeByte(0).writeInt(message.length).writeBytes(message);
         if ("part".equals(faults.resetPoint) && partsSent > 0) {
             finished = true;
-            ctx.writeAndFlush(new DefaultHttpContent(framed.slice(0, 5 + message.length / 2)));
+            ctx.writeAndFlush(new DefaultHttpContent(framedMessage.slice(0, 5 + message.length / 2)));
             reset(ctx, transcript, source.address(), source.forward());
             return;
         }
         partsSent++;
-        ctx.writeAndFlush(new DefaultHttpContent(framed));
+        ctx.writeAndFlush(new DefaultHttpContent(framedMessage));
         if (intervalMillis > 0) {
             loop.schedule(() -> continueIfWritable(ctx), intervalMillis, TimeUnit.MILLISECONDS);
         } else {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Its connection is gone. */
+    /** Ends an unfinished answer after its connection was closed. */
     void connectionClosed() {
         if (source != null && !finished) {
             finished = true;
--- a/standins/src/main/java/gradereach/standins/Transcript.java
+++ b/standins/src/main/java/gradereach/standins/Transcript.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** What passed, as JSON lines: {@code t} in Unix milliseconds with fractions, {@code ev}, then pairs. */
+/** Writes events as JSON lines: {@code t} in Unix milliseconds with fractions, the event type {@code ev}, then key-value pairs. */
 public final class Transcript implements Closeable {
-    /** Somebody who waits for an event. */
+    /** A caller that waits for an event. */
     private record EventWaiter(String event, String name, Object value, CompletableFuture<Map<String, Object>> result) { }
 
     private final JsonGenerator generator;
@@ -32,7 +32,7 @@
         generator.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
     }
 
-    /** One that keeps nothing, for what passes before a day begins. */
+    /** A transcript that discards all events, for the time before a rehearsal day starts. */
     public static Transcript discarded() {
         try {
             return new Transcript(Writer.nullWriter());
@@ -41,27 +41,27 @@
         }
     }
 
-    /** Unix milliseconds with microseconds: one machine's clock for all transcripts of a rehearsal. */
+    /** Unix milliseconds with microsecond precision, by the clock of the machine, which all transcripts of a rehearsal share. */
     public static double now() {
         Instant now = Instant.now();
         return now.getEpochSecond() * 1000d + now.getNano() / 1e6;
     }
 
-    /** The pairs of the next such event in which {@code name} has {@code value}. */
+    /** Completes with the pairs of the next event of this type whose {@code name} equals {@code value}. */
     public synchronized CompletableFuture<Map<String, Object>> nextEvent(String event, String name, Object value) {
-        EventWaiter made = new EventWaiter(event, name, value, new CompletableFuture<>());
-        waiters.add(made);
-        return made.result;
+        EventWaiter waiter = new EventWaiter(event, name, value, new CompletableFuture<>());
+        waiters.add(waiter);
+        return waiter.result;
     }
 
     public void write(String event, Object... pairs) {
         writeAt(now(), event, pairs);
     }
 
-    public synchronized void writeAt(double t, String event, Object... pairs) {
+    public synchronized void writeAt(double time, String event, Object... pairs) {
         try {
             generator.writeStartObject();
-            generator.writeNumberField("t", Math.round(t * 1000) / 1000d);
+            generator.writeNumberField("t", Math.round(time * 1000) / 1000d);
             generator.writeStringField("ev", event);
             for (int i = 0; i < pairs.length; i += 2) {
                 generator.writeObjectField((String) pairs[i], pairs[i + 1]);
@@ -76,11 +76,12 @@
     }
 
     private void completeWaiters(String event, Object[] pairs) {
-        Map<String, Object> told = new HashMap<>();
+        Map<String, Object> valuesByKey = new HashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
-            told.put((String) pairs[i], pairs[i + 1]);
+            valuesByKey.put((String) pairs[i], pairs[i + 1]);
         }
-        waiters.removeIf(one -> one.event.equals(event) && one.value.equals(told.get(one.name)) && one.result.complete(told));
+        waiters.removeIf(waiter -> waiter.event.equals(event) && waiter.value.equals(valuesByKey.get(waiter.name))
+                && waiter.result.complete(valuesByKey));
     }
 
     public synchronized void flush() {
--- a/standins/src/main/java/gradereach/standins/faults/ConnectionEvent.java
+++ b/standins/src/main/java/gradereach/standins/faults/ConnectionEvent.java
@@ -1,26 +1,26 @@
 package gradereach.standins.faults;
 
 /**
- * One event of one TCP connection of a process, as {@link FaultShim} saw its system calls.
+ * One event of a TCP connection of a process, recorded by {@link FaultShim} from its system calls.
  *
- * @param nanos when, by {@link System#nanoTime} of this machine
- * @param received bytes that the process had read of the connection
- * @param unread bytes that the system still held for it
- * @param detail of a broken one the number of the error, of a write that was held up for how many milliseconds; else 0
+ * @param nanoTime time of the event, as {@link System#nanoTime} of this machine
+ * @param bytesReceived bytes that the process had read from the connection
+ * @param bytesUnread bytes in the receive buffer of the kernel
+ * @param detail for a broken connection the errno, for a delayed write its delay in milliseconds; otherwise 0
  */
 public record ConnectionEvent(Kind kind, long nanoTime, int localPort, int remotePort, long bytesReceived, int bytesUnread, int detail) {
-    /** What happened; in the shim's order, from 1. */
+    /** Kind of event; the order matches {@code enum event} in fault_shim.c, which starts at 1. */
     public enum Kind {
-        /** The process has begun to connect. */
+        /** The process called connect. */
         CONNECTED,
         ACCEPTED,
-        /** A fault of the shim has ended it, for both sides. */
+        /** A fault of the shim shut the connection down for both sides. */
         BROKEN,
-        /** The process sends nothing more. */
+        /** The process shut down its sending side. */
         SHUT_DOWN,
-        /** The process has closed it, or has ended by itself. */
+        /** The process closed the connection or exited normally. */
         CLOSED,
-        /** It is about to write, long after the writing thread has read the clock: it was stopped in between. */
+        /** The process writes long after the writing thread last read the clock, because it was stopped in between. */
         HELD_UP
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/ConnectionRecords.java
+++ b/standins/src/main/java/gradereach/standins/faults/ConnectionRecords.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The file in which {@link FaultShim} records a process's connections; the layout is that of the shim's source. */
+/** Reads the file in which {@link FaultShim} records the connections of a process; fault_shim.c defines the layout. */
 final class ConnectionRecords {
     private static final int HEADER_BYTES = 8;
     private static final int RECORD_BYTES = 32;
@@ -18,9 +18,9 @@
     private ConnectionRecords() { }
 
     /**
-     * All events so far, in the order of their beginning.
+     * All events so far, in the order in which the shim began to write them.
      *
-     * @throws IOException where there was no room for some of them
+     * @throws IOException if the file was too small for some of the events
      */
     static List<ConnectionEvent> read(Path file) throws IOException {
         if (!Files.exists(file)) {
@@ -32,7 +32,7 @@
         }
         long count = bytes.getLong();
         if (count > bytes.remaining() / RECORD_BYTES) {
-            throw new IOException(file + ": no room for " + count + " events of connections");
+            throw new IOException(file + ": too small for " + count + " connection events");
         }
         List<ConnectionEvent> events = new ArrayList<>();
         for (long i = 0; i < count; i++) {
@@ -44,16 +44,16 @@
         return events;
     }
 
-    /** Null for one that was not written to its end, as by a process that was killed. */
+    /** Reads one event; null if it was not written completely because the process was killed. */
     private static ConnectionEvent readEvent(ByteBuffer bytes) {
-        long nanos = bytes.getLong();
-        long received = bytes.getLong();
-        int unread = bytes.getInt();
+        long nanoTime = bytes.getLong();
+        long bytesReceived = bytes.getLong();
+        int bytesUnread = bytes.getInt();
         int detail = bytes.getInt();
         int localPort = bytes.getShort() & PORT_MASK;
         int remotePort = bytes.getShort() & PORT_MASK;
         int kind = bytes.getInt();
         return kind < 1 || kind > Kind.values().length ? null
-                : new ConnectionEvent(Kind.values()[kind - 1], nanos, localPort, remotePort, received, unread, detail);
+                : new ConnectionEvent(Kind.values()[kind - 1], nanoTime, localPort, remotePort, bytesReceived, bytesUnread, detail);
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/FaultShim.java
+++ b/standins/src/main/java/gradereach/standins/faults/FaultShim.java
@@ -11,8 +11,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A library that makes chosen system calls of one process fail, loaded into it by {@code LD_PRELOAD}. It is compiled from
- * its source by the machine's C compiler.
+ * A native library that makes selected system calls of a process fail, loaded by {@code LD_PRELOAD}. It is compiled from its
+ * source by the C compiler of the machine.
  */
 public final class FaultShim {
     private static final String SOURCE = "fault_shim.c";
@@ -25,29 +25,29 @@
     }
 
     /**
-     * Compiles it into a folder.
+     * Compiles the library into a folder.
      *
-     * @throws IOException where there is no C compiler, or it fails; the message holds what it printed
+     * @throws IOException if there is no C compiler or it fails; the message contains its output
      */
     public static FaultShim compile(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve(SOURCE);
-        try (InputStream shipped = FaultShim.class.getResourceAsStream(SOURCE)) {
-            Files.write(source, shipped.readAllBytes());
+        try (InputStream resource = FaultShim.class.getResourceAsStream(SOURCE)) {
+            Files.write(source, resource.readAllBytes());
         }
         Path library = folder.resolve("libfaultshim.so").toAbsolutePath();
         Process compiler = new ProcessBuilder(COMPILER, "-Wall", "-Wextra", "-Werror", "-O2", "-shared", "-fPIC", "-o",
                 library.toString(), source.toString(), "-ldl").redirectErrorStream(true).start();
-        String printed = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         if (compiler.waitFor() != 0) {
-            throw new IOException("the fault shim cannot be compiled: " + printed);
+            throw new IOException("cannot compile the fault shim: " + output);
         }
         return new FaultShim(library);
     }
 
     /**
-     * Has a process that is about to be started meet these faults.
+     * Configures a process that is about to be started to preload the library and to inject these faults.
      *
-     * @param counts a file in which each fault is counted as it is met; one beside it records the process's connections
+     * @param counts file in which the shim counts the injected faults; a file beside it records the connections of the process
      */
     public void preload(ProcessBuilder process, List<SystemFault> faults, long seed, Path counts) {
         process.environment().put("LD_PRELOAD", library.toString());
@@ -61,20 +61,20 @@
         return counts.resolveSibling(counts.getFileName() + ".connections");
     }
 
-    /** What became of the connections of the process that counts its faults there; none where it has not begun. */
+    /** The connection events of the process that counts its faults in this file; empty if it has not started yet. */
     public static List<ConnectionEvent> connectionEvents(Path counts) throws IOException {
         return ConnectionRecords.read(connectionsFile(counts));
     }
 
-    /** How often each of these faults was met, in their order; zeros where the process has not begun. */
+    /** How often each of these faults was injected, in their order; zeros if the process has not started yet. */
     public static long[] faultCounts(Path counts, List<SystemFault> faults) throws IOException {
-        long[] met = new long[faults.size()];
+        long[] injected = new long[faults.size()];
         if (Files.exists(counts)) {
             ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(counts)).order(ByteOrder.nativeOrder());
-            for (int i = 0; i < met.length && bytes.remaining() >= Long.BYTES; i++) {
-                met[i] = bytes.getLong();
+            for (int i = 0; i < injected.length && bytes.remaining() >= Long.BYTES; i++) {
+                injected[i] = bytes.getLong();
             }
         }
-        return met;
+        return injected;
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/FaultyCall.java
+++ b/standins/src/main/java/gradereach/standins/faults/FaultyCall.java
@@ -22,9 +22,10 @@
     /** Readings of the wall clock. */
     CLOCK("clock");
 
+    /** Name of the call in a rule of the shim. */
     final String ruleName;
 
-    FaultyCall(String name) {
-        this.ruleName = name;
+    FaultyCall(String ruleName) {
+        this.ruleName = ruleName;
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/SystemFault.java
+++ b/standins/src/main/java/gradereach/standins/faults/SystemFault.java
@@ -1,13 +1,13 @@
 package gradereach.standins.faults;
 
 /**
- * One kind of fault in a span of a process's life.
+ * A fault that is injected into one kind of system call during an interval after the start of a process.
  *
- * @param call what fails
- * @param effect as the shim reads it: an error number, {@code short}, {@code stop}, or the step of a clock in milliseconds
- * @param rate probability for each call
- * @param fromMillis begin of the span, since the process was started
- * @param toMillis end of the span
+ * @param call the system call that fails
+ * @param effect in the form of the shim: an errno, {@code short}, {@code stop}, or a clock step in milliseconds
+ * @param rate probability of the fault in each call
+ * @param fromMillis start of the interval, since the start of the process
+ * @param toMillis end of the interval, since the start of the process
  */
 public record SystemFault(FaultyCall call, String effect, double rate, long fromMillis, long toMillis) {
     private static final String SHORT = "short";
@@ -18,17 +18,17 @@
         return new SystemFault(call, Integer.toString(error.number), rate, fromMillis, toMillis);
     }
 
-    /** The call transfers fewer bytes than it was asked to. */
+    /** The call transfers fewer bytes than requested. */
     public static SystemFault shortTransfer(FaultyCall call, double rate, long fromMillis, long toMillis) {
         return new SystemFault(call, SHORT, rate, fromMillis, toMillis);
     }
 
-    /** The process stops itself before the call (SIGSTOP), which goes on once somebody continues it. */
+    /** The process sends itself SIGSTOP before the call and makes the call once it is continued. */
     public static SystemFault stop(FaultyCall call, double rate, long fromMillis, long toMillis) {
         return new SystemFault(call, STOP, rate, fromMillis, toMillis);
     }
 
-    /** The wall clock is off by so much; the monotonic clock is not. */
+    /** The wall clock is shifted by {@code stepMillis}; the monotonic clock is not affected. */
     public static SystemFault clockStep(long stepMillis, long fromMillis, long toMillis) {
         return new SystemFault(FaultyCall.CLOCK, Long.toString(stepMillis), 1, fromMillis, toMillis);
     }
--- a/standins/src/main/java/gradereach/standins/faults/package-info.java
+++ b/standins/src/main/java/gradereach/standins/faults/package-info.java
@@ -1,2 +1,2 @@
-/** System calls that fail on purpose in a process under test. */
+/** Fault injection into the system calls of a process under test. */
 package gradereach.standins.faults;
--- a/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
+++ b/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
@@ -16,29 +16,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/** The change log of all front ends of a run. */
+/** A scripted change log server that publishes instance events to all front ends of a run. */
 public final class ChangelogServer {
     private static final long HEARTBEAT_MILLIS = 1000;
     private static final double DELIVERED_AFTER_DISCONNECT_MILLIS = 2000;
     private static final double DELIVERED_AFTER_SILENCE_MILLIS = 4000;
 
-    /** It is reached at each of them. */
+    /** Addresses at which the server listens. */
     public final List<String> addresses = new ArrayList<>();
     private final PeerEventLoops loops;
     private final List<String> events = new ArrayList<>();
-    /** Those of them that can be read. */
+    /** The events that are well-formed. */
     private final List<String> readableEventList = new ArrayList<>();
     private volatile double disconnectedAt = Double.NEGATIVE_INFINITY;
     private volatile double silencedAt = Double.NEGATIVE_INFINITY;
     private volatile double addressChangedAt = Double.NEGATIVE_INFINITY;
     private final List<Channel> watches = new CopyOnWriteArrayList<>();
     private final List<ResyncRequest> resyncRequests = new CopyOnWriteArrayList<>();
-    /** Bytes written to each watch that is open. */
+    /** Bytes written to each open watch. */
     private final Map<Channel, Long> bytesWritten = new ConcurrentHashMap<>();
     private final List<PeerListener> listeners = new ArrayList<>();
     private volatile Outage outage;
 
-    /** A front end has asked for what is missing, on a connection from that port. */
+    /** A front end requested the events that it lacks, on a connection from local port {@code port}. */
     public record ResyncRequest(int port, double receivedAt) { }
 
     /** Listens on one port. */
@@ -46,10 +46,10 @@
         this(loops, 1);
     }
 
-    /** Listens on so many ports: a front end may be told to go from one to another. */
-    public ChangelogServer(PeerEventLoops loops, int ports) throws InterruptedException {
+    /** Listens on several ports, so that a front end can be reconfigured to another address. */
+    public ChangelogServer(PeerEventLoops loops, int portCount) throws InterruptedException {
         this.loops = loops;
-        for (int i = 0; i < ports; i++) {
+        for (int i = 0; i < portCount; i++) {
             PeerListener listener = new PeerListener(loops, connection -> new WatchHandler());
             listeners.add(listener);
             addresses.add(listener.address());
@@ -68,7 +68,7 @@
                 + "\"cell\":2,\"lifecycle\":\"" + state + "\",\"weight\":4,\"startedAtMs\":" + startedAt + "}";
     }
 
-    /** Out of reach for every front end, until {@link #restore}. */
+    /** Makes the change log unavailable to all front ends until {@link #endOutage}. */
     public void startOutage(Outage kind) throws InterruptedException {
         outage = kind;
         watches.clear();
@@ -85,12 +85,12 @@
         }
     }
 
-    /** Within reach again. */
+    /** Makes the change log available again. */
     public void endOutage() throws InterruptedException {
-        Outage was = outage;
+        Outage endedOutage = outage;
         outage = null;
         closeConnections();
-        if (was == Outage.UNREACHABLE) {
+        if (endedOutage == Outage.UNREACHABLE) {
             for (PeerListener listener : listeners) {
                 listener.restart();
             }
@@ -101,12 +101,12 @@
         listeners.forEach(listener -> listener.connections().forEach(Channel::close));
     }
 
-    /** All events so far that can be read, as the configuration of a front end holds them. */
+    /** All well-formed events so far, in the form of the front end configuration. */
     public synchronized String readableEvents() {
         return "{\"seq\":" + events.size() + ",\"results\":[" + String.join(",", readableEventList) + "]}";
     }
 
-    /** When it was asked for what is missing, by all front ends. */
+    /** All resync requests of all front ends. */
     public List<ResyncRequest> resyncRequests() {
         return List.copyOf(resyncRequests);
     }
@@ -117,23 +117,25 @@
     }
 
     /**
-     * Tells an event, under the next number. Returns how many bytes were written with it to each open watch, by the port from
-     * which the watch was connected.
+     * Publishes an event with the next sequence number.
+     *
+     * @param reset whether the event lists all instances and replaces the earlier ones
+     * @return bytes written to each open watch up to and including the event, by the remote port of the watch
      */
-    public synchronized Map<Integer, Long> publish(String instances, boolean whole) {
-        String event = nextEventJson(instances, whole);
+    public synchronized Map<Integer, Long> publish(String instances, boolean reset) {
+        String event = nextEventJson(instances, reset);
         readableEventList.add(event);
         return publish(event);
     }
 
-    /** The same of an event that ends in its middle, whenever it is asked for. */
+    /** Publishes an event that is cut off in the middle, also when it is requested again. */
     public synchronized void publishTruncated(String instances) {
         String event = nextEventJson(instances, false);
         publish(event.substring(0, event.length() / 2));
     }
 
-    private String nextEventJson(String instances, boolean whole) {
-        return "{\"seq\":" + (events.size() + 1) + ",\"fleet\":{\"generation\":1,\"reset\":" + whole
+    private String nextEventJson(String instances, boolean reset) {
+        return "{\"seq\":" + (events.size() + 1) + ",\"fleet\":{\"generation\":1,\"reset\":" + reset
                 + ",\"instances\":[" + instances + "]}}";
     }
 
@@ -144,47 +146,51 @@
         return bytesByWatch;
     }
 
-    /** A front end is told to go to another of its addresses. */
+    /** Records that a front end was reconfigured to another address of this server. */
     public void recordAddressChange() {
         addressChangedAt = loops.now();
     }
 
-    /** From when on what is told at {@code at} counts as told: later where watches have broken off, fallen silent or moved. */
-    public double deliveredAt(double at) {
-        double heardAgain = Math.max(disconnectedAt + DELIVERED_AFTER_DISCONNECT_MILLIS, Math.max(silencedAt, addressChangedAt) + DELIVERED_AFTER_SILENCE_MILLIS);
-        return Math.max(at, heardAgain);
+    /**
+     * When an event published at {@code publishedAt} counts as delivered: later if watches were closed, became silent or moved
+     * to another address before.
+     */
+    public double deliveredAt(double publishedAt) {
+        double deliveringAgainAt = Math.max(disconnectedAt + DELIVERED_AFTER_DISCONNECT_MILLIS,
+                Math.max(silencedAt, addressChangedAt) + DELIVERED_AFTER_SILENCE_MILLIS);
+        return Math.max(publishedAt, deliveringAgainAt);
     }
 
-    /** Open watches stay open and tell nothing more. */
+    /** Keeps the open watches open without sending anything more to them. */
     public void silenceWatches() {
         silencedAt = loops.now();
         watches.clear();
     }
 
-    /** Open watches end. */
+    /** Closes the open watches. */
     public void closeWatches() {
         disconnectedAt = loops.now();
         watches.forEach(Channel::close);
     }
 
-    /** The last number alone, in the form that the bench uses. */
+    /** Sends the last sequence number, in the form used by the bench. */
     private synchronized void sendHeartbeat() {
         watches.forEach(watch -> writeLine(watch, "{\"seq\":" + events.size() + "}"));
     }
 
-    private synchronized void startOutage(Channel watch, int since) {
+    private synchronized void startWatch(Channel watch, int since) {
         for (String event : events.subList(Math.min(since, events.size()), events.size())) {
             writeLine(watch, event);
         }
         writeLine(watch, events.size() + "");
         watches.add(watch);
-        watch.closeFuture().addListener(end -> {
+        watch.closeFuture().addListener(closed -> {
             watches.remove(watch);
             bytesWritten.remove(watch);
         });
     }
 
-    /** Returns how many bytes were written to the watch with this line. */
+    /** Returns the total number of bytes written to the watch, including this line. */
     private long writeLine(Channel watch, String line) {
         ByteBuf bytes = Unpooled.copiedBuffer(line + "\n", StandardCharsets.US_ASCII);
         long total = bytesWritten.merge(watch, (long) bytes.readableBytes(), Long::sum);
@@ -200,13 +206,13 @@
             received.append(bytes.toString(StandardCharsets.US_ASCII));
             int end = received.indexOf("\n");
             if (end < 0) {
-                return; // it may come in pieces
+                return; // the line is not complete yet
             }
             String line = received.substring(0, end).strip();
             received.delete(0, end + 1);
             if (outage == null) {
                 resyncRequests.add(new ResyncRequest(PeerEventLoops.remotePort(ctx.channel()), loops.now()));
-                ChangelogServer.this.startOutage(ctx.channel(), Integer.parseInt(line.substring(line.indexOf(' ') + 1)));
+                ChangelogServer.this.startWatch(ctx.channel(), Integer.parseInt(line.substring(line.indexOf(' ') + 1)));
             }
         }
 
--- a/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
+++ b/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 
 /**
- * Rule 4: an executor that has just started falls at more than {@code N + 2 root(N) + 2} requests (N under 30:
- * {@code N + 3 root(N) + 3}) in the rule's time, and front ends are to blame where over two thirds came from those that had been
- * told of its start. N is what one core does, times the share that has warmed up when the last of them comes, times the
- * rule's multiple. Every request weighs the same, also one that is turned away. Only the first fall of a process counts.
+ * Checks rule 4: an executor that has just started fails under more than {@code N + 2 sqrt(N) + 2} requests (for N below 30:
+ * {@code N + 3 sqrt(N) + 3}) within the window of the rule. Front ends are to blame if more than two thirds of the requests came
+ * from front ends to which its start had been delivered. N is the number of requests that one core can process in the window,
+ * times the fraction of the capacity available when the last of them arrives, times the overload multiple of the rule. Every
+ * request counts the same, also a rejected one. Only the first overload of a process counts.
  */
 public final class ColdStartCheck {
     private static final double SOCKET_SLACK_MILLIS = 50;
@@ -17,29 +18,30 @@
     private static final double BLAMED_FRACTION = 2.0 / 3;
 
     /**
-     * The settings' figures.
+     * Parameters of the rule, from the settings.
      *
-     * @param startShare of its capacity that a process has at its start
-     * @param warmWithin milliseconds until it has all of it
-     * @param multiple of what it can do at which it falls
-     * @param span milliseconds in which that must come
-     * @param meanWork milliseconds of a request
+     * @param startFraction fraction of its capacity that a process has at its start
+     * @param warmUpMillis time until the process has its full capacity
+     * @param overloadMultiple multiple of the current capacity at which the process fails
+     * @param windowMillis window in which the requests are counted
+     * @param meanWorkMillis mean processing time of a request
      */
-    public record ColdStartParameters(double startFraction, double warmUpMillis, double overloadMultiple, double windowMillis, double meanWorkMillis) {
-        /** Nothing makes a process fall. */
+    public record ColdStartParameters(double startFraction, double warmUpMillis, double overloadMultiple, double windowMillis,
+            double meanWorkMillis) {
+        /** No load is too high. */
         static final ColdStartParameters NONE = new ColdStartParameters(1, 1, Double.POSITIVE_INFINITY, 1, 1);
 
-        double maxRequests(double age) {
-            double share = Math.min(1, startFraction + (1 - startFraction) * age / warmUpMillis);
-            double n = overloadMultiple * windowMillis * share / meanWorkMillis;
+        double maxRequests(double ageMillis) {
+            double capacityFraction = Math.min(1, startFraction + (1 - startFraction) * ageMillis / warmUpMillis);
+            double n = overloadMultiple * windowMillis * capacityFraction / meanWorkMillis;
             return n < SMALL_LIMIT ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
         }
     }
 
-    /** A fall for which front ends are to blame; not decided where it may have come by how late requests were read. */
+    /** An overload caused by front ends; inconclusive if it may only appear so because requests were read late. */
     record Fall(String description, boolean conclusive) { }
 
-    /** A request, read at {@code at} and come at {@code earliest} or later. */
+    /** A request that was read at {@code readAt} and arrived at {@code earliestAt} or later. */
     private record Arrival(double earliestAt, double readAt, Object frontEnd) { }
 
     private static final class ProcessStart {
@@ -48,14 +50,14 @@
         private double deliveredAt = Double.POSITIVE_INFINITY;
         private Map<Integer, Long> bytesByWatch = Map.of();
 
-        private ProcessStart(double at) {
-            this.startedAt = at;
+        private ProcessStart(double startedAt) {
+            this.startedAt = startedAt;
         }
 
-        /** Whether it counted as told to the sender at {@code time}. */
-        private boolean wasDeliveredTo(Object frontEnd, double time, Map<Object, FrontEndConnectionLog> records) {
-            FrontEndConnectionLog shown = records.get(frontEnd);
-            return time >= (shown == null ? deliveredAt : shown.deliveredAt(deliveredAt, bytesByWatch));
+        /** Whether the start counted as delivered to the front end at {@code time}. */
+        private boolean wasDeliveredTo(Object frontEnd, double time, Map<Object, FrontEndConnectionLog> connectionLogs) {
+            FrontEndConnectionLog connectionLog = connectionLogs.get(frontEnd);
+            return time >= (connectionLog == null ? deliveredAt : connectionLog.deliveredAt(deliveredAt, bytesByWatch));
         }
     }
 
@@ -64,25 +66,25 @@
     private final List<Map.Entry<String, ProcessStart>> allStarts = new ArrayList<>();
     private double highestLoadRatio;
 
-    ColdStartCheck(ColdStartParameters figures) {
-        this.parameters = figures;
+    ColdStartCheck(ColdStartParameters parameters) {
+        this.parameters = parameters;
     }
 
-    /** A process has started, cold. */
+    /** Records the cold start of a process. */
     public synchronized void processStarted(String executor, double at) {
         ProcessStart start = new ProcessStart(at);
         latestStarts.put(executor, start);
         allStarts.add(Map.entry(executor, start));
     }
 
-    /** Its start counts as told from then on. */
+    /** Records the time from which the start counts as delivered to front ends. */
     public synchronized void startDelivered(String executor, double at, Map<Integer, Long> bytesByWatch) {
         ProcessStart start = latestStarts.get(executor);
         start.deliveredAt = at;
         start.bytesByWatch = Map.copyOf(bytesByWatch);
     }
 
-    /** A request has come to it. */
+    /** Records a request that was read at {@code at} and arrived at {@code earliest} or later. */
     synchronized void requestArrived(String executor, double earliest, double at, Object frontEnd) {
         ProcessStart start = latestStarts.get(executor);
         if (start != null && at - start.startedAt < parameters.warmUpMillis) {
@@ -90,36 +92,40 @@
         }
     }
 
-    /** The falls of all processes. */
-    synchronized List<Fall> falls(Map<Object, FrontEndConnectionLog> records) {
+    /** The first overload of each process for which front ends are to blame. */
+    synchronized List<Fall> falls(Map<Object, FrontEndConnectionLog> connectionLogs) {
         List<Fall> falls = new ArrayList<>();
-        allStarts.forEach(start -> addFirstFall(start.getKey(), start.getValue(), records, falls));
+        allStarts.forEach(start -> addFirstFall(start.getKey(), start.getValue(), connectionLogs, falls));
         return falls;
     }
 
-    private void addFirstFall(String executor, ProcessStart start, Map<Object, FrontEndConnectionLog> records, List<Fall> falls) {
+    private void addFirstFall(String executor, ProcessStart start, Map<Object, FrontEndConnectionLog> connectionLogs, List<Fall> falls) {
         for (Arrival last : start.arrivals) {
             double limit = parameters.maxRequests(last.readAt - start.startedAt);
             double from = last.readAt - parameters.windowMillis + SOCKET_SLACK_MILLIS;
-            List<Arrival> within = start.arrivals.stream().filter(one -> one.readAt > from && one.readAt <= last.readAt).toList();
-            highestLoadRatio = Math.max(highestLoadRatio, within.size() / limit);
-            if (within.size() > limit) {
-                double blamed = BLAMED_FRACTION * within.size();
-                long told = within.stream().filter(one -> start.wasDeliveredTo(one.frontEnd, one.readAt, records)).count();
-                long certainlyTold = within.stream().filter(one -> start.wasDeliveredTo(one.frontEnd, one.earliestAt, records)).count();
-                long certain = within.stream().filter(one -> one.earliestAt > from).count();
-                if (told > blamed) {
-                    falls.add(new Fall(executor + ", started " + Math.round(start.startedAt) + ", told " + Math.round(start.deliveredAt) + ": "
-                            + within.size() + " requests within " + Math.round(parameters.windowMillis) + " ms at "
-                            + Math.round(last.readAt) + ", falls beyond " + Math.round(limit) + "; " + told
-                            + " from front ends that had been told", certain > limit && certainlyTold > blamed));
+            List<Arrival> inWindow = start.arrivals.stream()
+                    .filter(arrival -> arrival.readAt > from && arrival.readAt <= last.readAt).toList();
+            highestLoadRatio = Math.max(highestLoadRatio, inWindow.size() / limit);
+            if (inWindow.size() > limit) {
+                double blamed = BLAMED_FRACTION * inWindow.size();
+                long notified = inWindow.stream()
+                        .filter(arrival -> start.wasDeliveredTo(arrival.frontEnd, arrival.readAt, connectionLogs)).count();
+                long certainlyNotified = inWindow.stream()
+                        .filter(arrival -> start.wasDeliveredTo(arrival.frontEnd, arrival.earliestAt, connectionLogs)).count();
+                long certainlyInWindow = inWindow.stream().filter(arrival -> arrival.earliestAt > from).count();
+                if (notified > blamed) {
+                    falls.add(new Fall(executor + ", started " + Math.round(start.startedAt)
+                            + ", told " + Math.round(start.deliveredAt) + ": "
+                            + inWindow.size() + " requests within " + Math.round(parameters.windowMillis) + " ms at "
+                            + Math.round(last.readAt) + ", falls beyond " + Math.round(limit) + "; " + notified
+                            + " from front ends that had been told", certainlyInWindow > limit && certainlyNotified > blamed));
                 }
                 return;
             }
         }
     }
 
-    /** The most that a cold process had to take, as a share of what makes it fall; after {@link #falls}. */
+    /** The highest load of a cold process, as a fraction of its limit; set by {@link #falls}. */
     public synchronized double highestLoadRatio() {
         return highestLoadRatio;
     }
--- a/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
@@ -14,27 +14,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An executor that answers most requests, in its own time. What arrives is told to the auditor as it arrives. */
+/** A scripted executor that answers most requests after random delays and reports everything that arrives to the auditor. */
 public final class FrameExecutor {
-    /** So long after its draining began an executor still takes requests in: the bench's do for 0.4 to 0.75 s. */
+    /** How long after the start of its drain an executor still accepts requests; those of the bench do so for 0.4 to 0.75 s. */
     private static final double REJECT_AFTER_DRAIN_MILLIS = 600;
-    private static final double BACKLOG_READ_MILLIS = 50; // milliseconds within which a socket's backlog is read
+    private static final double BACKLOG_READ_MILLIS = 50; // by then the data that piled up in the socket has been read
     private static final int MIN_WORK_MILLIS = 5;
     private static final int WORK_RANGE_MILLIS = 40;
     private static final int MIN_DELAY_MILLIS = 600;
     private static final int DELAY_RANGE_MILLIS = 1000;
-    /** One of so many late answers comes twice, the second copy within so long of the first. */
+    /** One in this many delayed probe answers is sent twice, the second time up to DUPLICATE_DELAY_RANGE_MILLIS later. */
     private static final int DUPLICATE_ONE_IN = 4;
     private static final int DUPLICATE_DELAY_RANGE_MILLIS = 300;
     private static final int MIN_LOAD_MILLIS = 20;
     private static final int LOAD_RANGE_MILLIS = 40;
 
-    /** Its id in the list. */
+    /** Instance id in the roster. */
     public final String instanceId;
-    /** Its name for the auditor: of two processes under one id each has its own. */
+    /** Name used by the auditor; unlike the instance id it differs between successive processes. */
     public final String processName;
     public final String address;
-    /** The share of requests that meet a fault: silence, a closed connection, a spoilt or a doubled answer. */
+    /** Fraction of requests with a fault: no answer, a closed connection, a corrupted or a duplicate answer. */
     public volatile double faultRate;
     private final PeerEventLoops loops;
     private final RequestAuditor auditor;
@@ -46,30 +46,30 @@
     private volatile boolean terminated;
     private final AtomicInteger missCount = new AtomicInteger();
     private final PeerListener listener;
-    /** From when on a copy of each function that was ordered stands, where the process began with none; null where all do. */
+    /** When the copy of each ordered function is ready; null for a process in which every function is loaded from the start. */
     private final Map<String, Double> copyReadyAt;
 
-    /** Listens on a port of its own; everything is loaded there. */
-    public FrameExecutor(PeerEventLoops loops, RequestAuditor auditor, String instance, long seed) throws InterruptedException {
+    /** Listens on a port of its own, with every function loaded. */
+    public FrameExecutor(PeerEventLoops loops, RequestAuditor auditor, String instanceId, long seed) throws InterruptedException {
         this.loops = loops;
         this.auditor = auditor;
-        this.instanceId = instance;
-        processName = instance;
+        this.instanceId = instanceId;
+        processName = instanceId;
         random = new Random(seed);
         copyReadyAt = null;
         listener = new PeerListener(loops, this::createSession);
         address = listener.address();
     }
 
-    /** Listens at once where another has ended; nothing is loaded there. */
-    private FrameExecutor(FrameExecutor before, String instance, long seed) throws InterruptedException {
-        loops = before.loops;
-        auditor = before.auditor;
-        this.instanceId = instance;
-        processName = instance.equals(before.instanceId) ? before.processName + "'" : instance;
+    /** Listens at the address of a process that has terminated, with nothing loaded. */
+    private FrameExecutor(FrameExecutor predecessor, String instanceId, long seed) throws InterruptedException {
+        loops = predecessor.loops;
+        auditor = predecessor.auditor;
+        this.instanceId = instanceId;
+        processName = instanceId.equals(predecessor.instanceId) ? predecessor.processName + "'" : instanceId;
         random = new Random(seed);
         copyReadyAt = new ConcurrentHashMap<>();
-        listener = new PeerListener(loops, before.listener.port(), this::createSession);
+        listener = new PeerListener(loops, predecessor.listener.port(), this::createSession);
         address = listener.address();
     }
 
@@ -77,7 +77,7 @@
         return new Session(PeerEventLoops.remotePort(connection));
     }
 
-    /** From now on it says so to probes, and a while later it turns requests away; it stays up. */
+    /** From now on probes are answered with draining, and after a while requests are rejected; the process keeps running. */
     public void startDraining() {
         drainingSince = loops.now();
     }
@@ -86,7 +86,7 @@
         return loops.now() >= drainingSince;
     }
 
-    /** Its process has ended: connections are reset, new ones refused. */
+    /** Terminates the process: connections are reset and new ones refused. */
     public void stop() throws InterruptedException {
         listener.stop();
         terminate();
@@ -98,52 +98,55 @@
     }
 
     /**
-     * Its process ends, and another one listens at its address at once, with nothing loaded.
+     * Replaces the process by another one that listens at the same address at once, with nothing loaded.
      *
-     * @param next its id
-     * @param lingers for how long the connections to the old process stay: until then it takes nothing new, and answers what it had
+     * @param nextInstanceId instance id of the new process
+     * @param lingerMillis how long the connections to the old process stay open; until then it drains and finishes its requests
      */
-    public FrameExecutor replaceWith(String next, long seed, long lingers) throws InterruptedException {
+    public FrameExecutor replaceWith(String nextInstanceId, long seed, long lingerMillis) throws InterruptedException {
         listener.stop();
-        if (lingers == 0) {
+        if (lingerMillis == 0) {
             terminate();
         } else {
             startDraining();
-            loops.next().schedule(this::terminate, lingers, TimeUnit.MILLISECONDS);
+            loops.next().schedule(this::terminate, lingerMillis, TimeUnit.MILLISECONDS);
         }
-        return new FrameExecutor(this, next, seed);
+        return new FrameExecutor(this, nextInstanceId, seed);
     }
 
-    /** A new process at the same address. */
+    /** Starts a new process at the same address. */
     public void restart() throws InterruptedException {
         terminated = false;
         drainingSince = Double.POSITIVE_INFINITY;
         listener.restart();
     }
 
-    /** Reads nothing for so long: what front ends write piles up. */
+    /** Reads from no connection for this long, so that writes of the front ends pile up. */
     public void pauseReading(long millis) {
         for (Channel connection : listener.connections()) {
             connection.eventLoop().execute(() -> connection.pipeline().get(Session.class).pauseReading(connection, millis));
         }
     }
 
-    /** For so long it answers probes and questions late, some of them twice, with what held when they came. */
+    /**
+     * For this long, answers probes and status queries after a random delay, some of them twice, with the state at the time of
+     * their arrival.
+     */
     public void delayProbeAnswersFor(long millis) {
         probeDelaysUntil = loops.now() + millis;
     }
 
-    /** From now on it answers every probe so much later, with what held when it came. */
+    /** From now on, answers every probe after this delay, with the state at the time of its arrival. */
     public void setProbeDelay(long millis) {
         probeDelayMillis = millis;
     }
 
-    /** Requests that came for what is not loaded. */
+    /** Number of requests for functions that were not loaded. */
     public int missCount() {
         return missCount.get();
     }
 
-    /** For so long it is late with its answers to requests. */
+    /** For this long, adds a random delay to the answers to requests. */
     public void delayAnswersFor(long millis) {
         answerDelaysUntil = loops.now() + millis;
     }
@@ -156,40 +159,40 @@
         }
     }
 
-    private synchronized void handleRequest(Channel to, Frames.Command asked, double arrivedAt, RequestAuditor.Sender sender) {
-        String name = "%016x".formatted(asked.id());
-        auditor.attemptReceived(processName, name, arrivedAt, asked.numberField("patience", 0), sender);
+    private synchronized void handleRequest(Channel channel, Frames.Command command, double arrivedAt, RequestAuditor.Sender sender) {
+        String requestId = "%016x".formatted(command.id());
+        auditor.attemptReceived(processName, requestId, arrivedAt, command.numberField("patience", 0), sender);
         auditor.countForColdStart(processName, arrivedAt, loops.now(), sender);
         if (loops.now() > drainingSince + REJECT_AFTER_DRAIN_MILLIS) {
-            to.writeAndFlush(Frames.of(Frames.FULL, asked.id(), ""));
+            channel.writeAndFlush(Frames.of(Frames.FULL, command.id(), ""));
             return;
         }
-        if (!isLoadedOrLoading(asked.textField("asset"))) {
+        if (!isLoadedOrLoading(command.textField("asset"))) {
             missCount.incrementAndGet();
-            to.writeAndFlush(Frames.of(Frames.MISSING, asked.id(), ""));
+            channel.writeAndFlush(Frames.of(Frames.MISSING, command.id(), ""));
             return;
         }
-        auditor.attemptAccepted(processName, name);
+        auditor.attemptAccepted(processName, requestId);
         double draw = random.nextDouble();
-        long late = loops.now() < answerDelaysUntil ? MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS) : 0;
-        long millis = late + millisUntilReady(asked.textField("asset")) + MIN_WORK_MILLIS + random.nextInt(WORK_RANGE_MILLIS);
+        long extraDelay = loops.now() < answerDelaysUntil ? MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS) : 0;
+        long delayMillis = extraDelay + millisUntilReady(command.textField("asset")) + MIN_WORK_MILLIS + random.nextInt(WORK_RANGE_MILLIS);
         if (draw < faultRate / 3) {
-            return; // silent
+            return; // no answer
         }
         if (draw < faultRate / 2) {
-            to.eventLoop().schedule(() -> to.close(), millis, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(() -> channel.close(), delayMillis, TimeUnit.MILLISECONDS);
             return;
         }
-        boolean spoilt = draw < faultRate * 2 / 3;
-        boolean twice = draw > 1 - faultRate / 3;
-        to.eventLoop().schedule(() -> sendAnswer(to, asked, spoilt, twice), millis, TimeUnit.MILLISECONDS);
+        boolean corrupted = draw < faultRate * 2 / 3;
+        boolean duplicated = draw > 1 - faultRate / 3;
+        channel.eventLoop().schedule(() -> sendAnswer(channel, command, corrupted, duplicated), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     private boolean isLoadedOrLoading(String function) {
         return copyReadyAt == null || copyReadyAt.containsKey(function);
     }
 
-    /** Milliseconds until a copy stands that was ordered. */
+    /** Milliseconds until the ordered copy is ready. */
     private long millisUntilReady(String function) {
         return copyReadyAt == null ? 0 : Math.max(0, Math.round(copyReadyAt.get(function) - loops.now()));
     }
@@ -206,45 +209,49 @@
         }
     }
 
-    /** Answers a probe, or a question about copies: what is said holds now, and may be said later. */
-    private void sendProbeAnswer(Channel to, ByteBuf said, ProbeHistory.Probe probe) {
+    /** Answers a probe or a status query, with the configured delay; {@code answer} holds the state at the time of its arrival. */
+    private void sendProbeAnswer(Channel channel, ByteBuf answer, ProbeHistory.Probe probe) {
         if (probeDelayMillis > 0) {
-            to.eventLoop().schedule(() -> writeProbeAnswer(to, said, probe), probeDelayMillis, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(() -> writeProbeAnswer(channel, answer, probe), probeDelayMillis, TimeUnit.MILLISECONDS);
             return;
         }
         if (loops.now() >= probeDelaysUntil) {
-            writeProbeAnswer(to, said, probe);
+            writeProbeAnswer(channel, answer, probe);
             return;
         }
-        long late = MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS);
+        long delayMillis = MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS);
         if (random.nextInt(DUPLICATE_ONE_IN) == 0) {
-            ByteBuf copy = said.copy();
-            to.eventLoop().schedule(() -> writeProbeAnswer(to, copy, probe), late + random.nextInt(DUPLICATE_DELAY_RANGE_MILLIS), TimeUnit.MILLISECONDS);
+            ByteBuf copy = answer.copy();
+            channel.eventLoop().schedule(() -> writeProbeAnswer(channel, copy, probe),
+                    delayMillis + random.nextInt(DUPLICATE_DELAY_RANGE_MILLIS), TimeUnit.MILLISECONDS);
         }
-        to.eventLoop().schedule(() -> writeProbeAnswer(to, said, probe), late, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(() -> writeProbeAnswer(channel, answer, probe), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void writeProbeAnswer(Channel to, ByteBuf said, ProbeHistory.Probe probe) {
+    private void writeProbeAnswer(Channel channel, ByteBuf answer, ProbeHistory.Probe probe) {
         auditor.probeHistory.recordAnswer(probe, loops.now());
-        to.writeAndFlush(said);
+        channel.writeAndFlush(answer);
     }
 
-    private void sendAnswer(Channel to, Frames.Command asked, boolean spoilt, boolean twice) {
-        String made = instanceId + " made " + new String(asked.body(), StandardCharsets.US_ASCII);
-        byte[] frame = Frames.encode(Frames.RETURNED, asked.id(), "n2=ready", made.getBytes(StandardCharsets.US_ASCII));
-        if (spoilt) {
+    private void sendAnswer(Channel channel, Frames.Command command, boolean corrupted, boolean duplicated) {
+        String body = instanceId + " made " + new String(command.body(), StandardCharsets.US_ASCII);
+        byte[] frame = Frames.encode(Frames.RETURNED, command.id(), "n2=ready", body.getBytes(StandardCharsets.US_ASCII));
+        if (corrupted) {
             frame[frame.length - 5] ^= 1;
         }
-        auditor.executorAnswered("%016x".formatted(asked.id()), made);
-        to.writeAndFlush(Unpooled.wrappedBuffer(frame));
-        if (twice) {
-            to.writeAndFlush(Unpooled.wrappedBuffer(frame));
+        auditor.executorAnswered("%016x".formatted(command.id()), body);
+        channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
+        if (duplicated) {
+            channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
         }
     }
 
-    /** Commands of one connection. */
+    /** Decodes and handles the commands of one connection. */
     private final class Session extends ByteToMessageDecoder {
-        /** When it stopped reading, and when it read first after that: what it reads then may have lain in its socket since. */
+        /**
+         * When reading was paused, and when data was first read after the pause; data read right after a pause may have been
+         * in the socket since its start.
+         */
         private double readingPausedAt = Double.NaN;
         private double readingResumedAt = Double.NaN;
         private int activePauses;
@@ -270,7 +277,7 @@
         private double arrivedAt() {
             double now = loops.now();
             if (Double.isNaN(readingPausedAt) || activePauses > 0) {
-                return now; // what is still read while it stops came before
+                return now; // data that is still read during a pause arrived before it
             }
             readingResumedAt = Double.isNaN(readingResumedAt) ? now : readingResumedAt;
             return now - readingResumedAt <= BACKLOG_READ_MILLIS ? readingPausedAt : now;
@@ -280,13 +287,13 @@
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
             if (terminated) {
                 in.skipBytes(in.readableBytes());
-                ctx.close(); // the process that had accepted it is no more
+                ctx.close(); // the process that had accepted the connection has terminated
                 return;
             }
             Frames.Command command = Frames.read(in);
             if (command != null) {
                 handleCommand(ctx, command);
-                out.add(command); // tells the decoder to go on; nothing beyond this handler hears it
+                out.add(command); // makes the decoder continue; there is no further handler
             }
         }
 
@@ -300,28 +307,29 @@
             }
         }
 
-        private void handleProbe(Channel to, Frames.Command command) {
-            boolean drains = isDraining();
-            ProbeHistory.Probe probe = auditor.probeHistory.recordProbe(processName, sender, loops.now(), drains ? "draining" : "ready");
-            sendProbeAnswer(to, drains ? Frames.of(Frames.DRAINING, command.id(), "") : Frames.of(Frames.READY, command.id(), "l=q:0;rif:1"), probe);
+        private void handleProbe(Channel channel, Frames.Command command) {
+            boolean draining = isDraining();
+            ProbeHistory.Probe probe = auditor.probeHistory.recordProbe(processName, sender, loops.now(), draining ? "draining" : "ready");
+            sendProbeAnswer(channel, draining ? Frames.of(Frames.DRAINING, command.id(), "")
+                    : Frames.of(Frames.READY, command.id(), "l=q:0;rif:1"), probe);
         }
 
-        private void handleLoadOrder(Channel to, Frames.Command command) {
+        private void handleLoadOrder(Channel channel, Frames.Command command) {
             String function = command.textField("asset");
             if (command.numberField("n", 0) == 0) {
-                boolean there = isLoadedOrLoading(function) && millisUntilReady(function) == 0;
-                sendProbeAnswer(to, Frames.of(Frames.RETURNED, command.id(), there ? "n=1" : "n=0"),
-                        auditor.probeHistory.recordProbe(processName, sender, loops.now(), there ? "copies" : "no copy"));
+                boolean loaded = isLoadedOrLoading(function) && millisUntilReady(function) == 0;
+                sendProbeAnswer(channel, Frames.of(Frames.RETURNED, command.id(), loaded ? "n=1" : "n=0"),
+                        auditor.probeHistory.recordProbe(processName, sender, loops.now(), loaded ? "copies" : "no copy"));
                 return;
             }
             auditor.loadOrderReceived(processName, arrivedAt(), sender);
             load(function);
-            ByteBuf stands = Frames.of(Frames.RETURNED, command.id(), "n=1");
-            long millis = millisUntilReady(function);
-            if (millis == 0) {
-                to.writeAndFlush(stands);
+            ByteBuf readyAnswer = Frames.of(Frames.RETURNED, command.id(), "n=1");
+            long delayMillis = millisUntilReady(function);
+            if (delayMillis == 0) {
+                channel.writeAndFlush(readyAnswer);
             } else {
-                to.eventLoop().schedule(() -> to.writeAndFlush(stands), millis, TimeUnit.MILLISECONDS);
+                channel.eventLoop().schedule(() -> channel.writeAndFlush(readyAnswer), delayMillis, TimeUnit.MILLISECONDS);
             }
         }
 
--- a/standins/src/main/java/gradereach/standins/frames/Frames.java
+++ b/standins/src/main/java/gradereach/standins/frames/Frames.java
@@ -6,7 +6,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
 
-/** The executors' side of the binary frames: {@code mark, code, fields' length, body's length, id, fields, body, CRC-32}. */
+/**
+ * Encodes and decodes the binary frames of executors: magic, code, length of the fields, length of the body, id, fields, body,
+ * CRC-32.
+ */
 final class Frames {
     static final int REQUEST = 65;
     static final int REPORT = 68;
@@ -25,15 +28,15 @@
     private static final int BODY_LENGTH_OFFSET = 4;
     private static final int ID_OFFSET = 8;
 
-    /** One that was read. */
+    /** A decoded frame. */
     record Command(int code, long id, String fields, byte[] body) {
-        /** A number among the fields, {@code otherwise} where it is not there. */
-        double numberField(String name, double otherwise) {
+        /** The value of a numeric field, or {@code defaultValue} if the field is missing. */
+        double numberField(String name, double defaultValue) {
             String value = textField(name);
-            return value == null ? otherwise : Double.parseDouble(value);
+            return value == null ? defaultValue : Double.parseDouble(value);
         }
 
-        /** The value of a field, null where it is not there. */
+        /** The value of a field, or null if the field is missing. */
         String textField(String name) {
             for (String field : fields.split(",")) {
                 if (field.startsWith(name + "=")) {
@@ -46,22 +49,22 @@
 
     private Frames() { }
 
-    /** The next one, or null while it is not whole; front ends' check sums are not looked at. */
+    /** Reads the next frame; null while it is incomplete. The checksum is not verified. */
     static Command read(ByteBuf in) {
-        int at = in.readerIndex();
+        int start = in.readerIndex();
         if (in.readableBytes() < HEADER_BYTES) {
             return null;
         }
-        int fields = in.getUnsignedShort(at + FIELDS_LENGTH_OFFSET);
-        int length = in.getInt(at + BODY_LENGTH_OFFSET);
-        if (in.readableBytes() < HEADER_BYTES + fields + length + CHECKSUM_BYTES) {
+        int fieldsLength = in.getUnsignedShort(start + FIELDS_LENGTH_OFFSET);
+        int bodyLength = in.getInt(start + BODY_LENGTH_OFFSET);
+        if (in.readableBytes() < HEADER_BYTES + fieldsLength + bodyLength + CHECKSUM_BYTES) {
             return null;
         }
-        byte[] body = new byte[length];
-        in.getBytes(at + HEADER_BYTES + fields, body);
-        Command command = new Command(in.getUnsignedByte(at + 1), in.getLong(at + ID_OFFSET),
-                in.toString(at + HEADER_BYTES, fields, StandardCharsets.US_ASCII), body);
-        in.skipBytes(HEADER_BYTES + fields + length + CHECKSUM_BYTES);
+        byte[] body = new byte[bodyLength];
+        in.getBytes(start + HEADER_BYTES + fieldsLength, body);
+        Command command = new Command(in.getUnsignedByte(start + 1), in.getLong(start + ID_OFFSET),
+                in.toString(start + HEADER_BYTES, fieldsLength, StandardCharsets.US_ASCII), body);
+        in.skipBytes(HEADER_BYTES + fieldsLength + bodyLength + CHECKSUM_BYTES);
         return command;
     }
 
@@ -70,12 +73,12 @@
     }
 
     static byte[] encode(int code, long id, String fields, byte[] body) {
-        byte[] head = fields.getBytes(StandardCharsets.US_ASCII);
-        CRC32 check = new CRC32();
-        check.update(head);
-        check.update(body);
-        return ByteBuffer.allocate(HEADER_BYTES + head.length + body.length + CHECKSUM_BYTES).put((byte) MAGIC).put((byte) code)
-                .putShort((short) head.length).putInt(body.length).putLong(id).put(head).put(body)
-                .putInt((int) check.getValue()).array();
+        byte[] fieldBytes = fields.getBytes(StandardCharsets.US_ASCII);
+        CRC32 checksum = new CRC32();
+        checksum.update(fieldBytes);
+        checksum.update(body);
+        return ByteBuffer.allocate(HEADER_BYTES + fieldBytes.length + body.length + CHECKSUM_BYTES).put((byte) MAGIC).put((byte) code)
+                .putShort((short) fieldBytes.length).putInt(body.length).putLong(id).put(fieldBytes).put(body)
+                .putInt((int) checksum.getValue()).array();
     }
 }
--- a/standins/src/main/java/gradereach/standins/frames/FrontEndConnectionLog.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrontEndConnectionLog.java
@@ -11,15 +11,15 @@
 import java.util.stream.Stream;
 
 /**
- * What the system calls of one front end show of its connections: which of them it closed and how much it had read of them
+ * Connection events of one front end, recorded from its system calls: which connections it closed and how much it had read
  * by then, and when its connection to the change log was broken by a fault. Times are those of the peers' clock.
  */
 public final class FrontEndConnectionLog {
-    /** The protocol: a request that crosses the close of a connection within so many milliseconds is sent again. */
+    /** Protocol: a client sends a request again if the connection is closed at most this long after it wrote the request. */
     private static final double CROSSED_CLOSE_MILLIS = 50;
-    /** The protocol: what the change log would have told counts as told so long after a break, or once it is asked again. */
+    /** Protocol: events count as delivered this long after a disconnect, or once the front end requests them again. */
     private static final double DELIVERED_AFTER_DISCONNECT_MILLIS = 2000;
-    /** Milliseconds from a write to when its peer has read it, on a busy machine. */
+    /** Longest time from a write until the peer has read it, on a busy machine. */
     private static final double MAX_TRANSIT_MILLIS = 300;
 
     private final List<ConnectionEvent> events;
@@ -28,27 +28,27 @@
     private final List<ChangelogServer.ResyncRequest> resyncRequests;
 
     /**
-     * @param changelogPorts where the change log listens
-     * @param asked when it was asked for what is missing, by all front ends
+     * @param changelogPorts ports on which the change log listens
+     * @param resyncRequests resync requests of all front ends
      */
     public FrontEndConnectionLog(List<ConnectionEvent> events, PeerEventLoops clock, Set<Integer> changelogPorts,
-            List<ChangelogServer.ResyncRequest> asked) {
+            List<ChangelogServer.ResyncRequest> resyncRequests) {
         this.events = List.copyOf(events);
         this.clock = clock;
         this.changelogPorts = changelogPorts;
-        this.resyncRequests = List.copyOf(asked);
+        this.resyncRequests = List.copyOf(resyncRequests);
     }
 
     private double timeMillis(ConnectionEvent event) {
         return clock.toMillis(event.nanoTime());
     }
 
-    /** A request that a client wrote, and the end of its connection as the client saw it. */
+    /** A request written by a client, and the end of its connection as seen by the client. */
     record UnansweredRequest(int clientPort, long bytesWrittenBefore, double sentAt, double connectionEndedAt) { }
 
     /**
-     * Whether the front end closed the connection before it had read anything of the request, and shortly after the request
-     * was written at the latest.
+     * Whether the front end closed the connection without having read any of the request, and no later than shortly after the
+     * request was written.
      */
     boolean crossedClose(UnansweredRequest request) {
         Optional<ConnectionEvent> accepted = latestEvent(event -> event.kind() == Kind.ACCEPTED
@@ -65,40 +65,44 @@
     }
 
     /**
-     * From when on an event counts as told to this front end.
+     * When an event counts as delivered to this front end.
      *
-     * @param at when the change log told it
-     * @param bytesByWatch bytes that the change log had written with it to each watch, by the watch's port
+     * @param publishedAt when the change log published the event
+     * @param bytesByWatch bytes written to each watch up to and including the event, by the port of the watch
      */
-    double deliveredAt(double at, Map<Integer, Long> bytesByWatch) {
-        Optional<ConnectionEvent> broken = watchBrokenBefore(at, bytesByWatch);
+    double deliveredAt(double publishedAt, Map<Integer, Long> bytesByWatch) {
+        Optional<ConnectionEvent> broken = watchBrokenBefore(publishedAt, bytesByWatch);
         if (broken.isEmpty()) {
-            return at;
+            return publishedAt;
         }
         double brokenAt = timeMillis(broken.get());
-        double askedAgainAt = resyncRequests.stream().filter(ask -> ask.receivedAt() > brokenAt && connectedToChangelogFrom(ask.port()))
+        double resyncAt = resyncRequests.stream()
+                .filter(resync -> resync.receivedAt() > brokenAt && connectedToChangelogFrom(resync.port()))
                 .mapToDouble(ChangelogServer.ResyncRequest::receivedAt).min().orElse(Double.POSITIVE_INFINITY);
-        return Math.max(at, Math.min(brokenAt + DELIVERED_AFTER_DISCONNECT_MILLIS, askedAgainAt));
+        return Math.max(publishedAt, Math.min(brokenAt + DELIVERED_AFTER_DISCONNECT_MILLIS, resyncAt));
     }
 
-    /** For how long a write on that connection was held up by a stop, just before {@code at}; 0 where none was. */
+    /** How long a write on this connection was delayed by a stop of the process shortly before {@code at}; 0 if none was. */
     double writeStallMillis(int localPort, double at) {
         return latestEvent(event -> event.kind() == Kind.HELD_UP && event.localPort() == localPort && timeMillis(event) <= at
                 && at - timeMillis(event) <= MAX_TRANSIT_MILLIS).map(ConnectionEvent::detail).orElse(0);
     }
 
-    /** The break by which the event was not read; none where it was read, or no fault kept it from being read. */
-    private Optional<ConnectionEvent> watchBrokenBefore(double at, Map<Integer, Long> bytesByWatch) {
+    /** The broken connection that kept the front end from reading the event; empty if it was read or no fault was the cause. */
+    private Optional<ConnectionEvent> watchBrokenBefore(double publishedAt, Map<Integer, Long> bytesByWatch) {
         Optional<ConnectionEvent> watch = latestEvent(event -> event.kind() == Kind.CONNECTED && isChangelogConnection(event)
-                && bytesByWatch.containsKey(event.localPort()) && timeMillis(event) <= at);
+                && bytesByWatch.containsKey(event.localPort()) && timeMillis(event) <= publishedAt);
         if (watch.isPresent()) {
             int port = watch.get().localPort();
-            return events.stream().filter(event -> event.kind() == Kind.BROKEN && isChangelogConnection(event) && event.localPort() == port
-                    && event.nanoTime() >= watch.get().nanoTime() && event.bytesReceived() < bytesByWatch.get(port)).findFirst();
+            return events.stream().filter(event -> event.kind() == Kind.BROKEN && isChangelogConnection(event)
+                    && event.localPort() == port && event.nanoTime() >= watch.get().nanoTime()
+                    && event.bytesReceived() < bytesByWatch.get(port)).findFirst();
         }
-        Optional<ConnectionEvent> broken = latestEvent(event -> event.kind() == Kind.BROKEN && isChangelogConnection(event) && timeMillis(event) <= at);
-        return broken.filter(event -> resyncRequests.stream().noneMatch(ask -> ask.receivedAt() > timeMillis(event) && ask.receivedAt() <= at
-                && connectedToChangelogFrom(ask.port())));
+        Optional<ConnectionEvent> broken = latestEvent(event -> event.kind() == Kind.BROKEN && isChangelogConnection(event)
+                && timeMillis(event) <= publishedAt);
+        return broken.filter(event -> resyncRequests.stream().noneMatch(resync -> resync.receivedAt() > timeMillis(event)
+                && resync.receivedAt() <= publishedAt
+                && connectedToChangelogFrom(resync.port())));
     }
 
     private boolean isChangelogConnection(ConnectionEvent event) {
@@ -106,11 +110,12 @@
     }
 
     private boolean connectedToChangelogFrom(int port) {
-        return events.stream().anyMatch(event -> event.kind() == Kind.CONNECTED && isChangelogConnection(event) && event.localPort() == port);
+        return events.stream().anyMatch(event -> event.kind() == Kind.CONNECTED && isChangelogConnection(event)
+                && event.localPort() == port);
     }
 
-    private Optional<ConnectionEvent> latestEvent(Predicate<ConnectionEvent> which) {
-        Stream<ConnectionEvent> found = events.stream().filter(which);
+    private Optional<ConnectionEvent> latestEvent(Predicate<ConnectionEvent> filter) {
+        Stream<ConnectionEvent> found = events.stream().filter(filter);
         return found.max(Comparator.comparingLong(ConnectionEvent::nanoTime));
     }
 }
--- a/standins/src/main/java/gradereach/standins/frames/Outage.java
+++ b/standins/src/main/java/gradereach/standins/frames/Outage.java
@@ -1,11 +1,11 @@
 package gradereach.standins.frames;
 
-/** What front ends meet while discovery is out of reach. */
+/** How discovery fails for front ends. */
 public enum Outage {
-    /** Open connections tell nothing more, and so do new ones. */
+    /** Open and new connections stay open, but no events are sent on them. */
     SILENT,
-    /** Open connections end, new ones come up and tell nothing. */
+    /** Open connections are closed; new ones are accepted, but no events are sent on them. */
     BROKEN_OFF,
-    /** Open connections end, new ones are refused. */
+    /** Open connections are closed, new ones are refused. */
     UNREACHABLE
 }
--- a/standins/src/main/java/gradereach/standins/frames/PeerEventLoops.java
+++ b/standins/src/main/java/gradereach/standins/frames/PeerEventLoops.java
@@ -16,13 +16,13 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** The threads and the one clock of all scripted peers of a run. */
+/** The event loops and the shared clock of all scripted peers of a run. */
 public final class PeerEventLoops implements AutoCloseable {
     private static final int THREADS = 2;
     private static final long SHUTDOWN_MILLIS = 500;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final long TICK_NANOS = 5_000_000;
-    /** Below those that Linux gives to outgoing connections (from 32768). */
+    /** The range lies below the ports that Linux assigns to outgoing connections (32768 and above). */
     private static final int FIRST_PORT = 20_000;
     private static final int PORT_COUNT = 12_000;
     private static final int MAX_PORT_ATTEMPTS = 100;
@@ -32,38 +32,38 @@
     private final long startNanos = System.nanoTime();
     private final LagIntervals lagIntervals = new LagIntervals();
 
-    /** Starts the threads, and watches how late they come to their work. */
+    /** Starts the event loops and monitors their lag. */
     public PeerEventLoops() {
         for (EventExecutor loop : group) {
-            long[] last = {System.nanoTime()};
+            long[] lastTick = {System.nanoTime()};
             loop.scheduleAtFixedRate(() -> {
                 long now = System.nanoTime();
-                if (now - last[0] > 2 * TICK_NANOS) {
-                    lagIntervals.add(toMillis(last[0]), toMillis(now));
+                if (now - lastTick[0] > 2 * TICK_NANOS) {
+                    lagIntervals.add(toMillis(lastTick[0]), toMillis(now));
                 }
-                last[0] = now;
+                lastTick[0] = now;
             }, TICK_NANOS, TICK_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 
     /**
-     * The longest time by which the peers were late themselves, milliseconds: what they tell the auditor is wrong by as much.
+     * The longest lag of an event loop, in milliseconds. Times reported to the auditor can be late by this much.
      */
     public double longestLagMillis() {
         return lagIntervals.longestMillis();
     }
 
-    /** When they were late. */
+    /** The intervals in which event loops lagged. */
     public LagIntervals lagIntervals() {
         return lagIntervals;
     }
 
-    /** Milliseconds on the monotonic clock, from the begin of the run. */
+    /** Milliseconds on the monotonic clock since the start of the run. */
     public double now() {
         return toMillis(System.nanoTime());
     }
 
-    /** The same of a reading of {@link System#nanoTime}, also of another process of this machine. */
+    /** Converts a value of {@link System#nanoTime}, which may come from another process of this machine, to the time of {@link #now}. */
     double toMillis(long nanoTime) {
         return (nanoTime - startNanos) / NANOS_PER_MILLI;
     }
@@ -77,13 +77,13 @@
     }
 
     /**
-     * Listens on loopback, on a port that no outgoing connection is given by the system: a peer that ends and starts anew finds
-     * it free.
+     * Listens on loopback, on a port outside of the range for outgoing connections, so that the port is still free when a peer
+     * is restarted.
      */
-    Channel listen(ChannelHandler connections) throws InterruptedException {
+    Channel listen(ChannelHandler connectionHandler) throws InterruptedException {
         for (int i = 0;; i++) {
             try {
-                return listen(FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT), connections);
+                return listen(FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT), connectionHandler);
             } catch (Exception e) {
                 if (!(e instanceof BindException) || i == MAX_PORT_ATTEMPTS) {
                     throw e;
@@ -92,11 +92,11 @@
         }
     }
 
-    /** The same on a port that another peer has just left: it is free when its loop has been through once. */
-    Channel listenWithRetry(int port, ChannelHandler connections) throws InterruptedException {
+    /** Listens on a port that another peer has just closed; it is free only after an iteration of the event loop of that peer. */
+    Channel listenWithRetry(int port, ChannelHandler connectionHandler) throws InterruptedException {
         for (int i = 0;; i++) {
             try {
-                return listen(port, connections);
+                return listen(port, connectionHandler);
             } catch (Exception e) {
                 if (!(e instanceof BindException) || i == MAX_PORT_ATTEMPTS) {
                     throw e;
@@ -106,9 +106,9 @@
         }
     }
 
-    /** Listens on loopback. */
-    Channel listen(int port, ChannelHandler connections) throws InterruptedException {
-        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class).childHandler(connections)
+    /** Listens on the given loopback port. */
+    Channel listen(int port, ChannelHandler connectionHandler) throws InterruptedException {
+        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class).childHandler(connectionHandler)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .bind(new InetSocketAddress("127.0.0.1", port)).sync().channel();
     }
@@ -117,9 +117,9 @@
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** From which port a connection was made; 0 once it has ended. */
+    /** Remote port of a connection; 0 once it is closed. */
     static int remotePort(Channel connection) {
-        return connection.remoteAddress() instanceof InetSocketAddress from ? from.getPort() : 0;
+        return connection.remoteAddress() instanceof InetSocketAddress remote ? remote.getPort() : 0;
     }
 
     static String address(Channel listener) {
--- a/standins/src/main/java/gradereach/standins/frames/PeerListener.java
+++ b/standins/src/main/java/gradereach/standins/frames/PeerListener.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Function;
 
-/** Where a scripted peer is reached, and the connections that are open there. It may stop, and listen again at the same port. */
+/** Listener of a scripted peer, with its open connections. It can stop and listen on the same port again. */
 final class PeerListener {
     private final PeerEventLoops loops;
     private final Function<Channel, ChannelHandler> handlerFactory;
@@ -17,18 +17,18 @@
     /**
      * Listens on a port of its own.
      *
-     * @param sessions makes the handler of a connection
+     * @param handlerFactory creates the handler of a connection
      */
-    PeerListener(PeerEventLoops loops, Function<Channel, ChannelHandler> sessions) throws InterruptedException {
+    PeerListener(PeerEventLoops loops, Function<Channel, ChannelHandler> handlerFactory) throws InterruptedException {
         this.loops = loops;
-        this.handlerFactory = sessions;
+        this.handlerFactory = handlerFactory;
         listener = loops.listen(connectionInitializer());
     }
 
-    /** Listens on a port that another has just left. */
-    PeerListener(PeerEventLoops loops, int port, Function<Channel, ChannelHandler> sessions) throws InterruptedException {
+    /** Listens on a port that another listener has just closed. */
+    PeerListener(PeerEventLoops loops, int port, Function<Channel, ChannelHandler> handlerFactory) throws InterruptedException {
         this.loops = loops;
-        this.handlerFactory = sessions;
+        this.handlerFactory = handlerFactory;
         listener = loops.listenWithRetry(port, connectionInitializer());
     }
 
@@ -37,7 +37,7 @@
             @Override
             protected void initChannel(Channel connection) {
                 connections.add(connection);
-                connection.closeFuture().addListener(end -> connections.remove(connection));
+                connection.closeFuture().addListener(closed -> connections.remove(connection));
                 connection.pipeline().addLast(handlerFactory.apply(connection));
             }
         };
@@ -51,12 +51,12 @@
         return PeerEventLoops.port(listener);
     }
 
-    /** Those that are open now. */
+    /** The open connections. */
     Set<Channel> connections() {
         return connections;
     }
 
-    /** New connections are refused. */
+    /** Closes the listener, so that new connections are refused. */
     void stop() throws InterruptedException {
         listener.close().sync();
     }
--- a/standins/src/main/java/gradereach/standins/frames/ProbeHistory.java
+++ b/standins/src/main/java/gradereach/standins/frames/ProbeHistory.java
@@ -6,24 +6,27 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Probes and questions that came to executors and how they were answered: shown beside a send past the grace, and judged by nobody. */
+/**
+ * Probes and status queries received by executors, with their answers. They are quoted in findings about sends after the drain
+ * grace and are not checked themselves.
+ */
 final class ProbeHistory {
-    /** So long before a send its executor's probes may have to do with it, milliseconds. */
+    /** Probes received this long before a send are quoted with it. */
     private static final double SHOWN_BEFORE_MILLIS = 3000;
 
     private final Map<String, List<Probe>> probes = new HashMap<>();
 
-    /** One probe, and when its answer and further copies of it were written. */
+    /** One probe, with the times at which its answer and duplicates of it were written. */
     static final class Probe {
         private final RequestAuditor.Sender sender;
         private final double receivedAt;
         private final String reply;
         private final List<Double> answeredAt = new ArrayList<>(1);
 
-        private Probe(RequestAuditor.Sender sender, double askedAt, String said) {
+        private Probe(RequestAuditor.Sender sender, double receivedAt, String reply) {
             this.sender = sender;
-            this.receivedAt = askedAt;
-            this.reply = said;
+            this.receivedAt = receivedAt;
+            this.reply = reply;
         }
 
         private String describeRelativeTo(double at) {
@@ -32,9 +35,9 @@
         }
     }
 
-    /** One has come, and {@code said} is what holds now and is said later. */
-    synchronized Probe recordProbe(String executor, RequestAuditor.Sender sender, double at, String said) {
-        Probe probe = new Probe(sender, at, said);
+    /** Records a probe; {@code reply} is the state at its arrival, which may be sent later. */
+    synchronized Probe recordProbe(String executor, RequestAuditor.Sender sender, double at, String reply) {
+        Probe probe = new Probe(sender, at, reply);
         probes.computeIfAbsent(executor, name -> new ArrayList<>()).add(probe);
         return probe;
     }
@@ -43,10 +46,11 @@
         probe.answeredAt.add(at);
     }
 
-    /** Those of the sender's front end shortly before, with times counted from {@code at}. */
+    /** Describes the probes of the sender's front end shortly before {@code at}, with times relative to {@code at}. */
     synchronized String describe(String executor, RequestAuditor.Sender sender, double at) {
         return probes.getOrDefault(executor, List.of()).stream()
-                .filter(probe -> probe.sender.isSameFrontEnd(sender) && probe.receivedAt <= at && probe.receivedAt > at - SHOWN_BEFORE_MILLIS)
+                .filter(probe -> probe.sender.isSameFrontEnd(sender) && probe.receivedAt <= at
+                        && probe.receivedAt > at - SHOWN_BEFORE_MILLIS)
                 .map(probe -> probe.describeRelativeTo(at)).collect(Collectors.joining(", ", "; its probes, by ms from then: ", ""));
     }
 }
