--- a/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
@@ -10,75 +10,79 @@
 import java.util.function.DoublePredicate;
 
 /**
- * Judges front ends by what passed on the sockets of their clients, executors and change log, and by nothing that they say
- * of themselves. Times are milliseconds of one clock; the slack is the protocol's.
+ * Checks front ends against the rules of the protocol, from the traffic that was observed on the sockets of their clients,
+ * executors and change log only; nothing that a front end reports about itself is used. All times are milliseconds of one
+ * clock. The slack added to each limit is defined by the protocol.
  */
 public final class RequestAuditor {
-    /** What a front end must not do. */
+    /** Ways in which a front end can break the protocol. */
     public enum Violation {
         NO_ANSWER, SECOND_ANSWER, WRONG_ANSWER, LATE_ATTEMPT, AFTER_DRAIN,
-        /** A request whose repeats are not harmless was taken by executors twice. */
+        /** A request that must not run more than once was accepted by executors more than once. */
         DUPLICATE,
-        /** An attempt was given more time than its client had left. */
+        /** An attempt was given a timeout beyond the deadline of its client. */
         LONG_DEADLINE,
-        /** An attempt under an id that no client has asked. */
+        /** An attempt with an id that no client sent. */
         UNKNOWN_REQUEST,
-        /** A process that had just started got more than it bears, from front ends that had been told of its start. */
+        /** A process that had just started was overloaded by front ends that had been notified of its start. */
         COLD_FALL
     }
 
-    /** What looks like a breach, and by the system calls of its front end is none. */
+    /** Apparent violations that the recorded system calls of the front end show to be permitted. */
     public enum Allowance {
-        /** A request crossed the close of its connection, and nothing of it was read. */
+        /** The front end closed the connection while the request was on its way, and read nothing of the request. */
         CROSSED_CLOSE,
-        /** Sent to an executor that drains before that counted as told to a front end whose watch was broken by a fault. */
+        /**
+         * Sent to a draining executor before the drain counts as delivered to the front end, because an injected fault had
+         * broken its watch.
+         */
         BROKEN_WATCH
     }
 
-    /** Something that was seen at a time beyond its limit. */
+    /** A finding observed after its time limit. */
     private record DatedFinding(Finding finding, double observedAt, double limit) { }
 
-    /** One breach and what it was seen by. */
+    /** One violation, with a description of what was observed. */
     public record Finding(Violation violation, String description) { }
 
-    /** After the client's time: until then a missing answer only earns nothing. */
+    /** How long after the client's deadline an answer may still come without a violation; it is only worth nothing then. */
     private static final double ANSWER_SLACK_MILLIS = 500;
-    /** After the end of a request or its client's leaving, within which an attempt may still begin. */
+    /** How long after a request has ended or its client has cancelled it an attempt may still begin. */
     private static final double CANCEL_SLACK_MILLIS = 100;
-    /** By which the time that is passed on with an attempt may exceed what its client has left. */
+    /** How far the deadline passed on with an attempt may exceed the deadline of its client. */
     private static final double DEADLINE_SLACK_MILLIS = 150;
-    /** By which every limit is longer on sockets. */
+    /** Added to every limit for the delay of the sockets. */
     private static final double SOCKET_SLACK_MILLIS = 50;
 
-    /** Who writes on a connection to an executor: the front end whose requests came on it, null before the first. */
+    /** The sender on a connection to an executor: the front end whose requests arrived on it, null before the first request. */
     static final class Sender {
         private final int port;
         private Object frontEnd;
 
-        /** @param port from which the connection was made */
+        /** @param port local port of the front end on this connection */
         Sender(int port) {
             this.port = port;
         }
 
-        /** Whether it writes for the same front end, as far as that is known. */
+        /** Whether both are known to belong to the same front end. */
         boolean isSameFrontEnd(Sender other) {
             return this == other || frontEnd != null && frontEnd.equals(other.frontEnd);
         }
     }
 
-    /** An attempt that began after its request's end; what held its write up is told with it. */
+    /** An attempt that began after its request had ended; its finding also reports a stall before the write. */
     private record LateAttempt(String description, double receivedAt, double limit, Sender sender) { }
 
-    /** Something that came to an executor after its grace, as far as its time alone tells. */
+    /** A request or load order that reached an executor after the drain grace, judged by its arrival time only. */
     private record LateSend(String executor, String description, double receivedAt, Drain drain, Sender sender) { }
 
-    /** From when on an executor counts as draining, and what had been written to each watch with that. */
+    /** The time from which an executor counts as draining, and the bytes written to each watch up to that announcement. */
     private static final class Drain {
         private final double announcedAt;
         private Map<Integer, Long> bytesByWatch = Map.of();
 
-        private Drain(double at) {
-            this.announcedAt = at;
+        private Drain(double announcedAt) {
+            this.announcedAt = announcedAt;
         }
     }
 
@@ -96,21 +100,22 @@
         private boolean succeeded;
         private final List<String> executorAnswers = new ArrayList<>(1);
 
-        private Request(Object frontEnd, double askedAt, double budget, boolean repeatable) {
+        private Request(Object frontEnd, double sentAt, double budgetMillis, boolean repeatable) {
             this.repeatable = repeatable;
             this.frontEnd = frontEnd;
-            this.sentAt = askedAt;
-            this.budgetMillis = budget;
+            this.sentAt = sentAt;
+            this.budgetMillis = budgetMillis;
         }
 
         @Override
         public String toString() {
-            return "of " + frontEnd + ", asked " + Math.round(sentAt) + ", budget " + Math.round(budgetMillis) + ", left " + formatTime(cancelledAt)
+            return "of " + frontEnd + ", asked " + Math.round(sentAt) + ", budget " + Math.round(budgetMillis)
+                    + ", left " + formatTime(cancelledAt)
                     + ", answered " + formatTime(answeredAt);
         }
 
-        private static String formatTime(double at) {
-            return at < Double.POSITIVE_INFINITY ? Long.toString(Math.round(at)) : "never";
+        private static String formatTime(double millis) {
+            return millis < Double.POSITIVE_INFINITY ? Long.toString(Math.round(millis)) : "never";
         }
 
         private double endedAtMillis() {
@@ -121,56 +126,56 @@
     private final double drainGraceMillis;
     private final Map<String, Request> requests = new LinkedHashMap<>();
     private final StallIntervals stallIntervals = new StallIntervals();
-    private final Map<String, Drain> executorDraining = new HashMap<>();
+    private final Map<String, Drain> drainingExecutors = new HashMap<>();
     private final List<LateSend> lateSends = new ArrayList<>();
     private final List<LateAttempt> lateAttempts = new ArrayList<>();
     private final Map<Object, FrontEndConnectionLog> connectionLogs = new HashMap<>();
-    /** When the process of a front end had exited, where nobody has listened at its address since. */
+    /** Exit time of each front end process at whose address no process has listened since. */
     private final Map<Object, Double> exitTimes = new HashMap<>();
     private final Map<Allowance, Integer> allowanceCounts = new EnumMap<>(Allowance.class);
     private final List<Finding> findings = new ArrayList<>();
     private final List<DatedFinding> longDeadlines = new ArrayList<>();
     private final List<Finding> inconclusive = new ArrayList<>();
     private final LagIntervals lagIntervals;
-    /** Rule 4, told of starts by whoever brings them about. */
+    /** Checks rule 4; whoever starts executor processes has to report the starts to it. */
     public final ColdStartCheck coldStartCheck;
-    /** Shown with what it explains. */
+    /** Recent probes, quoted in the findings that they explain. */
     final ProbeHistory probeHistory = new ProbeHistory();
 
-    /** @param drainGrace milliseconds within which requests may still go to an executor that drains */
-    public RequestAuditor(double drainGrace) {
-        this(drainGrace, new LagIntervals());
+    /** @param drainGraceMillis how long requests may still be sent to a draining executor */
+    public RequestAuditor(double drainGraceMillis) {
+        this(drainGraceMillis, new LagIntervals());
     }
 
-    /** @param lags when those who date what passed were late: what that may explain is not decided */
-    public RequestAuditor(double drainGrace, LagIntervals lags) {
-        this(drainGrace, lags, ColdStartCheck.ColdStartParameters.NONE);
+    /** @param lagIntervals when the observing threads ran late; findings which that may explain are inconclusive */
+    public RequestAuditor(double drainGraceMillis, LagIntervals lagIntervals) {
+        this(drainGraceMillis, lagIntervals, ColdStartCheck.ColdStartParameters.NONE);
     }
 
-    /** @param coldStart what a process that has just started bears */
-    public RequestAuditor(double drainGrace, LagIntervals lags, ColdStartCheck.ColdStartParameters coldStart) {
-        this.drainGraceMillis = drainGrace;
-        this.lagIntervals = lags;
+    /** @param coldStart load that a process may get after its start */
+    public RequestAuditor(double drainGraceMillis, LagIntervals lagIntervals, ColdStartCheck.ColdStartParameters coldStart) {
+        this.drainGraceMillis = drainGraceMillis;
+        this.lagIntervals = lagIntervals;
         coldStartCheck = new ColdStartCheck(coldStart);
     }
 
-    /** Requests asked so far. */
+    /** Number of requests sent so far. */
     public synchronized int requests() {
         return requests.size();
     }
 
     /**
-     * The last byte of a request was written to a connection that was accepted.
+     * Records that the last byte of a request was written to an accepted connection.
      *
-     * @param repeatable whether it may run more than once
+     * @param repeatable whether the request may run more than once
      */
-    public synchronized void requestSent(String id, Object frontEnd, double at, double budget, boolean repeatable) {
-        Request request = new Request(frontEnd, at, budget, repeatable);
+    public synchronized void requestSent(String id, Object frontEnd, double at, double budgetMillis, boolean repeatable) {
+        Request request = new Request(frontEnd, at, budgetMillis, repeatable);
         request.excused = hasExited(frontEnd, at);
         requests.put(id, request);
     }
 
-    /** Its process was ended without a word: what it had not answered by then is owed by nobody. */
+    /** Records that a front end process was killed: the requests that it had not answered by then need no answer. */
     public synchronized void frontEndKilled(Object frontEnd, double at) {
         for (Request request : requests.values()) {
             if (request.frontEnd.equals(frontEnd) && request.sentAt <= at && request.answeredAt > at) {
@@ -180,14 +185,14 @@
     }
 
     /**
-     * Its process has exited: what is written from then on, on a connection that was open still, reaches nobody, and is no
-     * request. Until {@link #listens}.
+     * Records that a front end process has exited. A request written later on a connection that is still open reaches no
+     * process and needs no answer. Ends with {@link #frontEndListening}.
      */
     public synchronized void frontEndExited(Object frontEnd, double at) {
         exitTimes.put(frontEnd, at);
     }
 
-    /** A process listens at the address of a front end. */
+    /** Records that a process listens at the address of the front end again. */
     public synchronized void frontEndListening(Object frontEnd) {
         exitTimes.remove(frontEnd);
     }
@@ -197,54 +202,57 @@
         return exitedAt != null && at >= exitedAt;
     }
 
-    /** A front end had no processor: what had to be answered meanwhile, or right after, cannot have been. */
+    /** Records that a front end got no processor time: answers due in this interval or right after it are excused. */
     public synchronized void frontEndStalled(Object frontEnd, double from, double to) {
         stallIntervals.add(frontEnd, from, to);
     }
 
-    /** Its client has closed the connection. */
+    /** Records that the client closed the connection before the answer. */
     public synchronized void requestCancelled(String id, double at) {
         requests.get(id).cancelledAt = at;
     }
 
     /**
-     * Its connection was ended by the front end while it waited.
+     * Records that the front end closed the connection of a waiting request.
      *
-     * @param clientPort from which the client had connected
-     * @param writtenBefore bytes that the client had written there before the request
+     * @param clientPort local port of the client on this connection
+     * @param bytesWrittenBefore bytes that the client had written on this connection before the request
      */
-    public synchronized void connectionEnded(String id, double at, int clientPort, long writtenBefore) {
+    public synchronized void connectionEnded(String id, double at, int clientPort, long bytesWrittenBefore) {
         Request request = requests.get(id);
         request.connectionEndedAt = at;
-        request.unansweredRequest = new FrontEndConnectionLog.UnansweredRequest(clientPort, writtenBefore, request.sentAt, at);
+        request.unansweredRequest = new FrontEndConnectionLog.UnansweredRequest(clientPort, bytesWrittenBefore, request.sentAt, at);
     }
 
-    /** What the system calls of a front end show; without it nothing is allowed for. */
-    public synchronized void addConnectionLog(Object frontEnd, FrontEndConnectionLog shown) {
-        connectionLogs.put(frontEnd, shown);
+    /** Adds the system calls recorded for a front end; without them no allowance is made. */
+    public synchronized void addConnectionLog(Object frontEnd, FrontEndConnectionLog connectionLog) {
+        connectionLogs.put(frontEnd, connectionLog);
     }
 
-    /** What would be a breach by its date, and may be none: its date was taken late. After {@link #findings}. */
+    /**
+     * Apparent violations whose time was read by a thread that ran late, so that the event may have been in time. Filled by
+     * {@link #findings(double)}.
+     */
     public synchronized List<Finding> inconclusive() {
         return List.copyOf(inconclusive);
     }
 
-    /** A breach, unless what was seen may have come within its limit. */
-    private void addFinding(List<Finding> breaches, DatedFinding seen) {
-        (lagIntervals.earliestArrival(seen.observedAt) > seen.limit ? breaches : inconclusive).add(seen.finding);
+    /** Adds a violation, or an inconclusive finding where the event may have happened within its limit. */
+    private void addFinding(List<Finding> violations, DatedFinding dated) {
+        (lagIntervals.earliestArrival(dated.observedAt) > dated.limit ? violations : inconclusive).add(dated.finding);
     }
 
-    /** How often each allowance was made, when the findings were asked for last. */
+    /** How often each allowance was made in the last call of {@link #findings(double)}. */
     public synchronized Map<Allowance, Integer> allowanceCounts() {
         return new EnumMap<>(allowanceCounts);
     }
 
-    /** Nothing is owed: its front end was killed, or closed a connection on which the request crossed the close. */
+    /** The request needs no answer: its front end was killed, or closed the connection while the request was on its way. */
     public synchronized void excuse(String id) {
         requests.get(id).excused = true;
     }
 
-    /** A whole answer has come. */
+    /** Records that the client received a complete answer. */
     public synchronized void answerReceived(String id, int status, String body, double at) {
         Request request = requests.get(id);
         if (request.answeredAt < Double.POSITIVE_INFINITY) {
@@ -257,7 +265,7 @@
         }
     }
 
-    /** An executor has answered it with this body. */
+    /** Records the body with which an executor answered the request. */
     public synchronized void executorAnswered(String id, String body) {
         Request request = requests.get(id);
         if (request != null) {
@@ -266,37 +274,38 @@
     }
 
     /**
-     * A request has arrived whole at an executor.
+     * Records that a request arrived completely at an executor.
      *
-     * @param patience the time that was passed on with it, milliseconds
+     * @param timeoutMillis the timeout that was passed on with the request
      */
-    public synchronized void attemptReceived(String executor, String id, double at, double patience) {
-        attemptReceived(executor, id, at, patience, new Sender(0));
+    public synchronized void attemptReceived(String executor, String id, double at, double timeoutMillis) {
+        attemptReceived(executor, id, at, timeoutMillis, new Sender(0));
     }
 
-    /** The same on a connection of {@code sender}. */
-    synchronized void attemptReceived(String executor, String id, double at, double patience, Sender sender) {
+    /** Records that a request arrived completely on a connection of {@code sender}. */
+    synchronized void attemptReceived(String executor, String id, double at, double timeoutMillis, Sender sender) {
         Request request = requests.get(id);
         if (request == null) {
             findings.add(new Finding(Violation.UNKNOWN_REQUEST, id + " on " + executor));
             return;
         }
-        double beyond = at + patience - (request.sentAt + request.budgetMillis);
-        if (beyond > DEADLINE_SLACK_MILLIS + SOCKET_SLACK_MILLIS) {
-            longDeadlines.add(new DatedFinding(new Finding(Violation.LONG_DEADLINE, id + " on " + executor + ": " + Math.round(beyond)
+        double excessMillis = at + timeoutMillis - (request.sentAt + request.budgetMillis);
+        if (excessMillis > DEADLINE_SLACK_MILLIS + SOCKET_SLACK_MILLIS) {
+            longDeadlines.add(new DatedFinding(new Finding(Violation.LONG_DEADLINE, id + " on " + executor + ": " + Math.round(excessMillis)
                     + " ms beyond its client's time; " + request + stallIntervals.describeAll(request.frontEnd)), at,
-                    request.sentAt + request.budgetMillis - patience + DEADLINE_SLACK_MILLIS + SOCKET_SLACK_MILLIS));
+                    request.sentAt + request.budgetMillis - timeoutMillis + DEADLINE_SLACK_MILLIS + SOCKET_SLACK_MILLIS));
         }
         if (at > request.endedAtMillis() + CANCEL_SLACK_MILLIS + SOCKET_SLACK_MILLIS) {
             lateAttempts.add(new LateAttempt(id + " at " + Math.round(at) + " on " + executor + ": "
-                    + Math.round(at - request.endedAtMillis()) + " ms after its end; " + request + stallIntervals.describeAll(request.frontEnd), at,
+                    + Math.round(at - request.endedAtMillis()) + " ms after its end; " + request
+                    + stallIntervals.describeAll(request.frontEnd), at,
                     request.endedAtMillis() + CANCEL_SLACK_MILLIS + SOCKET_SLACK_MILLIS, sender));
         }
         sender.frontEnd = request.frontEnd;
         checkDrainGrace(executor, "request " + id, at, sender);
     }
 
-    /** An executor did not turn it away: it runs, or may have run. */
+    /** Records that an executor did not reject the request: it runs, or may have run. */
     public synchronized void attemptAccepted(String executor, String id) {
         Request request = requests.get(id);
         if (request != null && ++request.acceptedAttempts > 1 && !request.repeatable) {
@@ -304,68 +313,79 @@
         }
     }
 
-    /** What an {@link #attempt} weighs at a process that has just started: read at {@code at}, come at {@code earliest} or later. */
+    /**
+     * Counts a request towards the load of a process that may have just started.
+     *
+     * @param earliest the earliest time at which the request can have arrived
+     * @param at when the request was read
+     */
     synchronized void countForColdStart(String executor, double earliest, double at, Sender sender) {
         coldStartCheck.requestArrived(executor, Math.min(earliest, lagIntervals.earliestArrival(at)), at, sender.frontEnd);
     }
 
-    /** A load order has arrived whole at an executor. */
+    /** Records that a load order arrived completely at an executor. */
     public synchronized void loadOrderReceived(String executor, double at) {
         loadOrderReceived(executor, at, new Sender(0));
     }
 
-    /** The same from a {@code sender} whose front end may become known later. */
+    /** Records a load order from a {@code sender} whose front end may become known later. */
     synchronized void loadOrderReceived(String executor, double at, Sender sender) {
         checkDrainGrace(executor, "load order", at, sender);
     }
 
-    private void checkDrainGrace(String executor, String what, double at, Sender sender) {
-        Drain drain = executorDraining.get(executor);
+    private void checkDrainGrace(String executor, String description, double at, Sender sender) {
+        Drain drain = drainingExecutors.get(executor);
         if (drain != null && isAfterGrace(at, drain.announcedAt)) {
-            lateSends.add(new LateSend(executor, what, at, drain, sender));
+            lateSends.add(new LateSend(executor, description, at, drain, sender));
         }
     }
 
-    private boolean isAfterGrace(double at, double drainedAt) {
-        return at > drainedAt + drainGraceMillis + SOCKET_SLACK_MILLIS;
+    private boolean isAfterGrace(double at, double drainAnnouncedAt) {
+        return at > drainAnnouncedAt + drainGraceMillis + SOCKET_SLACK_MILLIS;
     }
 
-    /** From then on it counts as told that the executor drains or has gone. */
+    /** Records the time from which front ends count as notified that the executor drains or was removed. */
     public synchronized void executorDraining(String executor, double at) {
-        executorDraining.put(executor, new Drain(at));
+        drainingExecutors.put(executor, new Drain(at));
     }
 
-    /** The change log has told of it, and had written so many bytes with that to each watch, by the watch's port. */
+    /**
+     * Records that the change log announced the drain.
+     *
+     * @param bytesByWatch bytes written to each watch up to and including the announcement, by the port of the watch
+     */
     public synchronized void drainAnnounced(String executor, Map<Integer, Long> bytesByWatch) {
-        executorDraining.get(executor).bytesByWatch = Map.copyOf(bytesByWatch);
+        drainingExecutors.get(executor).bytesByWatch = Map.copyOf(bytesByWatch);
     }
 
-    /** It started anew and is ready again. */
+    /** Records that the executor was restarted and is ready again. */
     public synchronized void executorReturned(String executor) {
-        executorDraining.remove(executor);
+        drainingExecutors.remove(executor);
     }
 
-    /** The share of the requests asked at such times that were answered with success; NaN where there were none. */
-    public synchronized double successRate(DoublePredicate askedAt) {
-        return requests.values().stream().filter(request -> askedAt.test(request.sentAt))
+    /** Fraction of the requests sent at matching times that were answered with success; NaN if there were none. */
+    public synchronized double successRate(DoublePredicate sentAt) {
+        return requests.values().stream().filter(request -> sentAt.test(request.sentAt))
                 .mapToInt(request -> request.succeeded ? 1 : 0).average().orElse(Double.NaN);
     }
 
     private String describeWriteStall(LateAttempt late) {
-        FrontEndConnectionLog shown = connectionLogs.get(late.sender.frontEnd);
-        double millis = shown == null ? 0 : shown.writeStallMillis(late.sender.port, late.receivedAt);
+        FrontEndConnectionLog connectionLog = connectionLogs.get(late.sender.frontEnd);
+        double millis = connectionLog == null ? 0 : connectionLog.writeStallMillis(late.sender.port, late.receivedAt);
         return millis > 0 ? "; stopped for " + Math.round(millis) + " ms between its last look at the clock and the write" : "";
     }
 
     private boolean isAllowed(LateSend send) {
-        FrontEndConnectionLog shown = connectionLogs.get(send.sender.frontEnd);
-        boolean inTime = shown != null && !isAfterGrace(send.receivedAt, shown.deliveredAt(send.drain.announcedAt, send.drain.bytesByWatch));
+        FrontEndConnectionLog connectionLog = connectionLogs.get(send.sender.frontEnd);
+        boolean inTime = connectionLog != null && !isAfterGrace(send.receivedAt,
+                connectionLog.deliveredAt(send.drain.announcedAt, send.drain.bytesByWatch));
         return inTime && countAllowance(Allowance.BROKEN_WATCH);
     }
 
     private boolean crossedClose(Request request) {
-        FrontEndConnectionLog shown = connectionLogs.get(request.frontEnd);
-        boolean crossed = shown != null && request.unansweredRequest != null && shown.crossedClose(request.unansweredRequest);
+        FrontEndConnectionLog connectionLog = connectionLogs.get(request.frontEnd);
+        boolean crossed = connectionLog != null && request.unansweredRequest != null
+                && connectionLog.crossedClose(request.unansweredRequest);
         return crossed && countAllowance(Allowance.CROSSED_CLOSE);
     }
 
@@ -374,19 +394,25 @@
         return true;
     }
 
-    /** All that was found, once nothing can come any more of what was asked {@code before}. */
+    /**
+     * All violations. Call it once no event of a request sent {@code before} can follow.
+     *
+     * @param before only requests sent before this time are checked for a missing answer
+     */
     public synchronized List<Finding> findings(double before) {
         List<Finding> all = new ArrayList<>(findings);
         allowanceCounts.clear();
         inconclusive.clear();
-        longDeadlines.forEach(seen -> addFinding(all, seen));
-        lateAttempts.forEach(late -> addFinding(all, new DatedFinding(new Finding(Violation.LATE_ATTEMPT, late.description + describeWriteStall(late)), late.receivedAt,
-                late.limit)));
+        longDeadlines.forEach(dated -> addFinding(all, dated));
+        lateAttempts.forEach(late -> addFinding(all, new DatedFinding(
+                new Finding(Violation.LATE_ATTEMPT, late.description + describeWriteStall(late)), late.receivedAt, late.limit)));
         lateSends.stream().filter(send -> !isAllowed(send)).forEach(send -> addFinding(all, new DatedFinding(
                 new Finding(Violation.AFTER_DRAIN, send.description + " to " + send.executor + " by " + send.sender.frontEnd + ": "
-                        + Math.round(send.receivedAt - send.drain.announcedAt) + " ms after" + probeHistory.describe(send.executor, send.sender, send.receivedAt)),
+                        + Math.round(send.receivedAt - send.drain.announcedAt) + " ms after"
+                        + probeHistory.describe(send.executor, send.sender, send.receivedAt)),
                 send.receivedAt, send.drain.announcedAt + drainGraceMillis + SOCKET_SLACK_MILLIS)));
-        coldStartCheck.falls(connectionLogs).forEach(fall -> (fall.conclusive() ? all : inconclusive).add(new Finding(Violation.COLD_FALL, fall.description())));
+        coldStartCheck.falls(connectionLogs).forEach(fall -> (fall.conclusive() ? all : inconclusive).add(
+                new Finding(Violation.COLD_FALL, fall.description())));
         requests.forEach((id, request) -> {
             double latest = request.sentAt + request.budgetMillis + ANSWER_SLACK_MILLIS + SOCKET_SLACK_MILLIS;
             if (request.sentAt < before && !request.excused && !stallIntervals.coversOrJustEnded(request.frontEnd, latest)
--- a/standins/src/main/java/gradereach/standins/frames/RequestClient.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestClient.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A client of one front end that asks again and again, on one connection for as long as that is there. */
+/** A scripted client that sends one request after the other to a front end, reusing its connection while that is open. */
 public final class RequestClient {
     private static final AtomicLong LAST_ID = new AtomicLong();
     private static final int MODELS = 6;
@@ -24,12 +24,12 @@
     private static final int BUDGET_RANGE_MILLIS = 1300;
     private static final int LONG_BODY_LENGTH = 8000;
     private static final int SHORT_BODY_LENGTH = 10;
-    /** One of so many asks with a long body. */
+    /** One in this many requests has a long body. */
     private static final int LONG_BODY_ONE_IN = 4;
-    /** One of so many leaves before its time is up; the others wait beyond it. */
+    /** One in this many requests is cancelled within its budget; the others are waited for beyond it. */
     private static final int CANCEL_ONE_IN = 8;
     private static final int WAIT_AFTER_BUDGET_MILLIS = 600;
-    /** After a front end was told to stop new connections keep coming for a while. */
+    /** How long clients still open new connections after a front end was told to stop. */
     private static final double CONNECT_AFTER_RETIRE_MILLIS = 300;
 
     private final PeerEventLoops loops;
@@ -39,7 +39,7 @@
     private volatile double connectUntil = Double.POSITIVE_INFINITY;
     private volatile double requestUntil = Double.POSITIVE_INFINITY;
 
-    /** Asks nothing before {@link #start}. */
+    /** Sends nothing before {@link #start}. */
     public RequestClient(PeerEventLoops loops, RequestAuditor auditor, InetSocketAddress frontEnd, long seed) {
         this.loops = loops;
         this.auditor = auditor;
@@ -47,13 +47,16 @@
         random = new Random(seed);
     }
 
-    /** Its front end was told to stop: it makes no new connection after a while, and asks no more after so long. */
-    public void retire(double asksOnMillis) {
+    /**
+     * Winds the client down after its front end was told to stop: no new connections after a short time, and no requests after
+     * {@code requestsForMillis}.
+     */
+    public void retire(double requestsForMillis) {
         connectUntil = loops.now() + CONNECT_AFTER_RETIRE_MILLIS;
-        requestUntil = loops.now() + asksOnMillis;
+        requestUntil = loops.now() + requestsForMillis;
     }
 
-    /** It asks nothing more. */
+    /** Stops sending requests at once. */
     public void stop() {
         connectUntil = Double.NEGATIVE_INFINITY;
         requestUntil = Double.NEGATIVE_INFINITY;
@@ -63,7 +66,7 @@
         return loops.now() < requestUntil;
     }
 
-    /** Connects, and asks from then on. */
+    /** Connects and starts to send requests. */
     public void start() {
         if (loops.now() < connectUntil) {
             new Bootstrap().group(loops.group()).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
@@ -75,11 +78,11 @@
         loops.next().schedule(this::start, 20 + random.nextInt(50), TimeUnit.MILLISECONDS);
     }
 
-    /** So many connect at once, say nothing, and leave after so long. */
-    public static void openSilentConnections(PeerEventLoops loops, InetSocketAddress frontEnd, int size, long millis) {
-        Bootstrap connects = new Bootstrap().group(loops.group()).channel(NioSocketChannel.class).handler(new SilentHandler());
-        for (int i = 0; i < size; i++) {
-            Channel connection = connects.connect(frontEnd).channel();
+    /** Opens {@code count} connections at once, sends nothing on them, and closes them after {@code millis}. */
+    public static void openSilentConnections(PeerEventLoops loops, InetSocketAddress frontEnd, int count, long millis) {
+        Bootstrap bootstrap = new Bootstrap().group(loops.group()).channel(NioSocketChannel.class).handler(new SilentHandler());
+        for (int i = 0; i < count; i++) {
+            Channel connection = bootstrap.connect(frontEnd).channel();
             connection.eventLoop().schedule(() -> connection.close(), millis, TimeUnit.MILLISECONDS);
         }
     }
@@ -92,13 +95,13 @@
         }
     }
 
-    /** One connection. */
+    /** Sends the requests of one connection and reports requests and answers to the auditor. */
     private final class ClientConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
-        /** Of the request that waits for its answer; null where none does. */
+        /** Id of the request that waits for its answer; null if there is none. */
         private String pendingId;
         private final StringBuilder received = new StringBuilder();
         private int localPort;
-        /** Bytes of all requests but the latest, and of all. */
+        /** Bytes of all requests before the latest one, and of all requests. */
         private long bytesWrittenBefore;
         private long bytesWritten;
 
@@ -110,31 +113,31 @@
 
         private void sendRequest(ChannelHandlerContext ctx) {
             if (!maySendRequests() || !ctx.channel().isActive()) {
-                ctx.close(); // where it had ended meanwhile, nothing would be sent: that is no request
+                ctx.close(); // a request on a connection that has ended would not be sent and must not be reported
                 return;
             }
-            String now = "%016x".formatted(LAST_ID.incrementAndGet());
-            pendingId = now;
+            String requestId = "%016x".formatted(LAST_ID.incrementAndGet());
+            pendingId = requestId;
             received.setLength(0);
             int budget = MIN_BUDGET_MILLIS + random.nextInt(BUDGET_RANGE_MILLIS);
-            String body = "for " + now + "x".repeat(random.nextInt(LONG_BODY_ONE_IN) == 0 ? LONG_BODY_LENGTH : SHORT_BODY_LENGTH);
+            String body = "for " + requestId + "x".repeat(random.nextInt(LONG_BODY_ONE_IN) == 0 ? LONG_BODY_LENGTH : SHORT_BODY_LENGTH);
             boolean repeatable = random.nextBoolean();
-            auditor.requestSent(now, frontEnd, loops.now(), budget, repeatable);
+            auditor.requestSent(requestId, frontEnd, loops.now(), budget, repeatable);
             ByteBuf request = Unpooled.copiedBuffer("POST /v1/" + "%016x".formatted(random.nextInt(MODELS) + 1)
-                    + "/fire HTTP/1.1\r\nHost: app.svc\r\nX-Class: " + (repeatable ? "look" : "book") + "\r\nRequest-Id: " + now
+                    + "/fire HTTP/1.1\r\nHost: app.svc\r\nX-Class: " + (repeatable ? "look" : "book") + "\r\nRequest-Id: " + requestId
                     + "\r\nBudget-Ms: " + budget + "\r\nAccount: yard\r\nX-Attrs: memory_mb:10;lanes:2;load_ms:20\r\nContent-Length: "
                     + body.length() + "\r\n\r\n" + body, StandardCharsets.US_ASCII);
             bytesWrittenBefore = bytesWritten;
             bytesWritten += request.readableBytes();
             ctx.writeAndFlush(request);
-            long patience = random.nextInt(CANCEL_ONE_IN) == 0 ? random.nextInt(budget) : budget + WAIT_AFTER_BUDGET_MILLIS;
-            ctx.executor().schedule(() -> cancel(ctx, now), patience, TimeUnit.MILLISECONDS);
+            long waitMillis = random.nextInt(CANCEL_ONE_IN) == 0 ? random.nextInt(budget) : budget + WAIT_AFTER_BUDGET_MILLIS;
+            ctx.executor().schedule(() -> cancel(ctx, requestId), waitMillis, TimeUnit.MILLISECONDS);
         }
 
-        private void cancel(ChannelHandlerContext ctx, String asked) {
-            if (asked.equals(pendingId)) {
+        private void cancel(ChannelHandlerContext ctx, String requestId) {
+            if (requestId.equals(pendingId)) {
                 pendingId = null;
-                auditor.requestCancelled(asked, loops.now());
+                auditor.requestCancelled(requestId, loops.now());
                 ctx.close();
             }
         }
--- a/standins/src/main/java/gradereach/standins/frames/StallIntervals.java
+++ b/standins/src/main/java/gradereach/standins/frames/StallIntervals.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Times in which front ends had no processor. */
+/** Intervals in which front ends got no processor time. */
 final class StallIntervals {
-    /** Within which a front end that goes on again reads and answers what lay there. */
+    /** Time that a front end needs after a stall to read and answer the pending requests. */
     private static final double RECOVERY_MILLIS = 100;
 
     private record Stall(Object frontEnd, double from, double to) { }
@@ -16,22 +16,22 @@
         stalls.add(new Stall(frontEnd, from, to));
     }
 
-    /** Whether it had none then, or right before. */
+    /** Whether the front end was stalled at {@code latest} or shortly before. */
     boolean coversOrJustEnded(Object frontEnd, double latest) {
-        return stalls.stream().anyMatch(standstill -> standstill.frontEnd.equals(frontEnd)
-                && standstill.from <= latest && latest <= standstill.to + RECOVERY_MILLIS);
+        return stalls.stream().anyMatch(stall -> stall.frontEnd.equals(frontEnd)
+                && stall.from <= latest && latest <= stall.to + RECOVERY_MILLIS);
     }
 
-    /** All of one front end, as words. */
+    /** Describes all stalls of a front end. */
     String describeAll(Object frontEnd) {
-        return stalls.stream().filter(standstill -> standstill.frontEnd.equals(frontEnd))
-                .map(standstill -> "; stood still " + Math.round(standstill.from) + " to " + Math.round(standstill.to))
+        return stalls.stream().filter(stall -> stall.frontEnd.equals(frontEnd))
+                .map(stall -> "; stood still " + Math.round(stall.from) + " to " + Math.round(stall.to))
                 .reduce("", String::concat);
     }
 
-    /** How long before {@code latest} the last one had ended, as words. */
+    /** Describes how long before {@code latest} the last stall of a front end ended. */
     String describeLastBefore(Object frontEnd, double latest) {
-        return stalls.stream().filter(standstill -> standstill.frontEnd.equals(frontEnd) && standstill.to < latest)
+        return stalls.stream().filter(stall -> stall.frontEnd.equals(frontEnd) && stall.to < latest)
                 .mapToDouble(Stall::to).max().stream()
                 .mapToObj(end -> ", " + Math.round(latest - end) + " ms before its limit a standstill had ended")
                 .findAny().orElse("");
--- a/standins/src/main/java/gradereach/standins/frames/package-info.java
+++ b/standins/src/main/java/gradereach/standins/frames/package-info.java
@@ -1,2 +1,2 @@
-/** Peers of front ends in the platform's form, scripted by chance, and the auditor that judges what passed. */
+/** Randomly scripted peers of front ends that speak the platform's protocol, and the auditor that checks the traffic. */
 package gradereach.standins.frames;
--- a/standins/src/main/java/gradereach/standins/prometheus/Expression.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/Expression.java
@@ -12,15 +12,16 @@
 import java.util.regex.Pattern;
 
 /**
- * As much of PromQL as the shipped rules use, by Prometheus' documentation ("Querying basics", "Operators", "Functions"): selectors
- * with matchers and ranges, {@code rate}, {@code increase}, {@code absent}, {@code sum} and {@code max} with {@code by}, arithmetic,
- * comparisons that filter, {@code and} with {@code on}. Anything else is refused by its place.
+ * Evaluates the subset of PromQL that the shipped rules use, as in the Prometheus documentation ("Querying basics", "Operators",
+ * "Functions"): selectors with matchers and ranges, {@code rate}, {@code increase}, {@code absent}, {@code sum} and {@code max}
+ * with {@code by}, arithmetic, filtering comparisons, {@code and} with {@code on}. Anything else is rejected with its position.
  */
 public final class Expression {
-    private static final Pattern TOKEN = Pattern.compile("\\s*([a-zA-Z_:][a-zA-Z0-9_:]*|[0-9]+(?:ms|s|m|h)\\b|[0-9]*\\.?[0-9]+(?:[eE][-+]?[0-9]+)?"
+    private static final Pattern TOKEN = Pattern.compile(
+            "\\s*([a-zA-Z_:][a-zA-Z0-9_:]*|[0-9]+(?:ms|s|m|h)\\b|[0-9]*\\.?[0-9]+(?:[eE][-+]?[0-9]+)?"
             + "|\"[^\"]*\"|==|!=|>=|<=|[-+*/(){}\\[\\],=<>])");
 
-    /** Values by their labels, without the name; or one number. */
+    /** An instant vector (values by labels, without the metric name) or a scalar. */
     record Value(Map<Map<String, String>, Double> vector, Double scalar) {
         static Value of(double number) {
             return new Value(null, number);
@@ -32,18 +33,18 @@
     }
 
     private record RangeSelector(String name, List<String[]> matchers, long rangeMillis) {
-        Map<Map<String, String>, List<SampleStore.Sample>> samples(SampleStore store, long now, long back) {
-            Map<Map<String, String>, List<SampleStore.Sample>> all = new HashMap<>();
-            store.samplesBetween(name, now - back, now).forEach((labels, samples) -> {
+        Map<Map<String, String>, List<SampleStore.Sample>> samples(SampleStore store, long now, long windowMillis) {
+            Map<Map<String, String>, List<SampleStore.Sample>> matching = new HashMap<>();
+            store.samplesBetween(name, now - windowMillis, now).forEach((labels, samples) -> {
                 for (String[] matcher : matchers) {
-                    boolean same = labels.getOrDefault(matcher[0], "").equals(matcher[2]);
-                    if (same != matcher[1].equals("=")) {
+                    boolean equal = labels.getOrDefault(matcher[0], "").equals(matcher[2]);
+                    if (equal != matcher[1].equals("=")) {
                         return;
                     }
                 }
-                all.put(labels, samples);
+                matching.put(labels, samples);
             });
-            return all;
+            return matching;
         }
     }
 
@@ -55,21 +56,23 @@
     private final Node root;
 
     /**
-     * @param lookback milliseconds for which a sample stands for its series: five minutes, or less where rules play fast
-     * @throws IllegalArgumentException naming the place of what is not understood
+     * Parses an expression.
+     *
+     * @param lookbackMillis maximum age of a sample in instant selectors: five minutes, or less if the rules run in fast motion
+     * @throws IllegalArgumentException for unsupported syntax, with its position
      */
-    public Expression(String text, long lookback) {
+    public Expression(String text, long lookbackMillis) {
         this.text = text;
-        this.lookbackMillis = lookback;
+        this.lookbackMillis = lookbackMillis;
         Matcher matcher = TOKEN.matcher(text);
-        int at = 0;
-        while (at < text.length() && !text.substring(at).isBlank()) {
-            if (!matcher.find(at) || matcher.start() != at) {
-                throw new IllegalArgumentException("at " + at + " of " + text + ": not understood");
+        int position = 0;
+        while (position < text.length() && !text.substring(position).isBlank()) {
+            if (!matcher.find(position) || matcher.start() != position) {
+                throw new IllegalArgumentException("at " + position + " of " + text + ": not understood");
             }
             tokens.add(matcher.group(1));
             positions.add(matcher.start(1));
-            at = matcher.end();
+            position = matcher.end();
         }
         root = conjunction();
         if (nextToken < tokens.size()) {
@@ -77,20 +80,21 @@
         }
     }
 
+    /** Evaluates the expression for the time {@code now}; a scalar is returned with empty labels. */
     public Map<Map<String, String>, Double> evaluate(SampleStore store, long now) {
         Value value = root.evaluate(store, now);
         return value.vector != null ? value.vector : Map.of(Map.of(), value.scalar);
     }
 
     private IllegalArgumentException unexpected() {
-        return new IllegalArgumentException("at " + (nextToken < positions.size() ? positions.get(nextToken) : text.length()) + " of " + text
-                + ": " + (nextToken < tokens.size() ? tokens.get(nextToken) : "its end") + " not expected");
+        return new IllegalArgumentException("at " + (nextToken < positions.size() ? positions.get(nextToken) : text.length())
+                + " of " + text + ": " + (nextToken < tokens.size() ? tokens.get(nextToken) : "its end") + " not expected");
     }
 
     private boolean accept(String token) {
-        boolean is = nextToken < tokens.size() && tokens.get(nextToken).equals(token);
-        nextToken += is ? 1 : 0;
-        return is;
+        boolean matches = nextToken < tokens.size() && tokens.get(nextToken).equals(token);
+        nextToken += matches ? 1 : 0;
+        return matches;
     }
 
     private void expect(String token) {
@@ -103,19 +107,19 @@
         Node left = comparison();
         while (accept("and")) {
             Set<String> on = accept("on") ? labelNames() : null;
-            Node one = left;
-            Node other = comparison();
+            Node first = left;
+            Node second = comparison();
             left = (store, now) -> {
-                Value a = one.evaluate(store, now);
-                Set<Map<String, String>> there = new java.util.HashSet<>();
-                other.evaluate(store, now).vector.keySet().forEach(labels -> there.add(retainLabels(labels, on)));
-                Map<Map<String, String>, Double> both = new LinkedHashMap<>();
+                Value a = first.evaluate(store, now);
+                Set<Map<String, String>> presentLabels = new java.util.HashSet<>();
+                second.evaluate(store, now).vector.keySet().forEach(labels -> presentLabels.add(retainLabels(labels, on)));
+                Map<Map<String, String>, Double> intersection = new LinkedHashMap<>();
                 a.vector.forEach((labels, value) -> {
-                    if (there.contains(retainLabels(labels, on))) {
-                        both.put(labels, value);
+                    if (presentLabels.contains(retainLabels(labels, on))) {
+                        intersection.put(labels, value);
                     }
                 });
-                return new Value(both, null);
+                return new Value(intersection, null);
             };
         }
         return left;
@@ -125,9 +129,9 @@
         if (names == null) {
             return labels;
         }
-        Map<String, String> some = new TreeMap<>(labels);
-        some.keySet().retainAll(names);
-        return some;
+        Map<String, String> retained = new TreeMap<>(labels);
+        retained.keySet().retainAll(names);
+        return retained;
     }
 
     private Node comparison() {
@@ -165,7 +169,7 @@
                 return Value.of(apply(operator, a.scalar, b.scalar));
             }
             Map<Map<String, String>, Double> result = new LinkedHashMap<>();
-            // Without on(): elements with the same labels meet; a number meets each.
+            // Without on(), elements with the same labels are matched; a scalar is matched with every element.
             (a.vector != null ? a.vector : b.vector).forEach((labels, value) -> {
                 Double x = a.vector != null ? value : a.scalar;
                 Double y = b.vector != null ? b.vector.get(labels) : b.scalar;
@@ -176,7 +180,7 @@
                 if ("+-*/".contains(operator)) {
                     result.put(labels, applied);
                 } else if (applied == 1) {
-                    result.put(labels, a.vector != null ? x : y); // a comparison filters
+                    result.put(labels, a.vector != null ? x : y); // a comparison keeps the matching elements
                 }
             });
             return new Value(result, null);
@@ -217,18 +221,18 @@
             expect(")");
             return inner;
         }
-        String word = tokens.get(nextToken);
-        if (word.matches("[0-9.].*") && !word.matches(".*[a-z]$")) {
+        String token = tokens.get(nextToken);
+        if (token.matches("[0-9.].*") && !token.matches(".*[a-z]$")) {
             nextToken++;
-            double number = Double.parseDouble(word);
+            double number = Double.parseDouble(token);
             return (store, now) -> Value.of(number);
         }
-        if (!word.matches("[a-zA-Z_:].*")) {
+        if (!token.matches("[a-zA-Z_:].*")) {
             throw unexpected();
         }
-        return switch (word) {
-            case "sum", "max" -> aggregation(word);
-            case "rate", "increase" -> function(word);
+        return switch (token) {
+            case "sum", "max" -> aggregation(token);
+            case "rate", "increase" -> function(token);
             case "absent" -> absent();
             default -> {
                 RangeSelector range = selector();
@@ -252,12 +256,12 @@
     }
 
     private static Map<String, String> withoutName(Map<String, String> labels) {
-        Map<String, String> rest = new TreeMap<>(labels);
-        rest.remove("__name__");
-        return rest;
+        Map<String, String> unnamed = new TreeMap<>(labels);
+        unnamed.remove("__name__");
+        return unnamed;
     }
 
-    private Node aggregation(String how) {
+    private Node aggregation(String operator) {
         nextToken++;
         Set<String> by = accept("by") ? labelNames() : Set.of();
         expect("(");
@@ -266,7 +270,7 @@
         return (store, now) -> {
             Map<Map<String, String>, Double> groups = new LinkedHashMap<>();
             inner.evaluate(store, now).vector.forEach((labels, value) -> groups.merge(retainLabels(labels, by), value,
-                    how.equals("sum") ? Double::sum : Math::max));
+                    operator.equals("sum") ? Double::sum : Math::max));
             return new Value(groups, null);
         };
     }
@@ -279,7 +283,7 @@
         return (store, now) -> new Value(inner.evaluate(store, now).vector.isEmpty() ? Map.of(Map.of(), 1.0) : Map.of(), null);
     }
 
-    /** {@code rate} and {@code increase}: counter resets are added up, and the ends extrapolated as the documentation has it. */
+    /** {@code rate} and {@code increase}, with counter resets and the extrapolation to the ends of the range as documented. */
     private Node function(String name) {
         nextToken++;
         expect("(");
@@ -290,26 +294,29 @@
         expect(")");
         return (store, now) -> {
             Map<Map<String, String>, Double> values = new LinkedHashMap<>();
-            range.samples(store, now, range.rangeMillis).forEach((labels, all) -> {
-                List<SampleStore.Sample> samples = all.stream().filter(s -> !s.stale()).toList();
+            range.samples(store, now, range.rangeMillis).forEach((labels, allSamples) -> {
+                List<SampleStore.Sample> samples = allSamples.stream().filter(s -> !s.stale()).toList();
                 if (samples.size() < 2) {
                     return;
                 }
-                double rise = 0;
+                double observedIncrease = 0;
                 for (int i = 1; i < samples.size(); i++) {
-                    double step = samples.get(i).value() - samples.get(i - 1).value();
-                    rise += step >= 0 ? step : samples.get(i).value();
+                    double delta = samples.get(i).value() - samples.get(i - 1).value();
+                    observedIncrease += delta >= 0 ? delta : samples.get(i).value();
                 }
                 SampleStore.Sample first = samples.get(0);
                 SampleStore.Sample last = samples.get(samples.size() - 1);
-                double covered = last.timestamp() - first.timestamp();
-                double mean = covered / (samples.size() - 1);
-                double before = first.timestamp() - (now - range.rangeMillis);
-                double after = now - last.timestamp();
-                // A counter cannot have been below zero: it did not begin before it would have been.
-                before = rise > 0 && first.value() >= 0 ? Math.min(before, covered * first.value() / rise) : before;
-                double whole = covered + (before < mean * 1.1 ? before : mean / 2) + (after < mean * 1.1 ? after : mean / 2);
-                double increase = rise * whole / covered;
+                double coveredMillis = last.timestamp() - first.timestamp();
+                double meanIntervalMillis = coveredMillis / (samples.size() - 1);
+                double gapBefore = first.timestamp() - (now - range.rangeMillis);
+                double gapAfter = now - last.timestamp();
+                // A counter is never negative, so extrapolate back no further than to the time at which it would have been zero.
+                gapBefore = observedIncrease > 0 && first.value() >= 0
+                        ? Math.min(gapBefore, coveredMillis * first.value() / observedIncrease) : gapBefore;
+                double extrapolatedMillis = coveredMillis
+                        + (gapBefore < meanIntervalMillis * 1.1 ? gapBefore : meanIntervalMillis / 2)
+                        + (gapAfter < meanIntervalMillis * 1.1 ? gapAfter : meanIntervalMillis / 2);
+                double increase = observedIncrease * extrapolatedMillis / coveredMillis;
                 values.put(withoutName(labels), name.equals("rate") ? increase / (range.rangeMillis / 1000.0) : increase);
             });
             return new Value(values, null);
@@ -326,12 +333,12 @@
         if (accept("{")) {
             while (!accept("}")) {
                 String label = tokens.get(nextToken++);
-                String how = tokens.get(nextToken++);
-                if (!how.equals("=") && !how.equals("!=")) {
+                String operator = tokens.get(nextToken++);
+                if (!operator.equals("=") && !operator.equals("!=")) {
                     nextToken--;
                     throw unexpected();
                 }
-                matchers.add(new String[] {label, how, tokens.get(nextToken++).replace("\"", "")});
+                matchers.add(new String[] {label, operator, tokens.get(nextToken++).replace("\"", "")});
                 accept(",");
             }
         }
@@ -343,7 +350,7 @@
         return new RangeSelector(name, matchers, millis);
     }
 
-    /** Milliseconds of a duration of one unit. */
+    /** Parses a duration with a single unit, such as {@code 5m}, to milliseconds. */
     public static long parseDurationMillis(String text) {
         Matcher matcher = Pattern.compile("([0-9]+)(ms|s|m|h)").matcher(text);
         if (!matcher.matches()) {
--- a/standins/src/main/java/gradereach/standins/prometheus/RemoteWriteServer.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RemoteWriteServer.java
@@ -19,17 +19,18 @@
 import org.xerial.snappy.Snappy;
 
 /**
- * Takes Prometheus remote write 1.0 and 2.0 by their specifications into a {@link SampleStore}, or fails in a way that is set:
- * {@code drop-half} (every second request is answered 500 and kept nowhere), {@code hang} (answers after {@link #delay}),
- * {@code 429} (with Retry-After), {@code 400-one} (refuses the series of one name and takes the rest), {@code only-one} (415 for
- * 2.0), {@code reset} (ends the connection without an answer), {@code 500}.
+ * A stand-in Prometheus that receives remote write 1.0 and 2.0 as specified and stores the samples in a {@link SampleStore}.
+ * {@link #fault} injects a failure: {@code drop-half} (every second request is answered 500 and its samples are dropped),
+ * {@code hang} (answers after {@link #delayMillis}), {@code 429} (with Retry-After), {@code 400-one} (rejects the series with
+ * {@link #rejectedName} and stores the others), {@code only-one} (415 for version 2.0), {@code reset} (closes the connection
+ * without an answer), {@code 500}.
  */
 public final class RemoteWriteServer implements AutoCloseable {
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
-        Thread made = new Thread(work, "receiver");
-        made.setDaemon(true);
-        return made;
+        Thread thread = new Thread(work, "receiver");
+        thread.setDaemon(true);
+        return thread;
     });
     public final SampleStore store = new SampleStore();
     public volatile String fault = "";
@@ -54,100 +55,101 @@
         return "http://127.0.0.1:" + server.getAddress().getPort() + "/api/v1/write";
     }
 
-    private void handleWrite(HttpExchange ask) throws IOException {
-        int number = requestCount.incrementAndGet();
-        byte[] body = ask.getRequestBody().readAllBytes();
+    private void handleWrite(HttpExchange exchange) throws IOException {
+        int requestNumber = requestCount.incrementAndGet();
+        byte[] body = exchange.getRequestBody().readAllBytes();
         synchronized (this) {
             arrivalTimes.add(new long[] {System.nanoTime() / 1_000_000, body.length});
         }
-        String now = fault;
-        boolean two = ask.getRequestHeaders().getFirst("Content-Type").contains("io.prometheus.write.v2.Request");
-        if (now.equals("hang")) {
+        String currentFault = fault;
+        boolean isVersion2 = exchange.getRequestHeaders().getFirst("Content-Type").contains("io.prometheus.write.v2.Request");
+        if (currentFault.equals("hang")) {
             try {
                 Thread.sleep(delayMillis);
             } catch (InterruptedException e) {
-                ask.close();
+                exchange.close();
                 return;
             }
         }
-        if (now.equals("reset")) {
-            ask.close();
+        if (currentFault.equals("reset")) {
+            exchange.close();
             return;
         }
-        if (now.equals("429")) {
-            ask.getResponseHeaders().set("Retry-After", Integer.toString(retryAfterSeconds));
+        if (currentFault.equals("429")) {
+            exchange.getResponseHeaders().set("Retry-After", Integer.toString(retryAfterSeconds));
         }
-        int status = switch (now) {
-            case "drop-half" -> number % 2 == 0 ? 500 : 204;
+        int status = switch (currentFault) {
+            case "drop-half" -> requestNumber % 2 == 0 ? 500 : 204;
             case "429" -> 429;
             case "500" -> 500;
-            case "only-one" -> two ? 415 : 204;
+            case "only-one" -> isVersion2 ? 415 : 204;
             default -> 204;
         };
-        if (!"snappy".equals(ask.getRequestHeaders().getFirst("Content-Encoding"))) {
+        if (!"snappy".equals(exchange.getRequestHeaders().getFirst("Content-Encoding"))) {
             status = 415;
         }
         if (status == 204) {
-            int refused = two ? storeVersion2(ask, body) : storeVersion1(body);
-            status = refused > 0 ? 400 : 204;
+            int rejected = isVersion2 ? storeVersion2(exchange, body) : storeVersion1(body);
+            status = rejected > 0 ? 400 : 204;
             synchronized (this) {
                 acceptedBytes += body.length;
-                version1Requests += two ? 0 : 1;
-                version2Requests += two ? 1 : 0;
+                version1Requests += isVersion2 ? 0 : 1;
+                version2Requests += isVersion2 ? 1 : 0;
             }
         }
-        ask.sendResponseHeaders(status, -1);
-        ask.close();
+        exchange.sendResponseHeaders(status, -1);
+        exchange.close();
     }
 
     private int storeVersion1(byte[] body) throws IOException {
-        int refused = 0;
+        int rejected = 0;
         for (TimeSeries series : WriteRequest.parseFrom(Snappy.uncompress(body)).getTimeseriesList()) {
             Map<String, String> labels = new TreeMap<>();
             series.getLabelsList().forEach(label -> labels.put(label.getName(), label.getValue()));
             for (var sample : series.getSamplesList()) {
-                refused += addSample(labels, sample.getTimestamp(), sample.getValue()) ? 0 : 1;
+                rejected += addSample(labels, sample.getTimestamp(), sample.getValue()) ? 0 : 1;
             }
         }
-        return refused;
+        return rejected;
     }
 
-    private int storeVersion2(HttpExchange ask, byte[] body) throws IOException {
+    private int storeVersion2(HttpExchange exchange, byte[] body) throws IOException {
         Request request = Request.parseFrom(Snappy.uncompress(body));
         int samples = 0;
         int histograms = 0;
-        int refused = 0;
+        int rejected = 0;
         for (var series : request.getTimeseriesList()) {
             Map<String, String> labels = new TreeMap<>();
             for (int i = 0; i < series.getLabelsRefsCount(); i += 2) {
                 labels.put(request.getSymbols(series.getLabelsRefs(i)), request.getSymbols(series.getLabelsRefs(i + 1)));
             }
             for (var sample : series.getSamplesList()) {
-                boolean kept = addSample(labels, sample.getTimestamp(), sample.getValue());
-                samples += kept ? 1 : 0;
-                refused += kept ? 0 : 1;
+                boolean accepted = addSample(labels, sample.getTimestamp(), sample.getValue());
+                samples += accepted ? 1 : 0;
+                rejected += accepted ? 0 : 1;
             }
             for (Histogram histogram : series.getHistogramsList()) {
-                // Kept as its count, which is enough to see that it came whole.
+                // Stored as its count only, which is enough to show that the histogram arrived complete.
                 long sum = histogram.getZeroCountInt();
-                long last = 0;
+                long bucketCount = 0;
                 for (long delta : histogram.getPositiveDeltasList()) {
-                    last += delta;
-                    sum += last;
+                    bucketCount += delta;
+                    sum += bucketCount;
                 }
-                boolean kept = sum == histogram.getCountInt() && addSample(labels, histogram.getTimestamp(), histogram.getCountInt());
-                histograms += kept ? 1 : 0;
-                refused += kept ? 0 : 1;
+                boolean accepted = sum == histogram.getCountInt()
+                        && addSample(labels, histogram.getTimestamp(), histogram.getCountInt());
+                histograms += accepted ? 1 : 0;
+                rejected += accepted ? 0 : 1;
             }
         }
-        ask.getResponseHeaders().set("X-Prometheus-Remote-Write-Samples-Written", Integer.toString(samples));
-        ask.getResponseHeaders().set("X-Prometheus-Remote-Write-Histograms-Written", Integer.toString(histograms));
-        ask.getResponseHeaders().set("X-Prometheus-Remote-Write-Exemplars-Written", "0");
-        return refused;
+        exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Samples-Written", Integer.toString(samples));
+        exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Histograms-Written", Integer.toString(histograms));
+        exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Exemplars-Written", "0");
+        return rejected;
     }
 
-    private boolean addSample(Map<String, String> labels, long at, double value) {
-        if (fault.equals("400-one") && rejectedName.equals(labels.get("__name__")) || !store.add(labels, at, value)) {
+    private boolean addSample(Map<String, String> labels, long timestamp, double value) {
+        if (fault.equals("400-one") && rejectedName.equals(labels.get("__name__")) || !store.add(labels, timestamp, value)) {
             return false;
         }
         synchronized (this) {
@@ -168,14 +170,14 @@
         return acceptedBytes;
     }
 
-    /** Requests taken in version 1.0, and in 2.0. */
+    /** Number of accepted requests of version 1.0 and of version 2.0. */
     public synchronized long[] requestsByVersion() {
         return new long[] {version1Requests, version2Requests};
     }
 
-    /** When each request came, in milliseconds of the machine's own clock. */
+    /** Arrival time of each request, in milliseconds of {@link System#nanoTime}. */
     public synchronized long[] arrivalTimes() {
-        return arrivalTimes.stream().mapToLong(a -> a[0]).toArray();
+        return arrivalTimes.stream().mapToLong(arrival -> arrival[0]).toArray();
     }
 
     @Override
--- a/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
@@ -11,11 +11,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Evaluates a rules file over what a receiver has: recorded series go back into it, alerts wait for their {@code for}. */
+/**
+ * Evaluates a Prometheus rules file over the samples of a store. Recorded series are added to the store, and an alert fires once
+ * it has been pending for its {@code for} duration.
+ */
 public final class RuleEvaluator {
     private record Rule(String record, String alert, Expression expression, long forMillis) { }
 
-    /** An alert that fired, and when it first did, milliseconds. */
+    /** An alert, with the time in milliseconds at which it first fired. */
     public record FiredAlert(String alert, Map<String, String> labels, long firedAt) { }
 
     private final List<Rule> rules = new ArrayList<>();
@@ -24,27 +27,27 @@
     private final Map<String, FiredAlert> fired = new LinkedHashMap<>();
     private final SampleStore store;
 
-    /** @param lookback milliseconds: five minutes, or less where rules play fast */
-    public RuleEvaluator(String yaml, SampleStore store, long lookback) throws IOException {
+    /** @param lookbackMillis maximum age of a sample in instant selectors: five minutes, or less if the rules run in fast motion */
+    public RuleEvaluator(String yaml, SampleStore store, long lookbackMillis) throws IOException {
         this.store = store;
         JsonNode file = new ObjectMapper(new YAMLFactory()).readTree(yaml);
-        long least = Long.MAX_VALUE;
+        long minIntervalMillis = Long.MAX_VALUE;
         for (JsonNode group : file.path("groups")) {
-            least = Math.min(least, Expression.parseDurationMillis(group.path("interval").asText("1m")));
+            minIntervalMillis = Math.min(minIntervalMillis, Expression.parseDurationMillis(group.path("interval").asText("1m")));
             for (JsonNode rule : group.path("rules")) {
                 rules.add(new Rule(rule.path("record").asText(null), rule.path("alert").asText(null),
-                        new Expression(rule.path("expr").asText(), lookback),
+                        new Expression(rule.path("expr").asText(), lookbackMillis),
                         rule.has("for") ? Expression.parseDurationMillis(rule.path("for").asText()) : 0));
             }
         }
-        intervalMillis = least;
+        intervalMillis = minIntervalMillis;
     }
 
     public long intervalMillis() {
         return intervalMillis;
     }
 
-    /** All rules in their order, at one moment. */
+    /** Evaluates all rules in their order for the time {@code now}. */
     public void evaluate(long now) {
         for (Rule rule : rules) {
             Map<Map<String, String>, Double> result = rule.expression.evaluate(store, now);
@@ -59,8 +62,8 @@
             Map<Map<String, String>, Long> pending = pendingSince.computeIfAbsent(rule.alert, a -> new HashMap<>());
             pending.keySet().retainAll(result.keySet());
             result.keySet().forEach(labels -> {
-                long begun = pending.computeIfAbsent(labels, l -> now);
-                if (now - begun >= rule.forMillis) {
+                long pendingFrom = pending.computeIfAbsent(labels, l -> now);
+                if (now - pendingFrom >= rule.forMillis) {
                     fired.putIfAbsent(rule.alert + labels, new FiredAlert(rule.alert, labels, now));
                 }
             });
--- a/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Series as a receiver keeps them: samples by label set, each series in the order of its time. */
+/** Stores time series by label set, with the samples of each series in time order. */
 public final class SampleStore {
-    /** The value that ends a series. */
+    /** Bit pattern of the stale marker, which ends a series. */
     static final long STALE = 0x7ff0000000000002L;
 
     record Sample(long timestamp, double value) {
@@ -22,25 +22,28 @@
     private long sampleCount;
     private long outOfOrderCount;
 
-    /** False where it is older than what its series has: a receiver would refuse it. One more of the same time and value is none. */
-    public synchronized boolean add(Map<String, String> labels, long at, double value) {
+    /**
+     * Adds a sample. Returns false if its series already has a later sample, or another value at the same time, as a Prometheus
+     * server rejects it. An identical sample is accepted but not stored again.
+     */
+    public synchronized boolean add(Map<String, String> labels, long timestamp, double value) {
         Map<String, String> key = new TreeMap<>(labels);
-        List<Sample> own = series.computeIfAbsent(key, k -> {
+        List<Sample> samples = series.computeIfAbsent(key, k -> {
             byName.computeIfAbsent(k.get("__name__"), n -> new ArrayList<>()).add(k);
             return new ArrayList<>();
         });
-        if (!own.isEmpty() && own.get(own.size() - 1).timestamp >= at) {
-            Sample last = own.get(own.size() - 1);
-            boolean again = last.timestamp == at && Double.doubleToRawLongBits(last.value) == Double.doubleToRawLongBits(value);
-            outOfOrderCount += again ? 0 : 1;
-            return again;
+        if (!samples.isEmpty() && samples.get(samples.size() - 1).timestamp >= timestamp) {
+            Sample last = samples.get(samples.size() - 1);
+            boolean duplicate = last.timestamp == timestamp && Double.doubleToRawLongBits(last.value) == Double.doubleToRawLongBits(value);
+            outOfOrderCount += duplicate ? 0 : 1;
+            return duplicate;
         }
-        own.add(new Sample(at, value));
+        samples.add(new Sample(timestamp, value));
         sampleCount++;
         return true;
     }
 
-    /** Series of that name whose samples lie in (from, to], with those samples. */
+    /** The series with this name that have samples in (from, to], with these samples. */
     synchronized Map<Map<String, String>, List<Sample>> samplesBetween(String name, long from, long to) {
         Map<Map<String, String>, List<Sample>> found = new HashMap<>();
         for (Map<String, String> labels : byName.getOrDefault(name, List.of())) {
@@ -49,12 +52,12 @@
             while (end > 0 && all.get(end - 1).timestamp > to) {
                 end--;
             }
-            int begin = end;
-            while (begin > 0 && all.get(begin - 1).timestamp > from) {
-                begin--;
+            int start = end;
+            while (start > 0 && all.get(start - 1).timestamp > from) {
+                start--;
             }
-            if (begin < end) {
-                found.put(labels, List.copyOf(all.subList(begin, end)));
+            if (start < end) {
+                found.put(labels, List.copyOf(all.subList(start, end)));
             }
         }
         return found;
@@ -72,22 +75,26 @@
         return series.size();
     }
 
-    /** The last value of the one series with that name and these labels among others; NaN without one. */
+    /**
+     * The last value of the series with this name and these labels; NaN if there is none.
+     *
+     * @param labels names and values in turn; the series may have more labels
+     */
     public synchronized double lastValue(String name, String... labels) {
         for (Map<String, String> key : byName.getOrDefault(name, List.of())) {
-            boolean fits = true;
+            boolean matches = true;
             for (int i = 0; i < labels.length; i += 2) {
-                fits &= labels[i + 1].equals(key.get(labels[i]));
+                matches &= labels[i + 1].equals(key.get(labels[i]));
             }
-            if (fits) {
-                List<Sample> own = series.get(key);
-                return own.get(own.size() - 1).value;
+            if (matches) {
+                List<Sample> samples = series.get(key);
+                return samples.get(samples.size() - 1).value;
             }
         }
         return Double.NaN;
     }
 
-    /** How many series have ended by a stale marker. */
+    /** Number of series that end with a stale marker. */
     public synchronized long endedSeriesCount() {
         return series.values().stream().filter(all -> all.get(all.size() - 1).stale()).count();
     }
--- a/standins/src/main/resources/gradereach/standins/faults/fault_shim.c
+++ b/standins/src/main/resources/gradereach/standins/faults/fault_shim.c
@@ -1,17 +1,17 @@
 /*
- * Makes chosen system calls of one process fail, as Linux documents that they may. Loaded by LD_PRELOAD into a front end
- * under test; it changes nothing outside of that process.
+ * Makes selected system calls of one process fail with errors that Linux documents for them. Loaded by LD_PRELOAD into a
+ * front end under test; nothing outside of that process is affected.
  *
  * GRADEREACH_FAULTS holds rules separated by ';', each CALL:FAULT:RATE:FROM:TO
- *   CALL   accept, connect, socket, read, write (TCP sockets), read.out, write.out (those that this process connected),
+ *   CALL   accept, connect, socket, read, write (TCP sockets), read.out, write.out (TCP sockets that this process connected),
  *          wait (epoll_wait), sync (fsync, fdatasync), file (writes to regular files), clock (CLOCK_REALTIME)
- *   FAULT  a number of errno, "short", or "stop" (SIGSTOP to the process itself, before the call, which then goes on); of
- *          clock the step in milliseconds
- *   RATE   probability for one call, 0 to 1
- *   FROM, TO  milliseconds since the process has loaded this, on the monotonic clock
- * GRADEREACH_FAULT_SEED seeds the draws. GRADEREACH_FAULT_COUNTS names a file in which each rule's faults are counted, as
- * one native 64-bit number a rule. GRADEREACH_FAULT_CONNECTIONS names a file in which TCP connections are recorded as they
- * come up, are broken by a fault, and are closed: see struct record.
+ *   FAULT  an errno number, "short" (a partial read or write), or "stop" (the process sends itself SIGSTOP before the call
+ *          and makes the call once it is continued); for clock the step in milliseconds
+ *   RATE   probability of the fault in one call, 0 to 1
+ *   FROM, TO  milliseconds since the process loaded this library, on the monotonic clock
+ * GRADEREACH_FAULT_SEED seeds the random numbers. GRADEREACH_FAULT_COUNTS names a file that counts the faults injected by
+ * each rule, one native 64-bit number per rule. GRADEREACH_FAULT_CONNECTIONS names a file that records when TCP connections
+ * are opened, broken by a fault, and closed: see struct record.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -40,7 +40,7 @@
 static const char *const CALL_NAMES[CALLS] = {
     "accept", "connect", "socket", "read", "write", "read.out", "write.out", "wait", "sync", "file", "clock"};
 
-enum { MOST_RULES = 64, MOST_DESCRIPTORS = 65536, STOP = -2, SHORT = -1, NONE = 0 };
+enum { MAX_RULES = 64, MAX_DESCRIPTORS = 65536, STOP = -2, SHORT = -1, NONE = 0 };
 
 struct rule {
     enum call call;
@@ -50,37 +50,37 @@
     int64_t to;
 };
 
-static struct rule rules[MOST_RULES];
+static struct rule rules[MAX_RULES];
 static int rule_count;
 static _Atomic uint64_t *counts;
 static _Atomic uint64_t draws;
 static uint64_t seed;
 static int64_t loaded_at;
-/* Descriptors that this process has connected. */
-static _Atomic char connected[MOST_DESCRIPTORS];
+/* Whether this process made the connection behind the descriptor with connect(). */
+static _Atomic char connected[MAX_DESCRIPTORS];
 
 enum event { CONNECTED = 1, ACCEPTED, BROKEN, SHUT_DOWN, CLOSED, HELD_UP };
 
-enum { MOST_RECORDS = 65536, HELD_UP_MILLIS = 20 };
+enum { MAX_RECORDS = 65536, MIN_WRITE_STALL_MILLIS = 20 };
 
 /* One event of one TCP connection; native byte order. */
 struct record {
-    int64_t nanos;    /* on the monotonic clock */
-    int64_t received; /* bytes that the process has read of it */
-    int32_t unread;   /* bytes that the system still holds for the process */
-    int32_t detail;   /* of BROKEN the error; of HELD_UP the milliseconds since this thread has read the clock */
+    int64_t nanos;    /* nanoseconds on the monotonic clock */
+    int64_t received; /* bytes that the process has read from the connection */
+    int32_t unread;   /* bytes in the receive buffer of the kernel */
+    int32_t detail;   /* for BROKEN the errno; for HELD_UP the milliseconds since this thread last read the clock */
     uint16_t local_port;
     uint16_t remote_port;
     uint32_t event;
 };
 
-/* Counts every record that was to be made, also beyond the room for them. */
+/* The count includes the records that were dropped because all was full. */
 struct records {
     _Atomic int64_t count;
-    struct record all[MOST_RECORDS];
+    struct record all[MAX_RECORDS];
 };
 
-/* A TCP connection behind a descriptor; none where the remote port is 0. */
+/* The TCP connection of a descriptor; a remote port of 0 means that there is none. */
 struct connection {
     _Atomic uint16_t remote_port;
     uint16_t local_port;
@@ -88,9 +88,9 @@
 };
 
 static struct records *records;
-/* When this thread has read the monotonic clock last; nanoseconds, 0 before. */
+/* When this thread last read the monotonic clock, in nanoseconds; 0 before the first time. */
 static __thread int64_t clock_read_at;
-static struct connection connections[MOST_DESCRIPTORS];
+static struct connection connections[MAX_DESCRIPTORS];
 
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
 
@@ -126,8 +126,8 @@
     char *rate = strtok_r(NULL, ":", &rest);
     char *from = strtok_r(NULL, ":", &rest);
     char *to = strtok_r(NULL, ":", &rest);
-    if (to == NULL || rule_count == MOST_RULES) {
-        fprintf(stderr, "fault shim: cannot be read: %s\n", text);
+    if (to == NULL || rule_count == MAX_RULES) {
+        fprintf(stderr, "fault shim: malformed rule or too many rules: %s\n", text);
         _exit(2);
     }
     struct rule *rule = &rules[rule_count++];
@@ -138,7 +138,7 @@
         }
     }
     if (rule->call == CALLS) {
-        fprintf(stderr, "fault shim: no such call: %s\n", name);
+        fprintf(stderr, "fault shim: unknown call in rule: %s\n", name);
         _exit(2);
     }
     rule->fault = strcmp(fault, "short") == 0 ? SHORT : strcmp(fault, "stop") == 0 ? STOP : atol(fault);
@@ -147,35 +147,35 @@
     rule->to = atoll(to);
 }
 
-/* NULL where there is no such file, or it cannot be mapped. */
+/* Maps the file, or returns NULL if there is no file name or the file cannot be opened or mapped. */
 static void *map_file(const char *file, size_t size) {
     int fd = file == NULL ? -1 : open(file, O_RDWR | O_CREAT, 0600);
     if (fd < 0) {
         return NULL;
     }
-    void *shared = ftruncate(fd, size) != 0 ? MAP_FAILED : mmap(NULL, size, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void *mapping = ftruncate(fd, size) != 0 ? MAP_FAILED : mmap(NULL, size, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     close(fd);
-    return shared == MAP_FAILED ? NULL : shared;
+    return mapping == MAP_FAILED ? NULL : mapping;
 }
 
 __attribute__((constructor)) static void load(void) {
     real_clock_gettime = (int (*)(clockid_t, struct timespec *)) dlsym(RTLD_NEXT, "clock_gettime");
     loaded_at = milliseconds();
-    const char *seeded = getenv("GRADEREACH_FAULT_SEED");
-    seed = seeded == NULL ? 1 : strtoull(seeded, NULL, 10);
+    const char *seed_text = getenv("GRADEREACH_FAULT_SEED");
+    seed = seed_text == NULL ? 1 : strtoull(seed_text, NULL, 10);
     const char *text = getenv("GRADEREACH_FAULTS");
     if (text != NULL) {
         char *copy = strdup(text);
         char *rest = NULL;
-        for (char *part = strtok_r(copy, ";", &rest); part != NULL; part = strtok_r(NULL, ";", &rest)) {
-            parse_rule(part);
+        for (char *rule_text = strtok_r(copy, ";", &rest); rule_text != NULL; rule_text = strtok_r(NULL, ";", &rest)) {
+            parse_rule(rule_text);
         }
         free(copy);
     }
-    static _Atomic uint64_t none[MOST_RULES];
+    static _Atomic uint64_t unshared_counts[MAX_RULES];
     records = map_file(getenv("GRADEREACH_FAULT_CONNECTIONS"), sizeof(struct records));
-    void *shared = map_file(getenv("GRADEREACH_FAULT_COUNTS"), MOST_RULES * sizeof(uint64_t));
-    counts = shared == NULL ? none : shared;
+    void *mapping = map_file(getenv("GRADEREACH_FAULT_COUNTS"), MAX_RULES * sizeof(uint64_t));
+    counts = mapping == NULL ? unshared_counts : mapping;
 }
 
 static void record(int fd, enum event event, int detail) {
@@ -186,9 +186,9 @@
     }
     int unread = 0;
     ioctl(fd, FIONREAD, &unread);
-    int64_t at = atomic_fetch_add(&records->count, 1);
-    if (at < MOST_RECORDS) {
-        records->all[at] = (struct record) {nanoseconds(), atomic_load(&connection->received), unread, detail,
+    int64_t index = atomic_fetch_add(&records->count, 1);
+    if (index < MAX_RECORDS) {
+        records->all[index] = (struct record) {nanoseconds(), atomic_load(&connection->received), unread, detail,
             connection->local_port, remote_port, event};
     }
 }
@@ -198,11 +198,11 @@
         : ((const struct sockaddr_in *) address)->sin_port);
 }
 
-/* A connection has begun to be made, or has been accepted. */
-static void begin(int fd, uint16_t remote_port, enum event event) {
+/* Starts to record a connection that is being made or has been accepted. */
+static void connection_opened(int fd, uint16_t remote_port, enum event event) {
     struct sockaddr_storage local = {0};
     socklen_t length = sizeof local;
-    if (fd < 0 || fd >= MOST_DESCRIPTORS || getsockname(fd, (struct sockaddr *) &local, &length) != 0
+    if (fd < 0 || fd >= MAX_DESCRIPTORS || getsockname(fd, (struct sockaddr *) &local, &length) != 0
         || (local.ss_family != AF_INET && local.ss_family != AF_INET6)) {
         return;
     }
@@ -212,32 +212,32 @@
     record(fd, event, 0);
 }
 
-/* The descriptor is about to be closed. */
-static void end(int fd) {
-    if (fd >= 0 && fd < MOST_DESCRIPTORS && atomic_load(&connections[fd].remote_port) != 0) {
+/* Records the close of the connection of a descriptor that is about to be closed. */
+static void connection_closed(int fd) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS && atomic_load(&connections[fd].remote_port) != 0) {
         record(fd, CLOSED, 0);
         atomic_store(&connections[fd].remote_port, 0);
     }
 }
 
-/* What is open when the process ends by itself is closed then. */
+/* Records the connections that are still open at a normal process exit as closed. */
 __attribute__((destructor)) static void unload(void) {
-    for (int fd = 0; fd < MOST_DESCRIPTORS; fd++) {
-        end(fd);
+    for (int fd = 0; fd < MAX_DESCRIPTORS; fd++) {
+        connection_closed(fd);
     }
 }
 
-static ssize_t received(int fd, ssize_t bytes) {
-    if (bytes > 0 && fd >= 0 && fd < MOST_DESCRIPTORS) {
+static ssize_t count_received(int fd, ssize_t bytes) {
+    if (bytes > 0 && fd >= 0 && fd < MAX_DESCRIPTORS) {
         atomic_fetch_add(&connections[fd].received, bytes);
     }
     return bytes;
 }
 
-/* The fault that this call is to meet now: an errno, SHORT, or NONE. */
-static long drawn(enum call call) {
+/* Decides at random which fault to inject into this call: an errno, SHORT, STOP, or NONE. */
+static long draw_fault(enum call call) {
     if (counts == NULL) {
-        return NONE; /* before this library was loaded itself */
+        return NONE; /* called before the constructor of this library has run */
     }
     for (int i = 0; i < rule_count; i++) {
         const struct rule *rule = &rules[i];
@@ -268,81 +268,84 @@
 }
 
 static int is_connected_by_us(int fd) {
-    return fd >= 0 && fd < MOST_DESCRIPTORS && atomic_load(&connected[fd]);
+    return fd >= 0 && fd < MAX_DESCRIPTORS && atomic_load(&connected[fd]);
 }
 
-static void note(int fd, int by_us) {
-    if (fd >= 0 && fd < MOST_DESCRIPTORS) {
+static void mark_connected(int fd, int by_us) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) {
         atomic_store(&connected[fd], by_us);
     }
 }
 
-/* After ETIMEDOUT and its like a connection is over for both ends. */
-static void break_off(int fd, long error) {
+/* Shuts the connection down for both ends, as errors like ETIMEDOUT do; EINTR and EAGAIN leave it open. */
+static void shut_down_connection(int fd, long error) {
     if (error != EINTR && error != EAGAIN) {
         shutdown(fd, SHUT_RDWR);
     }
 }
 
-/* What a read or write of a TCP socket meets: NONE and SHORT are for the caller, else -1 has to be returned. */
-static long transfer(int fd, enum call all, enum call out) {
+/*
+ * Injects a fault into a read or write of a TCP socket. The caller handles NONE and SHORT; for any other value errno is set
+ * and the call must return -1.
+ */
+static long transfer_fault(int fd, enum call any_socket, enum call own_connection) {
     if (!is_tcp(fd)) {
         return NONE;
     }
-    long fault = drawn(all);
+    long fault = draw_fault(any_socket);
     if (fault == NONE && is_connected_by_us(fd)) {
-        fault = drawn(out);
+        fault = draw_fault(own_connection);
     }
     if (fault == STOP) {
         kill(getpid(), SIGSTOP);
         fault = NONE;
     }
     if (fault > 0) {
-        if (fd < MOST_DESCRIPTORS) {
+        if (fd < MAX_DESCRIPTORS) {
             record(fd, BROKEN, (int) fault);
         }
-        break_off(fd, fault);
+        shut_down_connection(fd, fault);
         errno = (int) fault;
     }
     return fault;
 }
 
-static size_t part_of(size_t length) {
+static size_t random_prefix_length(size_t length) {
     return length < 2 ? length : 1 + random_bits() % (length - 1);
 }
 
-static void accepted(int fd) {
+static void connection_accepted(int fd) {
     struct sockaddr_storage peer = {0};
     socklen_t length = sizeof peer;
     if (fd >= 0 && getpeername(fd, (struct sockaddr *) &peer, &length) == 0) {
-        begin(fd, port_of(&peer), ACCEPTED);
+        connection_opened(fd, port_of(&peer), ACCEPTED);
     }
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(accept)
-    long fault = drawn(ACCEPT);
+    long fault = draw_fault(ACCEPT);
     if (fault > 0) {
         errno = (int) fault;
         return -1;
     }
-    int made = real(fd, address, length);
-    note(made, 0);
-    accepted(made);
-    return made;
+    int new_fd = real(fd, address, length);
+    mark_connected(new_fd, 0);
+    connection_accepted(new_fd);
+    return new_fd;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4)
-    long fault = drawn(ACCEPT);
+    long fault = draw_fault(ACCEPT);
     if (fault > 0) {
         errno = (int) fault;
         return -1;
     }
-    int made = real(fd, address, length, flags);
-    note(made, 0);
-    accepted(made);
-    return made;
+    int new_fd = real(fd, address, length, flags);
+    mark_connected(new_fd, 0);
+    connection_accepted(new_fd);
+    return new_fd;
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
@@ -350,17 +353,17 @@
     if (!is_tcp(fd)) {
         return real(fd, address, length);
     }
-    long fault = drawn(CONNECT);
+    long fault = draw_fault(CONNECT);
     if (fault > 0 && fault != EINTR) {
         errno = (int) fault;
         return -1;
     }
     int result = real(fd, address, length);
-    note(fd, 1);
+    mark_connected(fd, 1);
     int error = errno;
-    begin(fd, port_of((const struct sockaddr_storage *) address), CONNECTED);
+    connection_opened(fd, port_of((const struct sockaddr_storage *) address), CONNECTED);
     errno = error;
-    if (fault == EINTR) { /* it goes on without the caller */
+    if (fault == EINTR) { /* the connect continues in the background */
         errno = EINTR;
         return -1;
     }
@@ -370,34 +373,34 @@
 int socket(int domain, int type, int protocol) {
     REAL(socket)
     if ((domain == AF_INET || domain == AF_INET6) && (type & SOCK_STREAM) != 0) {
-        long fault = drawn(SOCKET);
+        long fault = draw_fault(SOCKET);
         if (fault > 0) {
             errno = (int) fault;
             return -1;
         }
     }
-    int made = real(domain, type, protocol);
-    note(made, 0);
-    return made;
+    int new_fd = real(domain, type, protocol);
+    mark_connected(new_fd, 0);
+    return new_fd;
 }
 
 int close(int fd) {
     REAL(close)
-    note(fd, 0);
-    end(fd);
+    mark_connected(fd, 0);
+    connection_closed(fd);
     return real(fd);
 }
 
 int dup2(int from, int to) {
     REAL(dup2)
-    note(to, 0);
-    end(to);
+    mark_connected(to, 0);
+    connection_closed(to);
     return real(from, to);
 }
 
 int shutdown(int fd, int how) {
     REAL(shutdown)
-    if (how != SHUT_RD && fd >= 0 && fd < MOST_DESCRIPTORS) {
+    if (how != SHUT_RD && fd >= 0 && fd < MAX_DESCRIPTORS) {
         record(fd, SHUT_DOWN, 0);
     }
     return real(fd, how);
@@ -405,70 +408,73 @@
 
 ssize_t read(int fd, void *bytes, size_t length) {
     REAL(read)
-    long fault = transfer(fd, READ, READ_OUT);
-    return fault > 0 ? -1 : received(fd, real(fd, bytes, fault == SHORT ? part_of(length) : length));
+    long fault = transfer_fault(fd, READ, READ_OUT);
+    return fault > 0 ? -1 : count_received(fd, real(fd, bytes, fault == SHORT ? random_prefix_length(length) : length));
 }
 
 ssize_t recv(int fd, void *bytes, size_t length, int flags) {
     REAL(recv)
-    long fault = transfer(fd, READ, READ_OUT);
-    return fault > 0 ? -1 : received(fd, real(fd, bytes, fault == SHORT ? part_of(length) : length, flags));
+    long fault = transfer_fault(fd, READ, READ_OUT);
+    return fault > 0 ? -1 : count_received(fd, real(fd, bytes, fault == SHORT ? random_prefix_length(length) : length, flags));
 }
 
 ssize_t readv(int fd, const struct iovec *parts, int count) {
     REAL(readv)
-    long fault = transfer(fd, READ, READ_OUT);
+    long fault = transfer_fault(fd, READ, READ_OUT);
     if (fault == SHORT && count > 0) {
-        struct iovec first = {parts[0].iov_base, part_of(parts[0].iov_len)};
-        return received(fd, real(fd, &first, 1));
+        struct iovec first = {parts[0].iov_base, random_prefix_length(parts[0].iov_len)};
+        return count_received(fd, real(fd, &first, 1));
     }
-    return fault > 0 ? -1 : received(fd, real(fd, parts, count));
+    return fault > 0 ? -1 : count_received(fd, real(fd, parts, count));
 }
 
-/* Bytes of a regular file: a fault that is drawn, or NONE. */
+/* The fault to inject into a write to a regular file, or NONE. */
 static long file_fault(int fd) {
-    struct stat about;
-    if (rule_count == 0 || fd <= STDERR_FILENO || fstat(fd, &about) != 0 || !S_ISREG(about.st_mode)) {
+    struct stat status;
+    if (rule_count == 0 || fd <= STDERR_FILENO || fstat(fd, &status) != 0 || !S_ISREG(status.st_mode)) {
         return NONE;
     }
-    long fault = drawn(FILE_WRITE);
+    long fault = draw_fault(FILE_WRITE);
     if (fault > 0) {
         errno = (int) fault;
     }
     return fault;
 }
 
-/* A process that is stopped between its last look at the clock and a write sends what may be over by then. */
-static void note_held_up(int fd) {
-    int64_t held_up = clock_read_at == 0 ? 0 : (nanoseconds() - clock_read_at) / 1000000;
-    if (held_up > HELD_UP_MILLIS && is_connected_by_us(fd)) {
-        record(fd, HELD_UP, (int) held_up);
+/*
+ * Records a long time between the last clock reading of this thread and a write: what a process sends after it was stopped
+ * there may be outdated.
+ */
+static void record_stalled_write(int fd) {
+    int64_t stall_millis = clock_read_at == 0 ? 0 : (nanoseconds() - clock_read_at) / 1000000;
+    if (stall_millis > MIN_WRITE_STALL_MILLIS && is_connected_by_us(fd)) {
+        record(fd, HELD_UP, (int) stall_millis);
     }
 }
 
 static long write_fault(int fd) {
-    long fault = transfer(fd, WRITE, WRITE_OUT);
-    note_held_up(fd);
+    long fault = transfer_fault(fd, WRITE, WRITE_OUT);
+    record_stalled_write(fd);
     return fault == NONE ? file_fault(fd) : fault;
 }
 
 ssize_t write(int fd, const void *bytes, size_t length) {
     REAL(write)
     long fault = write_fault(fd);
-    return fault > 0 ? -1 : real(fd, bytes, fault == SHORT ? part_of(length) : length);
+    return fault > 0 ? -1 : real(fd, bytes, fault == SHORT ? random_prefix_length(length) : length);
 }
 
 ssize_t send(int fd, const void *bytes, size_t length, int flags) {
     REAL(send)
     long fault = write_fault(fd);
-    return fault > 0 ? -1 : real(fd, bytes, fault == SHORT ? part_of(length) : length, flags);
+    return fault > 0 ? -1 : real(fd, bytes, fault == SHORT ? random_prefix_length(length) : length, flags);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev)
     long fault = write_fault(fd);
     if (fault == SHORT && count > 0) {
-        struct iovec first = {parts[0].iov_base, part_of(parts[0].iov_len)};
+        struct iovec first = {parts[0].iov_base, random_prefix_length(parts[0].iov_len)};
         return real(fd, &first, 1);
     }
     return fault > 0 ? -1 : real(fd, parts, count);
@@ -477,11 +483,11 @@
 ssize_t pwrite64(int fd, const void *bytes, size_t length, off64_t offset) {
     REAL(pwrite64)
     long fault = file_fault(fd);
-    return fault > 0 ? -1 : real(fd, bytes, fault == SHORT ? part_of(length) : length, offset);
+    return fault > 0 ? -1 : real(fd, bytes, fault == SHORT ? random_prefix_length(length) : length, offset);
 }
 
 static int sync_fault(void) {
-    long fault = drawn(SYNC);
+    long fault = draw_fault(SYNC);
     if (fault > 0) {
         errno = (int) fault;
     }
@@ -498,17 +504,17 @@
     return sync_fault() ? -1 : real(fd);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     REAL(epoll_wait)
-    long fault = drawn(WAIT);
+    long fault = draw_fault(WAIT);
     if (fault > 0) {
         errno = (int) fault;
         return -1;
     }
-    return real(fd, events, most, timeout);
+    return real(fd, events, max_events, timeout);
 }
 
-/* Milliseconds by which the wall clock is off now. */
+/* Milliseconds that the rules add to the wall clock now. */
 static int64_t clock_step(void) {
     int64_t step = 0;
     for (int i = 0; i < rule_count; i++) {
--- a/standins/src/test/java/gradereach/standins/ForwardOutcomesTest.java
+++ b/standins/src/test/java/gradereach/standins/ForwardOutcomesTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** "Never seen" stays true: what an executor's process has said it of does not run there afterwards. */
+/** Guards against running a forward that the executor process has reported as "never seen" before it arrived. */
 class ForwardOutcomesTest {
     private static final String FORWARD = "yard/a#fe-1-1";
-    private static final int CROSSINGS = 2000;
+    private static final int ROUNDS = 2000;
     private final DefaultEventLoop loop = new DefaultEventLoop();
 
     @AfterEach
-    void end() {
+    void shutDownLoop() {
         loop.shutdownGracefully();
     }
 
-    private ForwardOutcomes newProcess(int mostFences) {
-        return new ForwardOutcomes(loop, 0, mostFences);
+    private ForwardOutcomes newProcess(int maxFences) {
+        return new ForwardOutcomes(loop, 0, maxFences);
     }
 
     @Test
@@ -33,8 +33,8 @@
         ForwardOutcomes outcomes = newProcess(10);
         assertEquals(new ForwardOutcomes.ForwardLookup(404, "{}", true), outcomes.findOrFence(FORWARD));
         assertFalse(outcomes.tryStart(FORWARD));
-        assertEquals(404, outcomes.findOrFence(FORWARD).status(), "a refused one did not run");
-        assertTrue(outcomes.tryStart("yard/a#fe-1-2"), "another life's forward");
+        assertEquals(404, outcomes.findOrFence(FORWARD).status(), "a rejected forward did not run");
+        assertTrue(outcomes.tryStart("yard/a#fe-1-2"), "forward with another id");
     }
 
     @Test
@@ -52,40 +52,40 @@
         assertTrue(outcomes.findOrFence("first").fenced());
         assertEquals(new ForwardOutcomes.ForwardLookup(404, "{}", false), outcomes.findOrFence(FORWARD));
         assertTrue(outcomes.tryStart(FORWARD));
-        assertTrue(outcomes.findOrFence("first").fenced(), "what was promised stays so");
+        assertTrue(outcomes.findOrFence("first").fenced(), "an earlier fence stays");
         assertFalse(outcomes.tryStart("first"));
     }
 
-    /** A fence ends with its process, and the next one is not the one that promised it. */
+    /** A fence ends with its process; the different id of the next process shows that the promise no longer holds. */
     @Test
     void restartedProcessHasAnotherId() {
-        ForwardOutcomes ended = newProcess(10);
-        assertTrue(ended.findOrFence(FORWARD).fenced());
+        ForwardOutcomes terminated = newProcess(10);
+        assertTrue(terminated.findOrFence(FORWARD).fenced());
         ForwardOutcomes next = newProcess(10);
         assertTrue(next.tryStart(FORWARD));
-        assertNotEquals(ended.processId(), next.processId());
+        assertNotEquals(terminated.processId(), next.processId());
     }
 
-    /** A question and the forward come at the same time: it runs, or is said never to. */
+    /** An inquiry and its forward arrive concurrently: either the forward runs, or the inquiry fences it, never both. */
     @Test
     void concurrentInquiryAndForwardAgree() throws Exception {
-        ForwardOutcomes outcomes = newProcess(CROSSINGS);
+        ForwardOutcomes outcomes = newProcess(ROUNDS);
         ExecutorService threads = Executors.newFixedThreadPool(2);
         try {
-            for (int i = 0; i < CROSSINGS; i++) {
+            for (int i = 0; i < ROUNDS; i++) {
                 String forward = "crossing#" + i;
-                CountDownLatch both = new CountDownLatch(2);
-                Future<Boolean> begun = threads.submit(() -> {
-                    both.countDown();
-                    both.await();
+                CountDownLatch bothStarted = new CountDownLatch(2);
+                Future<Boolean> started = threads.submit(() -> {
+                    bothStarted.countDown();
+                    bothStarted.await();
                     return outcomes.tryStart(forward);
                 });
-                Future<ForwardOutcomes.ForwardLookup> found = threads.submit(() -> {
-                    both.countDown();
-                    both.await();
+                Future<ForwardOutcomes.ForwardLookup> lookup = threads.submit(() -> {
+                    bothStarted.countDown();
+                    bothStarted.await();
                     return outcomes.findOrFence(forward);
                 });
-                assertNotEquals(begun.get(), found.get().fenced(), forward);
+                assertNotEquals(started.get(), lookup.get().fenced(), forward);
             }
         } finally {
             threads.shutdownNow();
--- a/standins/src/test/java/gradereach/standins/ReservedPortTest.java
+++ b/standins/src/test/java/gradereach/standins/ReservedPortTest.java
@@ -14,16 +14,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Checks that a port stays reserved for its executor across restarts. */
 class ReservedPortTest {
     private static final int RESTARTS = 300;
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
 
     @AfterEach
-    void end() {
+    void shutDownLoops() {
         loops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
     }
 
-    /** Guards against executors that cannot start anew, since their last listener's socket is not closed yet. */
+    /** Guards against executors that cannot be restarted because the socket of their last listener is not closed yet. */
     @Test
     void canListenAgainOnceListenerClosed() throws Exception {
         try (ReservedPort port = new ReservedPort()) {
@@ -35,13 +36,13 @@
         }
     }
 
-    /** Guards against an address that somebody's connection took while its executor was away. */
+    /** Guards against an outgoing connection that takes the port of an executor while the executor is down. */
     @Test
     void portIsReservedWhileNothingListens() throws Exception {
         try (ReservedPort port = new ReservedPort(); Socket other = new Socket()) {
             other.setReuseAddress(false);
-            InetSocketAddress same = new InetSocketAddress("127.0.0.1", port.number());
-            assertThrows(BindException.class, () -> other.bind(same));
+            InetSocketAddress samePort = new InetSocketAddress("127.0.0.1", port.number());
+            assertThrows(BindException.class, () -> other.bind(samePort));
         }
     }
 }
--- a/standins/src/test/java/gradereach/standins/faults/FaultShimTest.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultShimTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each fault that the shim claims to play is seen by the process that meets it. */
+/** Checks that a process observes each kind of fault that the shim injects into it. */
 @Timeout(60)
 class FaultShimTest {
     private static final long ALWAYS = 1_000_000;
@@ -26,9 +26,9 @@
 
     private String run(List<SystemFault> faults) throws Exception {
         Process process = start(faults);
-        String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, process.waitFor(), printed);
-        return printed;
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, process.waitFor(), output);
+        return output;
     }
 
     private Process start(List<SystemFault> faults) throws Exception {
@@ -53,37 +53,37 @@
                 SystemFault.error(FaultyCall.FILE, Errno.ENOSPC, 0.1, 0, ALWAYS),
                 SystemFault.error(FaultyCall.SYNC, Errno.EIO, 0.1, 0, ALWAYS),
                 SystemFault.clockStep(STEP_MILLIS, 0, ALWAYS));
-        String printed = run(faults);
-        long[] met = FaultShim.faultCounts(folder.resolve("counts"), faults);
-        for (int i = 0; i < met.length; i++) {
-            boolean onlyWritten = faults.get(i).call() == FaultyCall.READ_CONNECTED || faults.get(i).call() == FaultyCall.SOCKET;
-            assertTrue(met[i] > 0 || onlyWritten, faults.get(i) + " was not met");
+        String output = run(faults);
+        long[] counts = FaultShim.faultCounts(folder.resolve("counts"), faults);
+        for (int i = 0; i < counts.length; i++) {
+            boolean mayBeZero = faults.get(i).call() == FaultyCall.READ_CONNECTED || faults.get(i).call() == FaultyCall.SOCKET;
+            assertTrue(counts[i] > 0 || mayBeZero, faults.get(i) + " was not injected");
         }
-        for (String seen : List.of("Too many open files", "Network is unreachable", "No route to host",
+        for (String message : List.of("Too many open files", "Network is unreachable", "No route to host",
                 "No space left on device", "Input/output error", "short=true,true")) {
-            assertTrue(printed.contains(seen), () -> seen + " not in " + printed);
+            assertTrue(output.contains(message), () -> message + " not in " + output);
         }
     }
 
-    private static long number(String printed, String name) {
-        int from = printed.indexOf(name + "=") + name.length() + 1;
-        return Long.parseLong(printed.substring(from, printed.indexOf('.', from)));
+    private static long number(String output, String name) {
+        int start = output.indexOf(name + "=") + name.length() + 1;
+        return Long.parseLong(output.substring(start, output.indexOf('.', start)));
     }
 
-    /** The wall clock is stepped alone, either way, and within the span only. */
+    /** Only the wall clock is stepped, forwards or backwards, and only within the interval of the fault. */
     @ParameterizedTest
     @CsvSource({"3600000, 0, 3600000", "-3600000, 0, -3600000", "3600000, 1000000, 0"})
-    void onlyWallClockIsStepped(long step, long from, long seen) throws Exception {
+    void onlyWallClockIsStepped(long step, long from, long expectedShift) throws Exception {
         long before = System.currentTimeMillis();
-        String printed = run(List.of(SystemFault.clockStep(step, from, from + ALWAYS)));
+        String output = run(List.of(SystemFault.clockStep(step, from, from + ALWAYS)));
         long after = System.currentTimeMillis();
-        long unix = number(printed, "unix") - seen;
-        assertTrue(before <= unix && unix <= after, printed);
-        assertTrue(number(printed, "monotonic") <= after - before, printed);
-        assertTrue(printed.contains("errors=[]") && printed.contains("short=false,false"), printed);
+        long unix = number(output, "unix") - expectedShift;
+        assertTrue(before <= unix && unix <= after, output);
+        assertTrue(number(output, "monotonic") <= after - before, output);
+        assertTrue(output.contains("errors=[]") && output.contains("short=false,false"), output);
     }
 
-    /** Guards against a judgement of a connection's end without what was read of it and who ended it. */
+    /** Guards against missing or wrong records of who closed a connection and how much was read from it by then. */
     @Test
     void connectionsAreRecordedUntilClosed() throws Exception {
         long before = System.nanoTime();
@@ -96,16 +96,16 @@
         List<ConnectionEvent> accepted = events.stream().filter(event -> event.kind() == ConnectionEvent.Kind.ACCEPTED).toList();
         assertEquals(FaultedProcess.ROUNDS, connected);
         assertEquals(FaultedProcess.ROUNDS, accepted.size());
-        for (ConnectionEvent begin : accepted) {
-            ConnectionEvent end = events.stream().filter(event -> event.kind() == ConnectionEvent.Kind.CLOSED
-                    && event.localPort() == begin.localPort() && event.remotePort() == begin.remotePort()).findAny().orElseThrow();
-            boolean wasBroken = broken.stream().anyMatch(event -> event.localPort() == begin.remotePort());
-            assertEquals(wasBroken ? 0 : FaultedProcess.BYTES, end.bytesReceived());
-            assertTrue(before < begin.nanoTime() && begin.nanoTime() <= end.nanoTime() && end.nanoTime() < System.nanoTime());
+        for (ConnectionEvent opened : accepted) {
+            ConnectionEvent closed = events.stream().filter(event -> event.kind() == ConnectionEvent.Kind.CLOSED
+                    && event.localPort() == opened.localPort() && event.remotePort() == opened.remotePort()).findAny().orElseThrow();
+            boolean wasBroken = broken.stream().anyMatch(event -> event.localPort() == opened.remotePort());
+            assertEquals(wasBroken ? 0 : FaultedProcess.BYTES, closed.bytesReceived());
+            assertTrue(before < opened.nanoTime() && opened.nanoTime() <= closed.nanoTime() && closed.nanoTime() < System.nanoTime());
         }
     }
 
-    /** Guards against taking a stop between the last look at the clock and a write for one that looks too seldom. */
+    /** Guards against mistaking a process stopped between reading the clock and writing for one that reads the clock too rarely. */
     @Test
     void writeDelayedByStopIsRecorded() throws Exception {
         Process process = start(List.of(SystemFault.stop(FaultyCall.WRITE_CONNECTED, 0.02, 0, ALWAYS)));
@@ -116,21 +116,21 @@
                 new ProcessBuilder("kill", "-CONT", Long.toString(process.pid())).start().waitFor();
             }
         }
-        List<ConnectionEvent> heldUp = FaultShim.connectionEvents(folder.resolve("counts")).stream()
+        List<ConnectionEvent> delayedWrites = FaultShim.connectionEvents(folder.resolve("counts")).stream()
                 .filter(event -> event.kind() == ConnectionEvent.Kind.HELD_UP).toList();
-        assertTrue(!heldUp.isEmpty(), "no write was held up");
-        assertTrue(heldUp.stream().allMatch(event -> event.detail() >= STOPPED_MILLIS), heldUp::toString);
+        assertTrue(!delayedWrites.isEmpty(), "no delayed write was recorded");
+        assertTrue(delayedWrites.stream().allMatch(event -> event.detail() >= STOPPED_MILLIS), delayedWrites::toString);
     }
 
     private static boolean isStopped(Path state) {
         try {
             return Files.readString(state).matches("(?s)\\d+ \\(.*\\) T .*");
         } catch (IOException e) {
-            return false; // it has ended
+            return false; // the process has exited
         }
     }
 
-    /** The span of a fault counts: outside of it nothing fails. */
+    /** Outside of the interval of a fault no call fails. */
     @Test
     void noFaultOutsideItsInterval() throws Exception {
         List<SystemFault> faults = List.of(SystemFault.error(FaultyCall.CONNECT, Errno.ENETUNREACH, 1, ALWAYS, 2 * ALWAYS));
--- a/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Makes every kind of call that the shim knows, and prints what it met: one line a kind. */
+/** Makes calls of every kind that the shim can fail, and prints the observed errors, partial transfers and clocks. */
 final class FaultedProcess {
     static final int ROUNDS = 200;
     static final int BYTES = 1000;
@@ -25,7 +25,7 @@
 
     public static void main(String[] args) throws Exception {
         FaultedProcess process = new FaultedProcess();
-        long monotonic = System.nanoTime();
+        long startNanos = System.nanoTime();
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress("127.0.0.1", 0));
             for (int i = 0; i < ROUNDS; i++) {
@@ -41,7 +41,7 @@
         System.out.println("errors=" + process.errors);
         System.out.println("short=" + (process.shortReads > 0) + "," + (process.shortWrites > 0));
         System.out.println("unix=" + System.currentTimeMillis() + ".");
-        System.out.println("monotonic=" + (System.nanoTime() - monotonic) / 1_000_000 + ".");
+        System.out.println("monotonic=" + (System.nanoTime() - startNanos) / 1_000_000 + ".");
     }
 
     private void transfer(ServerSocketChannel listener) {
--- a/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
+++ b/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
@@ -18,17 +18,20 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A client that is late asks once more on its connection after its front end was killed, the end of the connection not read
- * yet: that reached nobody, and nobody owes an answer.
+ * A client whose event loop lags may send another request after its front end was killed, because it has not yet read the end of
+ * the connection. Guards against a finding for such a request, which reached no process and needs no answer.
  */
 @Timeout(60)
 class KilledFrontEndTest {
     private static final byte[] ANSWER = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    /** Milliseconds after an answer by which a client has asked again, where it is not held. */
+    /** By this long after an answer a client whose event loop is not blocked has sent its next request. */
     private static final long NEXT_REQUEST_WITHIN_MILLIS = 100;
     private static final int MAX_ATTEMPTS = 20;
 
-    /** Holds every thread of the peers twice: what is due by the second time has not looked at the connection since. */
+    /**
+     * Blocks every event loop of the peers twice. Tasks that are due at the second time run before the event loop reads from the
+     * connection again.
+     */
     private static final class EventLoopBlock {
         private final CountDownLatch firstBlocked = new CountDownLatch(2);
         private final CountDownLatch firstReleased = new CountDownLatch(1);
@@ -45,10 +48,10 @@
             }
         }
 
-        private static void await(CountDownLatch began, CountDownLatch over) {
-            began.countDown();
+        private static void await(CountDownLatch blocked, CountDownLatch released) {
+            blocked.countDown();
             try {
-                over.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -65,8 +68,8 @@
         in.readNBytes(length);
     }
 
-    /** Whether the client asked after the end: not where it had asked again already before it was held. */
-    private static boolean sendsRequestAfterExit(List<RequestAuditor.Finding> found) throws Exception {
+    /** Whether the client sent a request after the exit; false if it sent its next request before its event loop was blocked. */
+    private static boolean sendsRequestAfterExit(List<RequestAuditor.Finding> findings) throws Exception {
         ServerSocket frontEnd = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         try (PeerEventLoops loops = new PeerEventLoops()) {
             RequestAuditor auditor = new RequestAuditor(500);
@@ -79,28 +82,28 @@
             connection.getOutputStream().write(ANSWER);
             while (!answered(auditor)) {
                 if (auditor.requests() > 1) {
-                    return false; // it has asked again before it was held
+                    return false; // the next request was sent before the event loop was blocked
                 }
                 Thread.sleep(1);
             }
-            EventLoopBlock hold = new EventLoopBlock(loops);
-            hold.firstBlocked.await();
+            EventLoopBlock block = new EventLoopBlock(loops);
+            block.firstBlocked.await();
             Thread.sleep(NEXT_REQUEST_WITHIN_MILLIS);
-            hold.firstReleased.countDown();
-            hold.secondBlocked.await();
+            block.firstReleased.countDown();
+            block.secondBlocked.await();
             connection.setSoLinger(true, 0);
             connection.close();
             frontEnd.close();
-            int before = auditor.requests();
+            int requestsBefore = auditor.requests();
             auditor.frontEndKilled(address, loops.now());
             auditor.frontEndExited(address, loops.now());
-            hold.secondReleased.countDown();
+            block.secondReleased.countDown();
             for (int i = 0; i < 2; i++) {
-                loops.next().submit(() -> { }).sync(); // what was due is done
+                loops.next().submit(() -> { }).sync(); // wait until the due tasks have run
             }
             client.stop();
-            found.addAll(auditor.findings(Double.POSITIVE_INFINITY));
-            return auditor.requests() > before;
+            findings.addAll(auditor.findings(Double.POSITIVE_INFINITY));
+            return auditor.requests() > requestsBefore;
         } finally {
             frontEnd.close();
         }
@@ -112,12 +115,12 @@
 
     @Test
     void requestSentAfterFrontEndWasKilledNeedsNoAnswer() throws Exception {
-        List<RequestAuditor.Finding> found = new ArrayList<>();
-        boolean forced = false;
-        for (int i = 0; i < MAX_ATTEMPTS && !forced; i++) {
-            forced = sendsRequestAfterExit(found);
+        List<RequestAuditor.Finding> findings = new ArrayList<>();
+        boolean sentAfterExit = false;
+        for (int i = 0; i < MAX_ATTEMPTS && !sentAfterExit; i++) {
+            sentAfterExit = sendsRequestAfterExit(findings);
         }
-        assertTrue(forced, "no client asked after the end of its front end");
-        assertEquals(List.of(), found);
+        assertTrue(sentAfterExit, "no client sent a request after the exit of its front end");
+        assertEquals(List.of(), findings);
     }
 }
--- a/standins/src/test/java/gradereach/standins/prometheus/PusherTest.java
+++ b/standins/src/test/java/gradereach/standins/prometheus/PusherTest.java
@@ -23,36 +23,37 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The pusher on loopback against receivers that fail: what is sent, accepted, let go and held always adds up. */
+/** Runs the pusher against failing receivers on loopback; accepted, dropped and pending samples always add up to the added ones. */
 @Timeout(60)
 class PusherTest {
     private static final SendQueue.Limits LIMITS = new SendQueue.Limits(2000, 1 << 20, 50, 1 << 16, 10, 60_000, 5, 50);
     private final AtomicLong counter = new AtomicLong();
 
-    private Pusher pusher(String name, String url, String version, SendQueue.Limits bounds, int interval, MetricFamily.Source... more) {
-        MetricFamily.Source own = into -> into.add(new MetricFamily("c", MetricFamily.Type.COUNTER, "", "help",
+    private Pusher pusher(String name, String url, String version, SendQueue.Limits limits, int intervalMillis,
+            MetricFamily.Source... moreSources) {
+        MetricFamily.Source counterSource = families -> families.add(new MetricFamily("c", MetricFamily.Type.COUNTER, "", "help",
                 List.of(new MetricFamily.Point(List.of("x", "1"), counter.incrementAndGet(), null, 5))));
-        List<MetricFamily.Source> all = new ArrayList<>(List.of(own));
-        all.addAll(List.of(more));
+        List<MetricFamily.Source> sources = new ArrayList<>(List.of(counterSource));
+        sources.addAll(List.of(moreSources));
         return new Pusher(new Pusher.Receiver(URI.create(url), version.equals("1.0"), List.of("instance", name, "job", "gradereach"),
-                name, interval, 300, 4, bounds, 2000), all, System::currentTimeMillis, new Random(1));
+                name, intervalMillis, 300, 4, limits, 2000), sources, System::currentTimeMillis, new Random(1));
     }
 
-    private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
-        while (!holds.getAsBoolean()) {
+    private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(2);
         }
     }
 
-    private static long dropped(Pusher.PushStatistics tally) {
-        return Arrays.stream(tally.dropped()).sum();
+    private static long dropped(Pusher.PushStatistics statistics) {
+        return Arrays.stream(statistics.dropped()).sum();
     }
 
-    private static void assertSamplesAddUp(Pusher.PushStatistics tally) {
-        assertEquals(tally.added(), tally.accepted() + dropped(tally) + tally.pending(), tally.toString());
+    private static void assertSamplesAddUp(Pusher.PushStatistics statistics) {
+        assertEquals(statistics.added(), statistics.accepted() + dropped(statistics) + statistics.pending(), statistics.toString());
     }
 
-    /** A fault for a while, then none: what the receiver has is what was accepted, and what is lost is accounted for. */
+    /** After a temporary fault the receiver has exactly the accepted samples, and every lost sample is counted as dropped. */
     @ParameterizedTest
     @CsvSource({"none, 2.0, 0", "none, 1.0, 0", "drop-half, 2.0, 0", "drop-half, 1.0, 0", "429, 2.0, 0", "500, 2.0, 0", "reset, 2.0, 0",
         "hang, 2.0, 0", "only-one, 2.0, 0", "400-one, 2.0, 1"})
@@ -78,24 +79,27 @@
             assertEquals(losesSome > 0, dropped(end) > 0, end.toString());
             assertEquals(end.dropped(DropReason.REFUSED), dropped(end));
             assertEquals(0, receiver.store.outOfOrderCount());
-            if (!fault.equals("hang")) { // an answer that came too late was a write all the same
+            if (!fault.equals("hang")) { // samples of an answer that came too late were stored as well
                 assertEquals(end.accepted(), receiver.acceptedSamples());
             }
-            assertEquals(receiver.store.seriesCount(), receiver.store.endedSeriesCount(), "series without an end");
+            assertEquals(receiver.store.seriesCount(), receiver.store.endedSeriesCount(), "series without a stale marker");
             assertEquals(fault.equals("only-one") || version.equals("1.0"), receiver.requestsByVersion()[0] > 0);
             assertEquals(fault.equals("only-one") || version.equals("1.0") ? 0 : 1, Math.min(1, receiver.requestsByVersion()[1]));
         }
     }
 
-    /** Accepts connections and never reads; or nobody is there: bounds hold, the oldest are let go, and a stop is not held up. */
+    /**
+     * The receiver never reads, or nothing listens: the queue limits hold, the oldest samples are dropped, and closing the pusher is
+     * not delayed.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"never-reads", "nobody"})
-    void unreachableReceiverUsesBoundedMemory(String how) throws Exception {
+    void unreachableReceiverUsesBoundedMemory(String receiverKind) throws Exception {
         SendQueue.Limits small = new SendQueue.Limits(60, 1 << 14, 50, 1 << 16, 10, 300, 5, 50);
         ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         try {
             String url = "http://127.0.0.1:" + silent.getLocalPort() + "/w";
-            if (how.equals("nobody")) {
+            if (receiverKind.equals("nobody")) {
                 silent.close();
             }
             Pusher pusher = pusher("fe", url, "2.0", small, 10);
@@ -112,7 +116,7 @@
         }
     }
 
-    /** A restart goes on with the same series, and says that they count anew. */
+    /** A restarted process continues the same series with counters that start anew, and without samples out of order. */
     @Test
     void restartContinuesSameSeries() throws Exception {
         try (RemoteWriteServer receiver = new RemoteWriteServer()) {
@@ -124,18 +128,19 @@
                 pusher.close();
                 Thread.sleep(5);
             }
-            assertEquals(12, receiver.store.seriesCount(), "c, and what is said of the pushing itself");
+            assertEquals(12, receiver.store.seriesCount(), "c, and the metrics of the pusher itself");
             assertEquals(0, receiver.store.outOfOrderCount());
         }
     }
 
-    /** A million model names: some fifty have series, the sum over all is what was counted. */
+    /** With a million model names only about fifty get series of their own, and the sum over all series is still the total. */
     @Test
     void modelSeriesCountIsBounded() throws Exception {
         ServiceMetrics service = new ServiceMetrics(List.of("g"), 50, System::currentTimeMillis);
         for (int i = 0; i < 1_000_000; i++) {
             long hash = i * 0x9e3779b97f4a7c15L;
-            service.recordInference(0, "yard", 7, "m-" + i, (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L, ServiceMetrics.EndReason.RETURNED, 1, 1, true, 5, 1, 1);
+            service.recordInference(0, "yard", 7, "m-" + i, (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L, ServiceMetrics.EndReason.RETURNED,
+                    1, 1, true, 5, 1, 1);
         }
         try (RemoteWriteServer receiver = new RemoteWriteServer()) {
             Pusher pusher = pusher("fe", receiver.url(), "2.0", LIMITS, 50, service);
@@ -144,14 +149,14 @@
             pusher.close();
             assertTrue(receiver.store.seriesCount() < 51 * 9 + 50, receiver.store.seriesCount() + " series");
             var sum = new Expression("sum(gradereach_model_inferences_total)", 300_000);
-            // The last sample before the series' end.
-            long at = System.currentTimeMillis();
-            double all = Double.NaN;
-            for (long t = at; Double.isNaN(all) && t > at - 10_000; t--) {
+            // Search back for the last sample before the end of the series.
+            long latest = System.currentTimeMillis();
+            double total = Double.NaN;
+            for (long t = latest; Double.isNaN(total) && t > latest - 10_000; t--) {
                 var value = sum.evaluate(receiver.store, t);
-                all = value.isEmpty() ? Double.NaN : value.values().iterator().next();
+                total = value.isEmpty() ? Double.NaN : value.values().iterator().next();
             }
-            assertEquals(1_000_000.0, all);
+            assertEquals(1_000_000.0, total);
         }
     }
 }
