--- a/standins/src/main/java/gradereach/standins/LagIntervals.java
+++ b/standins/src/main/java/gradereach/standins/LagIntervals.java
@@ -8,6 +8,7 @@
  * at any time during it. Thread-safe.
  */
 public final class LagIntervals {
+    /** One interval, in milliseconds. */
     private record Lag(double from, double until) { }
 
     private final List<Lag> lags = new ArrayList<>();
--- a/standins/src/main/java/gradereach/standins/RosterServer.java
+++ b/standins/src/main/java/gradereach/standins/RosterServer.java
@@ -26,6 +26,7 @@
 final class RosterServer implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
+    /** An open watch, with the events that were not sent yet. */
     private record Watcher(String frontEnd, BlockingQueue<ObjectNode> events) { }
 
     private final HttpServer server;
@@ -107,7 +108,7 @@
                 ArrayNode items = endpointSliceList.putArray("items");
                 slices.values().forEach(items::add);
                 list = JSON.writeValueAsBytes(endpointSliceList);
-                slices.values().forEach(slice -> recordTold(frontEnd, "ADDED", slice));
+                slices.values().forEach(slice -> recordSentEntry(frontEnd, "ADDED", slice));
             }
             exchange.sendResponseHeaders(200, list.length);
             exchange.getResponseBody().write(list);
@@ -132,7 +133,7 @@
                 if (event == null) {
                     out.write('\n');
                 } else {
-                    recordTold(frontEnd, event.path("type").asText(), (ObjectNode) event.path("object"));
+                    recordSentEntry(frontEnd, event.path("type").asText(), (ObjectNode) event.path("object"));
                     out.write((event + "\n").getBytes(StandardCharsets.UTF_8));
                 }
                 out.flush();
@@ -152,7 +153,8 @@
 
     private static final long DEFAULT_WATCH_SECONDS = 1800; // used if the request has no timeout
 
-    private void recordTold(String frontEnd, String type, ObjectNode slice) {
+    /** Writes an entry sent to a front end to the transcript. */
+    private void recordSentEntry(String frontEnd, String type, ObjectNode slice) {
         if (!slice.has("ports")) {
             return;
         }
--- a/standins/src/main/java/gradereach/standins/SimulatedMachine.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedMachine.java
@@ -34,6 +34,7 @@
         void onQueueFull();
     }
 
+    /** One inference; {@code work} and {@code remainingWork} are milliseconds on an unshared core. */
     final class Job {
         final JobListener listener;
         final double work;
@@ -67,6 +68,7 @@
         }
     }
 
+    /** A load order that waits until {@code copies} copies are loaded or a load fails. */
     private record PendingLoadOrder(int copies, BiConsumer<Integer, Integer> answer) { }
 
     private final EventLoop loop;
--- a/standins/src/main/java/gradereach/standins/SmallFleet.java
+++ b/standins/src/main/java/gradereach/standins/SmallFleet.java
@@ -59,6 +59,7 @@
         return fleet.addresses();
     }
 
+    /** Port of {@link StandInFleet#controlPort}. */
     public int controlPort() {
         return fleet.controlPort();
     }
--- a/standins/src/main/java/gradereach/standins/StandInExecutor.java
+++ b/standins/src/main/java/gradereach/standins/StandInExecutor.java
@@ -180,6 +180,7 @@
         });
     }
 
+    /** Handles the request of one HTTP/2 stream. */
     private final class InferenceStreamHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private String forward = "";
         private String dedupKey = "";
--- a/standins/src/main/java/gradereach/standins/StandInFleet.java
+++ b/standins/src/main/java/gradereach/standins/StandInFleet.java
@@ -109,6 +109,7 @@
         });
     }
 
+    /** Port of the roster server. */
     public int rosterPort() {
         return roster.port();
     }
@@ -118,6 +119,7 @@
         return controlServer.getAddress().getPort();
     }
 
+    /** Addresses of all executors, in their order. */
     public List<String> addresses() {
         return executors.stream().map(StandInExecutor::address).toList();
     }
--- a/standins/src/main/java/gradereach/standins/StandInWarmUp.java
+++ b/standins/src/main/java/gradereach/standins/StandInWarmUp.java
@@ -88,6 +88,7 @@
         pendingResponses.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
+    /** A warm-up request with its path and body. */
     private record WarmUpRequest(String path, byte[] body) { }
 
     private static void send(Channel connection, WarmUpRequest request, String id, CountDownLatch pendingResponses)
--- a/standins/src/main/java/gradereach/standins/StreamedAnswer.java
+++ b/standins/src/main/java/gradereach/standins/StreamedAnswer.java
@@ -48,9 +48,9 @@
 
     void start(ChannelHandlerContext ctx, AnswerSource answerSource, String loadStatus, int concurrency) {
         source = answerSource;
-        DefaultHttpResponse headers = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        headers.headers().set("content-type", "application/grpc").set("model-warmth", loadStatus).set("model-crowd", concurrency);
-        ctx.writeAndFlush(headers);
+        DefaultHttpResponse responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        responseHead.headers().set("content-type", "application/grpc").set("model-warmth", loadStatus).set("model-crowd", concurrency);
+        ctx.writeAndFlush(responseHead);
         if ("head".equals(faults.resetPoint)) {
             finished = true;
             reset(ctx, transcript, source.address(), source.forward());
--- a/standins/src/main/java/gradereach/standins/Transcript.java
+++ b/standins/src/main/java/gradereach/standins/Transcript.java
@@ -23,6 +23,7 @@
     private final JsonGenerator generator;
     private final List<EventWaiter> waiters = new ArrayList<>();
 
+    /** Writes to a new file. */
     public Transcript(Path file) throws IOException {
         this(Files.newBufferedWriter(file));
     }
@@ -54,10 +55,12 @@
         return waiter.result;
     }
 
+    /** Writes an event with the current time; {@code pairs} are keys and values in turn. */
     public void write(String event, Object... pairs) {
         writeAt(now(), event, pairs);
     }
 
+    /** Writes an event with the given time, in Unix milliseconds. */
     public synchronized void writeAt(double time, String event, Object... pairs) {
         try {
             generator.writeStartObject();
@@ -84,6 +87,7 @@
                 && waiter.result.complete(valuesByKey));
     }
 
+    /** Flushes buffered events to the file. */
     public synchronized void flush() {
         try {
             generator.flush();
--- a/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
+++ b/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
@@ -69,15 +69,15 @@
     }
 
     /** Makes the change log unavailable to all front ends until {@link #endOutage}. */
-    public void startOutage(Outage kind) throws InterruptedException {
-        outage = kind;
+    public void startOutage(Outage newOutage) throws InterruptedException {
+        outage = newOutage;
         watches.clear();
-        if (kind == Outage.UNREACHABLE) {
+        if (newOutage == Outage.UNREACHABLE) {
             for (PeerListener listener : listeners) {
                 listener.stop();
             }
         }
-        if (kind == Outage.SILENT) {
+        if (newOutage == Outage.SILENT) {
             silencedAt = loops.now();
         } else {
             disconnectedAt = loops.now();
@@ -198,6 +198,7 @@
         return total;
     }
 
+    /** Reads resync requests from a connection and starts its watch. */
     private final class WatchHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final StringBuilder received = new StringBuilder();
 
--- a/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
+++ b/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
@@ -39,11 +39,12 @@
     }
 
     /** An overload caused by front ends; inconclusive if it may only appear so because requests were read late. */
-    record Fall(String description, boolean conclusive) { }
+    record Overload(String description, boolean conclusive) { }
 
     /** A request that was read at {@code readAt} and arrived at {@code earliestAt} or later. */
     private record Arrival(double earliestAt, double readAt, Object frontEnd) { }
 
+    /** The cold start of a process, with the requests that arrived during its warm-up. */
     private static final class ProcessStart {
         private final double startedAt;
         private final List<Arrival> arrivals = new ArrayList<>();
@@ -93,13 +94,14 @@
     }
 
     /** The first overload of each process for which front ends are to blame. */
-    synchronized List<Fall> falls(Map<Object, FrontEndConnectionLog> connectionLogs) {
-        List<Fall> falls = new ArrayList<>();
-        allStarts.forEach(start -> addFirstFall(start.getKey(), start.getValue(), connectionLogs, falls));
-        return falls;
+    synchronized List<Overload> overloads(Map<Object, FrontEndConnectionLog> connectionLogs) {
+        List<Overload> overloads = new ArrayList<>();
+        allStarts.forEach(start -> addFirstOverload(start.getKey(), start.getValue(), connectionLogs, overloads));
+        return overloads;
     }
 
-    private void addFirstFall(String executor, ProcessStart start, Map<Object, FrontEndConnectionLog> connectionLogs, List<Fall> falls) {
+    private void addFirstOverload(String executor, ProcessStart start, Map<Object, FrontEndConnectionLog> connectionLogs,
+            List<Overload> overloads) {
         for (Arrival last : start.arrivals) {
             double limit = parameters.maxRequests(last.readAt - start.startedAt);
             double from = last.readAt - parameters.windowMillis + SOCKET_SLACK_MILLIS;
@@ -114,7 +116,7 @@
                         .filter(arrival -> start.wasDeliveredTo(arrival.frontEnd, arrival.earliestAt, connectionLogs)).count();
                 long certainlyInWindow = inWindow.stream().filter(arrival -> arrival.earliestAt > from).count();
                 if (notified > blamed) {
-                    falls.add(new Fall(executor + ", started " + Math.round(start.startedAt)
+                    overloads.add(new Overload(executor + ", started " + Math.round(start.startedAt)
                             + ", told " + Math.round(start.deliveredAt) + ": "
                             + inWindow.size() + " requests within " + Math.round(parameters.windowMillis) + " ms at "
                             + Math.round(last.readAt) + ", falls beyond " + Math.round(limit) + "; " + notified
@@ -125,7 +127,7 @@
         }
     }
 
-    /** The highest load of a cold process, as a fraction of its limit; set by {@link #falls}. */
+    /** The highest load of a cold process, as a fraction of its limit; set by {@link #overloads}. */
     public synchronized double highestLoadRatio() {
         return highestLoadRatio;
     }
--- a/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
@@ -33,6 +33,7 @@
     public final String instanceId;
     /** Name used by the auditor; unlike the instance id it differs between successive processes. */
     public final String processName;
+    /** Host and port at which the executor listens. */
     public final String address;
     /** Fraction of requests with a fault: no answer, a closed connection, a corrupted or a duplicate answer. */
     public volatile double faultRate;
--- a/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
@@ -86,6 +86,7 @@
         }
     }
 
+    /** A request of a client, with what was observed of it. */
     private static final class Request {
         private final Object frontEnd;
         private final double sentAt;
@@ -411,8 +412,8 @@
                         + Math.round(send.receivedAt - send.drain.announcedAt) + " ms after"
                         + probeHistory.describe(send.executor, send.sender, send.receivedAt)),
                 send.receivedAt, send.drain.announcedAt + drainGraceMillis + SOCKET_SLACK_MILLIS)));
-        coldStartCheck.falls(connectionLogs).forEach(fall -> (fall.conclusive() ? all : inconclusive).add(
-                new Finding(Violation.COLD_FALL, fall.description())));
+        coldStartCheck.overloads(connectionLogs).forEach(overload -> (overload.conclusive() ? all : inconclusive).add(
+                new Finding(Violation.COLD_FALL, overload.description())));
         requests.forEach((id, request) -> {
             double latest = request.sentAt + request.budgetMillis + ANSWER_SLACK_MILLIS + SOCKET_SLACK_MILLIS;
             if (request.sentAt < before && !request.excused && !stallIntervals.coversOrJustEnded(request.frontEnd, latest)
--- a/standins/src/main/java/gradereach/standins/frames/RequestClient.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestClient.java
@@ -87,6 +87,7 @@
         }
     }
 
+    /** Handler of a connection on which nothing is sent. */
     @ChannelHandler.Sharable
     private static final class SilentHandler extends ChannelInboundHandlerAdapter {
         @Override
--- a/standins/src/main/java/gradereach/standins/frames/StallIntervals.java
+++ b/standins/src/main/java/gradereach/standins/frames/StallIntervals.java
@@ -8,6 +8,7 @@
     /** Time that a front end needs after a stall to read and answer the pending requests. */
     private static final double RECOVERY_MILLIS = 100;
 
+    /** One stall of a front end. */
     private record Stall(Object frontEnd, double from, double to) { }
 
     private final List<Stall> stalls = new ArrayList<>();
--- a/standins/src/main/java/gradereach/standins/prometheus/Expression.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/Expression.java
@@ -28,10 +28,12 @@
         }
     }
 
+    /** A node of the syntax tree. */
     private interface Node {
         Value evaluate(SampleStore store, long now);
     }
 
+    /** A selector; {@code rangeMillis} is 0 for an instant selector. */
     private record RangeSelector(String name, List<String[]> matchers, long rangeMillis) {
         Map<Map<String, String>, List<SampleStore.Sample>> samples(SampleStore store, long now, long windowMillis) {
             Map<Map<String, String>, List<SampleStore.Sample>> matching = new HashMap<>();
--- a/standins/src/main/java/gradereach/standins/prometheus/RemoteWriteServer.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RemoteWriteServer.java
@@ -32,10 +32,15 @@
         thread.setDaemon(true);
         return thread;
     });
+    /** The accepted samples. */
     public final SampleStore store = new SampleStore();
+    /** The injected fault, or another text for none. */
     public volatile String fault = "";
+    /** Delay of the answers with the fault {@code hang}. */
     public volatile long delayMillis = 30_000;
+    /** Metric name that is rejected with the fault {@code 400-one}. */
     public volatile String rejectedName = "";
+    /** Retry-After of the answers with the fault {@code 429}. */
     public volatile int retryAfterSeconds = 1;
     private final AtomicInteger requestCount = new AtomicInteger();
     private final List<long[]> arrivalTimes = new ArrayList<>();
@@ -44,6 +49,7 @@
     private long version1Requests;
     private long version2Requests;
 
+    /** Listens on a free loopback port. */
     public RemoteWriteServer() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
         server.setExecutor(threads);
@@ -51,6 +57,7 @@
         server.start();
     }
 
+    /** URL of the remote write endpoint. */
     public String url() {
         return "http://127.0.0.1:" + server.getAddress().getPort() + "/api/v1/write";
     }
@@ -158,14 +165,17 @@
         return true;
     }
 
+    /** Number of requests received, including failed ones. */
     public int requestCount() {
         return requestCount.get();
     }
 
+    /** Number of accepted samples. */
     public synchronized long acceptedSamples() {
         return acceptedSamples;
     }
 
+    /** Bytes of the bodies of the requests that were not failed by a fault, as received. */
     public synchronized long acceptedBytes() {
         return acceptedBytes;
     }
--- a/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
@@ -16,6 +16,7 @@
  * it has been pending for its {@code for} duration.
  */
 public final class RuleEvaluator {
+    /** A recording rule, or an alert with its {@code for} duration; the other name is null. */
     private record Rule(String record, String alert, Expression expression, long forMillis) { }
 
     /** An alert, with the time in milliseconds at which it first fired. */
@@ -43,6 +44,7 @@
         intervalMillis = minIntervalMillis;
     }
 
+    /** The shortest evaluation interval of the rule groups. */
     public long intervalMillis() {
         return intervalMillis;
     }
@@ -70,6 +72,7 @@
         }
     }
 
+    /** All alerts that fired so far, in the order of their first firing. */
     public List<FiredAlert> fired() {
         return List.copyOf(fired.values());
     }
--- a/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
@@ -11,6 +11,7 @@
     /** Bit pattern of the stale marker, which ends a series. */
     static final long STALE = 0x7ff0000000000002L;
 
+    /** One sample, with its Unix time in milliseconds. */
     record Sample(long timestamp, double value) {
         boolean stale() {
             return Double.doubleToRawLongBits(value) == STALE;
@@ -63,14 +64,17 @@
         return found;
     }
 
+    /** Number of stored samples. */
     public synchronized long sampleCount() {
         return sampleCount;
     }
 
+    /** Number of samples rejected as out of order. */
     public synchronized long outOfOrderCount() {
         return outOfOrderCount;
     }
 
+    /** Number of series. */
     public synchronized int seriesCount() {
         return series.size();
     }
--- a/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
@@ -23,6 +23,7 @@
 
     private FaultedProcess() { }
 
+    /** Runs the calls; the argument is the file to write to. */
     public static void main(String[] args) throws Exception {
         FaultedProcess process = new FaultedProcess();
         long startNanos = System.nanoTime();
