--- a/membership/src/main/java/gradereach/membership/GossipQueue.java
+++ b/membership/src/main/java/gradereach/membership/GossipQueue.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Member updates that are piggybacked on messages. Each is transmitted a multiple of the logarithm of the number of members, the least
- * transmitted ones first (SWIM, section 4.1), with a limit for each message. A newer update replaces an older one about the member.
+ * Member updates that are piggybacked on messages. Each is transmitted a number of times that grows with the logarithm of the number of
+ * members, the least transmitted ones first (SWIM, section 4.1), with a limit of updates for each message. A newer update replaces an
+ * older one about the same member.
  */
 final class GossipQueue {
     /** Multiplier of the logarithm in the transmit limit; memberlist and the experiments of SWIM use three. */
--- a/membership/src/main/java/gradereach/membership/SeatGrantor.java
+++ b/membership/src/main/java/gradereach/membership/SeatGrantor.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * One grantor of seats. Budgets that front ends share (a cold executor's budget, a quota, a ration of loads) are divided into a fixed
+ * One grantor of seats. Budgets that front ends share (a cold executor's budget, a quota, a load order budget) are divided into a fixed
  * number of seats, and whoever holds a seat may spend that fraction. A grantor grants a seat to one holder at a time, under a lease
  * that it counts by its own monotonic clock. It stores nothing on disk: after a start it grants nothing until every lease that it may
  * have granted before is over.
--- a/membership/src/main/java/gradereach/membership/SeatHolder.java
+++ b/membership/src/main/java/gradereach/membership/SeatHolder.java
@@ -14,7 +14,7 @@
  *
  * The number of seats follows the front end's share of the traffic slowly: it grows by a few seats at a time, only by seats that a
  * majority reports as available, and seats beyond the share are released. A new front end has no seats until some become available,
- * and gets along with the minimum share meanwhile.
+ * and makes do with the minimum share meanwhile.
  *
  * A state machine without I/O: times come in, requests go out. Each round sends one request to all grantors.
  */
