--- a/gateway/src/main/java/gradereach/loop/StartRetry.java
+++ b/gateway/src/main/java/gradereach/loop/StartRetry.java
@@ -12,7 +12,7 @@
  * the address. Such failures are retried for some seconds before the start fails.
  */
 public final class StartRetry {
-    /** A restarted process has to be ready within 30 seconds, and the warm-up and reading of the ledger need most of them. */
+    /** A restarted process has to be ready within 30 seconds; this leaves time for the warm-up and for reading the ledger. */
     private static final long RETRY_TIMEOUT_NANOS = Duration.ofSeconds(10).toNanos();
     private static final long RETRY_INTERVAL_MILLIS = 50;
     private static final String ADDRESS_IN_USE = "Address already in use";
