--- a/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
+++ b/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gradereach.api.Outcome;
 import gradereach.http2.ExchangeListener.ExchangeResult;
-import gradereach.deployment.Deployment;
+import gradereach.plan.Deployment;
 import gradereach.serve.FaultInjection;
 import gradereach.serve.Gateway;
 import gradereach.standins.SmallFleet;
--- a/gateway/src/test/java/gradereach/loop/DecisionLoopTest.java
+++ b/gateway/src/test/java/gradereach/loop/DecisionLoopTest.java
@@ -6,11 +6,11 @@
 
 import gradereach.api.Router;
 import gradereach.counts.Counts;
-import gradereach.coordinator.ClaimService;
-import gradereach.coordinator.InferenceCoordinator;
-import gradereach.coordinator.Ledger;
-import gradereach.coordinator.MessageStore;
-import gradereach.coordinator.Timers;
+import gradereach.desk.ClaimService;
+import gradereach.desk.InferenceCoordinator;
+import gradereach.desk.Ledger;
+import gradereach.desk.MessageStore;
+import gradereach.desk.Timers;
 import gradereach.inquiry.InquiryScheduler;
 import gradereach.message.AnswerFormat;
 import java.lang.reflect.Proxy;
