--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -80,7 +80,7 @@
                 + "\",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":" + workMillis + "}}}}").getBytes(StandardCharsets.UTF_8);
     }
 
-    private String requestHead(String id, byte[] body, String... more) {
+    private String requestHead(String id, byte[] body, String... extraHeaders) {
         long now = System.currentTimeMillis() / 1000;
         return "POST /v1/inferences HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\nwebhook-id: " + id
                 + "\r\nwebhook-timestamp: " + now + "\r\nwebhook-signature: v1," + key.sign(id, now, body)
