--- a/standins/src/main/java/gradereach/standins/SimulatedMachine.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedMachine.java
@@ -78,6 +78,7 @@
     private final Map<String, HostedModel> hostedModels = new LinkedHashMap<>();
     private final List<Job> runningJobs = new ArrayList<>();
     private final ArrayDeque<HostedModel> loadQueue = new ArrayDeque<>();
+    /** Arrival time and usual work of each inference within the overload window. */
     private final ArrayDeque<double[]> recentWork = new ArrayDeque<>();
     private double recentWorkSum;
     private int activeLoads;
--- a/standins/src/main/java/gradereach/standins/StandInFleet.java
+++ b/standins/src/main/java/gradereach/standins/StandInFleet.java
@@ -44,6 +44,7 @@
     private final Map<String, SimulatedMachine.ModelSpec> resolvedModels = new ConcurrentHashMap<>();
     private final Map<String, byte[]> dedupAnswers = StandInExecutor.newDedupStore();
     private final List<StandInExecutor> executors = new ArrayList<>();
+    /** Time from a crash to the removal of the executor from the roster. */
     private final double noticeMillis;
 
     /**
--- a/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
@@ -18,7 +18,7 @@
 public final class FrameExecutor {
     /** How long after the start of its drain an executor still accepts requests; those of the bench do so for 0.4 to 0.75 s. */
     private static final double REJECT_AFTER_DRAIN_MILLIS = 600;
-    private static final double BACKLOG_READ_MILLIS = 50; // by then the data that piled up in the socket has been read
+    private static final double BACKLOG_READ_MILLIS = 50; // time within which the backlog of a socket is read after a pause
     private static final int MIN_WORK_MILLIS = 5;
     private static final int WORK_RANGE_MILLIS = 40;
     private static final int MIN_DELAY_MILLIS = 600;
--- a/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
@@ -45,7 +45,7 @@
     /** One violation, with a description of what was observed. */
     public record Finding(Violation violation, String description) { }
 
-    /** How long after the client's deadline an answer may still come without a violation; it is only worth nothing then. */
+    /** A missing answer is a violation only this long after the client's deadline; a late answer before that merely earns nothing. */
     private static final double ANSWER_SLACK_MILLIS = 500;
     /** How long after a request has ended or its client has cancelled it an attempt may still begin. */
     private static final double CANCEL_SLACK_MILLIS = 100;
