--- a/rehearsal/src/main/java/gradereach/measure/GrpcLoadGenerator.java
+++ b/rehearsal/src/main/java/gradereach/measure/GrpcLoadGenerator.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Signed unary calls with a tensor of 64 numbers, over so many connections in turn. */
+/** Sends signed unary calls with a tensor of 64 numbers over several connections in turn. */
 final class GrpcLoadGenerator implements AutoCloseable {
     private static final String METHOD_NAME = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
     private static final Metadata.Key<String> ID = asciiKey(CallSignature.ID);
@@ -27,15 +27,15 @@
     private static final Metadata.Key<String> SIGNATURE = asciiKey(CallSignature.SIGNATURE);
     private final List<ManagedChannel> channels = new ArrayList<>();
     private final WebhookKey key;
-    /** By model, with what is signed of it. */
+    /** Requests by model; {@code signedContents} has the content that is signed for each. */
     private final Map<String, ModelInferRequest> requests = new HashMap<>();
     private final Map<String, byte[]> signedContents = new HashMap<>();
     private int nextChannel;
 
-    GrpcLoadGenerator(InetSocketAddress to, WebhookKey key, int connections) {
+    GrpcLoadGenerator(InetSocketAddress address, WebhookKey key, int connections) {
         this.key = key;
         for (int i = 0; i < connections; i++) {
-            channels.add(NettyChannelBuilder.forAddress(to).usePlaintext().disableRetry().directExecutor().build());
+            channels.add(NettyChannelBuilder.forAddress(address).usePlaintext().disableRetry().directExecutor().build());
         }
     }
 
@@ -52,21 +52,25 @@
                 .setName("x").setDatatype("FP32").addShape(64).setContents(numbers)).build();
     }
 
-    /** Of one thread; {@code then} hears on the I/O threads whether it was returned. */
-    void send(String id, String model, Consumer<Boolean> then) {
+    /**
+     * Sends one call. To be called on one thread only.
+     *
+     * @param onEnd gets, on an I/O thread, whether the call returned an answer
+     */
+    void send(String id, String model, Consumer<Boolean> onEnd) {
         ModelInferRequest request = requests.computeIfAbsent(model, GrpcLoadGenerator::createRequest);
-        byte[] of = signedContents.computeIfAbsent(model, m -> CallSignature.signedContent(METHOD_NAME, CallSignature.digest(request)));
-        long at = System.currentTimeMillis() / 1000;
+        byte[] content = signedContents.computeIfAbsent(model, name -> CallSignature.signedContent(METHOD_NAME, CallSignature.digest(request)));
+        long timestamp = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
         headers.put(ID, id);
-        headers.put(TIMESTAMP, Long.toString(at));
-        headers.put(SIGNATURE, "v1," + key.sign(id, at, of));
+        headers.put(TIMESTAMP, Long.toString(timestamp));
+        headers.put(SIGNATURE, "v1," + key.sign(id, timestamp, content));
         ClientCall<ModelInferRequest, ModelInferResponse> call = channels.get(nextChannel++ % channels.size())
                 .newCall(GRPCInferenceServiceGrpc.getModelInferMethod(), CallOptions.DEFAULT);
         call.start(new ClientCall.Listener<>() {
             @Override
             public void onClose(Status status, Metadata trailers) {
-                then.accept(status.isOk());
+                onEnd.accept(status.isOk());
             }
         }, headers);
         call.request(2);
--- a/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
@@ -41,19 +41,25 @@
 import org.HdrHistogram.Recorder;
 
 /**
- * What one front end adds: client to executor directly and through the front end, in turn in one run, open loop. Times
- * count from when a request was due, so a stall shows in all that it delayed (no coordinated omission).
+ * Measures the latency that one front end adds: requests go to an executor directly and through the front end, in turn in
+ * one run, with an open-loop load. Latency counts from the time at which a request was due, so that a stall shows in all
+ * requests that it delayed (no coordinated omission).
  */
 public final class LatencyBenchmark {
-    /** Executors behind the front end; each answers at once, so that they do not bound it. */
+    /** Executors behind the front end; each answers at once, so that they do not limit the throughput. */
     private static final int EXECUTORS = 4;
     private static final int MODELS = 16;
-    /** Of gRPC; the HTTP/2 pools below open up to four each. */
+    /** Connections of the gRPC load; each of the three HTTP/2 pools opens up to four. */
     private static final int GRPC_CONNECTIONS = 6;
 
-    /** One figure of a run: microseconds, and CPU of the front end in microseconds an inference. */
-    public record LoadMeasurement(String path, int requestedRate, double achievedRate, long errors, long p50, long p99, long p999, double cpuMicros,
-            long memoryMb) {
+    /**
+     * One measurement: rates in requests a second, latencies in microseconds.
+     *
+     * @param cpuMicros CPU time of the front end for each inference, negative where it is not measured
+     * @param memoryMb resident memory of the front end
+     */
+    public record LoadMeasurement(String path, int requestedRate, double achievedRate, long errors, long p50, long p99, long p999,
+            double cpuMicros, long memoryMb) {
         @Override
         public String toString() {
             return String.format("%-8s %6d/s asked %8.0f/s reached %6d errors  p50 %6.2f ms  p99 %6.2f ms  p99.9 %7.2f ms%s",
@@ -69,11 +75,11 @@
     private final WebhookKey key = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
     private final ChildProcesses children = new ChildProcesses(TimeUnit.SECONDS.toMillis(10));
-    /** In the order of their start. */
+    /** The started processes, in the order of their start. */
     private final List<Process> processes = new ArrayList<>();
     private Histogram lastLatencies;
 
-    /** {@code ledger}: the inferences are non-retriable and every one is in a ledger. */
+    /** @param ledger whether the inferences are non-retriable, so that every one is recorded in a ledger */
     public LatencyBenchmark(Path folder, List<String> frontEndCommand, boolean ledger, PrintStream out) {
         this.ledger = ledger;
         this.folder = folder;
@@ -81,51 +87,51 @@
         this.out = out;
     }
 
-    /** Runs each rate directly and through, {@code rounds} times in turn. */
+    /** Runs each rate directly, through the front end by HTTP/2 and through it by gRPC, {@code rounds} times in turn. */
     public List<LoadMeasurement> run(int[] rates, int seconds, int rounds, int openConnections)
             throws IOException, InterruptedException {
-        List<LoadMeasurement> figures = new ArrayList<>();
-        List<Socket> idle = new ArrayList<>();
+        List<LoadMeasurement> measurements = new ArrayList<>();
+        List<Socket> idleConnections = new ArrayList<>();
         try {
             List<Integer> ports = new ArrayList<>();
             for (int i = 0; i < EXECUTORS; i++) {
                 ports.add(Integer.parseInt(startProcess(Rehearsal.javaCommand("gradereach.serve.EchoExecutor")).split(" ")[1]));
             }
-            String said = startProcess(writeFrontEndCommand(ports, null, "plan"));
+            String frontEndOutput = startProcess(writeFrontEndCommand(ports, null, "plan"));
             Process frontEnd = processes.get(processes.size() - 1);
             InetSocketAddress front = new InetSocketAddress("127.0.0.1",
-                    Integer.parseInt(said.split(" ")[1].replaceAll(".*:", "")));
+                    Integer.parseInt(frontEndOutput.split(" ")[1].replaceAll(".*:", "")));
             InetSocketAddress direct = new InetSocketAddress("127.0.0.1", ports.get(0));
             InetSocketAddress grpc = new InetSocketAddress("127.0.0.1",
-                    Integer.parseInt(said.split(" ")[3].replaceAll(".*:", "")));
+                    Integer.parseInt(frontEndOutput.split(" ")[3].replaceAll(".*:", "")));
             runLoad("warm-up", front, 1000, 5, null);
             runLoad("grpc", grpc, 1000, 5, null);
             runLoad("direct", direct, 1000, 2, null);
             for (int i = 0; i < openConnections; i++) {
-                idle.add(new Socket(front.getAddress(), front.getPort()));
+                idleConnections.add(new Socket(front.getAddress(), front.getPort()));
             }
             if (openConnections > 0) {
                 out.println(openConnections + " further connections are open");
             }
             for (int round = 0; round < rounds; round++) {
                 for (int rate : rates) {
-                    figures.add(print(runLoad("direct", direct, rate, seconds, null)));
-                    figures.add(print(runLoad("through", front, rate, seconds, frontEnd)));
-                    figures.add(print(runLoad("grpc", grpc, rate, seconds, frontEnd)));
+                    measurements.add(print(runLoad("direct", direct, rate, seconds, null)));
+                    measurements.add(print(runLoad("through", front, rate, seconds, frontEnd)));
+                    measurements.add(print(runLoad("grpc", grpc, rate, seconds, frontEnd)));
                 }
             }
         } finally {
-            for (Socket socket : idle) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
             stopProcesses();
         }
-        return figures;
+        return measurements;
     }
 
     /**
-     * The users' test of pushing measures: the same load on front ends that push to nobody (two of them: what lies between them is
-     * noise), to a receiver that is well, to one that drops every second write, to one that answers after half a minute.
+     * Measures what remote write costs: the same load on front ends that push to a healthy receiver, to one that drops every
+     * second write, to one that answers after half a minute, and on two that do not push, whose difference is the noise.
      */
     public void runRemoteWrite(int rate, int seconds, int rounds) throws IOException, InterruptedException {
         Map<String, RemoteWriteServer> receivers = new LinkedHashMap<>();
@@ -140,32 +146,32 @@
                 ports.add(Integer.parseInt(startProcess(Rehearsal.javaCommand("gradereach.serve.EchoExecutor")).split(" ")[1]));
             }
             Map<String, InetSocketAddress> fronts = new LinkedHashMap<>();
-            Map<String, Process> of = new HashMap<>();
-            for (String way : new String[] {"off", "off too", "healthy", "dropping", "hanging"}) {
-                RemoteWriteServer to = receivers.get(way.equals("healthy") ? "" : way.equals("dropping") ? "drop-half"
-                        : way.equals("hanging") ? "hang" : "none");
-                String said = startProcess(writeFrontEndCommand(ports, to == null ? null : to.url(), way.replace(' ', '-')));
-                of.put(way, processes.get(processes.size() - 1));
-                fronts.put(way, new InetSocketAddress("127.0.0.1", Integer.parseInt(said.split(" ")[1].replaceAll(".*:", ""))));
+            Map<String, Process> processByVariant = new HashMap<>();
+            for (String variant : new String[] {"off", "off too", "healthy", "dropping", "hanging"}) {
+                RemoteWriteServer target = receivers.get(variant.equals("healthy") ? "" : variant.equals("dropping") ? "drop-half"
+                        : variant.equals("hanging") ? "hang" : "none");
+                String output = startProcess(writeFrontEndCommand(ports, target == null ? null : target.url(), variant.replace(' ', '-')));
+                processByVariant.put(variant, processes.get(processes.size() - 1));
+                fronts.put(variant, new InetSocketAddress("127.0.0.1", Integer.parseInt(output.split(" ")[1].replaceAll(".*:", ""))));
             }
             for (int i = 0; i < 2; i++) {
                 for (InetSocketAddress front : fronts.values()) {
                     runLoad("warm-up", front, rate, 4, null);
                 }
             }
-            Map<String, Histogram> all = new LinkedHashMap<>();
+            Map<String, Histogram> latenciesByVariant = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
-                for (String way : fronts.keySet()) {
-                    LoadMeasurement figure = runLoad(way, fronts.get(way), rate, seconds, of.get(way));
-                    print(figure);
-                    all.computeIfAbsent(way, w -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3)).add(lastLatencies);
+                for (String variant : fronts.keySet()) {
+                    LoadMeasurement measurement = runLoad(variant, fronts.get(variant), rate, seconds, processByVariant.get(variant));
+                    print(measurement);
+                    latenciesByVariant.computeIfAbsent(variant, key -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3)).add(lastLatencies);
                 }
             }
             out.println();
-            all.forEach((way, times) -> out.println(String.format("%-8s all rounds: p50 %6.2f ms  p90 %6.2f ms  p99 %6.2f ms  p99.9 %6.2f ms"
-                    + "  most %7.2f ms  of %d", way, times.getValueAtPercentile(50) / 1e6, times.getValueAtPercentile(90) / 1e6,
-                    times.getValueAtPercentile(99) / 1e6, times.getValueAtPercentile(99.9) / 1e6, times.getMaxValue() / 1e6,
-                    times.getTotalCount())));
+            latenciesByVariant.forEach((variant, latencies) -> out.println(String.format("%-8s all rounds: p50 %6.2f ms  p90 %6.2f ms  p99 %6.2f ms  p99.9 %6.2f ms"
+                    + "  most %7.2f ms  of %d", variant, latencies.getValueAtPercentile(50) / 1e6, latencies.getValueAtPercentile(90) / 1e6,
+                    latencies.getValueAtPercentile(99) / 1e6, latencies.getValueAtPercentile(99.9) / 1e6, latencies.getMaxValue() / 1e6,
+                    latencies.getTotalCount())));
             receivers.forEach((fault, receiver) -> out.println(String.format("receiver %-10s %4d requests, %6d samples accepted, "
                     + "%5.1f bytes a sample, %d series", fault.isEmpty() ? "healthy" : fault, receiver.requestCount(), receiver.acceptedSamples(),
                     receiver.acceptedBytes() / (double) Math.max(1, receiver.acceptedSamples()), receiver.store.seriesCount())));
@@ -175,37 +181,37 @@
         }
     }
 
-    /** Sixty front ends' pushers that start at once, in this process, against one receiver: writes in each second. */
+    /** Starts the pushers of sixty front ends at once in this process and counts the writes to one receiver by second. */
     public void runSimultaneousPushers() throws IOException, InterruptedException {
-        int interval = 15_000;
-        List<Pusher> all = new ArrayList<>();
+        int intervalMillis = 15_000;
+        List<Pusher> pushers = new ArrayList<>();
         try (RemoteWriteServer receiver = new RemoteWriteServer()) {
             for (int i = 0; i < 60; i++) {
                 ServiceMetrics service = new ServiceMetrics(List.of("a", "b", "c"), 50, System::currentTimeMillis);
                 for (int n = 0; n < 100; n++) {
                     service.recordInference(n % 3, "c-" + n % 7, n % 7, "m-" + n, n * 0x9e3779b97f4a7c15L, ServiceMetrics.EndReason.RETURNED, 1, 1, true, 20, 1, 1);
                 }
-                all.add(new Pusher(new Pusher.Receiver(URI.create(receiver.url()), false, List.of("instance", "fe-" + i, "job", "gradereach"),
-                        "fe-" + i, interval, 10_000, 4, new SendQueue.Limits(200_000, 32 << 20, 2000, 512 << 10, 1000, 600_000, 500,
+                pushers.add(new Pusher(new Pusher.Receiver(URI.create(receiver.url()), false, List.of("instance", "fe-" + i, "job", "gradereach"),
+                        "fe-" + i, intervalMillis, 10_000, 4, new SendQueue.Limits(200_000, 32 << 20, 2000, 512 << 10, 1000, 600_000, 500,
                         30_000), 1000), List.of(service), System::currentTimeMillis, new Random(i)));
             }
-            long start = System.nanoTime() / 1_000_000;
-            all.forEach(Pusher::start);
-            Thread.sleep(3 * interval + 1000);
-            int[] seconds = new int[3 * interval / 1000];
-            for (long at : receiver.arrivalTimes()) {
-                int second = (int) ((at - start) / 1000);
-                if (second < seconds.length) {
-                    seconds[second]++;
+            long startMillis = System.nanoTime() / 1_000_000;
+            pushers.forEach(Pusher::start);
+            Thread.sleep(3 * intervalMillis + 1000);
+            int[] writesBySecond = new int[3 * intervalMillis / 1000];
+            for (long arrivedAt : receiver.arrivalTimes()) {
+                int second = (int) ((arrivedAt - startMillis) / 1000);
+                if (second < writesBySecond.length) {
+                    writesBySecond[second]++;
                 }
             }
-            double steady = 60_000.0 / interval;
+            double meanRate = 60_000.0 / intervalMillis;
             out.println(String.format("sixty that start at once: %.0f writes a second in the mean, most in one second of the first interval %d,"
-                    + " of the next two %d; %d series, %.1f bytes a sample", steady, Arrays.stream(seconds, 0, interval / 1000).max().orElse(0),
-                    Arrays.stream(seconds, interval / 1000, seconds.length).max().orElse(0), receiver.store.seriesCount(),
+                    + " of the next two %d; %d series, %.1f bytes a sample", meanRate, Arrays.stream(writesBySecond, 0, intervalMillis / 1000).max().orElse(0),
+                    Arrays.stream(writesBySecond, intervalMillis / 1000, writesBySecond.length).max().orElse(0), receiver.store.seriesCount(),
                     receiver.acceptedBytes() / (double) receiver.acceptedSamples()));
         } finally {
-            all.parallelStream().forEach(Pusher::close);
+            pushers.parallelStream().forEach(Pusher::close);
         }
     }
 
@@ -214,130 +220,130 @@
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private LoadMeasurement print(LoadMeasurement figure) {
-        out.println(figure);
-        return figure;
+    private LoadMeasurement print(LoadMeasurement measurement) {
+        out.println(measurement);
+        return measurement;
     }
 
-    /** @param pushTo a receiver's URL, null to push nowhere; every 200 ms, so that a run of seconds has many pushes */
-    private List<String> writeFrontEndCommand(List<Integer> ports, String pushTo, String file) throws IOException {
+    /** @param pushTo a receiver's URL, null for no remote write; it pushes every 200 ms, so that a run of seconds has many pushes */
+    private List<String> writeFrontEndCommand(List<Integer> ports, String pushTo, String name) throws IOException {
         ObjectMapper json = new ObjectMapper();
-        ObjectNode list = json.createObjectNode();
-        ArrayNode items = list.putArray("items");
+        ObjectNode endpointSlices = json.createObjectNode();
+        ArrayNode items = endpointSlices.putArray("items");
         for (int port : ports) {
             ObjectNode slice = items.addObject();
             slice.putObject("metadata").put("name", "ex-" + port);
             slice.putArray("ports").addObject().put("port", port);
             slice.putArray("endpoints").addObject().putArray("addresses").add("127.0.0.1");
         }
-        Files.write(folder.resolve("roster.json"), json.writeValueAsBytes(list));
-        Path secret = folder.resolve("key");
-        Files.deleteIfExists(secret);
-        Files.createFile(secret, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
-        Files.writeString(secret, key.secretText());
-        ObjectNode plan = json.createObjectNode().put("name", "measured").put("listen", "127.0.0.1:0");
-        plan.putObject("grpc").put("listen", "127.0.0.1:0");
-        plan.putObject("roster").put("file", "roster.json");
-        plan.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject().put("file", "key");
-        plan.putArray("model_groups").addObject().put("name", "g").put("repeat", ledger ? "non-retriable" : "retriable").put("slo_ms", 500)
+        Files.write(folder.resolve("roster.json"), json.writeValueAsBytes(endpointSlices));
+        Path keyFile = folder.resolve("key");
+        Files.deleteIfExists(keyFile);
+        Files.createFile(keyFile, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
+        Files.writeString(keyFile, key.secretText());
+        ObjectNode deployment = json.createObjectNode().put("name", "measured").put("listen", "127.0.0.1:0");
+        deployment.putObject("grpc").put("listen", "127.0.0.1:0");
+        deployment.putObject("roster").put("file", "roster.json");
+        deployment.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject().put("file", "key");
+        deployment.putArray("model_groups").addObject().put("name", "g").put("repeat", ledger ? "non-retriable" : "retriable").put("slo_ms", 500)
                 .put("route_timeout_ms", 5000);
-        plan.putArray("models").addObject().put("name", "m-*").put("group", "g").put("lanes", 64);
+        deployment.putArray("models").addObject().put("name", "m-*").put("group", "g").put("lanes", 64);
         if (ledger) {
-            plan.putObject("ledger").put("folder", "ledger");
+            deployment.putObject("ledger").put("folder", "ledger");
         }
-        plan.putObject("limits").put("remembered", 2_000_000).put("remembered_bytes", 256L << 20).put("idle_ms", 600_000).put("connections", 20_000);
+        deployment.putObject("limits").put("remembered", 2_000_000).put("remembered_bytes", 256L << 20).put("idle_ms", 600_000).put("connections", 20_000);
         if (pushTo != null) {
-            plan.putObject("metrics").putObject("remote_write").put("url", pushTo).put("interval_ms", 200);
+            deployment.putObject("metrics").putObject("remote_write").put("url", pushTo).put("interval_ms", 200);
         }
-        Files.write(folder.resolve(file + ".json"), json.writeValueAsBytes(plan));
+        Files.write(folder.resolve(name + ".json"), json.writeValueAsBytes(deployment));
         List<String> command = new ArrayList<>(frontEndCommand);
-        command.add(folder.resolve(file + ".json").toString());
+        command.add(folder.resolve(name + ".json").toString());
         return command;
     }
 
     private String startProcess(List<String> command) throws IOException {
-        Process made = children.start(new ProcessBuilder(command).redirectError(
+        Process process = children.start(new ProcessBuilder(command).redirectError(
                 ProcessBuilder.Redirect.appendTo(folder.resolve("processes.log").toFile())));
-        processes.add(made);
-        String line = made.inputReader(StandardCharsets.UTF_8).readLine();
+        processes.add(process);
+        String line = process.inputReader(StandardCharsets.UTF_8).readLine();
         if (line == null) {
             throw new IOException("a process did not start: see " + folder.resolve("processes.log"));
         }
         return line;
     }
 
-    private LoadMeasurement runLoad(String way, InetSocketAddress to, int rate, int seconds, Process measured)
+    private LoadMeasurement runLoad(String path, InetSocketAddress address, int rate, int seconds, Process measured)
             throws InterruptedException {
         Http2ConnectionPool[] pools = new Http2ConnectionPool[3];
         for (int i = 0; i < pools.length; i++) {
-            pools[i] = new Http2ConnectionPool(to, loops.next(), NioSocketChannel.class,
+            pools[i] = new Http2ConnectionPool(address, loops.next(), NioSocketChannel.class,
                     new Http2ConnectionPool.Limits(4, 1000, 1000, 60_000, 1 << 20, 1 << 20), new Http2ConnectionPool.Metrics(new Counts(), "load"),
                     () -> System.nanoTime() / 1e6);
         }
-        boolean direct = way.equals("direct");
-        GrpcLoadGenerator calls = way.equals("grpc") ? new GrpcLoadGenerator(to, key, GRPC_CONNECTIONS) : null;
-        Recorder times = new Recorder(TimeUnit.SECONDS.toNanos(60), 3);
+        boolean direct = path.equals("direct");
+        GrpcLoadGenerator grpcLoad = path.equals("grpc") ? new GrpcLoadGenerator(address, key, GRPC_CONNECTIONS) : null;
+        Recorder recorder = new Recorder(TimeUnit.SECONDS.toNanos(60), 3);
         AtomicLong errors = new AtomicLong();
-        AtomicLong open = new AtomicLong();
-        AtomicLong done = new AtomicLong();
+        AtomicLong openRequests = new AtomicLong();
+        AtomicLong completed = new AtomicLong();
         long cpuBefore = cpuNanos(measured);
         long count = (long) rate * seconds;
         long start = System.nanoTime();
-        double gap = 1e9 / rate;
-        String run = Long.toHexString(start);
+        double intervalNanos = 1e9 / rate;
+        String runId = Long.toHexString(start);
         for (long i = 0; i < count; i++) {
-            long due = start + (long) (i * gap);
-            for (long now; (now = System.nanoTime()) < due;) {
-                if (due - now > 100_000) {
-                    LockSupport.parkNanos(due - now - 50_000);
+            long dueNanos = start + (long) (i * intervalNanos);
+            for (long now; (now = System.nanoTime()) < dueNanos;) {
+                if (dueNanos - now > 100_000) {
+                    LockSupport.parkNanos(dueNanos - now - 50_000);
                 } else {
                     Thread.onSpinWait();
                 }
             }
-            open.incrementAndGet();
+            openRequests.incrementAndGet();
             String model = "m-" + i % MODELS;
             Http2ConnectionPool pool = pools[(int) (i % pools.length)];
-            gradereach.http2.ExchangeListener heard = (end, status, head, content) -> {
-                times.recordValue(Math.max(1, System.nanoTime() - due));
-                if (end != ExchangeResult.ANSWERED || status != 200) {
+            gradereach.http2.ExchangeListener listener = (result, status, head, content) -> {
+                recorder.recordValue(Math.max(1, System.nanoTime() - dueNanos));
+                if (result != ExchangeResult.ANSWERED || status != 200) {
                     errors.incrementAndGet();
                 }
-                done.incrementAndGet();
-                open.decrementAndGet();
+                completed.incrementAndGet();
+                openRequests.decrementAndGet();
             };
-            if (calls != null) {
-                calls.send("r" + run + "-" + i, model, returned -> heard.onEnd(returned ? ExchangeResult.ANSWERED : ExchangeResult.LOST, 200, null, null));
+            if (grpcLoad != null) {
+                grpcLoad.send("r" + runId + "-" + i, model, returned -> listener.onEnd(returned ? ExchangeResult.ANSWERED : ExchangeResult.LOST, 200, null, null));
             } else if (direct) {
-                pool.send("POST", "/v2/models/" + model + "/infer", INPUT, heard, "content-type", "application/json");
+                pool.send("POST", "/v2/models/" + model + "/infer", INPUT, listener, "content-type", "application/json");
             } else {
-                String id = "r" + run + "-" + i;
+                String id = "r" + runId + "-" + i;
                 byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
                         + "\",\"input\":" + INPUT_TEXT + "}}").getBytes(StandardCharsets.UTF_8);
-                long at = System.currentTimeMillis() / 1000;
-                pool.send("POST", "/v1/inferences", body, heard, "content-type", "application/json", "webhook-id", id,
-                        "webhook-timestamp", Long.toString(at), "webhook-signature", "v1," + key.sign(id, at, body));
+                long timestamp = System.currentTimeMillis() / 1000;
+                pool.send("POST", "/v1/inferences", body, listener, "content-type", "application/json", "webhook-id", id,
+                        "webhook-timestamp", Long.toString(timestamp), "webhook-signature", "v1," + key.sign(id, timestamp, body));
             }
         }
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (open.get() > 0 && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        while (openRequests.get() > 0 && System.nanoTime() < deadline) {
             Thread.sleep(1);
         }
-        double took = (System.nanoTime() - start) / 1e9;
-        errors.addAndGet(open.get());
-        if (calls != null) {
-            calls.close();
+        double elapsedSeconds = (System.nanoTime() - start) / 1e9;
+        errors.addAndGet(openRequests.get());
+        if (grpcLoad != null) {
+            grpcLoad.close();
         }
-        Histogram all = times.getIntervalHistogram();
-        lastLatencies = all;
+        Histogram latencies = recorder.getIntervalHistogram();
+        lastLatencies = latencies;
         for (Http2ConnectionPool pool : pools) {
             pool.close();
         }
-        return new LoadMeasurement(way, rate, done.get() / took, errors.get(), all.getValueAtPercentile(50) / 1000,
-                all.getValueAtPercentile(99) / 1000, all.getValueAtPercentile(99.9) / 1000,
+        return new LoadMeasurement(path, rate, completed.get() / elapsedSeconds, errors.get(), latencies.getValueAtPercentile(50) / 1000,
+                latencies.getValueAtPercentile(99) / 1000, latencies.getValueAtPercentile(99.9) / 1000,
                 measured == null ? -1 : (cpuNanos(measured) - cpuBefore) / 1e3 / count, residentMb(measured));
     }
 
-    /** A tensor of 64 numbers: what a small model is asked. */
+    /** A tensor of 64 numbers, a typical input of a small model. */
     private static final String INPUT_TEXT = "{\"inputs\":[{\"name\":\"x\",\"shape\":[64],\"datatype\":\"FP32\",\"data\":["
             + "0.125,".repeat(63) + "0.125]}]}";
     private static final byte[] INPUT = INPUT_TEXT.getBytes(StandardCharsets.UTF_8);
--- a/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Beside a rehearsal: a receiver that every front end pushes to, and the shipped rules evaluated over it while the day is played.
- * A minute of the rules lasts a second, so that a day of a minute is an hour of theirs.
+ * Receives the metrics that the front ends of a rehearsal push, and evaluates the shipped alert rules over them meanwhile.
+ * A minute of the rules lasts one second here, so that a rehearsal of one minute covers an hour of the rules.
  */
 public final class AlertMonitor implements AutoCloseable {
     private static final double RULE_MINUTE_MILLIS = 1000;
@@ -27,23 +27,24 @@
     private final RemoteWriteServer receiver = new RemoteWriteServer();
     private final RuleEvaluator rules;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(work -> {
-        Thread made = new Thread(work, "rules");
-        made.setDaemon(true);
-        return made;
+        Thread thread = new Thread(work, "rules");
+        thread.setDaemon(true);
+        return thread;
     });
     private final List<ScriptEvent> events = new ArrayList<>();
     private long startedAt;
 
-    public AlertMonitor(JsonNode day) throws IOException {
+    public AlertMonitor(JsonNode script) throws IOException {
         Map<String, Double> objectives = new LinkedHashMap<>();
-        double loads = 0;
-        for (JsonNode group : day.path("model_groups")) {
+        double maxLoadMillis = 0;
+        for (JsonNode group : script.path("model_groups")) {
             objectives.put(group.path("name").asText(), group.path("objective").asDouble(AlertRuleFile.DEFAULT_OBJECTIVE));
         }
-        for (JsonNode model : day.path("models")) {
-            loads = Math.max(loads, model.path("load_ms").asDouble(100));
+        for (JsonNode model : script.path("models")) {
+            maxLoadMillis = Math.max(maxLoadMillis, model.path("load_ms").asDouble(100));
         }
-        rules = new RuleEvaluator(new AlertRuleFile(objectives, AlertRuleFile.SLOW_LOAD_FACTOR * loads, RULE_MINUTE_MILLIS, "docs/alerts.md").toYaml(), receiver.store,
+        rules = new RuleEvaluator(new AlertRuleFile(objectives, AlertRuleFile.SLOW_LOAD_FACTOR * maxLoadMillis, RULE_MINUTE_MILLIS,
+                "docs/alerts.md").toYaml(), receiver.store,
                 LOOKBACK_MILLIS);
     }
 
@@ -51,20 +52,20 @@
         return receiver.url();
     }
 
-    /** Front ends are up: alerts count from here. */
+    /** Starts evaluating the rules; called once the front ends serve. */
     synchronized void start() {
         startedAt = System.currentTimeMillis();
         timer.scheduleAtFixedRate(() -> rules.evaluate(System.currentTimeMillis()), rules.intervalMillis(), rules.intervalMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
-    /** The day is over: what stops from here on is no trouble. */
+    /** Stops evaluating the rules before the front ends are stopped, so that their shutdown fires no alert. */
     void stop() {
         timer.shutdownNow();
     }
 
-    synchronized void recordEvent(String what) {
-        events.add(new ScriptEvent(what, System.currentTimeMillis()));
+    synchronized void recordEvent(String kind) {
+        events.add(new ScriptEvent(kind, System.currentTimeMillis()));
     }
 
     public synchronized void print(PrintStream out) {
@@ -77,7 +78,8 @@
             out.println(String.format("  %-28s %-60s at %5.1f s%s", fired.alert(), fired.labels(), (fired.firedAt() - startedAt) / 1e3,
                     last == null ? "" : String.format(", %.1f s after %s", (fired.firedAt() - last.timeMillis) / 1e3, last.kind)));
         }
-        out.println("  " + receiver.store.seriesCount() + " series, " + receiver.requestCount() + " writes, " + receiver.acceptedSamples() + " samples");
+        out.println("  " + receiver.store.seriesCount() + " series, " + receiver.requestCount() + " writes, "
+                + receiver.acceptedSamples() + " samples");
     }
 
     @Override
--- a/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
@@ -16,18 +16,20 @@
 import java.util.TreeMap;
 
 /**
- * Judges the five rules from what both sides saw pass: the clients' and the stand-ins' transcripts. Nothing that a
- * front end says of itself is read.
+ * Checks the five rules against the transcripts of the clients and of the stand-in executors. It reads nothing that a
+ * front end reports about itself.
  */
 public final class Auditor {
     /**
-     * Figures of the rules in milliseconds; {@code span} 0 for no ration. {@code sharedMemory} where front ends know of
-     * each other's messages and keep them over a restart.
+     * Parameters of the rules.
+     *
+     * @param loadOrderWindowMillis 0 where there is no load order budget
+     * @param sharedMemory whether front ends know of each other's messages and keep them over a restart
      */
-    public record RuleParameters(double answerSlackMillis, double drainGraceMillis, double freeLoadOrders, double loadOrdersPerRequest, double loadOrderWindowMillis,
-            double dedupWindowMillis, boolean sharedMemory) { }
+    public record RuleParameters(double answerSlackMillis, double drainGraceMillis, double freeLoadOrders,
+            double loadOrdersPerRequest, double loadOrderWindowMillis, double dedupWindowMillis, boolean sharedMemory) { }
 
-    /** One rule's verdict; {@code shown} are ids that show a breach. */
+    /** The result of one rule; each entry of {@code violations} begins with the id that shows the violation. */
     public record RuleResult(int rule, String name, boolean passed, long checked, List<String> violations) {
         @Override
         public String toString() {
@@ -38,24 +40,24 @@
     }
 
     /**
-     * All that is reported of a day.
+     * The report on a rehearsal.
      *
-     * @param undecided why the day cannot tell all that it is to tell; empty where it can
+     * @param inconclusiveReasons why the run cannot show whether every rule was kept; empty where it can
      */
     public record AuditReport(List<RuleResult> results, Map<String, Long> counts, List<String> inconclusiveReasons) {
-        /** No rule was broken, and the day was such that it would have shown. */
+        /** Whether no rule was violated and the run would have shown a violation. */
         public boolean passed() {
             return conclusive() && results.stream().allMatch(RuleResult::passed);
         }
 
-        /** Whether it counts: it shows a breach, or nothing stood in the way of seeing one. */
+        /** Whether the run shows a violation or nothing kept one from being seen. */
         public boolean conclusive() {
             return inconclusiveReasons.isEmpty() || !results.stream().allMatch(RuleResult::passed);
         }
     }
 
-    private record AuditedRequest(String message, int attempt, String frontEnd, String group, double time, double budgetMillis, boolean async,
-            boolean forged) { }
+    private record AuditedRequest(String message, int attempt, String frontEnd, String group, double time, double budgetMillis,
+            boolean async, boolean forged) { }
 
     private record ClientOutcome(double time, String outcome, boolean signed, int digest, boolean neverSent) { }
 
@@ -63,9 +65,9 @@
 
     private record ReportedState(double time, boolean ready) { }
 
-    /** What a transcript's clock and a busy machine's threads are off by, milliseconds. */
+    /** Tolerance for the clocks of the transcripts and for late threads on a busy machine. */
     private static final double CLOCK_TOLERANCE_MILLIS = 50;
-    /** An order may wait for a connection as long as the connect time-out before it arrives. */
+    /** A load order may wait for a connection as long as the connect timeout before it arrives. */
     private static final double CONNECT_TIMEOUT_MILLIS = 250;
 
     private final RuleParameters parameters;
@@ -91,13 +93,19 @@
     private final LagIntervals standInLags = new LagIntervals();
     private double lastEventTime;
 
-    /** @param repeatOf retriable, deduped or non-retriable, by model group; {@code sloOf} in milliseconds */
-    public Auditor(RuleParameters figures, Map<String, String> repeatOf, Map<String, Double> sloOf) {
-        this.parameters = figures;
-        this.repeatByGroup = repeatOf;
-        this.sloMillisByGroup = sloOf;
+    /**
+     * Creates an auditor that has read no transcript yet.
+     *
+     * @param repeatByGroup {@code retriable}, {@code deduped} or {@code non-retriable}, by model group
+     * @param sloMillisByGroup SLO time by model group
+     */
+    public Auditor(RuleParameters parameters, Map<String, String> repeatByGroup, Map<String, Double> sloMillisByGroup) {
+        this.parameters = parameters;
+        this.repeatByGroup = repeatByGroup;
+        this.sloMillisByGroup = sloMillisByGroup;
     }
 
+    /** Adds all events of a transcript. */
     public void readTranscript(Path transcript) throws IOException {
         try (MappingIterator<JsonNode> lines = new ObjectMapper().readerFor(JsonNode.class)
                 .readValues(transcript.toFile())) {
@@ -107,59 +115,60 @@
         }
     }
 
-    void addEvent(JsonNode l) {
-        double t = l.path("t").asDouble();
-        lastEventTime = Math.max(lastEventTime, t);
-        String mark = l.path("mark").asText();
-        String fe = l.path("fe").asText();
-        String ex = l.path("ex").asText();
-        String event = l.path("ev").asText();
+    void addEvent(JsonNode line) {
+        double time = line.path("t").asDouble();
+        lastEventTime = Math.max(lastEventTime, time);
+        String message = line.path("mark").asText();
+        String frontEnd = line.path("fe").asText();
+        String executor = line.path("ex").asText();
+        String event = line.path("ev").asText();
         switch (event) {
             case "asked" -> {
-                AuditedRequest asked = new AuditedRequest(mark, l.path("n").asInt(), fe, l.path("group").asText(), t,
-                        l.path("budget").asDouble(), l.path("async").asBoolean(), l.path("forged").asBoolean());
-                requests.put(mark + "@" + asked.attempt, asked);
-                requestsByMessage.computeIfAbsent(mark, m -> new ArrayList<>()).add(asked);
-                requestTimes.computeIfAbsent(fe, f -> new ArrayList<>()).add(t);
+                AuditedRequest request = new AuditedRequest(message, line.path("n").asInt(), frontEnd, line.path("group").asText(), time,
+                        line.path("budget").asDouble(), line.path("async").asBoolean(), line.path("forged").asBoolean());
+                requests.put(message + "@" + request.attempt, request);
+                requestsByMessage.computeIfAbsent(message, key -> new ArrayList<>()).add(request);
+                requestTimes.computeIfAbsent(frontEnd, key -> new ArrayList<>()).add(time);
             }
-            // An answer in parts is an answer from its first part on.
-            case "begun" -> firstPartTimes.put(mark + "@" + l.path("n").asInt(), t);
+            // The first part of a streamed answer counts as the answer.
+            case "begun" -> firstPartTimes.put(message + "@" + line.path("n").asInt(), time);
             case "heard" -> {
-                String what = l.path("what").asText();
-                outcomes.put(mark + "@" + l.path("n").asInt(), new ClientOutcome(t, what, l.path("signed").asBoolean(),
-                        l.path("digest").asInt(), l.path("never_sent").asBoolean()));
-                counts.merge("heard " + what, 1L, Long::sum);
+                String outcome = line.path("what").asText();
+                outcomes.put(message + "@" + line.path("n").asInt(), new ClientOutcome(time, outcome, line.path("signed").asBoolean(),
+                        line.path("digest").asInt(), line.path("never_sent").asBoolean()));
+                counts.merge("heard " + outcome, 1L, Long::sum);
             }
             case "arrived" -> {
-                ExecutorEvent seen = new ExecutorEvent(t, ex, fe, mark, l.path("fwd").asText());
-                arrivals.add(seen);
-                arrivalsByForward.put(seen.forward, seen);
+                ExecutorEvent arrival = new ExecutorEvent(time, executor, frontEnd, message, line.path("fwd").asText());
+                arrivals.add(arrival);
+                arrivalsByForward.put(arrival.forward, arrival);
             }
-            case "ran" -> executions.computeIfAbsent(mark, m -> new ArrayList<>())
-                    .add(new ExecutorEvent(t, ex, "", mark, l.path("fwd").asText()));
-            case "told" -> reportedStates.computeIfAbsent(fe + " " + ex, k -> new TreeMap<>())
-                    .put(t, new ReportedState(t, l.path("ready").asBoolean()));
+            case "ran" -> executions.computeIfAbsent(message, key -> new ArrayList<>())
+                    .add(new ExecutorEvent(time, executor, "", message, line.path("fwd").asText()));
+            case "told" -> reportedStates.computeIfAbsent(frontEnd + " " + executor, key -> new TreeMap<>())
+                    .put(time, new ReportedState(time, line.path("ready").asBoolean()));
             case "order" -> {
-                if (l.path("copies").asInt() > 0) {
-                    loadOrders.computeIfAbsent(fe, f -> new ArrayList<>())
-                            .add(new ExecutorEvent(t, ex, fe, l.path("model").asText(), ""));
+                if (line.path("copies").asInt() > 0) {
+                    loadOrders.computeIfAbsent(frontEnd, key -> new ArrayList<>())
+                            .add(new ExecutorEvent(time, executor, frontEnd, line.path("model").asText(), ""));
                 }
             }
-            case "killed" -> killTimes.computeIfAbsent(fe, f -> new ArrayList<>()).add(t);
-            case "fell" -> collapsedExecutors.add(ex);
-            case "lag" -> (l.path("of").asText().equals("clients") ? clientLags : standInLags)
-                    .add(l.path("from").asDouble(), t);
-            case "cut-short" -> inconclusiveReasons.add(l.path("what").asText());
+            case "killed" -> killTimes.computeIfAbsent(frontEnd, key -> new ArrayList<>()).add(time);
+            case "fell" -> collapsedExecutors.add(executor);
+            case "lag" -> (line.path("of").asText().equals("clients") ? clientLags : standInLags)
+                    .add(line.path("from").asDouble(), time);
+            case "cut-short" -> inconclusiveReasons.add(line.path("what").asText());
             case "webhook" -> {
-                String id = l.path("id").asText();
-                // One after which a repeat is harmless has an id of its own; either is the answer to its message.
-                webhookTimes.merge(id.replaceFirst("\\.(shed|failed)-[0-9a-f]+$", ".answer"), t, Math::min);
-                webhookBodies.computeIfAbsent(id, i -> new HashSet<>()).add(l.path("body").asText().hashCode());
+                String id = line.path("id").asText();
+                // An answer that allows a safe retry has an id of its own; either id is the answer to its message.
+                webhookTimes.merge(id.replaceFirst("\\.(shed|failed)-[0-9a-f]+$", ".answer"), time, Math::min);
+                webhookBodies.computeIfAbsent(id, key -> new HashSet<>()).add(line.path("body").asText().hashCode());
             }
             default -> { }
         }
     }
 
+    /** Evaluates all rules over the events that were added. */
     public AuditReport evaluate() {
         counts.put("asked", (long) requests.size());
         counts.put("forwards arrived", (long) arrivals.size());
@@ -168,19 +177,21 @@
         counts.put("within the SLO time", countWithinSlo());
         counts.put("clients late by at most, ms", Math.round(clientLags.longestMillis()));
         counts.put("stand-ins late by at most, ms", Math.round(standInLags.longestMillis()));
-        List<RuleResult> verdicts = List.of(checkAnswers(), checkSingleExecution(), checkDrains(),
-                new RuleResult(4, "no cold executor pushed over", collapsedExecutors.isEmpty(), reportedStates.size(), List.copyOf(collapsedExecutors)), checkLoadOrderBudget());
-        return new AuditReport(verdicts, counts, List.copyOf(inconclusiveReasons));
+        List<RuleResult> results = List.of(checkAnswers(), checkSingleExecution(), checkDrains(),
+                new RuleResult(4, "no cold executor pushed over", collapsedExecutors.isEmpty(), reportedStates.size(),
+                        List.copyOf(collapsedExecutors)), checkLoadOrderBudget());
+        return new AuditReport(results, counts, List.copyOf(inconclusiveReasons));
     }
 
-    /** First tries and their repeats as one: returned within the SLO time from the first asking. */
+    /** Counts the messages whose answer was returned within the SLO time, counted from the first attempt. */
     private long countWithinSlo() {
         long count = 0;
-        for (List<AuditedRequest> tries : requestsByMessage.values()) {
-            double first = tries.stream().mapToDouble(AuditedRequest::time).min().orElse(0);
-            for (AuditedRequest ask : tries) {
-                ClientOutcome end = outcomes.get(ask.message + "@" + ask.attempt);
-                if (end != null && end.outcome.equals("returned") && end.time - first <= sloMillisByGroup.getOrDefault(ask.group, 0d)) {
+        for (List<AuditedRequest> attempts : requestsByMessage.values()) {
+            double first = attempts.stream().mapToDouble(AuditedRequest::time).min().orElse(0);
+            for (AuditedRequest request : attempts) {
+                ClientOutcome outcome = outcomes.get(request.message + "@" + request.attempt);
+                if (outcome != null && outcome.outcome.equals("returned")
+                        && outcome.time - first <= sloMillisByGroup.getOrDefault(request.group, 0d)) {
                     count++;
                     break;
                 }
@@ -189,213 +200,226 @@
         return count;
     }
 
-    private boolean killedBetween(String fe, double from, double to) {
-        return killTimes.getOrDefault(fe, List.of()).stream().anyMatch(t -> t >= from - CLOCK_TOLERANCE_MILLIS && t <= to + CLOCK_TOLERANCE_MILLIS);
+    private boolean killedBetween(String frontEnd, double from, double to) {
+        return killTimes.getOrDefault(frontEnd, List.of()).stream()
+                .anyMatch(time -> time >= from - CLOCK_TOLERANCE_MILLIS && time <= to + CLOCK_TOLERANCE_MILLIS);
     }
 
     private RuleResult checkAnswers() {
-        List<String> shown = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (Map.Entry<String, AuditedRequest> entry : requests.entrySet()) {
-            AuditedRequest ask = entry.getValue();
-            ClientOutcome end = outcomes.get(entry.getKey());
-            double by = ask.time + ask.budgetMillis + parameters.answerSlackMillis + CLOCK_TOLERANCE_MILLIS;
-            boolean killed = killedBetween(ask.frontEnd, ask.time, by);
-            String why = null;
-            if (end == null) {
-                why = lastEventTime > by && !killed ? "no answer" : null;
+            AuditedRequest request = entry.getValue();
+            ClientOutcome outcome = outcomes.get(entry.getKey());
+            double deadline = request.time + request.budgetMillis + parameters.answerSlackMillis + CLOCK_TOLERANCE_MILLIS;
+            boolean killed = killedBetween(request.frontEnd, request.time, deadline);
+            String violation = null;
+            if (outcome == null) {
+                violation = lastEventTime > deadline && !killed ? "no answer" : null;
             } else {
-                switch (end.outcome) {
-                    case "left" -> why = killed ? null : violationIfLate("no answer", entry.getKey(), clientLags, end.time, by);
-                    // A connection that died with its process is written to until its client has seen that.
-                    case "lost" -> why = end.neverSent || killed || killedBetween(ask.frontEnd, ask.time - UNNOTICED_CLOSE_MILLIS, by) ? null : "connection lost";
-                    case "refused" -> why = ask.forged ? null : "refused";
+                switch (outcome.outcome) {
+                    case "left" -> violation = killed ? null
+                            : violationIfLate("no answer", entry.getKey(), clientLags, outcome.time, deadline);
+                    // A client goes on writing to the connection of a killed process until it notices the close.
+                    case "lost" -> violation = outcome.neverSent || killed
+                            || killedBetween(request.frontEnd, request.time - UNNOTICED_CLOSE_MILLIS, deadline) ? null : "connection lost";
+                    case "refused" -> violation = request.forged ? null : "refused";
                     case "accepted" -> {
-                        Double delivered = webhookTimes.get(ask.message.substring(ask.message.indexOf('/') + 1) + ".answer");
-                        // A promise outlives the process where there is a ledger; only its time does not.
-                        boolean excused = killed && !(parameters.sharedMemory && delivered == null && lastEventTime > by + DELIVERY_AFTER_RESTART_MILLIS);
-                        why = excused || lastEventTime < by + WEBHOOK_DELIVERY_MILLIS ? null : delivered == null ? "no webhook"
-                                : delivered > by + WEBHOOK_DELIVERY_MILLIS && !killed ? "late webhook" : null;
+                        Double delivered = webhookTimes.get(request.message.substring(request.message.indexOf('/') + 1) + ".answer");
+                        // With a ledger, an accepted inference survives a restart; only its delivery may be late.
+                        boolean excused = killed && !(parameters.sharedMemory && delivered == null
+                                && lastEventTime > deadline + DELIVERY_AFTER_RESTART_MILLIS);
+                        violation = excused || lastEventTime < deadline + WEBHOOK_DELIVERY_MILLIS ? null : delivered == null ? "no webhook"
+                                : delivered > deadline + WEBHOOK_DELIVERY_MILLIS && !killed ? "late webhook" : null;
                     }
                     default -> {
-                        String late = killed ? null : violationIfLate("answered " + Math.round(end.time - ask.time - ask.budgetMillis) + " ms late",
-                                entry.getKey(), clientLags, firstPartTimes.getOrDefault(entry.getKey(), end.time), by);
-                        why = ask.forged ? "a forged message was answered" : late != null ? late
-                                : !end.signed ? "answer not signed" : null;
+                        String late = killed ? null : violationIfLate(
+                                "answered " + Math.round(outcome.time - request.time - request.budgetMillis) + " ms late",
+                                entry.getKey(), clientLags, firstPartTimes.getOrDefault(entry.getKey(), outcome.time), deadline);
+                        violation = request.forged ? "a forged message was answered" : late != null ? late
+                                : !outcome.signed ? "answer not signed" : null;
                     }
                 }
             }
-            if (why != null) {
-                shown.add(entry.getKey() + " " + why);
+            if (violation != null) {
+                violations.add(entry.getKey() + " " + violation);
             }
         }
-        for (ExecutorEvent seen : arrivals) {
-            boolean asked = false;
-            double lastUntil = Double.NEGATIVE_INFINITY;
-            for (AuditedRequest ask : requestsByMessage.getOrDefault(seen.subject, List.of())) {
-                ClientOutcome end = outcomes.get(ask.message + "@" + ask.attempt);
-                double until = end == null || end.outcome.equals("lost") || end.outcome.equals("accepted")
-                        ? ask.time + ask.budgetMillis : end.time;
-                asked |= !ask.forged && seen.time >= ask.time - CLOCK_TOLERANCE_MILLIS && seen.time <= until + CLOCK_TOLERANCE_MILLIS;
-                if (!ask.forged && seen.time >= ask.time - CLOCK_TOLERANCE_MILLIS) {
-                    lastUntil = Math.max(lastUntil, until + CLOCK_TOLERANCE_MILLIS);
+        for (ExecutorEvent arrival : arrivals) {
+            boolean clientWaited = false;
+            double lastWaitEnd = Double.NEGATIVE_INFINITY;
+            for (AuditedRequest request : requestsByMessage.getOrDefault(arrival.subject, List.of())) {
+                ClientOutcome outcome = outcomes.get(request.message + "@" + request.attempt);
+                double waitEnd = outcome == null || outcome.outcome.equals("lost") || outcome.outcome.equals("accepted")
+                        ? request.time + request.budgetMillis : outcome.time;
+                clientWaited |= !request.forged && arrival.time >= request.time - CLOCK_TOLERANCE_MILLIS
+                        && arrival.time <= waitEnd + CLOCK_TOLERANCE_MILLIS;
+                if (!request.forged && arrival.time >= request.time - CLOCK_TOLERANCE_MILLIS) {
+                    lastWaitEnd = Math.max(lastWaitEnd, waitEnd + CLOCK_TOLERANCE_MILLIS);
                 }
             }
-            String why = asked ? null : violationIfLate("sent while nobody waited", seen.forward, standInLags, seen.time, lastUntil);
-            if (why != null) {
-                shown.add(seen.forward + " " + why);
+            String violation = clientWaited ? null
+                    : violationIfLate("sent while nobody waited", arrival.forward, standInLags, arrival.time, lastWaitEnd);
+            if (violation != null) {
+                violations.add(arrival.forward + " " + violation);
             }
         }
         webhookBodies.forEach((id, bodies) -> {
             if (bodies.size() > 1) {
-                shown.add(id + " has " + bodies.size() + " different answers");
+                violations.add(id + " has " + bodies.size() + " different answers");
             }
         });
         return new RuleResult(1, "every inference gets one final answer in time, nothing is sent after it",
-                shown.isEmpty(), requests.size(), shown);
+                violations.isEmpty(), requests.size(), violations);
     }
 
     /**
-     * {@code what} where something dated {@code time} came after {@code bound}; null where it did not, and where it may not
-     * have, since who dated it was late: then the day cannot tell.
+     * Returns {@code violation} where an event at {@code time} came after {@code bound}, otherwise null. Where the
+     * process that recorded the time was late, the event may have come before; this is added to the inconclusive reasons.
      */
-    private String violationIfLate(String what, String whose, LagIntervals lags, double time, double bound) {
+    private String violationIfLate(String violation, String subject, LagIntervals lags, double time, double bound) {
         if (time <= bound) {
             return null;
         }
         if (lags.earliestArrival(time) <= bound) {
-            inconclusiveReasons.add(whose + " " + what + ", by clocks that were read late");
+            inconclusiveReasons.add(subject + " " + violation + ", by clocks that were read late");
             return null;
         }
-        return what;
+        return violation;
     }
 
+    /** How long a client may not notice that the process at the other end was killed. */
     private static final double UNNOTICED_CLOSE_MILLIS = 500;
-    private static final double DELIVERY_AFTER_RESTART_MILLIS = 15_000; // a restart, a second delivery by the schedule, and some
-    private static final double WEBHOOK_DELIVERY_MILLIS = 2000; // a webhook goes out after the answer is known; a busy machine's pace
+    /** Covers a restart and a second delivery attempt by the schedule. */
+    private static final double DELIVERY_AFTER_RESTART_MILLIS = 15_000;
+    /** A webhook is sent after the answer is known, and a busy machine sends it later. */
+    private static final double WEBHOOK_DELIVERY_MILLIS = 2000;
 
     private RuleResult checkSingleExecution() {
-        List<String> shown = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (Map.Entry<String, List<ExecutorEvent>> entry : executions.entrySet()) {
-            List<AuditedRequest> tries = requestsByMessage.getOrDefault(entry.getKey(), List.of());
-            String repeat = tries.isEmpty() ? "retriable" : repeatByGroup.getOrDefault(tries.get(0).group, "retriable");
+            List<AuditedRequest> attempts = requestsByMessage.getOrDefault(entry.getKey(), List.of());
+            String repeat = attempts.isEmpty() ? "retriable" : repeatByGroup.getOrDefault(attempts.get(0).group, "retriable");
             List<ExecutorEvent> runs = entry.getValue();
             if (!repeat.equals("retriable") && runs.size() > 1) {
-                shown.add(entry.getKey() + " ran " + runs.size() + " times");
+                violations.add(entry.getKey() + " ran " + runs.size() + " times");
             }
-            for (AuditedRequest ask : tries) {
-                ClientOutcome end = outcomes.get(ask.message + "@" + ask.attempt);
-                // A shed says that a repeat is harmless: false where it ran, but for those whose repeats are harmless.
-                if (repeat.equals("non-retriable") && end != null && end.outcome.equals("shed")
-                        && runs.stream().anyMatch(run -> belongsToAttempt(ask, end, tries, run.forward))) {
-                    shown.add(ask.message + " ran and was shed");
+            for (AuditedRequest request : attempts) {
+                ClientOutcome outcome = outcomes.get(request.message + "@" + request.attempt);
+                // A shed answer promises that a retry is safe. That is wrong where a non-retriable inference was executed.
+                if (repeat.equals("non-retriable") && outcome != null && outcome.outcome.equals("shed")
+                        && runs.stream().anyMatch(run -> belongsToAttempt(request, outcome, attempts, run.forward))) {
+                    violations.add(request.message + " ran and was shed");
                 }
             }
         }
-        Map<String, Double> firstSeen = new HashMap<>();
-        for (ExecutorEvent seen : arrivals) {
-            List<AuditedRequest> tries = requestsByMessage.getOrDefault(seen.subject, List.of());
-            if (!tries.isEmpty() && "deduped".equals(repeatByGroup.get(tries.get(0).group))) {
-                double first = firstSeen.merge(seen.subject, seen.time, Math::min);
-                if (executions.containsKey(seen.subject) && seen.time > first + parameters.dedupWindowMillis + CLOCK_TOLERANCE_MILLIS) {
-                    shown.add(seen.forward + " sent after the window");
+        Map<String, Double> firstArrivals = new HashMap<>();
+        for (ExecutorEvent arrival : arrivals) {
+            List<AuditedRequest> attempts = requestsByMessage.getOrDefault(arrival.subject, List.of());
+            if (!attempts.isEmpty() && "deduped".equals(repeatByGroup.get(attempts.get(0).group))) {
+                double firstTime = firstArrivals.merge(arrival.subject, arrival.time, Math::min);
+                if (executions.containsKey(arrival.subject)
+                        && arrival.time > firstTime + parameters.dedupWindowMillis + CLOCK_TOLERANCE_MILLIS) {
+                    violations.add(arrival.forward + " sent after the window");
                 }
             }
         }
-        requestsByMessage.forEach((mark, tries) -> {
-            boolean careful = !"retriable".equals(repeatByGroup.get(tries.get(0).group));
-            boolean shared = parameters.sharedMemory && careful;
-            boolean returned = tries.stream().anyMatch(ask -> outcomes.containsKey(mark + "@" + ask.attempt)
-                    && outcomes.get(mark + "@" + ask.attempt).outcome.equals("returned"));
-            if (returned && careful && !executions.containsKey(mark)) {
-                shown.add(mark + " was returned and never ran");
+        requestsByMessage.forEach((message, attempts) -> {
+            boolean notRetriable = !"retriable".equals(repeatByGroup.get(attempts.get(0).group));
+            boolean sharedAnswer = parameters.sharedMemory && notRetriable;
+            boolean returned = attempts.stream().anyMatch(request -> outcomes.containsKey(message + "@" + request.attempt)
+                    && outcomes.get(message + "@" + request.attempt).outcome.equals("returned"));
+            if (returned && notRetriable && !executions.containsKey(message)) {
+                violations.add(message + " was returned and never ran");
             }
-            Set<Integer> answers = new HashSet<>();
-            for (AuditedRequest ask : tries) {
-                ClientOutcome end = outcomes.get(mark + "@" + ask.attempt);
-                if (end != null && end.outcome.equals("returned") && (shared || ask.frontEnd.equals(
-                        tries.get(0).frontEnd) && killTimes.getOrDefault(ask.frontEnd, List.of()).isEmpty())) {
-                    answers.add(end.digest);
+            Set<Integer> answerDigests = new HashSet<>();
+            for (AuditedRequest request : attempts) {
+                ClientOutcome outcome = outcomes.get(message + "@" + request.attempt);
+                if (outcome != null && outcome.outcome.equals("returned") && (sharedAnswer || request.frontEnd.equals(
+                        attempts.get(0).frontEnd) && killTimes.getOrDefault(request.frontEnd, List.of()).isEmpty())) {
+                    answerDigests.add(outcome.digest);
                 }
             }
-            if (answers.size() > 1) {
-                shown.add(mark + " got " + answers.size() + " different answers");
+            if (answerDigests.size() > 1) {
+                violations.add(message + " got " + answerDigests.size() + " different answers");
             }
         });
-        return new RuleResult(2, "no effect happens twice", shown.isEmpty(), executions.size(), shown);
+        return new RuleResult(2, "no effect happens twice", violations.isEmpty(), executions.size(), violations);
     }
 
-    /** Whether a forward belongs to this try: from its front end, before it was answered and was tried there again. */
-    private boolean belongsToAttempt(AuditedRequest ask, ClientOutcome end, List<AuditedRequest> tries, String forward) {
-        ExecutorEvent came = arrivalsByForward.get(forward);
-        if (came == null || !came.frontEnd.equals(ask.frontEnd) || came.time < ask.time || came.time > end.time + CLOCK_TOLERANCE_MILLIS) {
+    /** Whether a forward belongs to this attempt: it came from its front end, before its answer and before the next attempt there. */
+    private boolean belongsToAttempt(AuditedRequest request, ClientOutcome outcome, List<AuditedRequest> attempts, String forward) {
+        ExecutorEvent arrival = arrivalsByForward.get(forward);
+        if (arrival == null || !arrival.frontEnd.equals(request.frontEnd) || arrival.time < request.time
+                || arrival.time > outcome.time + CLOCK_TOLERANCE_MILLIS) {
             return false;
         }
-        return tries.stream().noneMatch(later -> later.attempt != ask.attempt && later.frontEnd.equals(ask.frontEnd) && later.time >= end.time
-                && later.time <= came.time);
+        return attempts.stream().noneMatch(later -> later.attempt != request.attempt && later.frontEnd.equals(request.frontEnd)
+                && later.time >= outcome.time && later.time <= arrival.time);
     }
 
     private RuleResult checkDrains() {
-        List<String> shown = new ArrayList<>();
-        long looked = 0;
+        List<String> violations = new ArrayList<>();
+        long checked = 0;
         List<ExecutorEvent> sent = new ArrayList<>(arrivals);
         loadOrders.values().forEach(sent::addAll);
-        for (ExecutorEvent seen : sent) {
-            TreeMap<Double, ReportedState> words = reportedStates.get(seen.frontEnd + " " + seen.executor);
-            if (words == null) {
+        for (ExecutorEvent event : sent) {
+            TreeMap<Double, ReportedState> states = reportedStates.get(event.frontEnd + " " + event.executor);
+            if (states == null) {
                 continue;
             }
-            looked++;
-            Map.Entry<Double, ReportedState> now = words.floorEntry(seen.time);
-            if (now == null || now.getValue().ready) {
+            checked++;
+            Map.Entry<Double, ReportedState> current = states.floorEntry(event.time);
+            if (current == null || current.getValue().ready) {
                 continue;
             }
-            // Told not ready at that time; several such words in a row count from the first.
-            double since = now.getKey();
-            for (Map.Entry<Double, ReportedState> before = words.lowerEntry(since); before != null
-                    && !before.getValue().ready; before = words.lowerEntry(since)) {
-                since = before.getKey();
+            // It was reported as not ready at that time; several such reports in a row count from the first.
+            double since = current.getKey();
+            for (Map.Entry<Double, ReportedState> previous = states.lowerEntry(since); previous != null
+                    && !previous.getValue().ready; previous = states.lowerEntry(since)) {
+                since = previous.getKey();
             }
-            String why = violationIfLate("to " + seen.executor + " " + Math.round(seen.time - since) + " ms after",
-                    seen.forward.isEmpty() ? "order for " + seen.subject : seen.forward, standInLags, seen.time,
+            String violation = violationIfLate("to " + event.executor + " " + Math.round(event.time - since) + " ms after",
+                    event.forward.isEmpty() ? "order for " + event.subject : event.forward, standInLags, event.time,
                     since + parameters.drainGraceMillis + CLOCK_TOLERANCE_MILLIS);
-            if (why != null) {
-                shown.add((seen.forward.isEmpty() ? "order for " + seen.subject : seen.forward) + " " + why);
+            if (violation != null) {
+                violations.add((event.forward.isEmpty() ? "order for " + event.subject : event.forward) + " " + violation);
             }
         }
-        return new RuleResult(3, "nothing new to what drains or is gone", shown.isEmpty(), looked, shown);
+        return new RuleResult(3, "nothing new to what drains or is gone", violations.isEmpty(), checked, violations);
     }
 
     private RuleResult checkLoadOrderBudget() {
-        List<String> shown = new ArrayList<>();
-        long looked = 0;
+        List<String> violations = new ArrayList<>();
+        long checked = 0;
         if (parameters.loadOrderWindowMillis > 0) {
             for (Map.Entry<String, List<ExecutorEvent>> entry : loadOrders.entrySet()) {
-                List<ExecutorEvent> own = new ArrayList<>(entry.getValue());
-                own.sort((a, b) -> Double.compare(a.time, b.time));
-                double[] taken = requestTimes.getOrDefault(entry.getKey(), List.of()).stream().mapToDouble(t -> t).sorted()
+                List<ExecutorEvent> orders = new ArrayList<>(entry.getValue());
+                orders.sort((a, b) -> Double.compare(a.time, b.time));
+                double[] requestTimesSorted = requestTimes.getOrDefault(entry.getKey(), List.of()).stream().mapToDouble(t -> t).sorted()
                         .toArray();
                 int from = 0;
-                int low = 0;
-                int high = 0;
-                for (int i = 0; i < own.size(); i++) {
-                    double t = own.get(i).time;
-                    while (own.get(from).time < t - parameters.loadOrderWindowMillis + CONNECT_TIMEOUT_MILLIS) {
+                int windowStart = 0;
+                int windowEnd = 0;
+                for (int i = 0; i < orders.size(); i++) {
+                    double t = orders.get(i).time;
+                    while (orders.get(from).time < t - parameters.loadOrderWindowMillis + CONNECT_TIMEOUT_MILLIS) {
                         from++;
                     }
-                    while (high < taken.length && taken[high] <= t) {
-                        high++;
+                    while (windowEnd < requestTimesSorted.length && requestTimesSorted[windowEnd] <= t) {
+                        windowEnd++;
                     }
-                    while (low < taken.length && taken[low] < t - parameters.loadOrderWindowMillis - CLOCK_TOLERANCE_MILLIS) {
-                        low++;
+                    while (windowStart < requestTimesSorted.length
+                            && requestTimesSorted[windowStart] < t - parameters.loadOrderWindowMillis - CLOCK_TOLERANCE_MILLIS) {
+                        windowStart++;
                     }
-                    looked++;
-                    double most = parameters.freeLoadOrders + parameters.loadOrdersPerRequest * (high - low);
-                    if (i - from + 1 > most && !killedBetween(entry.getKey(), t - parameters.loadOrderWindowMillis, t)) {
-                        shown.add(entry.getKey() + " ordered " + (i - from + 1) + " where " + most + " were allowed");
+                    checked++;
+                    double allowed = parameters.freeLoadOrders + parameters.loadOrdersPerRequest * (windowEnd - windowStart);
+                    if (i - from + 1 > allowed && !killedBetween(entry.getKey(), t - parameters.loadOrderWindowMillis, t)) {
+                        violations.add(entry.getKey() + " ordered " + (i - from + 1) + " where " + allowed + " were allowed");
                     }
                 }
             }
         }
-        return new RuleResult(5, "load orders keep within the ration", shown.isEmpty(), looked, shown);
+        return new RuleResult(5, "load orders keep within the ration", violations.isEmpty(), checked, violations);
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The processes of one play. Each is known from its start, whatever is waited for before it serves; when the play ends, or
- * this process is ended by a signal, all of them end and no other is started.
+ * The child processes of one run. Each is registered as soon as it is started, before it is ready to serve. When the run
+ * ends, or a signal ends this process, all of them are stopped and no further one is started.
  */
 public final class ChildProcesses implements AutoCloseable {
     private final long terminationTimeoutMillis;
@@ -16,13 +16,17 @@
     private final Set<Process> running = new LinkedHashSet<>();
     private boolean closed;
 
-    /** @param endsWithinMillis how long a process may take to end after SIGTERM, before it is killed */
-    public ChildProcesses(long endsWithinMillis) {
-        this.terminationTimeoutMillis = endsWithinMillis;
+    /** @param terminationTimeoutMillis how long a process may take to exit after SIGTERM before it is killed */
+    public ChildProcesses(long terminationTimeoutMillis) {
+        this.terminationTimeoutMillis = terminationTimeoutMillis;
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** Starts one; refused once the play has ended. */
+    /**
+     * Starts a child process.
+     *
+     * @throws IOException if it cannot be started or this run has ended
+     */
     public synchronized Process start(ProcessBuilder command) throws IOException {
         if (closed) {
             throw new IOException("not started, the play has ended: " + command.command());
@@ -46,13 +50,13 @@
         stopStarting().forEach(Process::destroyForcibly);
     }
 
-    /** Ends all of them: by SIGTERM, and what is still there after its time by SIGKILL. */
+    /** Stops all of them: by SIGTERM, and by SIGKILL those that still run after their timeout. */
     @Override
     public void close() {
-        List<Process> left = stopStarting();
-        left.forEach(Process::destroy);
+        List<Process> remaining = stopStarting();
+        remaining.forEach(Process::destroy);
         try {
-            for (Process process : left) {
+            for (Process process : remaining) {
                 process.waitFor(terminationTimeoutMillis, TimeUnit.MILLISECONDS);
             }
         } catch (InterruptedException e) {
@@ -62,7 +66,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // This process is ending: the hook has run, or does so now.
+            // The JVM is shutting down: the hook has run or is running.
         }
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
@@ -17,13 +17,16 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A front end with one fault: {@code FAULT FILE}, or {@code FAULT warm FILE} for one that warms up and stops in order. {@code write:N:before|torn|after}, {@code force:N:after} and
- * {@code forward:N:before|after} end the process at that step of its work, as kill -9 does: nothing is flushed, no
- * hook runs. {@code full:MILLIS} has a full disk for so long from its first write on, {@code slow:MILLIS} a disk whose
- * force takes that long, {@code none} nothing. What is written when a segment begins is not counted.
+ * A front end process with one injected fault. Arguments: {@code FAULT FILE}, or {@code FAULT warm FILE} for a front end
+ * that warms up and shuts down gracefully.
+ *
+ * <p>{@code write:N:before|torn|after}, {@code force:N:after} and {@code forward:N:before|after} end the process at the
+ * N-th such step like kill -9: nothing is flushed and no shutdown hook runs. {@code full:MILLIS} simulates a full disk for
+ * that long from the first write on, {@code slow:MILLIS} a disk whose force takes that long, {@code none} injects nothing.
+ * The header that is written when a segment begins is not counted.
  */
 public final class FaultyFrontEnd {
-    /** The exit code of a process that was killed. */
+    /** The exit code of a process that was killed by SIGKILL: 128 + 9. */
     static final int KILLED_EXIT_CODE = 137;
 
     private static String[] fault;
@@ -33,13 +36,13 @@
 
     public static void main(String[] args) throws Exception {
         fault = args[0].split(":");
-        FaultInjection between = new FaultInjection(UnaryOperator.identity(), FaultyFrontEnd::wrapTransport, createDisk());
+        FaultInjection faultInjection = new FaultInjection(UnaryOperator.identity(), FaultyFrontEnd::wrapTransport, createDisk());
         if (args.length > 2) {
-            System.exit(FrontEndProcess.run(Path.of(args[2]), between, System.out, System.err));
+            System.exit(FrontEndProcess.run(Path.of(args[2]), faultInjection, System.out, System.err));
         }
-        InetSocketAddress at = new Gateway(Deployment.read(Path.of(args[1])), between).listen();
-        System.out.println("listening 127.0.0.1:" + at.getPort());
-        Thread.sleep(Long.MAX_VALUE); // ended from outside, or by its fault
+        InetSocketAddress address = new Gateway(Deployment.read(Path.of(args[1])), faultInjection).listen();
+        System.out.println("listening 127.0.0.1:" + address.getPort());
+        Thread.sleep(Long.MAX_VALUE); // runs until it is killed from outside or by its fault
     }
 
     private static boolean faultMatches(String step, int number, String when) {
@@ -54,18 +57,19 @@
 
     private static ExecutorTransport wrapTransport(ExecutorTransport real) {
         AtomicInteger forwards = new AtomicInteger();
-        return (ExecutorTransport) Proxy.newProxyInstance(ExecutorTransport.class.getClassLoader(), new Class<?>[] {ExecutorTransport.class},
-                (proxy, called, args) -> {
-                    boolean forward = args[0] instanceof InFlightForward && called.getName().equals("forward");
+        return (ExecutorTransport) Proxy.newProxyInstance(ExecutorTransport.class.getClassLoader(),
+                new Class<?>[] {ExecutorTransport.class},
+                (proxy, method, args) -> {
+                    boolean forward = args[0] instanceof InFlightForward && method.getName().equals("forward");
                     int number = forward ? forwards.incrementAndGet() : 0;
                     crashAt("forward", number, "before");
                     try {
-                        called.invoke(real, args);
+                        method.invoke(real, args);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
                     if (faultMatches("forward", number, "after")) {
-                        Thread.sleep(100); // it leaves by another thread
+                        Thread.sleep(100); // another thread writes it to the connection
                         crashAt("forward", number, "after");
                     }
                     return null;
@@ -81,13 +85,13 @@
                 throwIfFull();
                 Appender real = FILE_SYSTEM.create(file);
                 return new Appender() {
-                    private boolean begun;
-                    private boolean settled;
+                    private boolean headerWritten;
+                    private boolean headerForced;
 
                     @Override
                     public void write(ByteBuffer bytes) throws IOException {
-                        if (!begun) {
-                            begun = true;
+                        if (!headerWritten) {
+                            headerWritten = true;
                             real.write(bytes);
                             return;
                         }
@@ -116,10 +120,10 @@
                         }
                         throwIfFull();
                         real.force();
-                        if (settled) {
+                        if (headerForced) {
                             crashAt("force", forces.incrementAndGet(), "after");
                         }
-                        settled = true;
+                        headerForced = true;
                     }
 
                     @Override
--- a/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
@@ -5,27 +5,27 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 
-/** Requests of scripted clients, as a webhook's body and as a gRPC message. */
+/** Builds the requests of scripted clients, as a webhook body and as a gRPC message. */
 final class InferenceMessages {
     private InferenceMessages() { }
 
     /**
-     * @param budget milliseconds that the client waits
-     * @param work milliseconds that the executor is to take
+     * @param budgetMillis milliseconds that the client waits
+     * @param workMillis milliseconds that the executor takes
      */
-    static byte[] webhook(String model, double budget, double work) {
+    static byte[] webhook(String model, double budgetMillis, double workMillis) {
         return ("{\"type\":\"inference.requested\",\"timestamp\":\"" + Instant.now() + "\",\"data\":{\"model\":\""
-                + model + "\",\"budget_ms\":" + Math.round(budget) + ",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":"
-                + work + "}}}}").getBytes(StandardCharsets.UTF_8);
+                + model + "\",\"budget_ms\":" + Math.round(budgetMillis) + ",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":"
+                + workMillis + "}}}}").getBytes(StandardCharsets.UTF_8);
     }
 
     /**
-     * @param budget milliseconds that the client waits
-     * @param work milliseconds that the executor is to take
+     * @param budgetMillis milliseconds that the client waits
+     * @param workMillis milliseconds that the executor takes
      */
-    static ModelInferRequest grpc(String model, double budget, double work) {
-        return ModelInferRequest.newBuilder().setModelName(model).putParameters("work_ms", doubleParameter(work))
-                .putParameters("gradereach-budget-ms", doubleParameter(budget)).build();
+    static ModelInferRequest grpc(String model, double budgetMillis, double workMillis) {
+        return ModelInferRequest.newBuilder().setModelName(model).putParameters("work_ms", doubleParameter(workMillis))
+                .putParameters("gradereach-budget-ms", doubleParameter(budgetMillis)).build();
     }
 
     private static InferParameter doubleParameter(double value) {
--- a/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
@@ -35,79 +35,87 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** Plays a scripted day: stand-ins and front ends as processes of their own, clients here, then the auditor. */
+/**
+ * Runs a scripted rehearsal: it starts the stand-in executors and the front ends as processes of their own, runs the
+ * scripted clients in this process, plays the events of the script, and has the auditor check the transcripts.
+ */
 public final class Rehearsal {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long FRONT_END_STOP_SECONDS = 20; // to answer what they hold
+    private static final long FRONT_END_STOP_SECONDS = 20; // for the answers to their open requests
     private static final long STAND_IN_STOP_SECONDS = 10;
     private static final long EVENT_STOP_SECONDS = 5;
-    /** A day lasts until its events have come to their end, the start of a front end included: 30 s at most. */
+    /** How long a rehearsal goes on for events that are running at its end, such as the start of a front end. */
     private static final double MAX_EVENT_MILLIS = 30_000;
 
-    /** A script that cannot be played; the message names the place. */
+    /** The script cannot be read or does not match the schema; the message names the place. */
     public static final class InvalidScriptException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidScriptException(String what) {
-            super(what);
+        InvalidScriptException(String message) {
+            super(message);
         }
     }
 
-    private final JsonNode day;
+    private final JsonNode script;
     private final Path folder;
     private final List<String> frontEndCommand;
     private final PrintStream out;
     private final HttpClient httpClient = HttpClient.newHttpClient();
     private final ChildProcesses standInProcesses = new ChildProcesses(TimeUnit.SECONDS.toMillis(STAND_IN_STOP_SECONDS));
     private final ChildProcesses frontEnds = new ChildProcesses(TimeUnit.SECONDS.toMillis(FRONT_END_STOP_SECONDS));
-    /** By number; one that was killed stands here until its next process serves. */
+    /** By number; a killed process stays in the list until its successor serves. */
     private final List<Process> frontEndProcesses = new ArrayList<>();
     private final RunningEvents runningEvents = new RunningEvents();
     private double maxEventMillis = MAX_EVENT_MILLIS;
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<InetSocketAddress> grpcAddresses = new ArrayList<>();
     private final List<WebhookKey> customerKeys = new ArrayList<>();
-    /** With peers: the fronts' ports, then the peers'. They name each other, so they must be known before. */
+    /** With peers: the front ends' client ports, then their peer ports; each configuration names them all, so they are chosen first. */
     private final List<Integer> ports = new ArrayList<>();
     private Transcript transcript;
-    /** Null where nobody watches. */
+    /** Null where no alert rules are evaluated. */
     private AlertMonitor alertMonitor;
 
-    /** @param frontEndCommand starts a front end when a deployment file is added to it */
-    public Rehearsal(JsonNode day, Path folder, List<String> frontEndCommand, PrintStream out) {
-        this.day = day;
+    /**
+     * Creates a rehearsal that has not started yet.
+     *
+     * @param folder gets the configurations, logs and transcripts
+     * @param frontEndCommand starts a front end when a deployment file is appended
+     */
+    public Rehearsal(JsonNode script, Path folder, List<String> frontEndCommand, PrintStream out) {
+        this.day = script;
         this.folder = folder;
         this.frontEndCommand = frontEndCommand;
         this.out = out;
     }
 
-    /** Has every front end push to this watch. */
-    public Rehearsal withAlertMonitor(AlertMonitor watch) {
-        alertMonitor = watch;
+    /** Has every front end push its metrics to this monitor. */
+    public Rehearsal withAlertMonitor(AlertMonitor monitor) {
+        alertMonitor = monitor;
         return this;
     }
 
-    /** Has the day wait so long for events that are under way at its end. */
+    /** Sets how long the rehearsal waits for events that are running at its end. */
     Rehearsal withMaxEventMillis(double millis) {
         maxEventMillis = millis;
         return this;
     }
 
-    /** A day shipped with the program by its name, or a file; checked against the schema. */
+    /** Loads a script and checks it against the schema: a shipped script by its name, otherwise a file. */
     public static JsonNode loadScript(String nameOrFile) throws InvalidScriptException {
-        JsonNode day = readScript(nameOrFile);
-        Set<String> like = new HashSet<>();
-        while (day.has("like")) {
-            String base = day.path("like").asText();
-            if (!like.add(base)) {
-                throw new InvalidScriptException(nameOrFile + ": /like: " + base + " is like itself");
+        JsonNode script = readScript(nameOrFile);
+        Set<String> visitedBases = new HashSet<>();
+        while (script.has("like")) {
+            String base = script.path("like").asText();
+            if (!visitedBases.add(base)) {
+                throw new InvalidScriptException(nameOrFile + ": /like: " + base + " inherits from itself");
             }
-            day = merge(readScript(base), ((ObjectNode) day.deepCopy()).without("like"));
+            script = merge(readScript(base), ((ObjectNode) script.deepCopy()).without("like"));
         }
         try (InputStream schema = Rehearsal.class.getResourceAsStream("day.schema.json")) {
             StringBuilder errors = new StringBuilder();
             SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(JSON.readTree(schema))
-                    .validate(day).forEach(e -> errors.append(errors.length() == 0 ? "" : "\n").append(nameOrFile)
+                    .validate(script).forEach(e -> errors.append(errors.length() == 0 ? "" : "\n").append(nameOrFile)
                             .append(": ").append(e.getInstanceLocation()).append(": ").append(e.getMessage()));
             if (errors.length() > 0) {
                 throw new InvalidScriptException(errors.toString());
@@ -115,7 +123,7 @@
         } catch (IOException e) {
             throw new IllegalStateException("schema not in the jar", e);
         }
-        return day;
+        return script;
     }
 
     private static JsonNode readScript(String nameOrFile) throws InvalidScriptException {
@@ -126,20 +134,20 @@
         }
     }
 
-    /** A day that is like another but for what it says itself: objects by member, all else as a whole. */
-    private static JsonNode merge(JsonNode like, JsonNode own) {
-        ObjectNode day = like.deepCopy();
+    /** Overrides a base script: objects are merged member by member, any other value is replaced as a whole. */
+    private static JsonNode merge(JsonNode base, JsonNode own) {
+        ObjectNode script = base.deepCopy();
         own.properties().forEach(field -> {
-            JsonNode there = day.path(field.getKey());
-            boolean both = there.isObject() && field.getValue().isObject();
-            day.set(field.getKey(), both ? merge(there, field.getValue()) : field.getValue());
+            JsonNode existing = script.path(field.getKey());
+            boolean both = existing.isObject() && field.getValue().isObject();
+            script.set(field.getKey(), both ? merge(existing, field.getValue()) : field.getValue());
         });
-        return day;
+        return script;
     }
 
     /**
-     * The command that starts a main class of this very program. A rehearsal's processes live a minute and share one
-     * machine: the optimising compiler would take the cores that they need.
+     * The command that starts a main class of this program in a JVM of its own. The processes of a rehearsal run for about
+     * a minute and share one machine; without the limit to tier 1, the optimising compiler takes the cores that they need.
      */
     public static List<String> javaCommand(String mainClass) {
         return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx512m",
@@ -147,50 +155,52 @@
                 System.getProperty("java.class.path"), mainClass);
     }
 
+    /** Runs the rehearsal to its end and returns what the auditor found. */
     public Auditor.AuditReport run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         deleteLedgers();
-        SecureRandom chance = new SecureRandom();
-        for (int i = 0; i < day.path("customers").size(); i++) {
-            customerKeys.add(WebhookKey.parse(WebhookKey.newSecret(chance)));
+        SecureRandom random = new SecureRandom();
+        for (int i = 0; i < script.path("customers").size(); i++) {
+            customerKeys.add(WebhookKey.parse(WebhookKey.newSecret(random)));
         }
         transcript = new Transcript(folder.resolve("clients.jsonl"));
         Process standIns = startStandIns();
         ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
-        try (BufferedReader said = standIns.inputReader(StandardCharsets.UTF_8)) {
-            String[] words = String.valueOf(said.readLine()).split(" ");
+        try (BufferedReader output = standIns.inputReader(StandardCharsets.UTF_8)) {
+            String[] words = String.valueOf(output.readLine()).split(" ");
             if (words.length != 4) {
                 throw new IOException("stand-ins did not start: see " + folder.resolve("stand-ins.log"));
             }
-            int roster = Integer.parseInt(words[1]);
-            int control = Integer.parseInt(words[3]);
-            int count = day.path("front_ends").asInt(3);
+            int rosterPort = Integer.parseInt(words[1]);
+            int controlPort = Integer.parseInt(words[3]);
+            int frontEndCount = script.path("front_ends").asInt(3);
             writeKeys();
-            if (day.path("peers").asBoolean()) {
-                for (int i = 0; i < 2 * count; i++) {
+            if (script.path("peers").asBoolean()) {
+                for (int i = 0; i < 2 * frontEndCount; i++) {
                     ports.add(freePort());
                 }
             }
-            for (int i = 0; i < count; i++) {
+            for (int i = 0; i < frontEndCount; i++) {
                 Files.write(folder.resolve("fe-" + i + ".json"), JSON.writerWithDefaultPrettyPrinter()
-                        .writeValueAsBytes(createDeployment(i, count, roster, control, ports.isEmpty() ? 0 : ports.get(i))));
+                        .writeValueAsBytes(createDeployment(i, frontEndCount, rosterPort, controlPort,
+                                ports.isEmpty() ? 0 : ports.get(i))));
                 startFrontEnd(i);
             }
-            try (ScriptedClients crowd = new ScriptedClients(day, addresses, grpcAddresses, customerKeys, transcript)) {
-                crowd.warmUp();
+            try (ScriptedClients clients = new ScriptedClients(script, addresses, grpcAddresses, customerKeys, transcript)) {
+                clients.warmUp();
                 if (alertMonitor != null) {
                     alertMonitor.start();
                 }
-                for (JsonNode event : day.path("events")) {
-                    timer.schedule(() -> playEvent(event, crowd, control, timer), event.path("at_ms").asLong(),
+                for (JsonNode event : script.path("events")) {
+                    timer.schedule(() -> playEvent(event, clients, controlPort, timer), event.path("at_ms").asLong(),
                             TimeUnit.MILLISECONDS);
                 }
-                crowd.run(day.path("length_ms").asDouble(), maxEventMillis, runningEvents::millisSinceLastEnd);
+                clients.run(script.path("length_ms").asDouble(), maxEventMillis, runningEvents::millisSinceLastEnd);
                 if (alertMonitor != null) {
                     alertMonitor.stop();
                 }
             }
-            Thread.sleep(day.path("clients").path("async").asDouble(0) > 0 ? 1500 : 200);
+            Thread.sleep(script.path("clients").path("async").asDouble(0) > 0 ? 1500 : 200);
         } finally {
             for (String event : runningEvents.descriptions()) {
                 transcript.write("cut-short", "what", "not at its end when the day was: " + event);
@@ -210,25 +220,26 @@
     }
 
     private Auditor createAuditor() {
-        Map<String, String> repeatOf = new HashMap<>();
-        Map<String, Double> sloOf = new HashMap<>();
-        double window = 0;
-        for (JsonNode group : day.path("model_groups")) {
-            repeatOf.put(group.path("name").asText(), group.path("repeat").asText());
-            sloOf.put(group.path("name").asText(), group.path("slo_ms").asDouble());
-            window = Math.max(window, group.path("dedup_window_ms").asDouble(0));
+        Map<String, String> repeatByGroup = new HashMap<>();
+        Map<String, Double> sloMillisByGroup = new HashMap<>();
+        double maxDedupWindowMillis = 0;
+        for (JsonNode group : script.path("model_groups")) {
+            repeatByGroup.put(group.path("name").asText(), group.path("repeat").asText());
+            sloMillisByGroup.put(group.path("name").asText(), group.path("slo_ms").asDouble());
+            maxDedupWindowMillis = Math.max(maxDedupWindowMillis, group.path("dedup_window_ms").asDouble(0));
         }
-        JsonNode ration = day.path("rules").path("load_ration");
-        return new Auditor(new Auditor.RuleParameters(day.path("rules").path("answer_slack_ms").asDouble(10),
-                day.path("drain_grace_ms").asDouble(500), ration.path("free").asDouble(0),
-                ration.path("share").asDouble(0), ration.path("span_ms").asDouble(0), window, day.path("peers").asBoolean()), repeatOf, sloOf);
+        JsonNode loadOrderBudget = script.path("rules").path("load_ration");
+        return new Auditor(new Auditor.RuleParameters(script.path("rules").path("answer_slack_ms").asDouble(10),
+                script.path("drain_grace_ms").asDouble(500), loadOrderBudget.path("free").asDouble(0),
+                loadOrderBudget.path("share").asDouble(0), loadOrderBudget.path("span_ms").asDouble(0), maxDedupWindowMillis,
+                script.path("peers").asBoolean()), repeatByGroup, sloMillisByGroup);
     }
 
     private Process startStandIns() throws IOException {
         ObjectNode fleet = JSON.createObjectNode();
-        fleet.setAll((ObjectNode) day.path("fleet").deepCopy());
-        fleet.set("models", day.path("models"));
-        fleet.set("model_groups", day.path("model_groups"));
+        fleet.setAll((ObjectNode) script.path("fleet").deepCopy());
+        fleet.set("models", script.path("models"));
+        fleet.set("model_groups", script.path("model_groups"));
         Path file = folder.resolve("fleet.json");
         Files.write(file, JSON.writeValueAsBytes(fleet));
         List<String> command = new ArrayList<>(javaCommand("gradereach.standins.StandInProcess"));
@@ -237,37 +248,37 @@
         return standInProcesses.start(new ProcessBuilder(command).redirectError(folder.resolve("stand-ins.log").toFile()));
     }
 
-    private ObjectNode createDeployment(int me, int count, int roster, int control, int port) {
-        ObjectNode plan = JSON.createObjectNode();
-        plan.put("name", "fe-" + me).put("listen", "127.0.0.1:" + port);
-        ObjectNode tier = plan.putObject("tier").put("me", me).put("front_ends", count);
-        JsonNode zones = day.path("fleet").path("zones");
+    private ObjectNode createDeployment(int index, int count, int rosterPort, int controlPort, int port) {
+        ObjectNode deployment = JSON.createObjectNode();
+        deployment.put("name", "fe-" + index).put("listen", "127.0.0.1:" + port);
+        ObjectNode tier = deployment.putObject("tier").put("me", index).put("front_ends", count);
+        JsonNode zones = script.path("fleet").path("zones");
         if (!zones.isEmpty()) {
-            tier.put("location", zones.path(me % zones.size()).asText());
+            tier.put("location", zones.path(index % zones.size()).asText());
             tier.set("locations", zones);
         }
-        plan.putObject("roster").put("server", "http://127.0.0.1:" + roster);
-        ArrayNode customers = plan.putArray("customers");
+        deployment.putObject("roster").put("server", "http://127.0.0.1:" + rosterPort);
+        ArrayNode customers = deployment.putArray("customers");
         for (int i = 0; i < customerKeys.size(); i++) {
-            JsonNode told = day.path("customers").path(i);
-            ObjectNode customer = customers.addObject().put("name", told.path("name").asText());
-            if (told.has("quota_per_second")) {
-                customer.set("quota_per_second", told.path("quota_per_second"));
+            JsonNode customerScript = script.path("customers").path(i);
+            ObjectNode customer = customers.addObject().put("name", customerScript.path("name").asText());
+            if (customerScript.has("quota_per_second")) {
+                customer.set("quota_per_second", customerScript.path("quota_per_second"));
             }
             customer.putArray("keys").addObject().put("file", "customer-" + i + ".key");
-            customer.put("answers_to", "http://127.0.0.1:" + control + "/answers");
+            customer.put("answers_to", "http://127.0.0.1:" + controlPort + "/answers");
         }
-        if (day.path("clients").path("grpc").asDouble(0) > 0) {
-            plan.putObject("grpc").put("listen", "127.0.0.1:0");
+        if (script.path("clients").path("grpc").asDouble(0) > 0) {
+            deployment.putObject("grpc").put("listen", "127.0.0.1:0");
         }
         if (alertMonitor != null) {
-            plan.putObject("metrics").putObject("remote_write").put("url", alertMonitor.url()).put("interval_ms", 250);
+            deployment.putObject("metrics").putObject("remote_write").put("url", alertMonitor.url()).put("interval_ms", 250);
         }
-        if (day.path("ledger").asBoolean()) {
-            plan.putObject("ledger").put("folder", "fe-" + me + ".ledger");
+        if (script.path("ledger").asBoolean()) {
+            deployment.putObject("ledger").put("folder", "fe-" + index + ".ledger");
         }
         if (!ports.isEmpty()) {
-            ObjectNode peers = plan.putObject("peers").put("listen", "127.0.0.1:" + ports.get(count + me));
+            ObjectNode peers = deployment.putObject("peers").put("listen", "127.0.0.1:" + ports.get(count + index));
             peers.putObject("key").put("file", "peers.key");
             ArrayNode members = peers.putArray("members");
             for (int i = 0; i < count; i++) {
@@ -275,17 +286,17 @@
                         .put("front", "127.0.0.1:" + ports.get(i));
             }
         }
-        for (String part : List.of("model_groups", "models", "rules", "loading", "forwards", "limits", "executors")) {
-            if (day.has(part)) {
-                plan.set(part, day.path(part));
+        for (String section : List.of("model_groups", "models", "rules", "loading", "forwards", "limits", "executors")) {
+            if (script.has(section)) {
+                deployment.set(section, script.path(section));
             }
         }
-        return plan;
+        return deployment;
     }
 
     private void writeKeys() throws IOException {
-        for (int c = 0; c < customerKeys.size(); c++) {
-            writeKey("customer-" + c + ".key", customerKeys.get(c).secretText());
+        for (int i = 0; i < customerKeys.size(); i++) {
+            writeKey("customer-" + i + ".key", customerKeys.get(i).secretText());
         }
         writeKey("peers.key", WebhookKey.newSecret(new SecureRandom()));
     }
@@ -297,28 +308,28 @@
         Files.writeString(file, key);
     }
 
-    /** Ports below those that systems give to outgoing connections (Linux: from 32768). */
+    /** The ports lie below the ephemeral range of outgoing connections (Linux: from 32768). */
     private static final int FIRST_PORT = 20_000;
     private static final int PORT_COUNT = 12_000;
     private static final int PORT_ATTEMPTS = 100;
 
     /**
-     * A port on which a process of this rehearsal will listen in a moment. Of those that the system gives itself any
-     * connection of the machine could take it until then.
+     * A port on which a process of this rehearsal will listen shortly. It lies outside the ephemeral range, where any
+     * outgoing connection of the machine could take it before.
      */
     private static int freePort() throws IOException {
         for (int i = 0; i < PORT_ATTEMPTS; i++) {
             int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
             try (ServerSocket socket = new ServerSocket(port, 1, java.net.InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
-            } catch (BindException taken) {
-                // another one is tried
+            } catch (BindException e) {
+                // The port is in use: try another one.
             }
         }
         throw new IOException("no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1));
     }
 
-    /** A day begins without a past, also in a folder that has been used. */
+    /** Deletes the ledgers of earlier runs in the same folder. */
     private void deleteLedgers() throws IOException {
         try (var files = Files.walk(folder)) {
             for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
@@ -331,32 +342,32 @@
 
     private void startFrontEnd(int i) throws IOException {
         List<String> command = new ArrayList<>(frontEndCommand);
-        if (day.has("front_end_fault")) {
+        if (script.has("front_end_fault")) {
             command = new ArrayList<>(javaCommand("gradereach.rehearsal.FaultyFrontEnd"));
-            command.addAll(List.of(day.path("front_end_fault").asText(), "warm"));
+            command.addAll(List.of(script.path("front_end_fault").asText(), "warm"));
         }
         command.add(folder.resolve("fe-" + i + ".json").toString());
-        Process made = frontEnds.start(new ProcessBuilder(command)
+        Process process = frontEnds.start(new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.appendTo(folder.resolve("fe-" + i + ".log").toFile())));
-        BufferedReader said = made.inputReader(StandardCharsets.UTF_8);
-        String line = said.readLine();
+        BufferedReader output = process.inputReader(StandardCharsets.UTF_8);
+        String line = output.readLine();
         if (line == null || !line.startsWith("listening ")) {
             throw new IOException("front end did not start: see " + folder.resolve("fe-" + i + ".log"));
         }
         String[] words = line.split(" ");
-        InetSocketAddress at = parseAddress(words[1]);
-        InetSocketAddress grpc = line.contains(" grpc ") ? parseAddress(words[words.length - 1]) : null;
-        Thread drain = new Thread(() -> said.lines().forEach(l -> { }), "front-end-output");
-        drain.setDaemon(true);
-        drain.start();
+        InetSocketAddress address = parseAddress(words[1]);
+        InetSocketAddress grpcAddress = line.contains(" grpc ") ? parseAddress(words[words.length - 1]) : null;
+        Thread outputReader = new Thread(() -> output.lines().forEach(l -> { }), "front-end-output");
+        outputReader.setDaemon(true);
+        outputReader.start();
         synchronized (this) {
             if (i < frontEndProcesses.size()) {
-                frontEndProcesses.set(i, made);
+                frontEndProcesses.set(i, process);
             } else {
-                frontEndProcesses.add(made);
-                addresses.add(at);
-                if (grpc != null) {
-                    grpcAddresses.add(grpc);
+                frontEndProcesses.add(process);
+                addresses.add(address);
+                if (grpcAddress != null) {
+                    grpcAddresses.add(grpcAddress);
                 }
             }
         }
@@ -366,15 +377,18 @@
         return new InetSocketAddress("127.0.0.1", Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)));
     }
 
-    /** The whole process stands still, or goes on. What it could not do meanwhile is not held against it. */
-    private void signalFrontEnd(int fe, String what) throws IOException, InterruptedException {
-        transcript.write("killed", "fe", "fe-" + fe, "signal", what);
-        new ProcessBuilder("kill", "-" + what, Long.toString(frontEndProcesses.get(fe).pid())).start().waitFor();
+    /**
+     * Sends a signal that suspends or resumes a whole front end. It is recorded as {@code killed}, so that the auditor
+     * excuses what the front end could not do meanwhile.
+     */
+    private void signalFrontEnd(int frontEnd, String signal) throws IOException, InterruptedException {
+        transcript.write("killed", "fe", "fe-" + frontEnd, "signal", signal);
+        new ProcessBuilder("kill", "-" + signal, Long.toString(frontEndProcesses.get(frontEnd).pid())).start().waitFor();
     }
 
-    private void playEvent(JsonNode event, ScriptedClients crowd, int control, ScheduledExecutorService timer) {
+    private void playEvent(JsonNode event, ScriptedClients clients, int controlPort, ScheduledExecutorService timer) {
         String kind = event.path("kind").asText();
-        long length = event.path("for_ms").asLong(1000);
+        long durationMillis = event.path("for_ms").asLong(1000);
         if (alertMonitor != null) {
             alertMonitor.recordEvent(kind);
         }
@@ -384,42 +398,42 @@
         try {
             switch (kind) {
                 case "burst" -> {
-                    crowd.setRateMultiplier(event.path("size").asDouble(2));
-                    timer.schedule(() -> crowd.setRateMultiplier(1), length, TimeUnit.MILLISECONDS);
+                    clients.setRateMultiplier(event.path("size").asDouble(2));
+                    timer.schedule(() -> clients.setRateMultiplier(1), durationMillis, TimeUnit.MILLISECONDS);
                 }
                 case "customer_burst" -> {
-                    crowd.setCustomerMultiplier(event.path("customer").asInt(0), event.path("size").asDouble(4));
-                    timer.schedule(() -> crowd.setCustomerMultiplier(-1, 1), length, TimeUnit.MILLISECONDS);
+                    clients.setCustomerMultiplier(event.path("customer").asInt(0), event.path("size").asDouble(4));
+                    timer.schedule(() -> clients.setCustomerMultiplier(-1, 1), durationMillis, TimeUnit.MILLISECONDS);
                 }
                 case "kill_front_end" -> {
-                    int fe = event.path("fe").asInt(0);
-                    Path file = folder.resolve("fe-" + fe + ".json");
-                    // It comes back where its clients look for it.
-                    ObjectNode plan = (ObjectNode) JSON.readTree(file.toFile());
-                    plan.put("listen", "127.0.0.1:" + addresses.get(fe).getPort());
+                    int frontEnd = event.path("fe").asInt(0);
+                    Path file = folder.resolve("fe-" + frontEnd + ".json");
+                    // It restarts on the ports that its clients use.
+                    ObjectNode deployment = (ObjectNode) JSON.readTree(file.toFile());
+                    deployment.put("listen", "127.0.0.1:" + addresses.get(frontEnd).getPort());
                     if (!grpcAddresses.isEmpty()) {
-                        plan.putObject("grpc").put("listen", "127.0.0.1:" + grpcAddresses.get(fe).getPort());
+                        deployment.putObject("grpc").put("listen", "127.0.0.1:" + grpcAddresses.get(frontEnd).getPort());
                     }
-                    Files.write(file, JSON.writeValueAsBytes(plan));
-                    transcript.write("killed", "fe", "fe-" + fe);
-                    frontEndProcesses.get(fe).destroyForcibly().waitFor();
-                    transcript.write("killed", "fe", "fe-" + fe);
-                    Thread.sleep(length);
-                    startFrontEnd(fe);
-                    transcript.write("restarted", "fe", "fe-" + fe);
+                    Files.write(file, JSON.writeValueAsBytes(deployment));
+                    transcript.write("killed", "fe", "fe-" + frontEnd);
+                    frontEndProcesses.get(frontEnd).destroyForcibly().waitFor();
+                    transcript.write("killed", "fe", "fe-" + frontEnd);
+                    Thread.sleep(durationMillis);
+                    startFrontEnd(frontEnd);
+                    transcript.write("restarted", "fe", "fe-" + frontEnd);
                 }
                 case "stall_front_end" -> {
-                    int fe = event.path("fe").asInt(0);
-                    signalFrontEnd(fe, "STOP");
-                    Thread.sleep(length);
-                    signalFrontEnd(fe, "CONT");
+                    int frontEnd = event.path("fe").asInt(0);
+                    signalFrontEnd(frontEnd, "STOP");
+                    Thread.sleep(durationMillis);
+                    signalFrontEnd(frontEnd, "CONT");
                 }
                 default -> {
-                    HttpResponse<Void> answer = httpClient.send(HttpRequest.newBuilder(
-                            URI.create("http://127.0.0.1:" + control + "/fault"))
+                    HttpResponse<Void> response = httpClient.send(HttpRequest.newBuilder(
+                            URI.create("http://127.0.0.1:" + controlPort + "/fault"))
                             .POST(HttpRequest.BodyPublishers.ofString(event.toString())).build(),
                             HttpResponse.BodyHandlers.discarding());
-                    if (answer.statusCode() != 200) {
+                    if (response.statusCode() != 200) {
                         throw new IOException("stand-ins refused " + event);
                     }
                 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/RunningEvents.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/RunningEvents.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which of a day's events have begun and not ended. Any thread. */
+/** The events of a rehearsal that have started and not ended. Thread-safe. */
 final class RunningEvents {
     private final List<JsonNode> running = new ArrayList<>();
     private long lastEndNanos = System.nanoTime();
@@ -18,7 +18,7 @@
         lastEndNanos = System.nanoTime();
     }
 
-    /** Milliseconds since the last event ended, 0 while one is under way. */
+    /** Milliseconds since the last event ended, 0 while one is running. */
     synchronized double millisSinceLastEnd() {
         return running.isEmpty() ? (System.nanoTime() - lastEndNanos) / 1e6 : 0;
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
@@ -27,11 +27,12 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Scripted clients: ask at a rate that does not wait for answers, give up on their own time, repeat as their kind
- * does, and write down what they asked and heard. One thread decides; answers come from the I/O threads.
+ * Scripted clients: they send at a rate that does not depend on the answers, cancel after their own timeout, retry as
+ * their kind of inference allows, and record requests and outcomes in a transcript. One thread decides what is sent;
+ * answers are handled on the I/O threads.
  */
 final class ScriptedClients implements AutoCloseable {
-    /** Numbers of tries that are no repeats: the same message played again, and copies of it sent at once. */
+    /** Attempt numbers that are no retries: the same message replayed, and duplicates sent at about the same time. */
     private static final int REPLAY_ATTEMPT = 100;
     private static final int DUPLICATE_ATTEMPT = 1000;
 
@@ -40,60 +41,60 @@
     private record InferenceKind(String group, String repeat, boolean streamed, double timeoutMillis, double share, String[] models,
             double[] cumulativeWeights, double workMillis) { }
 
-    /** Requests of one kind that each front end refuses before the day. */
+    /** Requests of each kind that each front end rejects before the scripted traffic starts. */
     private static final int WARM_UP_REQUESTS = 50;
     private static final double WARM_UP_BUDGET_MILLIS = 1000;
     private static final double WARM_UP_TIMEOUT_MILLIS = 3000;
-    /** What an event leaves behind is asked of as well. */
+    /** Requests go on this long after the last event, so that its after-effects are tested too. */
     private static final double QUIET_PERIOD_MILLIS = 500;
-    /** Above every budget of the days, and what a client waits after it. */
+    /** Above every budget of the scripts plus the time that a client waits after it. */
     private static final double FINAL_ANSWERS_TIMEOUT_MILLIS = 15_000;
 
     private final Transcript transcript;
     private final Transcript warmUpTranscript = Transcript.discarded();
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final Http2ConnectionPool[] frontEndPools;
-    /** Of their gRPC listeners; empty where there are none. */
+    /** Addresses of the gRPC listeners; empty where there are none. */
     private final List<InetSocketAddress> grpcAddresses;
-    /** By customer; the library repeats nothing. */
+    /** gRPC clients, one a customer; the client library retries nothing at this level. */
     private final List<FrontEndTransport> grpcClients = new ArrayList<>();
     private final List<Customer> customers = new ArrayList<>();
     private final List<InferenceKind> kinds = new ArrayList<>();
     private final JsonNode clientSettings;
     private final Random random;
     private final AtomicInteger openRequests = new AtomicInteger();
-    private final String run;
+    private final String runId;
     private int requestCount;
     private volatile double rateMultiplier = 1;
     private volatile int burstCustomer = -1;
     private volatile double customerMultiplier = 1;
 
-    ScriptedClients(JsonNode day, List<InetSocketAddress> addresses, List<InetSocketAddress> grpcFronts, List<WebhookKey> keys,
+    ScriptedClients(JsonNode script, List<InetSocketAddress> addresses, List<InetSocketAddress> grpcAddresses, List<WebhookKey> keys,
             Transcript transcript) {
-        this.grpcAddresses = grpcFronts;
+        this.grpcAddresses = grpcAddresses;
         this.transcript = transcript;
-        clientSettings = day.path("clients");
-        random = new Random(day.path("seed").asLong(1));
-        run = Long.toHexString(random.nextLong() >>> 40);
-        for (int i = 0; i < day.path("customers").size(); i++) {
-            JsonNode c = day.path("customers").path(i);
+        clientSettings = script.path("clients");
+        random = new Random(script.path("seed").asLong(1));
+        runId = Long.toHexString(random.nextLong() >>> 40);
+        for (int i = 0; i < script.path("customers").size(); i++) {
+            JsonNode customer = script.path("customers").path(i);
             grpcClients.add(FrontEndTransport.grpc(keys.get(i), loops));
-            customers.add(new Customer(c.path("name").asText(), keys.get(i), c.path("share").asDouble(1)));
+            customers.add(new Customer(customer.path("name").asText(), keys.get(i), customer.path("share").asDouble(1)));
         }
-        for (JsonNode g : day.path("model_groups")) {
-            JsonNode habit = clientSettings.path("groups").path(g.path("name").asText());
-            int count = habit.path("models").asInt(10);
+        for (JsonNode group : script.path("model_groups")) {
+            JsonNode groupSettings = clientSettings.path("groups").path(group.path("name").asText());
+            int count = groupSettings.path("models").asInt(10);
             String[] models = new String[count];
-            double[] upTo = new double[count];
+            double[] cumulativeWeights = new double[count];
             double sum = 0;
             for (int i = 0; i < count; i++) {
-                models[i] = g.path("name").asText() + "-" + i;
-                sum += 1 / Math.pow(i + 1, habit.path("zipf").asDouble(1.1));
-                upTo[i] = sum;
+                models[i] = group.path("name").asText() + "-" + i;
+                sum += 1 / Math.pow(i + 1, groupSettings.path("zipf").asDouble(1.1));
+                cumulativeWeights[i] = sum;
             }
-            kinds.add(new InferenceKind(g.path("name").asText(), g.path("repeat").asText(),
-                    g.path("streamed").asBoolean(false), g.path("route_timeout_ms").asDouble(), habit.path("share").asDouble(1), models, upTo,
-                    habit.path("work_ms").asDouble(20)));
+            kinds.add(new InferenceKind(group.path("name").asText(), group.path("repeat").asText(),
+                    group.path("streamed").asBoolean(false), group.path("route_timeout_ms").asDouble(),
+                    groupSettings.path("share").asDouble(1), models, cumulativeWeights, groupSettings.path("work_ms").asDouble(20)));
         }
         Counts counts = new Counts();
         frontEndPools = new Http2ConnectionPool[addresses.size()];
@@ -105,63 +106,66 @@
     }
 
     /**
-     * Has every front end refuse some requests, so that neither side's first one pays for loading classes. They take the
-     * very path of the day's requests: a first call prepared 188 ms late, on two cores, counted as a late answer.
+     * Sends every front end some requests that it rejects, so that classes are loaded on both sides before the scripted
+     * traffic. They take the same path as that traffic: the first call, prepared 188 ms late on two cores, counted as a
+     * late answer.
      */
     void warmUp() {
-        for (int front = 0; front < frontEndPools.length; front++) {
-            warmUp(front, false, false);
+        for (int frontEnd = 0; frontEnd < frontEndPools.length; frontEnd++) {
+            warmUp(frontEnd, false, false);
             if (!grpcAddresses.isEmpty()) {
-                warmUp(front, true, false);
-                warmUp(front, true, true);
+                warmUp(frontEnd, true, false);
+                warmUp(frontEnd, true, true);
             }
         }
     }
 
-    private void warmUp(int front, boolean grpc, boolean streamed) {
+    private void warmUp(int frontEnd, boolean grpc, boolean streamed) {
         InferenceKind unknown = new InferenceKind("warm-up", "non-retriable", streamed, WARM_UP_BUDGET_MILLIS, 0, new String[] {"warm-up"},
                 new double[] {1}, 1);
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
             byte[] body = InferenceMessages.webhook(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
-            ScriptedRequest ask = new ScriptedRequest(customers.get(i % customers.size()), unknown, "warm-up-" + i, body, WARM_UP_BUDGET_MILLIS, front,
-                    warmUpTranscript);
-            ask.grpc = grpc;
-            ask.grpcMessage = InferenceMessages.grpc(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
-            ask.send(0);
+            ScriptedRequest request = new ScriptedRequest(customers.get(i % customers.size()), unknown, "warm-up-" + i, body,
+                    WARM_UP_BUDGET_MILLIS, frontEnd, warmUpTranscript);
+            request.grpc = grpc;
+            request.grpcMessage = InferenceMessages.grpc(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
+            request.send(0);
         }
         awaitAnswers(WARM_UP_TIMEOUT_MILLIS);
     }
 
-    /** Until all that was asked is at an end, or {@code millis} are over. */
+    /** Waits until every request has ended, for {@code millis} at most. */
     private void awaitAnswers(double millis) {
-        double until = System.nanoTime() / 1e6 + millis;
-        while (openRequests.get() > 0 && System.nanoTime() / 1e6 < until) {
+        double deadline = System.nanoTime() / 1e6 + millis;
+        while (openRequests.get() > 0 && System.nanoTime() / 1e6 < deadline) {
             LockSupport.parkNanos(5_000_000);
         }
     }
 
-    /** Rate times {@code size}, for a burst. */
-    void setRateMultiplier(double size) {
-        rateMultiplier = size;
+    /** Multiplies the request rate, for a burst. */
+    void setRateMultiplier(double multiplier) {
+        rateMultiplier = multiplier;
     }
 
-    /** One customer sends that many times its share. */
-    void setCustomerMultiplier(int customer, double size) {
+    /** Lets one customer send a multiple of its share; {@code customer} -1 for none. */
+    void setCustomerMultiplier(int customer, double multiplier) {
         burstCustomer = customer;
-        customerMultiplier = size;
+        customerMultiplier = multiplier;
     }
 
     /**
-     * Asks for {@code millis}, and on until nothing has happened for a while, {@code longest} milliseconds at most; then
-     * waits until all asked is at an end.
+     * Sends requests for {@code millis} and then until the events have ended and a quiet period is over; then waits until
+     * every request has ended.
      *
-     * @param quietFor milliseconds since the last event ended, 0 while one is under way
+     * @param maxExtraMillis how long it may go on after {@code millis}
+     * @param millisSinceLastEvent milliseconds since the last event ended, 0 while one is running
      */
-    void run(double millis, double longest, DoubleSupplier quietFor) {
+    void run(double millis, double maxExtraMillis, DoubleSupplier millisSinceLastEvent) {
         EventLoopLagMonitor.watch(loops, "clients", transcript);
         double start = System.nanoTime() / 1e6;
         double next = start;
-        while (next < start + millis || next < start + millis + longest && quietFor.getAsDouble() < QUIET_PERIOD_MILLIS) {
+        while (next < start + millis || next < start + millis + maxExtraMillis
+                && millisSinceLastEvent.getAsDouble() < QUIET_PERIOD_MILLIS) {
             double now = System.nanoTime() / 1e6;
             if (next > now) {
                 LockSupport.parkNanos((long) ((next - now) * 1e6));
@@ -178,10 +182,10 @@
         for (int i = 0; i < customers.size(); i++) {
             sum += customers.get(i).share * (i == burstCustomer ? customerMultiplier : 1);
         }
-        double at = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * sum;
         for (int i = 0; i < customers.size(); i++) {
-            at -= customers.get(i).share * (i == burstCustomer ? customerMultiplier : 1);
-            if (at < 0) {
+            remaining -= customers.get(i).share * (i == burstCustomer ? customerMultiplier : 1);
+            if (remaining < 0) {
                 return i;
             }
         }
@@ -190,10 +194,10 @@
 
     private InferenceKind drawKind() {
         double sum = kinds.stream().mapToDouble(InferenceKind::share).sum();
-        double at = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * sum;
         for (InferenceKind kind : kinds) {
-            at -= kind.share;
-            if (at < 0) {
+            remaining -= kind.share;
+            if (remaining < 0) {
                 return kind;
             }
         }
@@ -208,31 +212,33 @@
         while (kind.cumulativeWeights[model] < draw) {
             model++;
         }
-        double work = kind.workMillis * (0.5 + random.nextDouble());
-        double budget = kind.timeoutMillis * (0.5 + 0.5 * random.nextDouble());
-        byte[] body = InferenceMessages.webhook(kind.models[model], budget, work);
-        ScriptedRequest ask = new ScriptedRequest(customer, kind, "m-" + run + "-" + requestCount, body, Math.round(budget),
+        double workMillis = kind.workMillis * (0.5 + random.nextDouble());
+        double budgetMillis = kind.timeoutMillis * (0.5 + 0.5 * random.nextDouble());
+        byte[] body = InferenceMessages.webhook(kind.models[model], budgetMillis, workMillis);
+        ScriptedRequest request = new ScriptedRequest(customer, kind, "m-" + runId + "-" + requestCount, body, Math.round(budgetMillis),
                 requestCount++ % frontEndPools.length, transcript);
-        double lot = random.nextDouble();
+        double choice = random.nextDouble();
         double forged = clientSettings.path("forged").asDouble(0);
         double replayed = clientSettings.path("replayed").asDouble(0);
-        double leaving = clientSettings.path("leaving").asDouble(0);
-        ask.forged = lot < forged;
-        ask.replayed = lot >= forged && lot < forged + replayed;
-        ask.cancelAfterMillis = lot > 1 - leaving ? budget * random.nextDouble() : -1;
-        ask.async = !ask.replayed && ask.cancelAfterMillis < 0 && random.nextDouble() < clientSettings.path("async").asDouble(0);
-        ask.grpc = !ask.forged && !ask.async && !grpcAddresses.isEmpty() && random.nextDouble() < clientSettings.path("grpc").asDouble(0);
-        if (ask.grpc) {
-            ask.grpcMessage = InferenceMessages.grpc(kind.models[model], Math.round(budget), work);
+        double cancelled = clientSettings.path("leaving").asDouble(0);
+        request.forged = choice < forged;
+        request.replayed = choice >= forged && choice < forged + replayed;
+        request.cancelAfterMillis = choice > 1 - cancelled ? budgetMillis * random.nextDouble() : -1;
+        request.async = !request.replayed && request.cancelAfterMillis < 0
+                && random.nextDouble() < clientSettings.path("async").asDouble(0);
+        request.grpc = !request.forged && !request.async && !grpcAddresses.isEmpty()
+                && random.nextDouble() < clientSettings.path("grpc").asDouble(0);
+        if (request.grpc) {
+            request.grpcMessage = InferenceMessages.grpc(kind.models[model], Math.round(budgetMillis), workMillis);
         }
-        ask.send(0);
+        request.send(0);
         for (int i = 1; i < clientSettings.path("copies").asInt(1); i++) {
-            int n = DUPLICATE_ATTEMPT + i;
-            ask.sendAfter(n, random.nextInt(300));
+            int attempt = DUPLICATE_ATTEMPT + i;
+            request.sendAfter(attempt, random.nextInt(300));
         }
     }
 
-    /** One message of one client, over its repeats. */
+    /** One message of one client, with its retries. */
     private final class ScriptedRequest {
         final Customer customer;
         final InferenceKind kind;
@@ -261,106 +267,109 @@
         }
 
         /**
-         * A replayed message comes where the message went last: what another front end can know of it is shared only by claims.
-         * Found by a bad day: a first try that never left, its repeat elsewhere, and the replay where nobody had heard of it.
+         * Selects the front end of an attempt. A replay goes where the message was sent last, as other front ends know of
+         * the message only by claims. Otherwise a first attempt that was never sent, its retry elsewhere and the replay at
+         * the first front end count as a violation, though that front end never received the message.
          */
-        private int selectFrontEnd(int n) {
-            if (n != REPLAY_ATTEMPT) {
-                lastFrontEnd = (firstFrontEnd + n) % frontEndPools.length;
+        private int selectFrontEnd(int attempt) {
+            if (attempt != REPLAY_ATTEMPT) {
+                lastFrontEnd = (firstFrontEnd + attempt) % frontEndPools.length;
             }
             return lastFrontEnd;
         }
 
-        /** What is still to be sent is open: the day is not over before. */
-        void sendAfter(int n, long wait) {
+        /** Sends after a delay; the request counts as open meanwhile, so that the run does not end before it is sent. */
+        void sendAfter(int attempt, long delayMillis) {
             openRequests.incrementAndGet();
             loops.schedule(() -> {
-                send(n);
+                send(attempt);
                 openRequests.decrementAndGet();
-            }, wait, TimeUnit.MILLISECONDS);
+            }, delayMillis, TimeUnit.MILLISECONDS);
         }
 
-        private void send(int n) {
+        private void send(int attempt) {
             if (grpc) {
-                sendGrpc(n);
+                sendGrpc(attempt);
             } else {
-                sendWebhook(n);
+                sendWebhook(attempt);
             }
         }
 
-        /** By gRPC, one try, in parts where the model answers so. */
-        private void sendGrpc(int n) {
-            int front = selectFrontEnd(n);
-            InetSocketAddress to = grpcAddresses.get(front);
+        /** Sends one attempt by gRPC, as a stream where the model streams its answers. */
+        private void sendGrpc(int attempt) {
+            int frontEnd = selectFrontEnd(attempt);
+            InetSocketAddress socketAddress = grpcAddresses.get(frontEnd);
             openRequests.incrementAndGet();
-            transcript.write("asked", "mark", customer.name + "/" + id, "n", n, "fe", "fe-" + front, "group", kind.group,
+            transcript.write("asked", "mark", customer.name + "/" + id, "n", attempt, "fe", "fe-" + frontEnd, "group", kind.group,
                     "budget", budget, "async", false, "forged", false, "grpc", true);
-            boolean[] left = new boolean[1];
+            boolean[] cancelled = new boolean[1];
             int[] digest = {1};
             Inference inference = new Inference(id, grpcMessage.getModelName(), grpcMessage);
-            Consumer<Object> parts = part -> {
+            Consumer<Object> onPart = part -> {
                 if (digest[0] == 1) {
-                    transcript.write("begun", "mark", customer.name + "/" + id, "n", n);
+                    transcript.write("begun", "mark", customer.name + "/" + id, "n", attempt);
                 }
                 digest[0] = 31 * digest[0] + part.hashCode();
             };
-            Consumer<gradereach.client.AttemptOutcome> then = end -> {
+            Consumer<gradereach.client.AttemptOutcome> onEnd = outcome -> {
                 openRequests.decrementAndGet();
-                boolean neverSent = end.kind() == gradereach.client.AttemptOutcome.Kind.NEVER_SENT;
-                String what = left[0] ? "left" : neverSent ? "lost" : end.kind().name().toLowerCase();
-                transcript.write("heard", "mark", customer.name + "/" + id, "n", n, "what", what, "end", String.valueOf(end.detail()),
-                        "signed", true, "digest", kind.streamed ? digest[0] : String.valueOf(end.answer()).hashCode(), "never_sent",
+                boolean neverSent = outcome.kind() == gradereach.client.AttemptOutcome.Kind.NEVER_SENT;
+                String result = cancelled[0] ? "left" : neverSent ? "lost" : outcome.kind().name().toLowerCase();
+                transcript.write("heard", "mark", customer.name + "/" + id, "n", attempt, "what", result,
+                        "end", String.valueOf(outcome.detail()), "signed", true,
+                        "digest", kind.streamed ? digest[0] : String.valueOf(outcome.answer()).hashCode(), "never_sent",
                         neverSent, "grpc", true);
-                boolean again = what.equals("shed") || neverSent || end.retrySafe() && what.equals("failed")
-                        || what.equals("lost") && kind.repeat.equals("retriable");
-                retry(n, again, end.retryAfterMillis());
+                boolean retryAllowed = result.equals("shed") || neverSent || outcome.retrySafe() && result.equals("failed")
+                        || result.equals("lost") && kind.repeat.equals("retriable");
+                retry(attempt, retryAllowed, outcome.retryAfterMillis());
             };
-            FrontEndTransport way = grpcClients.get(customers.indexOf(customer));
-            String address = to.getHostString() + ":" + to.getPort();
-            // As by webhook: closed well after its time, so that a late answer is heard.
-            FrontEndTransport.Attempt sent = kind.streamed ? way.stream(address, inference, budget + 1000, parts, then)
-                    : way.send(address, inference, budget + 1000, then);
-            scheduleReplayAndCancel(n, () -> {
-                left[0] = true;
-                sent.cancel();
+            FrontEndTransport transport = grpcClients.get(customers.indexOf(customer));
+            String address = socketAddress.getHostString() + ":" + socketAddress.getPort();
+            // As by webhook, the call is closed well after its budget, so that a late answer is still received.
+            FrontEndTransport.Attempt call = kind.streamed ? transport.stream(address, inference, budget + 1000, onPart, onEnd)
+                    : transport.send(address, inference, budget + 1000, onEnd);
+            scheduleReplayAndCancel(attempt, () -> {
+                cancelled[0] = true;
+                call.cancel();
             });
         }
 
-        private void sendWebhook(int n) {
-            int front = selectFrontEnd(n);
-            long at = System.currentTimeMillis() / 1000;
-            String signature = "v1," + customer.key.sign(forged ? id + "x" : id, at, body);
+        private void sendWebhook(int attempt) {
+            int frontEnd = selectFrontEnd(attempt);
+            long timestamp = System.currentTimeMillis() / 1000;
+            String signature = "v1," + customer.key.sign(forged ? id + "x" : id, timestamp, body);
             openRequests.incrementAndGet();
-            double t = Transcript.now();
-            transcript.writeAt(t, "asked", "mark", customer.name + "/" + id, "n", n, "fe", "fe-" + front, "group",
+            double time = Transcript.now();
+            transcript.writeAt(time, "asked", "mark", customer.name + "/" + id, "n", attempt, "fe", "fe-" + frontEnd, "group",
                     kind.group, "budget", budget, "async", async, "forged", forged);
             String[] headers = {"content-type", "application/json", "webhook-id", id, "webhook-timestamp",
-                Long.toString(at), "webhook-signature", signature, "prefer", async ? "respond-async" : "wait=60"};
+                Long.toString(timestamp), "webhook-signature", signature, "prefer", async ? "respond-async" : "wait=60"};
             Http2ConnectionPool.Request[] request = new Http2ConnectionPool.Request[1];
-            request[0] = frontEndPools[front].send("POST", "/v1/inferences", body, (end, status, head, content) -> {
+            request[0] = frontEndPools[frontEnd].send("POST", "/v1/inferences", body, (result, status, responseHeaders, responseBody) -> {
                 openRequests.decrementAndGet();
-                String text = content == null ? "" : new String(content, StandardCharsets.UTF_8);
-                String what = end == ExchangeResult.GIVEN_UP ? "left" : end != ExchangeResult.ANSWERED ? "lost"
+                String responseText = responseBody == null ? "" : new String(responseBody, StandardCharsets.UTF_8);
+                String outcome = result == ExchangeResult.GIVEN_UP ? "left" : result != ExchangeResult.ANSWERED ? "lost"
                         : status == 200 ? "returned" : status == 202 ? "accepted"
-                        : text.contains("\"outcome\":\"shed\"") ? "shed"
-                        : text.contains("\"outcome\":\"failed\"") ? "failed" : "refused";
-                boolean signed = end == ExchangeResult.ANSWERED && signatureValid(head, content);
-                transcript.write("heard", "mark", customer.name + "/" + id, "n", n, "what", what, "status", status,
-                        "end", end.name(), "signed", signed, "digest", java.util.Arrays.hashCode(content),
-                        "never_sent", end == ExchangeResult.NOT_CONNECTED || end == ExchangeResult.NOT_WRITTEN || end == ExchangeResult.REFUSED
-                                || end == ExchangeResult.ABOVE_GOAWAY);
-                retryAfterAnswer(n, what, end, head == null ? null : head.get("retry-after"), text);
+                        : responseText.contains("\"outcome\":\"shed\"") ? "shed"
+                        : responseText.contains("\"outcome\":\"failed\"") ? "failed" : "refused";
+                boolean signed = result == ExchangeResult.ANSWERED && signatureValid(responseHeaders, responseBody);
+                transcript.write("heard", "mark", customer.name + "/" + id, "n", attempt, "what", outcome, "status", status,
+                        "end", result.name(), "signed", signed, "digest", java.util.Arrays.hashCode(responseBody),
+                        "never_sent", result == ExchangeResult.NOT_CONNECTED || result == ExchangeResult.NOT_WRITTEN
+                                || result == ExchangeResult.REFUSED || result == ExchangeResult.ABOVE_GOAWAY);
+                retryAfterAnswer(attempt, outcome, result,
+                        responseHeaders == null ? null : responseHeaders.get("retry-after"), responseText);
             }, headers);
-            scheduleReplayAndCancel(n, () -> request[0].cancel());
+            scheduleReplayAndCancel(attempt, () -> request[0].cancel());
         }
 
-        private void scheduleReplayAndCancel(int n, Runnable leave) {
-            if (replayed && n == 0) {
+        private void scheduleReplayAndCancel(int attempt, Runnable cancel) {
+            if (replayed && attempt == 0) {
                 sendAfter(REPLAY_ATTEMPT, randomBelow(400));
             }
-            // A client's own clock: it closes what is not answered well after its time, or when it has had enough.
+            // The client cancels a request that is not answered well after its budget, or earlier where the script says so.
             if (cancelAfterMillis >= 0 || !grpc) {
-                loops.schedule(leave, (long) (cancelAfterMillis >= 0 ? cancelAfterMillis : budget + 1000), TimeUnit.MILLISECONDS);
+                loops.schedule(cancel, (long) (cancelAfterMillis >= 0 ? cancelAfterMillis : budget + 1000), TimeUnit.MILLISECONDS);
             }
         }
 
@@ -368,30 +377,30 @@
             return java.util.concurrent.ThreadLocalRandom.current().nextInt(bound);
         }
 
-        private boolean signatureValid(io.netty.handler.codec.http2.Http2Headers head, byte[] content) {
-            KeyRing ring = new KeyRing(List.of(List.of(customer.key)));
-            return ring.verify(String.valueOf(head.get("webhook-id")), String.valueOf(head.get("webhook-timestamp")),
-                    String.valueOf(head.get("webhook-signature")), content, System.currentTimeMillis() / 1000, 0)
+        private boolean signatureValid(io.netty.handler.codec.http2.Http2Headers headers, byte[] content) {
+            KeyRing keyRing = new KeyRing(List.of(List.of(customer.key)));
+            return keyRing.verify(String.valueOf(headers.get("webhook-id")), String.valueOf(headers.get("webhook-timestamp")),
+                    String.valueOf(headers.get("webhook-signature")), content, System.currentTimeMillis() / 1000, 0)
                     .rejection() == null;
         }
 
-        /** Repeats as the users' clients do: what is harmless, and what never left. */
-        private void retryAfterAnswer(int n, String what, ExchangeResult end, CharSequence pause, String text) {
-            boolean neverSent = end == ExchangeResult.NOT_CONNECTED || end == ExchangeResult.NOT_WRITTEN || end == ExchangeResult.REFUSED
-                    || end == ExchangeResult.ABOVE_GOAWAY;
-            boolean again = what.equals("shed") || neverSent
-                    || text.contains("\"repeat_harmless\":true") && what.equals("failed")
-                    || what.equals("lost") && kind.repeat.equals("retriable");
-            retry(n, again, pause == null ? 0 : 1000.0 * Integer.parseInt(pause.toString()));
+        /** Retries as real clients do: where a retry is safe or the request was never sent. */
+        private void retryAfterAnswer(int attempt, String outcome, ExchangeResult result, CharSequence retryAfter, String responseText) {
+            boolean neverSent = result == ExchangeResult.NOT_CONNECTED || result == ExchangeResult.NOT_WRITTEN
+                    || result == ExchangeResult.REFUSED || result == ExchangeResult.ABOVE_GOAWAY;
+            boolean retryAllowed = outcome.equals("shed") || neverSent
+                    || responseText.contains("\"repeat_harmless\":true") && outcome.equals("failed")
+                    || outcome.equals("lost") && kind.repeat.equals("retriable");
+            retry(attempt, retryAllowed, retryAfter == null ? 0 : 1000.0 * Integer.parseInt(retryAfter.toString()));
         }
 
-        private void retry(int n, boolean again, double pause) {
-            if (forged || n >= clientSettings.path("repeats").asInt(2) || !again || async) {
+        private void retry(int attempt, boolean retryAllowed, double retryAfterMillis) {
+            if (forged || attempt >= clientSettings.path("repeats").asInt(2) || !retryAllowed || async) {
                 return;
             }
-            boolean heeds = clientSettings.path("heeds_pause").asDouble(0.5) > Math.abs(id.hashCode() % 100) / 100.0;
-            long wait = heeds ? (long) pause : 0;
-            sendAfter(n + 1, wait);
+            boolean honorsRetryAfter = clientSettings.path("heeds_pause").asDouble(0.5) > Math.abs(id.hashCode() % 100) / 100.0;
+            long delayMillis = honorsRetryAfter ? (long) retryAfterMillis : 0;
+            sendAfter(attempt + 1, delayMillis);
         }
     }
 
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/BackgroundTasks.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/BackgroundTasks.java
@@ -6,25 +6,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** What a soak does that takes time, each script on a thread of its own. */
+/** Runs the long-running actions of a soak, each on a thread of its own. */
 final class BackgroundTasks {
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final Consumer<String> onFailure;
 
-    /** Something that takes time, and may be cut short at the end. */
+    /** A task that takes time and may be interrupted at the end of the soak. */
     interface BackgroundTask {
         void run() throws IOException, InterruptedException;
     }
 
-    /** @param failures hears of the scripts that broke */
-    BackgroundTasks(Consumer<String> failures) {
-        this.onFailure = failures;
+    /** @param onFailure gets a description of each task that failed */
+    BackgroundTasks(Consumer<String> onFailure) {
+        this.onFailure = onFailure;
     }
 
-    void start(BackgroundTask script) {
+    void start(BackgroundTask task) {
         threads.submit(() -> {
             try {
-                script.run();
+                task.run();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (IOException | RuntimeException e) {
@@ -33,13 +33,13 @@
         });
     }
 
-    /** Whether all came to their end within so long; none begins any more. */
+    /** Accepts no further tasks and waits for the running ones; returns whether all ended within {@code seconds}. */
     boolean awaitCompletion(int seconds) throws InterruptedException {
         threads.shutdown();
         return threads.awaitTermination(seconds, TimeUnit.SECONDS);
     }
 
-    /** Cuts short what still runs. */
+    /** Interrupts the tasks that still run. */
     void cancelAll() {
         threads.shutdownNow();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/ExecutorFaults.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/ExecutorFaults.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Supplier;
 
-/** The executors of a soak, and what befalls them. Draws are made on the caller's thread. */
+/** The executors of a soak and the faults that are injected there. Random draws are made on the caller's thread. */
 final class ExecutorFaults {
     private static final int EXECUTORS = 10;
     private static final int MAX_UNAVAILABLE = 5;
@@ -27,81 +27,81 @@
     private final RosterPublisher roster;
     private final BackgroundTasks tasks;
     private final List<FrameExecutor> executors = new CopyOnWriteArrayList<>();
-    /** Numbers of those that drain, are down or are taken over. */
+    /** Numbers of the executors that drain, are down or are being replaced. */
     private final Set<Integer> unavailable = ConcurrentHashMap.newKeySet();
     private final List<String> history;
-    /** Processes that began with nothing loaded, and what was told of them. */
+    /** Processes that replaced another one with nothing loaded, and how that was announced. */
     private final Map<FrameExecutor, Takeover.Announcement> startedEmpty = new ConcurrentHashMap<>();
     private int nextId;
 
-    /** @param history gets what takes time, as it happens */
-    ExecutorFaults(PeerEventLoops loops, RequestAuditor auditor, ChangelogServer changelog, BackgroundTasks scripts, List<String> history) {
+    /** @param history gets the faults that last for a while, with their times */
+    ExecutorFaults(PeerEventLoops loops, RequestAuditor auditor, ChangelogServer changelog, BackgroundTasks tasks, List<String> history) {
         this.loops = loops;
         this.auditor = auditor;
         this.changelog = changelog;
         roster = new RosterPublisher(changelog);
-        this.tasks = scripts;
+        this.tasks = tasks;
         this.history = history;
     }
 
-    /** They start, and the change log tells the whole list. */
-    void startExecutors(Random chance) throws InterruptedException {
+    /** Starts the executors and publishes the full list by the change log. */
+    void startExecutors(Random random) throws InterruptedException {
         for (int i = 0; i < EXECUTORS; i++) {
-            executors.add(new FrameExecutor(loops, auditor, "s-" + i, chance.nextLong()));
+            executors.add(new FrameExecutor(loops, auditor, "s-" + i, random.nextLong()));
         }
         nextId = EXECUTORS;
         roster.publishInitial(executors);
     }
 
-    /** Requests that came to processes without what they asked for, by what was told: a front end thought that it stood there. */
+    /** Requests that reached a process without the model, as a front end took it for loaded, by how the takeover was announced. */
     Map<String, Integer> misses() {
         Map<String, Integer> misses = new TreeMap<>();
-        startedEmpty.forEach((executor, telling) -> misses.merge(telling.name(), executor.missCount(), Integer::sum));
+        startedEmpty.forEach((executor, announcement) -> misses.merge(announcement.name(), executor.missCount(), Integer::sum));
         return misses;
     }
 
-    /** Whether it could be played. */
-    boolean inject(SoakFault event, Random own) {
-        int number = own.nextInt(executors.size());
+    /** Injects a fault at a random executor; returns whether that was possible. */
+    boolean inject(SoakFault fault, Random random) {
+        int number = random.nextInt(executors.size());
         FrameExecutor executor = executors.get(number);
-        switch (event) {
+        switch (fault) {
             case DRAIN -> {
-                return drain(number, own);
+                return drain(number, random);
             }
             case TAKEOVER -> {
-                return takeOver(number, Takeover.draw(own));
+                return takeOver(number, Takeover.draw(random));
             }
-            case LATE_PROBES -> delayProbeAnswers(executor, own);
-            case BAD_ANSWERS -> executor.faultRate = own.nextInt(3) == 0 ? 0 : own.nextDouble() * 0.4;
-            case UNREAD -> executor.pauseReading(300 + own.nextInt(1500));
+            case LATE_PROBES -> delayProbeAnswers(executor, random);
+            case BAD_ANSWERS -> executor.faultRate = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 0.4;
+            case UNREAD -> executor.pauseReading(300 + random.nextInt(1500));
             default -> executor.resetConnections();
         }
         return true;
     }
 
-    /** One of them, or all: the way back from all of them may be slow. */
-    private void delayProbeAnswers(FrameExecutor one, Random own) {
-        long lasts = MIN_PROBE_DELAY_MILLIS + own.nextInt(PROBE_DELAY_RANGE_MILLIS);
-        boolean alone = own.nextBoolean();
-        addToHistory((alone ? one.processName : "all") + " late with probes for " + lasts);
-        if (alone) {
-            one.delayProbeAnswersFor(lasts);
+    /** Delays the probe answers of one executor, or of all, as when the network back from all of them is slow. */
+    private void delayProbeAnswers(FrameExecutor selected, Random random) {
+        long durationMillis = MIN_PROBE_DELAY_MILLIS + random.nextInt(PROBE_DELAY_RANGE_MILLIS);
+        boolean onlyOne = random.nextBoolean();
+        addToHistory((onlyOne ? selected.processName : "all") + " late with probes for " + durationMillis);
+        if (onlyOne) {
+            selected.delayProbeAnswersFor(durationMillis);
         } else {
-            executors.forEach(executor -> executor.delayProbeAnswersFor(lasts));
+            executors.forEach(executor -> executor.delayProbeAnswersFor(durationMillis));
         }
     }
 
-    private boolean drain(int number, Random own) {
+    private boolean drain(int number, Random random) {
         if (unavailable.size() >= MAX_UNAVAILABLE || !unavailable.add(number)) {
             return false;
         }
-        long stays = 2000 + own.nextInt(9000);
+        long drainMillis = 2000 + random.nextInt(9000);
         tasks.start(() -> {
             FrameExecutor executor = executors.get(number);
-            addToHistory(executor.processName + " drains at " + executor.address + " for " + stays);
+            addToHistory(executor.processName + " drains at " + executor.address + " for " + drainMillis);
             executor.startDraining();
             announceUnavailable(executor, () -> roster.publishState(executor, "draining"));
-            Thread.sleep(stays);
+            Thread.sleep(drainMillis);
             executor.stop();
             roster.publishState(executor, "gone");
             Thread.sleep(DOWNTIME_MILLIS);
@@ -113,29 +113,29 @@
         return true;
     }
 
-    private boolean takeOver(int number, Takeover drawn) {
+    private boolean takeOver(int number, Takeover takeover) {
         if (unavailable.size() >= MAX_UNAVAILABLE || !unavailable.add(number)) {
             return false;
         }
         String name = "s-" + nextId++;
         tasks.start(() -> {
             FrameExecutor old = executors.get(number);
-            old.delayAnswersFor(drawn.stalls());
-            Thread.sleep(drawn.stalls());
-            String id = drawn.telling() == Takeover.Announcement.SAME_ID ? old.instanceId : name;
-            FrameExecutor next = old.replaceWith(id, drawn.seed(), drawn.lingers());
+            old.delayAnswersFor(takeover.stalls());
+            Thread.sleep(takeover.stalls());
+            String id = takeover.telling() == Takeover.Announcement.SAME_ID ? old.instanceId : name;
+            FrameExecutor next = old.replaceWith(id, takeover.seed(), takeover.lingers());
             executors.set(number, next);
-            startedEmpty.put(next, drawn.telling());
-            addToHistory(next.processName + " for " + old.processName + " at " + next.address + ": " + drawn);
-            announceStart(drawn, old, next);
-            unavailable.remove(number); // what befalls the new one may come before the end of the old one is told
-            announceEnd(drawn, old);
+            startedEmpty.put(next, takeover.telling());
+            addToHistory(next.processName + " for " + old.processName + " at " + next.address + ": " + takeover);
+            announceStart(takeover, old, next);
+            unavailable.remove(number); // a fault may hit the new one before the end of the old one is announced
+            announceEnd(takeover, old);
         });
         return true;
     }
 
-    private void announceStart(Takeover drawn, FrameExecutor old, FrameExecutor next) {
-        switch (drawn.telling()) {
+    private void announceStart(Takeover takeover, FrameExecutor old, FrameExecutor next) {
+        switch (takeover.telling()) {
             case GONE_FIRST -> {
                 announceUnavailable(old, () -> roster.publishState(old, "gone"));
                 announceColdStart(next, () -> roster.publishStarted(next));
@@ -151,39 +151,40 @@
     }
 
     /**
-     * Where the end of the old one is told by nothing that can be read, it counts as told with what follows. That of one whose id
-     * goes on is never told: nobody can tell a connection to it from one to the next.
+     * Announces the end of the old process. Where the event about it is unreadable, it counts as announced with the full list
+     * that follows. Where the new process keeps the id, the end is never announced: a connection to the old one cannot be
+     * told from one to the new one.
      */
-    private void announceEnd(Takeover drawn, FrameExecutor old) throws InterruptedException {
-        switch (drawn.telling()) {
+    private void announceEnd(Takeover takeover, FrameExecutor old) throws InterruptedException {
+        switch (takeover.telling()) {
             case GONE_LATER, KEPT -> {
-                Thread.sleep(drawn.pause());
+                Thread.sleep(takeover.pause());
                 announceUnavailable(old, () -> roster.publishState(old, "gone"));
             }
             case UNREADABLE -> {
-                Thread.sleep(drawn.pause());
+                Thread.sleep(takeover.pause());
                 announceUnavailable(old, roster::publishFullList);
             }
             case GONE_FIRST, READY_FIRST, SAME_ID -> { }
         }
     }
 
-    private void addToHistory(String what) {
-        history.add(Math.round(loops.now()) + " " + what);
+    private void addToHistory(String description) {
+        history.add(Math.round(loops.now()) + " " + description);
     }
 
-    /** From now on it counts as told that the executor drains or has gone. */
-    private Map<Integer, Long> announceUnavailable(FrameExecutor executor, Supplier<Map<Integer, Long>> telling) {
+    /** Publishes that the executor drains or was removed, and records it with the auditor. */
+    private Map<Integer, Long> announceUnavailable(FrameExecutor executor, Supplier<Map<Integer, Long>> publish) {
         auditor.executorDraining(executor.processName, changelog.deliveredAt(loops.now()));
-        Map<Integer, Long> bytesByWatch = telling.get();
+        Map<Integer, Long> bytesByWatch = publish.get();
         auditor.drainAnnounced(executor.processName, bytesByWatch);
         return bytesByWatch;
     }
 
-    /** It has just started, cold, and that is told. */
-    private void announceColdStart(FrameExecutor executor, Supplier<Map<Integer, Long>> telling) {
+    /** Records a cold start with the auditor and publishes it. */
+    private void announceColdStart(FrameExecutor executor, Supplier<Map<Integer, Long>> publish) {
         double now = loops.now();
         auditor.coldStartCheck.processStarted(executor.processName, now);
-        auditor.coldStartCheck.startDelivered(executor.processName, changelog.deliveredAt(now), telling.get());
+        auditor.coldStartCheck.startDelivered(executor.processName, changelog.deliveredAt(now), publish.get());
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndProcess.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndProcess.java
@@ -18,12 +18,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** A front end as a process of its own, told by signals. */
+/** A front end as a child process that is controlled by signals. */
 public final class FrontEndProcess implements AutoCloseable {
     private static final int READY_SECONDS = 30;
     private static final String LISTENING = "listening /";
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public final InetSocketAddress address;
     private final List<String> log = new ArrayList<>();
     private final Path configFile;
@@ -31,30 +31,30 @@
     private final Process process;
     private volatile boolean stopRequested;
 
-    /** A front end that did not come to serve; the message ends with what it printed. */
+    /** The front end did not become ready; the message ends with its last output. */
     public static final class NotReadyException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NotReadyException(String why) {
-            super(why);
+        NotReadyException(String message) {
+            super(message);
         }
     }
 
     /**
-     * Returns once it serves.
+     * Starts a front end and returns once it serves.
      *
-     * @param processes are those of the soak: this one is among them from its start
-     * @param command starts it
-     * @param config is written with {@code json}
-     * @param shim makes its system calls fail as {@code faults} say
+     * @param processes the child processes of the soak; this one is added as soon as it is started
+     * @param command starts the front end
+     * @param config the configuration file, written with {@code json}
+     * @param shim makes the system calls of the process fail as given by {@code faults}
      */
-    public FrontEndProcess(ChildProcesses processes, List<String> command, Path config, String json, FaultShim shim, List<SystemFault> faults, long seed)
-            throws IOException, InterruptedException, NotReadyException {
+    public FrontEndProcess(ChildProcesses processes, List<String> command, Path config, String json, FaultShim shim,
+            List<SystemFault> faults, long seed) throws IOException, InterruptedException, NotReadyException {
         this.configFile = Files.writeString(config, json);
         faultCountsFile = Path.of(config + ".faults");
         ProcessBuilder start = new ProcessBuilder(command).redirectErrorStream(true);
         start.environment().put("EDGE_CONFIG", config.toString());
-        shim.preload(start, faults, seed, faultCountsFile); // without a fault as well: it records the connections
+        shim.preload(start, faults, seed, faultCountsFile); // also without faults, as the shim records the connections
         process = processes.start(start);
         CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
         Thread reader = new Thread(() -> readOutput(listening), "log of " + config.getFileName());
@@ -95,7 +95,7 @@
         listening.completeExceptionally(new IOException("ended before it served: " + lastLines()));
     }
 
-    /** All that it printed so far. */
+    /** Its output so far. */
     public List<String> log() {
         synchronized (log) {
             return List.copyOf(log);
@@ -107,34 +107,34 @@
         return String.join(" | ", all.subList(Math.max(0, all.size() - 5), all.size()));
     }
 
-    /** Another configuration takes the place of the old one, and SIGHUP tells it. */
+    /** Replaces the configuration file and has the process reload it by SIGHUP. */
     public void reconfigure(String json) throws IOException, InterruptedException {
         Files.writeString(configFile, json);
         sendSignal("HUP");
     }
 
-    /** Sends a signal, by its name without SIG. */
+    /** Sends a signal, given by its name without SIG. */
     public void sendSignal(String name) throws IOException, InterruptedException {
         stopRequested |= name.equals("TERM") || name.equals("KILL");
         new ProcessBuilder("kill", "-" + name, process.pid() + "").start().waitFor();
     }
 
-    /** Whether it ends within so long. */
+    /** Waits for the process to exit; returns whether it did within {@code millis}. */
     public boolean awaitExit(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Null, or how it ended though nobody had told it to. */
+    /** How the process exited without being told to; null where it did not. */
     public String crashReport() {
         return stopRequested || process.isAlive() ? null : "exit code " + process.exitValue() + ": " + lastLines();
     }
 
-    /** How often each of its faults was met. */
+    /** How often each of the faults took effect. */
     public long[] faultCounts(List<SystemFault> faults) throws IOException {
         return FaultShim.faultCounts(faultCountsFile, faults);
     }
 
-    /** What became of its connections. */
+    /** The recorded events of its connections. */
     public List<ConnectionEvent> connectionEvents() throws IOException {
         return FaultShim.connectionEvents(faultCountsFile);
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/RosterPublisher.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/RosterPublisher.java
@@ -8,12 +8,12 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The list of executors as it should be known, and its telling by the change log. Any thread. */
+/** Keeps the expected list of executors and publishes its changes by the change log. Thread-safe. */
 final class RosterPublisher {
     private final ChangelogServer changelog;
     private final Map<String, String> listedInstances = new LinkedHashMap<>();
 
-    /** One instance of an event. */
+    /** An instance in an event of the change log. */
     private record InstanceEntry(String instance, String json, boolean removed) { }
 
     RosterPublisher(ChangelogServer changelog) {
@@ -25,48 +25,49 @@
                 state.equals("gone"));
     }
 
-    private String applyAndJoin(Stream<InstanceEntry> lines) {
-        return lines.peek(line -> {
-            if (line.removed) {
-                listedInstances.remove(line.instance);
+    private String applyAndJoin(Stream<InstanceEntry> entries) {
+        return entries.peek(entry -> {
+            if (entry.removed) {
+                listedInstances.remove(entry.instance);
             } else {
-                listedInstances.put(line.instance, line.json);
+                listedInstances.put(entry.instance, entry.json);
             }
         }).map(InstanceEntry::json).collect(Collectors.joining(","));
     }
 
-    /** They are ready, and nothing else is there. */
+    /** Publishes the full list: these executors, all ready. */
     synchronized void publishInitial(List<FrameExecutor> executors) {
         changelog.publish(applyAndJoin(executors.stream().map(executor -> createEntry(executor, "ready", 0))), true);
     }
 
-    /** Returns what was written with the event, as the change log does. */
+    /** Publishes a state of an executor; like all such methods it returns the result of {@link ChangelogServer#publish}. */
     synchronized Map<Integer, Long> publishState(FrameExecutor executor, String state) {
         return changelog.publish(applyAndJoin(Stream.of(createEntry(executor, state, 0))), false);
     }
 
-    /** One that has just started is ready. */
+    /** Publishes an executor that has just started as ready. */
     synchronized Map<Integer, Long> publishStarted(FrameExecutor executor) {
         return changelog.publish(applyAndJoin(Stream.of(createEntry(executor, "ready", System.currentTimeMillis()))), false);
     }
 
-    /** One has started, then another has gone, in one event. */
+    /** Publishes in one event that an executor has started and then that another was removed. */
     synchronized Map<Integer, Long> publishReplacement(FrameExecutor old, FrameExecutor next) {
-        return changelog.publish(applyAndJoin(Stream.of(createEntry(next, "ready", System.currentTimeMillis()), createEntry(old, "gone", 0))), false);
+        return changelog.publish(applyAndJoin(Stream.of(createEntry(next, "ready", System.currentTimeMillis()),
+                createEntry(old, "gone", 0))), false);
     }
 
-    /** One has started, told by a whole list in which the other is still ready. */
+    /** Publishes a started executor by a full list in which the one it replaces is still ready. */
     synchronized Map<Integer, Long> publishStartedInFullList(FrameExecutor next) {
         applyAndJoin(Stream.of(createEntry(next, "ready", System.currentTimeMillis())));
         return publishFullList();
     }
 
-    /** One has gone, told by an event that nobody can read. */
+    /** Publishes a removal by a truncated event that no front end can read. */
     synchronized void publishUnreadableRemoval(FrameExecutor executor) {
         changelog.publishTruncated(applyAndJoin(Stream.of(createEntry(executor, "gone", 0))));
     }
 
-    /** The whole list. */
+    /** Publishes the full list. */
     synchronized Map<Integer, Long> publishFullList() {
         return changelog.publish(String.join(",", listedInstances.values()), true);
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
@@ -28,29 +28,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays one soak. All draws are made on the thread that runs it, so that a seed gives the same troubles in the same order;
- * what takes time is carried out on threads of its own.
+ * Runs one soak. All random draws are made on the thread that runs it, so that a seed gives the same faults in the same
+ * order; what takes time is carried out by background tasks.
  */
 public final class Soak implements AutoCloseable {
     private static final int CLIENTS_PER_FRONT_END = 6;
     private static final double DRAIN_GRACE_MILLIS = 500;
-    /** The configuration's rule 4; the work is the mean of the executors' draws. */
-    private static final ColdStartCheck.ColdStartParameters COLD_START_PARAMETERS = new ColdStartCheck.ColdStartParameters(0.2, 17_000, 3, 3000, 24.5);
-    /** Of the configuration's classes. */
+    /** As rule 4 in the front ends' configuration; the last value is the mean of the work that executors draw. */
+    private static final ColdStartCheck.ColdStartParameters COLD_START_PARAMETERS =
+            new ColdStartCheck.ColdStartParameters(0.2, 17_000, 3, 3000, 24.5);
+    /** The longest deadline of the configuration's classes. */
     private static final long MAX_DEADLINE_MILLIS = 1500;
-    /** A front end may be killed so long after SIGTERM, beyond the longest deadline. */
+    /** How long beyond the longest deadline a front end may take to exit after SIGTERM before it is killed. */
     private static final long TERMINATION_GRACE_MILLIS = 700;
     private static final long FINAL_ANSWERS_WAIT_MILLIS = 2500;
     private static final long DOWNTIME_MILLIS = 800;
     private static final int MIN_PAUSE_MILLIS = 200;
     private static final int PAUSE_RANGE_MILLIS = 1500;
     private static final int CHANGELOG_COUNT = 2;
-    /** An outage takes 15 s at most, the start of a front end 30 s. */
+    /** Covers the longest tasks: an outage of 15 s, the start of a front end of 30 s. */
     private static final int MAX_TASK_SECONDS = 60;
 
-    private static final SoakFault[] INJECTED_FAULTS = {SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.DRAIN, SoakFault.TAKEOVER, SoakFault.TAKEOVER,
-        SoakFault.STANDSTILL, SoakFault.TERMINATION, SoakFault.KILL, SoakFault.RELOAD, SoakFault.CROWD, SoakFault.BAD_ANSWERS, SoakFault.LATE_PROBES,
-        SoakFault.LATE_PROBES, SoakFault.UNREAD, SoakFault.RESET};
+    /** The faults to draw from; one that stands twice is drawn twice as often. */
+    private static final SoakFault[] INJECTED_FAULTS = {SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.DRAIN, SoakFault.TAKEOVER,
+        SoakFault.TAKEOVER, SoakFault.STANDSTILL, SoakFault.TERMINATION, SoakFault.KILL, SoakFault.RELOAD, SoakFault.CROWD,
+        SoakFault.BAD_ANSWERS, SoakFault.LATE_PROBES, SoakFault.LATE_PROBES, SoakFault.UNREAD, SoakFault.RESET};
 
     private final SoakPlan plan;
     private final Path folder;
@@ -60,12 +62,12 @@
     private final RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE_MILLIS, loops.lagIntervals(), COLD_START_PARAMETERS);
     private final ChangelogServer changelog;
     private final List<SoakFrontEnd> servingFrontEnds = Collections.synchronizedList(new ArrayList<>());
-    /** Front ends that a trouble of theirs is under way at: no second one begins there. */
+    /** Front ends with a running fault of their own; no second fault is injected there meanwhile. */
     private final Set<SoakFrontEnd> busyFrontEnds = ConcurrentHashMap.newKeySet();
     private final List<SoakFrontEnd> allFrontEnds = Collections.synchronizedList(new ArrayList<>());
     private final List<String> crashes = Collections.synchronizedList(new ArrayList<>());
     private final Map<SoakFault, Long> faultCounts = new EnumMap<>(SoakFault.class);
-    /** Killed at once where the soak is ended by a signal; what it ends itself has no time to lose. */
+    /** The timeout is 0: processes that still run when the soak ends are killed at once. */
     private final ChildProcesses processes = new ChildProcesses(0);
     private final List<String> history = Collections.synchronizedList(new ArrayList<>());
     private final BackgroundTasks tasks = new BackgroundTasks(crashes::add);
@@ -80,7 +82,11 @@
         }
     }
 
-    /** @param folder gets configurations, counts and the compiled shim */
+    /**
+     * Prepares a soak.
+     *
+     * @param folder gets configurations, fault counts and the compiled shim
+     */
     public Soak(SoakPlan plan, Path folder) throws IOException, InterruptedException {
         this.plan = plan;
         this.folder = folder;
@@ -90,7 +96,7 @@
         executorFaults = new ExecutorFaults(loops, auditor, changelog, tasks, history);
     }
 
-    /** Plays it to its end. */
+    /** Runs the soak to its end. */
     public SoakReport run() throws IOException, InterruptedException {
         executorFaults.startExecutors(random);
         for (int i = 0; i < plan.frontEndCount(); i++) {
@@ -103,29 +109,29 @@
             inject(INJECTED_FAULTS[random.nextInt(INJECTED_FAULTS.length)], new Random(random.nextLong()));
         }
         if (!tasks.awaitCompletion(MAX_TASK_SECONDS)) {
-            crashes.add("the soak itself: what it began did not come to its end");
+            crashes.add("the soak itself: its background tasks did not finish in time");
         }
         return finish(from);
     }
 
     private SoakReport finish(double from) throws IOException, InterruptedException {
-        double asked = loops.now();
-        allFrontEnds.forEach(node -> node.clients().forEach(RequestClient::stop));
+        double stoppedAt = loops.now();
+        allFrontEnds.forEach(frontEnd -> frontEnd.clients().forEach(RequestClient::stop));
         Thread.sleep(FINAL_ANSWERS_WAIT_MILLIS);
-        for (SoakFrontEnd node : allFrontEnds) {
-            String crash = node.process().crashReport();
+        for (SoakFrontEnd frontEnd : allFrontEnds) {
+            String crash = frontEnd.process().crashReport();
             if (crash != null) {
                 crashes.add(crash);
             }
-            addFaultCounts(node);
-            auditor.addConnectionLog(node.process().address, new FrontEndConnectionLog(node.process().connectionEvents(), loops, changelog.ports(),
-                    changelog.resyncRequests()));
+            addFaultCounts(frontEnd);
+            auditor.addConnectionLog(frontEnd.process().address, new FrontEndConnectionLog(frontEnd.process().connectionEvents(),
+                    loops, changelog.ports(), changelog.resyncRequests()));
         }
-        double served = auditor.successRate(time -> time >= from && time < asked && !inOutage(time));
-        List<RequestAuditor.Finding> findings = auditor.findings(asked);
-        return new SoakReport(auditor.requests(), served, auditor.successRate(this::inOutage), findings, auditor.inconclusive(), auditor.allowanceCounts(),
-                List.copyOf(crashes), new TreeMap<>(faultCounts), systemFaults(), loops.longestLagMillis(), auditor.coldStartCheck.highestLoadRatio(),
-                executorFaults.misses(), List.copyOf(history));
+        double successRate = auditor.successRate(time -> time >= from && time < stoppedAt && !inOutage(time));
+        List<RequestAuditor.Finding> findings = auditor.findings(stoppedAt);
+        return new SoakReport(auditor.requests(), successRate, auditor.successRate(this::inOutage), findings, auditor.inconclusive(),
+                auditor.allowanceCounts(), List.copyOf(crashes), new TreeMap<>(faultCounts), systemFaults(), loops.longestLagMillis(),
+                auditor.coldStartCheck.highestLoadRatio(), executorFaults.misses(), List.copyOf(history));
     }
 
     private boolean inOutage(double time) {
@@ -134,93 +140,95 @@
 
     private Map<String, String> systemFaults() {
         Map<String, String> faults = new TreeMap<>();
-        allFrontEnds.forEach(node -> faults.put(node.process().address.toString(), node.faults().toString()));
+        allFrontEnds.forEach(frontEnd -> faults.put(frontEnd.process().address.toString(), frontEnd.faults().toString()));
         return faults;
     }
 
-    private void addFaultCounts(SoakFrontEnd node) throws IOException {
-        long[] met = node.process().faultCounts(node.allFaults());
+    private void addFaultCounts(SoakFrontEnd frontEnd) throws IOException {
+        long[] counts = frontEnd.process().faultCounts(frontEnd.allFaults());
         int i = 0;
-        for (Map.Entry<SoakFault, List<SystemFault>> faults : node.faults().entrySet()) {
+        for (Map.Entry<SoakFault, List<SystemFault>> faults : frontEnd.faults().entrySet()) {
             for (int j = 0; j < faults.getValue().size(); j++) {
-                faultCounts.merge(faults.getKey(), met[i++], Long::sum);
+                faultCounts.merge(faults.getKey(), counts[i++], Long::sum);
             }
         }
     }
 
-    /** What a front end is started with. */
+    /** The randomly drawn parameters that a front end is started with. */
     private record StartParameters(int number, long seed, Map<SoakFault, List<SystemFault>> faults) { }
 
     private StartParameters drawStartParameters() {
-        Random own = new Random(random.nextLong());
+        Random ownRandom = new Random(random.nextLong());
         Map<SoakFault, List<SystemFault>> faults = new LinkedHashMap<>();
-        for (SoakFault trouble : SoakFault.values()) {
-            boolean meets = own.nextBoolean();
-            List<SystemFault> drawn = trouble.systemFaults(new Random(own.nextLong()));
-            if (meets && plan.faults().contains(trouble) && !drawn.isEmpty()) {
-                faults.put(trouble, drawn);
+        for (SoakFault fault : SoakFault.values()) {
+            boolean selected = ownRandom.nextBoolean();
+            List<SystemFault> drawnFaults = fault.systemFaults(new Random(ownRandom.nextLong()));
+            if (selected && plan.faults().contains(fault) && !drawnFaults.isEmpty()) {
+                faults.put(fault, drawnFaults);
             }
         }
-        return new StartParameters(startedCount++, own.nextLong(), faults);
+        return new StartParameters(startedCount++, ownRandom.nextLong(), faults);
     }
 
-    private void startFrontEnd(StartParameters draw) throws IOException, InterruptedException {
-        String name = "n" + draw.number;
-        List<SystemFault> faults = draw.faults.values().stream().flatMap(List::stream).toList();
+    private void startFrontEnd(StartParameters parameters) throws IOException, InterruptedException {
+        String name = "n" + parameters.number;
+        List<SystemFault> faults = parameters.faults.values().stream().flatMap(List::stream).toList();
         FrontEndProcess process;
         try {
-            process = new FrontEndProcess(processes, plan.frontEndCommand(), folder.resolve(name + ".json"), renderConfig(name, 0), shim, faults, draw.seed);
+            process = new FrontEndProcess(processes, plan.frontEndCommand(), folder.resolve(name + ".json"),
+                    renderConfig(name, 0), shim, faults, parameters.seed);
         } catch (FrontEndProcess.NotReadyException e) {
-            crashes.add(name + " under " + draw.faults + ": " + e.getMessage());
+            crashes.add(name + " under " + parameters.faults + ": " + e.getMessage());
             return;
         }
         auditor.frontEndListening(process.address);
         List<RequestClient> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS_PER_FRONT_END && !changelogUnavailable; i++) {
-            RequestClient client = new RequestClient(loops, auditor, process.address, draw.seed + i);
+            RequestClient client = new RequestClient(loops, auditor, process.address, parameters.seed + i);
             clients.add(client);
             client.start();
         }
-        SoakFrontEnd node = new SoakFrontEnd(process, clients, draw.faults);
-        servingFrontEnds.add(node);
-        allFrontEnds.add(node);
+        SoakFrontEnd frontEnd = new SoakFrontEnd(process, clients, parameters.faults);
+        servingFrontEnds.add(frontEnd);
+        allFrontEnds.add(frontEnd);
     }
 
-    private String renderConfig(String name, int whichChangelog) throws IOException {
+    private String renderConfig(String name, int changelogIndex) throws IOException {
         try (InputStream template = Soak.class.getResourceAsStream("front-end.json.template")) {
             return new String(template.readAllBytes(), StandardCharsets.UTF_8).replace("@NAME@", name)
-                    .replace("@CHANGELOG@", changelog.addresses.get(whichChangelog)).replace("@KNOWN@", changelog.readableEvents());
+                    .replace("@CHANGELOG@", changelog.addresses.get(changelogIndex))
+                    .replace("@KNOWN@", changelog.readableEvents());
         }
     }
 
-    private void inject(SoakFault event, Random own) {
-        if (!plan.faults().contains(event)) {
+    private void inject(SoakFault fault, Random ownRandom) {
+        if (!plan.faults().contains(fault)) {
             return;
         }
-        if (switch (event) {
-            case OUTAGE -> startOutage(own);
-            case STANDSTILL -> suspend(own);
+        if (switch (fault) {
+            case OUTAGE -> startOutage(ownRandom);
+            case STANDSTILL -> suspend(ownRandom);
             case TERMINATION -> terminate();
             case KILL -> kill();
-            case RELOAD -> reload(own);
-            case CROWD -> openSilentConnections(own);
-            default -> executorFaults.inject(event, own);
+            case RELOAD -> reload(ownRandom);
+            case CROWD -> openSilentConnections(ownRandom);
+            default -> executorFaults.inject(fault, ownRandom);
         }) {
-            faultCounts.merge(event, 1L, Long::sum);
+            faultCounts.merge(fault, 1L, Long::sum);
         }
     }
 
-    private boolean startOutage(Random own) {
+    private boolean startOutage(Random ownRandom) {
         if (changelogUnavailable) {
             return false;
         }
-        Outage kind = Outage.values()[own.nextInt(Outage.values().length)];
-        long lasts = 3000 + own.nextInt(12_000);
+        Outage kind = Outage.values()[ownRandom.nextInt(Outage.values().length)];
+        long durationMillis = 3000 + ownRandom.nextInt(12_000);
         changelogUnavailable = true;
         tasks.start(() -> {
             double from = loops.now();
             changelog.startOutage(kind);
-            Thread.sleep(lasts);
+            Thread.sleep(durationMillis);
             changelog.endOutage();
             outages.add(new TimeRange(from, loops.now()));
             history.add(Math.round(from) + " change log " + kind + " until " + Math.round(loops.now()));
@@ -229,112 +237,112 @@
         return true;
     }
 
-    /** One that nothing else happens to at the moment; null where there is none. */
-    private SoakFrontEnd reserveFrontEnd(Random own) {
+    /** Reserves a random front end without a running fault; null where there is none. */
+    private SoakFrontEnd reserveFrontEnd(Random ownRandom) {
         List<SoakFrontEnd> free = new ArrayList<>(servingFrontEnds);
         free.removeAll(busyFrontEnds);
         if (free.isEmpty()) {
             return null;
         }
-        SoakFrontEnd node = free.get(own.nextInt(free.size()));
-        busyFrontEnds.add(node);
-        return node;
+        SoakFrontEnd frontEnd = free.get(ownRandom.nextInt(free.size()));
+        busyFrontEnds.add(frontEnd);
+        return frontEnd;
     }
 
-    private boolean suspend(Random own) {
-        SoakFrontEnd node = reserveFrontEnd(own);
-        if (node == null) {
+    private boolean suspend(Random ownRandom) {
+        SoakFrontEnd frontEnd = reserveFrontEnd(ownRandom);
+        if (frontEnd == null) {
             return false;
         }
-        long lasts = 300 + own.nextInt(4000);
+        long durationMillis = 300 + ownRandom.nextInt(4000);
         tasks.start(() -> {
             double from = loops.now();
-            node.process().sendSignal("STOP");
-            Thread.sleep(lasts);
-            node.process().sendSignal("CONT");
-            auditor.frontEndStalled(node.process().address, from, loops.now());
+            frontEnd.process().sendSignal("STOP");
+            Thread.sleep(durationMillis);
+            frontEnd.process().sendSignal("CONT");
+            auditor.frontEndStalled(frontEnd.process().address, from, loops.now());
             Thread.sleep(DOWNTIME_MILLIS);
-            busyFrontEnds.remove(node);
+            busyFrontEnds.remove(frontEnd);
         });
         return true;
     }
 
-    /** Clients go on on open connections until it ends or is killed. */
+    /** Stops a front end by SIGTERM; its clients use their open connections until it exits or is killed. */
     private boolean terminate() {
-        SoakFrontEnd node = reserveFrontEnd(random);
-        if (node == null) {
+        SoakFrontEnd frontEnd = reserveFrontEnd(random);
+        if (frontEnd == null) {
             return false;
         }
-        StartParameters next = drawStartParameters();
-        servingFrontEnds.remove(node);
+        StartParameters successor = drawStartParameters();
+        servingFrontEnds.remove(frontEnd);
         tasks.start(() -> {
-            long killedAfter = MAX_DEADLINE_MILLIS + TERMINATION_GRACE_MILLIS;
-            node.clients().forEach(client -> client.retire(killedAfter));
-            node.process().sendSignal("TERM");
-            node.process().awaitExit(killedAfter);
-            node.process().close();
+            long killAfterMillis = MAX_DEADLINE_MILLIS + TERMINATION_GRACE_MILLIS;
+            frontEnd.clients().forEach(client -> client.retire(killAfterMillis));
+            frontEnd.process().sendSignal("TERM");
+            frontEnd.process().awaitExit(killAfterMillis);
+            frontEnd.process().close();
         });
-        tasks.start(() -> startFrontEnd(next));
+        tasks.start(() -> startFrontEnd(successor));
         return true;
     }
 
     private boolean kill() {
-        SoakFrontEnd node = reserveFrontEnd(random);
-        if (node == null) {
+        SoakFrontEnd frontEnd = reserveFrontEnd(random);
+        if (frontEnd == null) {
             return false;
         }
-        StartParameters next = drawStartParameters();
-        servingFrontEnds.remove(node);
+        StartParameters successor = drawStartParameters();
+        servingFrontEnds.remove(frontEnd);
         tasks.start(() -> {
-            node.process().sendSignal("KILL");
-            boolean exited = node.process().awaitExit(DOWNTIME_MILLIS);
-            auditor.frontEndKilled(node.process().address, loops.now());
+            frontEnd.process().sendSignal("KILL");
+            boolean exited = frontEnd.process().awaitExit(DOWNTIME_MILLIS);
+            auditor.frontEndKilled(frontEnd.process().address, loops.now());
             if (exited) {
-                auditor.frontEndExited(node.process().address, loops.now());
+                auditor.frontEndExited(frontEnd.process().address, loops.now());
             }
-            node.clients().forEach(RequestClient::stop);
-            startFrontEnd(next);
+            frontEnd.clients().forEach(RequestClient::stop);
+            startFrontEnd(successor);
         });
         return true;
     }
 
-    private boolean reload(Random own) {
-        SoakFrontEnd node = reserveFrontEnd(own);
-        if (node == null) {
+    private boolean reload(Random ownRandom) {
+        SoakFrontEnd frontEnd = reserveFrontEnd(ownRandom);
+        if (frontEnd == null) {
             return false;
         }
-        int times = 1 + own.nextInt(4);
-        List<Integer> pauses = new ArrayList<>();
-        for (int i = 0; i < times; i++) {
-            pauses.add(own.nextInt(120));
+        int reloads = 1 + ownRandom.nextInt(4);
+        List<Integer> pauseMillis = new ArrayList<>();
+        for (int i = 0; i < reloads; i++) {
+            pauseMillis.add(ownRandom.nextInt(120));
         }
         tasks.start(() -> {
-            for (int i = 0; i < times; i++) {
+            for (int i = 0; i < reloads; i++) {
                 changelog.recordAddressChange();
-                node.process().reconfigure(renderConfig("n", (i + 1) % CHANGELOG_COUNT));
-                Thread.sleep(pauses.get(i));
+                frontEnd.process().reconfigure(renderConfig("n", (i + 1) % CHANGELOG_COUNT));
+                Thread.sleep(pauseMillis.get(i));
             }
             Thread.sleep(DOWNTIME_MILLIS);
-            busyFrontEnds.remove(node);
+            busyFrontEnds.remove(frontEnd);
         });
         return true;
     }
 
-    private boolean openSilentConnections(Random own) {
-        SoakFrontEnd node = reserveFrontEnd(own);
-        if (node == null) {
+    private boolean openSilentConnections(Random ownRandom) {
+        SoakFrontEnd frontEnd = reserveFrontEnd(ownRandom);
+        if (frontEnd == null) {
             return false;
         }
-        busyFrontEnds.remove(node);
-        RequestClient.openSilentConnections(loops, node.process().address, 20 + own.nextInt(250), 300 + own.nextInt(2000));
+        busyFrontEnds.remove(frontEnd);
+        RequestClient.openSilentConnections(loops, frontEnd.process().address, 20 + ownRandom.nextInt(250), 300 + ownRandom.nextInt(2000));
         return true;
     }
 
-    /** What the front ends printed, by name. */
+    /** The output of the front ends, by address. */
     public Map<String, List<String>> logs() {
         Map<String, List<String>> logs = new LinkedHashMap<>();
-        for (SoakFrontEnd node : new HashSet<>(allFrontEnds)) {
-            logs.put(node.process().address.toString(), node.process().log());
+        for (SoakFrontEnd frontEnd : new HashSet<>(allFrontEnds)) {
+            logs.put(frontEnd.process().address.toString(), frontEnd.process().log());
         }
         return logs;
     }
@@ -342,7 +350,7 @@
     @Override
     public void close() {
         tasks.cancelAll();
-        allFrontEnds.forEach(node -> node.process().close());
+        allFrontEnds.forEach(frontEnd -> frontEnd.process().close());
         processes.close();
         loops.close();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFault.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFault.java
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.Random;
 
-/** A kind of trouble that a soak may play; each can be left out, so that a failing seed is cut down. */
+/** A kind of fault that a soak may inject; each can be left out, to reduce a failing seed. */
 public enum SoakFault {
-    /** The change log is out of reach for some seconds. */
+    /** The change log is unavailable for some seconds. */
     OUTAGE,
-    /** An executor drains, ends and starts anew. */
+    /** An executor drains, exits and restarts. */
     DRAIN,
-    /** A process of an executor ends, and a new one is there at once at its address, with nothing loaded. */
+    /** The process of an executor ends, and a new one with nothing loaded replaces it at once at its address. */
     TAKEOVER,
-    /** A front end is stopped by SIGSTOP for a while. */
+    /** A front end is suspended by SIGSTOP for a while. */
     STANDSTILL,
-    /** A front end is told to stop by SIGTERM, killed at the earliest time allowed, and replaced. */
+    /** A front end gets SIGTERM, is killed at the earliest time allowed, and is replaced. */
     TERMINATION,
     /** A front end is killed and replaced. */
     KILL,
     /** SIGHUP in quick succession, each with another address of the change log. */
     RELOAD,
-    /** Clients that say nothing fill the connections of a front end. */
+    /** Clients that send nothing use up the connections of a front end. */
     CROWD,
-    /** An executor is silent, closes connections, spoils or doubles answers. */
+    /** An executor does not answer, closes connections, or corrupts or duplicates answers. */
     BAD_ANSWERS,
-    /** Executors answer probes and questions late for a while, some of them twice, with what held when they were asked. */
+    /** Executors answer probes and status queries late for a while, some twice, with their state at the time of the request. */
     LATE_PROBES,
     /** An executor reads nothing for a while. */
     UNREAD,
@@ -38,17 +38,17 @@
     CONNECT,
     /** Sockets transfer fewer bytes than they are asked to. */
     SHORT_TRANSFERS,
-    /** Waits are interrupted. */
+    /** System calls that wait are interrupted by EINTR. */
     INTERRUPTED_WAITS,
     /** Connections to executors and to the change log end by ETIMEDOUT or EHOSTUNREACH. */
     BROKEN_CONNECTIONS,
     /** The wall clock is stepped, by seconds or by an hour, either way. */
     WALL_CLOCK;
 
-    /** Beyond the life of every process of a soak. */
+    /** Longer than any process of a soak runs. */
     private static final long UNLIMITED_MILLIS = 1_000_000_000;
     private static final long HOUR_MILLIS = 3_600_000;
-    /** A process fails within its first seconds, or later. */
+    /** The latest start of a burst of faults within a process run; a step of the clock may come as much later. */
     private static final int MAX_START_MILLIS = 8000;
     private static final int MAX_BURST_MILLIS = 3000;
 
@@ -58,36 +58,36 @@
         Errno.EINTR};
     private static final Errno[] TRANSFER_ERRORS = {Errno.ETIMEDOUT, Errno.EHOSTUNREACH};
 
-    /** What a front end's system calls meet by it during one life; nothing where this trouble comes from elsewhere. */
-    List<SystemFault> systemFaults(Random chance) {
-        long from = chance.nextInt(MAX_START_MILLIS);
-        long burst = from + 500 + chance.nextInt(MAX_BURST_MILLIS);
+    /** Draws the system call faults of one process run; empty where this fault is injected in another way. */
+    List<SystemFault> systemFaults(Random random) {
+        long from = random.nextInt(MAX_START_MILLIS);
+        long burst = from + 500 + random.nextInt(MAX_BURST_MILLIS);
         return switch (this) {
-            case ACCEPT -> List.of(SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, chance), 0.3, 0, burst),
-                    SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, chance), 0.03, 0, UNLIMITED_MILLIS));
-            case CONNECT -> List.of(SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, chance), 0.3, from, burst),
-                    SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, chance), 0.05, 0, UNLIMITED_MILLIS),
-                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, chance), 0.5, from, burst),
-                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, chance), 0.05, 0, UNLIMITED_MILLIS));
+            case ACCEPT -> List.of(SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, random), 0.3, 0, burst),
+                    SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, random), 0.03, 0, UNLIMITED_MILLIS));
+            case CONNECT -> List.of(SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, random), 0.3, from, burst),
+                    SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, random), 0.05, 0, UNLIMITED_MILLIS),
+                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, random), 0.5, from, burst),
+                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, random), 0.05, 0, UNLIMITED_MILLIS));
             case SHORT_TRANSFERS -> List.of(SystemFault.shortTransfer(FaultyCall.READ, 0.3, 0, UNLIMITED_MILLIS),
                     SystemFault.shortTransfer(FaultyCall.WRITE, 0.3, 0, UNLIMITED_MILLIS));
             case INTERRUPTED_WAITS -> List.of(SystemFault.error(FaultyCall.WAIT, Errno.EINTR, 0.1, 0, UNLIMITED_MILLIS));
             case BROKEN_CONNECTIONS -> List.of(
-                    SystemFault.error(FaultyCall.READ_CONNECTED, randomErrno(TRANSFER_ERRORS, chance), 0.002, 0, UNLIMITED_MILLIS),
-                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, chance), 0.002, 0, UNLIMITED_MILLIS),
-                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, chance), 0.1, from, burst));
-            case WALL_CLOCK -> List.of(SystemFault.clockStep(randomClockStepMillis(chance), from, burst),
-                    SystemFault.clockStep(randomClockStepMillis(chance), burst + chance.nextInt(MAX_START_MILLIS), UNLIMITED_MILLIS));
+                    SystemFault.error(FaultyCall.READ_CONNECTED, randomErrno(TRANSFER_ERRORS, random), 0.002, 0, UNLIMITED_MILLIS),
+                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, random), 0.002, 0, UNLIMITED_MILLIS),
+                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, random), 0.1, from, burst));
+            case WALL_CLOCK -> List.of(SystemFault.clockStep(randomClockStepMillis(random), from, burst),
+                    SystemFault.clockStep(randomClockStepMillis(random), burst + random.nextInt(MAX_START_MILLIS), UNLIMITED_MILLIS));
             default -> List.of();
         };
     }
 
-    private static Errno randomErrno(Errno[] errors, Random chance) {
-        return errors[chance.nextInt(errors.length)];
+    private static Errno randomErrno(Errno[] errors, Random random) {
+        return errors[random.nextInt(errors.length)];
     }
 
-    private static long randomClockStepMillis(Random chance) {
-        long size = chance.nextBoolean() ? HOUR_MILLIS : 1000 + chance.nextInt(20_000);
-        return chance.nextBoolean() ? size : -size;
+    private static long randomClockStepMillis(Random random) {
+        long size = random.nextBoolean() ? HOUR_MILLIS : 1000 + random.nextInt(20_000);
+        return random.nextBoolean() ? size : -size;
     }
 }
