--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFrontEnd.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFrontEnd.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * A front end that serves, its clients, and what its system calls meet.
+ * A front end process of a soak, its clients, and the faults of its system calls.
  *
- * @param faults by trouble, in the order in which the process was given them
+ * @param faults system call faults by kind, in the order in which the process was given them
  */
 record SoakFrontEnd(FrontEndProcess process, List<RequestClient> clients, Map<SoakFault, List<SystemFault>> faults) {
     List<SystemFault> allFaults() {
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakPlan.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakPlan.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * What a soak plays.
+ * The parameters of a soak.
  *
- * @param seed draws every trouble
- * @param seconds length of its service
- * @param nodes front ends at once
- * @param troubles what it may play
- * @param command starts a front end; EDGE_CONFIG names its configuration
+ * @param seed of the random draws, which determine every fault
+ * @param seconds how long faults are injected
+ * @param frontEndCount front ends that run at the same time
+ * @param faults the faults that may be injected
+ * @param frontEndCommand starts a front end; EDGE_CONFIG names its configuration
  */
 public record SoakPlan(long seed, int seconds, int frontEndCount, Set<SoakFault> faults, List<String> frontEndCommand) { }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Takeover.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Takeover.java
@@ -3,27 +3,28 @@
 import java.util.Random;
 
 /**
- * How the process of an executor gives way to another one at the same address, most often under another id.
+ * How the process of an executor is replaced by another one at the same address, mostly under another id.
  *
- * @param stalls for how long the old one is late with its answers before it ends
- * @param lingers for how long its connections stay then; 0 where they are reset at once
- * @param pause between two events that tell of it
- * @param seed of the new one's draws
+ * @param telling how the change log announces it
+ * @param stalls milliseconds by which the old process delays its answers before it ends
+ * @param lingers milliseconds for which its connections stay open then; 0 where they are reset at once
+ * @param pause milliseconds between two events that announce it
+ * @param seed of the random draws of the new process
  */
 record Takeover(Announcement telling, long stalls, long lingers, long pause, long seed) {
-    /** What the change log tells of it, and in which order. */
+    /** The events by which the change log announces the takeover, in their order. */
     enum Announcement {
-        /** The old one has gone, then the new one is ready. */
+        /** The old one is removed, then the new one is ready. */
         GONE_FIRST,
-        /** One event: the new one is ready, the old one has gone. */
+        /** One event: the new one is ready, the old one is removed. */
         READY_FIRST,
-        /** The new one is ready; a while later, the old one has gone. */
+        /** The new one is ready; a while later, the old one is removed. */
         GONE_LATER,
-        /** The new one is ready; the old one has gone by an event that cannot be read; a while later, the whole list. */
+        /** The new one is ready; the old one is removed by an unreadable event; a while later, the full list. */
         UNREADABLE,
-        /** A whole list in which both are ready; a while later, the old one has gone. */
+        /** A full list in which both are ready; a while later, the old one is removed. */
         KEPT,
-        /** The new one has the id of the old one, and another start. */
+        /** The new one has the id of the old one and another start time. */
         SAME_ID
     }
 
@@ -33,10 +34,11 @@
     private static final int MIN_GAP_MILLIS = 500;
     private static final int GAP_RANGE_MILLIS = 8000;
 
-    static Takeover draw(Random own) {
-        Announcement telling = Announcement.values()[own.nextInt(Announcement.values().length)];
-        long stalls = own.nextInt(MAX_STALL_MILLIS);
-        long lingers = own.nextBoolean() ? 0 : MIN_LINGER_MILLIS + own.nextInt(LINGER_RANGE_MILLIS);
-        return new Takeover(telling, stalls, lingers, MIN_GAP_MILLIS + own.nextInt(GAP_RANGE_MILLIS), own.nextLong());
+    /** Draws a random takeover. */
+    static Takeover draw(Random random) {
+        Announcement telling = Announcement.values()[random.nextInt(Announcement.values().length)];
+        long stalls = random.nextInt(MAX_STALL_MILLIS);
+        long lingers = random.nextBoolean() ? 0 : MIN_LINGER_MILLIS + random.nextInt(LINGER_RANGE_MILLIS);
+        return new Takeover(telling, stalls, lingers, MIN_GAP_MILLIS + random.nextInt(GAP_RANGE_MILLIS), random.nextLong());
     }
 }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/package-info.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/package-info.java
@@ -1,2 +1,2 @@
-/** A soak: front ends as processes under drawn faults, judged by what passed on the sockets of their peers. */
+/** Soak tests: front end processes under randomly drawn faults, checked by what their peers observe on the sockets. */
 package gradereach.rehearsal.soak;
