--- a/rehearsal/src/main/java/gradereach/measure/GrpcLoadGenerator.java
+++ b/rehearsal/src/main/java/gradereach/measure/GrpcLoadGenerator.java
@@ -59,7 +59,8 @@
      */
     void send(String id, String model, Consumer<Boolean> onEnd) {
         ModelInferRequest request = requests.computeIfAbsent(model, GrpcLoadGenerator::createRequest);
-        byte[] content = signedContents.computeIfAbsent(model, name -> CallSignature.signedContent(METHOD_NAME, CallSignature.digest(request)));
+        byte[] content = signedContents.computeIfAbsent(model,
+                name -> CallSignature.signedContent(METHOD_NAME, CallSignature.digest(request)));
         long timestamp = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
         headers.put(ID, id);
--- a/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
@@ -164,16 +164,19 @@
                 for (String variant : fronts.keySet()) {
                     LoadMeasurement measurement = runLoad(variant, fronts.get(variant), rate, seconds, processByVariant.get(variant));
                     print(measurement);
-                    latenciesByVariant.computeIfAbsent(variant, key -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3)).add(lastLatencies);
+                    latenciesByVariant.computeIfAbsent(variant, name -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3))
+                            .add(lastLatencies);
                 }
             }
             out.println();
-            latenciesByVariant.forEach((variant, latencies) -> out.println(String.format("%-8s all rounds: p50 %6.2f ms  p90 %6.2f ms  p99 %6.2f ms  p99.9 %6.2f ms"
-                    + "  most %7.2f ms  of %d", variant, latencies.getValueAtPercentile(50) / 1e6, latencies.getValueAtPercentile(90) / 1e6,
+            latenciesByVariant.forEach((variant, latencies) -> out.println(String.format(
+                    "%-8s all rounds: p50 %6.2f ms  p90 %6.2f ms  p99 %6.2f ms  p99.9 %6.2f ms" + "  most %7.2f ms  of %d",
+                    variant, latencies.getValueAtPercentile(50) / 1e6, latencies.getValueAtPercentile(90) / 1e6,
                     latencies.getValueAtPercentile(99) / 1e6, latencies.getValueAtPercentile(99.9) / 1e6, latencies.getMaxValue() / 1e6,
                     latencies.getTotalCount())));
             receivers.forEach((fault, receiver) -> out.println(String.format("receiver %-10s %4d requests, %6d samples accepted, "
-                    + "%5.1f bytes a sample, %d series", fault.isEmpty() ? "healthy" : fault, receiver.requestCount(), receiver.acceptedSamples(),
+                    + "%5.1f bytes a sample, %d series", fault.isEmpty() ? "healthy" : fault, receiver.requestCount(),
+                    receiver.acceptedSamples(),
                     receiver.acceptedBytes() / (double) Math.max(1, receiver.acceptedSamples()), receiver.store.seriesCount())));
         } finally {
             stopProcesses();
@@ -189,9 +192,11 @@
             for (int i = 0; i < 60; i++) {
                 ServiceMetrics service = new ServiceMetrics(List.of("a", "b", "c"), 50, System::currentTimeMillis);
                 for (int n = 0; n < 100; n++) {
-                    service.recordInference(n % 3, "c-" + n % 7, n % 7, "m-" + n, n * 0x9e3779b97f4a7c15L, ServiceMetrics.EndReason.RETURNED, 1, 1, true, 20, 1, 1);
+                    service.recordInference(n % 3, "c-" + n % 7, n % 7, "m-" + n, n * 0x9e3779b97f4a7c15L,
+                            ServiceMetrics.EndReason.RETURNED, 1, 1, true, 20, 1, 1);
                 }
-                pushers.add(new Pusher(new Pusher.Receiver(URI.create(receiver.url()), false, List.of("instance", "fe-" + i, "job", "gradereach"),
+                pushers.add(new Pusher(new Pusher.Receiver(URI.create(receiver.url()), false,
+                        List.of("instance", "fe-" + i, "job", "gradereach"),
                         "fe-" + i, intervalMillis, 10_000, 4, new SendQueue.Limits(200_000, 32 << 20, 2000, 512 << 10, 1000, 600_000, 500,
                         30_000), 1000), List.of(service), System::currentTimeMillis, new Random(i)));
             }
@@ -206,9 +211,12 @@
                 }
             }
             double meanRate = 60_000.0 / intervalMillis;
-            out.println(String.format("sixty that start at once: %.0f writes a second in the mean, most in one second of the first interval %d,"
-                    + " of the next two %d; %d series, %.1f bytes a sample", meanRate, Arrays.stream(writesBySecond, 0, intervalMillis / 1000).max().orElse(0),
-                    Arrays.stream(writesBySecond, intervalMillis / 1000, writesBySecond.length).max().orElse(0), receiver.store.seriesCount(),
+            out.println(String.format(
+                    "sixty that start at once: %.0f writes a second in the mean, most in one second of the first interval %d,"
+                    + " of the next two %d; %d series, %.1f bytes a sample", meanRate,
+                    Arrays.stream(writesBySecond, 0, intervalMillis / 1000).max().orElse(0),
+                    Arrays.stream(writesBySecond, intervalMillis / 1000, writesBySecond.length).max().orElse(0),
+                    receiver.store.seriesCount(),
                     receiver.acceptedBytes() / (double) receiver.acceptedSamples()));
         } finally {
             pushers.parallelStream().forEach(Pusher::close);
@@ -245,13 +253,14 @@
         deployment.putObject("grpc").put("listen", "127.0.0.1:0");
         deployment.putObject("roster").put("file", "roster.json");
         deployment.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject().put("file", "key");
-        deployment.putArray("model_groups").addObject().put("name", "g").put("repeat", ledger ? "non-retriable" : "retriable").put("slo_ms", 500)
-                .put("route_timeout_ms", 5000);
+        deployment.putArray("model_groups").addObject().put("name", "g")
+                .put("repeat", ledger ? "non-retriable" : "retriable").put("slo_ms", 500).put("route_timeout_ms", 5000);
         deployment.putArray("models").addObject().put("name", "m-*").put("group", "g").put("lanes", 64);
         if (ledger) {
             deployment.putObject("ledger").put("folder", "ledger");
         }
-        deployment.putObject("limits").put("remembered", 2_000_000).put("remembered_bytes", 256L << 20).put("idle_ms", 600_000).put("connections", 20_000);
+        deployment.putObject("limits").put("remembered", 2_000_000).put("remembered_bytes", 256L << 20)
+                .put("idle_ms", 600_000).put("connections", 20_000);
         if (pushTo != null) {
             deployment.putObject("metrics").putObject("remote_write").put("url", pushTo).put("interval_ms", 200);
         }
@@ -277,7 +286,8 @@
         Http2ConnectionPool[] pools = new Http2ConnectionPool[3];
         for (int i = 0; i < pools.length; i++) {
             pools[i] = new Http2ConnectionPool(address, loops.next(), NioSocketChannel.class,
-                    new Http2ConnectionPool.Limits(4, 1000, 1000, 60_000, 1 << 20, 1 << 20), new Http2ConnectionPool.Metrics(new Counts(), "load"),
+                    new Http2ConnectionPool.Limits(4, 1000, 1000, 60_000, 1 << 20, 1 << 20),
+                    new Http2ConnectionPool.Metrics(new Counts(), "load"),
                     () -> System.nanoTime() / 1e6);
         }
         boolean direct = path.equals("direct");
@@ -312,7 +322,8 @@
                 openRequests.decrementAndGet();
             };
             if (grpcLoad != null) {
-                grpcLoad.send("r" + runId + "-" + i, model, returned -> listener.onEnd(returned ? ExchangeResult.ANSWERED : ExchangeResult.LOST, 200, null, null));
+                grpcLoad.send("r" + runId + "-" + i, model,
+                        returned -> listener.onEnd(returned ? ExchangeResult.ANSWERED : ExchangeResult.LOST, 200, null, null));
             } else if (direct) {
                 pool.send("POST", "/v2/models/" + model + "/infer", INPUT, listener, "content-type", "application/json");
             } else {
--- a/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
@@ -107,7 +107,8 @@
 
     private void printLatencies(String label, Histogram latencies) {
         out.println(String.format("%-26s %6d streams  p50 %6.2f ms  p99 %6.2f ms  p99.9 %6.2f ms", label, latencies.getTotalCount(),
-                latencies.getValueAtPercentile(50) / 1e6, latencies.getValueAtPercentile(99) / 1e6, latencies.getValueAtPercentile(99.9) / 1e6));
+                latencies.getValueAtPercentile(50) / 1e6, latencies.getValueAtPercentile(99) / 1e6,
+                latencies.getValueAtPercentile(99.9) / 1e6));
     }
 
     /** Loads the model at an executor that is called directly, as no front end sends load orders there. */
@@ -132,8 +133,8 @@
             Consumer<Object> onPart, Consumer<AttemptOutcome> onEnd) {
         ModelInferRequest request = ModelInferRequest.newBuilder().setModelName("t-0").putParameters("parts", doubleParameter(parts))
                 .putParameters("part_bytes", doubleParameter(bytes)).putParameters("part_ms", doubleParameter(intervalMillis)).build();
-        return clients.get(client % CLIENTS).stream(address, new Inference("s-" + System.nanoTime() + "-" + requestCount++, "t-0", request), 600_000,
-                onPart, onEnd);
+        return clients.get(client % CLIENTS).stream(address,
+                new Inference("s-" + System.nanoTime() + "-" + requestCount++, "t-0", request), 600_000, onPart, onEnd);
     }
 
     /** Opens {@code rate} streams a second of five parts each; returns the times from when each was due to its first part. */
@@ -192,7 +193,8 @@
         double squares = Arrays.stream(receivedMeanwhile).mapToDouble(n -> (double) n * n).sum();
         Arrays.sort(receivedMeanwhile);
         out.println(String.format("fairness of 100 streams    Jain's index %.3f, parts in two seconds: least %d, median %d, most %d; "
-                + "%,.0f parts/s in all", sum * sum / receivedMeanwhile.length / squares, receivedMeanwhile[0], receivedMeanwhile[50], receivedMeanwhile[99], sum / 2));
+                + "%,.0f parts/s in all", sum * sum / receivedMeanwhile.length / squares,
+                receivedMeanwhile[0], receivedMeanwhile[50], receivedMeanwhile[99], sum / 2));
     }
 
     /** First parts at 500 streams a second, with or without another stream whose reader takes one part a second. */
@@ -232,7 +234,8 @@
         Histogram latenciesMeanwhile = measureFirstParts(address, 100, 5000);
         long with = residentMb(frontEnd);
         out.println(String.format("open at once               %d of %d streams after %.1f s, %d ended; %d MB resident before, %d with: "
-                + "%.1f KB each", started.get(), open, elapsedSeconds, ended.get(), memoryBefore, with, (with - memoryBefore) * 1024.0 / Math.max(1, started.get())));
+                + "%.1f KB each", started.get(), open, elapsedSeconds, ended.get(), memoryBefore, with,
+                (with - memoryBefore) * 1024.0 / Math.max(1, started.get())));
         printLatencies("first part beside them", latenciesMeanwhile);
     }
 
--- a/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
@@ -83,7 +83,7 @@
      * @param frontEndCommand starts a front end when a deployment file is appended
      */
     public Rehearsal(JsonNode script, Path folder, List<String> frontEndCommand, PrintStream out) {
-        this.day = script;
+        this.script = script;
         this.folder = folder;
         this.frontEndCommand = frontEndCommand;
         this.out = out;
--- a/rehearsal/src/test/java/gradereach/rehearsal/AuditorTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/AuditorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The auditor must be able to fail: each row plants one thing in a good transcript. */
+/** Checks that the auditor can detect violations: each row plants one change in a good transcript. */
 class AuditorTest {
     private static final String GOOD = """
             1000 asked mark=y/a n=0 fe=f0 group=book budget=500 async=false forged=false
@@ -40,18 +40,18 @@
             StringBuilder json = new StringBuilder("{\"t\":" + words[0] + ",\"ev\":\"" + words[1] + "\"");
             for (int i = 2; i < words.length; i++) {
                 String[] pair = words[i].split("=", 2);
-                boolean bare = pair[1].matches("-?\\d+|true|false");
-                json.append(",\"").append(pair[0]).append("\":").append(bare ? pair[1] : "\"" + pair[1] + "\"");
+                boolean literal = pair[1].matches("-?\\d+|true|false");
+                json.append(",\"").append(pair[0]).append("\":").append(literal ? pair[1] : "\"" + pair[1] + "\"");
             }
             auditor.addEvent(new ObjectMapper().readTree(json + "}"));
         }
         return auditor.evaluate();
     }
 
-    /** Guards against a breach that is none, and against a pass that is none, where those who date what they see were late. */
+    /** Guards against false violations and false passes where the processes that recorded the times were late. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
-        // what goes, what comes; whether the day tells, whether the rules count as kept
+        // removed text, inserted text, whether the run is conclusive, whether the rules passed
         "1050 heard | 1700 heard | true | false",
         "1050 heard | 1705 lag of=clients from=1540;1700 heard | false | false",
         "1050 heard | 1705 lag of=clients from=1570;1700 heard | true | false",
@@ -63,15 +63,15 @@
         "9000 end | 1705 lag of=clients from=1540;1045 ran ex=e1 fwd=a#1 mark=y/a;9000 end | true | false",
         "9000 end | 8000 cut-short what=restart;9000 end | false | false",
     })
-    void lateTimestampsAreInconclusive(String gone, String comes, boolean decided, boolean kept) throws Exception {
-        AuditReport found = evaluate(GOOD.replaceFirst(gone, comes).replace(";", "\n"));
-        assertEquals(decided, found.conclusive(), found.toString());
-        assertEquals(kept, found.passed(), found.toString());
+    void lateTimestampsAreInconclusive(String removed, String inserted, boolean conclusive, boolean passed) throws Exception {
+        AuditReport report = evaluate(GOOD.replaceFirst(removed, inserted).replace(";", "\n"));
+        assertEquals(conclusive, report.conclusive(), report.toString());
+        assertEquals(passed, report.passed(), report.toString());
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', nullValues = "none", value = {
-        // what goes, what comes; the rule that breaks, 0 for none; what it shows
+        // removed text, inserted text, the violated rule or 0, the expected violation
         "none | none | 0 | ''",
         "1050 heard mark=y/a n=0 what=returned signed=true digest=1 | none | 1 | y/a@0 no answer",
         "1050 heard | 1700 heard | 1 | y/a@0 answered 200 ms late",
@@ -95,13 +95,13 @@
         "9000 end | 5000 fell ex=e1;9000 end | 4 | e1",
         "2020 arrived | 2012 order ex=e1 fe=f0 model=m copies=1;2013 order ex=e1 fe=f0 model=m copies=1;2014 order ex=e1 fe=f0 model=m copies=0;2020 arrived | 5 | f0 ordered 3 where 2.0 were allowed",
     })
-    void plantedViolationIsDetected(String gone, String comes, int rule, String shows) throws Exception {
-        String text = gone == null ? GOOD : GOOD.replaceFirst(gone, comes == null ? "1 nothing" : comes).replace(";", "\n");
-        AuditReport found = evaluate(text);
-        for (Auditor.RuleResult verdict : found.results()) {
-            assertEquals(verdict.rule() != rule, verdict.passed(), verdict.toString());
-            assertTrue(verdict.rule() != rule || verdict.violations().contains(shows), verdict.toString());
+    void plantedViolationIsDetected(String removed, String inserted, int rule, String expectedViolation) throws Exception {
+        String text = removed == null ? GOOD : GOOD.replaceFirst(removed, inserted == null ? "1 nothing" : inserted).replace(";", "\n");
+        AuditReport report = evaluate(text);
+        for (Auditor.RuleResult result : report.results()) {
+            assertEquals(result.rule() != rule, result.passed(), result.toString());
+            assertTrue(result.rule() != rule || result.violations().contains(expectedViolation), result.toString());
         }
-        assertEquals(List.of(1, 2, 3, 4, 5), found.results().stream().map(Auditor.RuleResult::rule).toList());
+        assertEquals(List.of(1, 2, 3, 4, 5), report.results().stream().map(Auditor.RuleResult::rule).toList());
     }
 }
--- a/rehearsal/src/test/java/gradereach/rehearsal/BreachingFrontEnd.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/BreachingFrontEnd.java
@@ -16,27 +16,28 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** A front end built to break one rule, by a double around the module's outlet: {@code RULE FILE}. */
+/** A front end that violates one rule of the auditor on purpose, by a proxy around the router's actions: {@code RULE FILE}. */
 public final class BreachingFrontEnd {
-    /** Of so many forwards one goes to a draining executor: were it all, the module would soon find none that answers. */
+    /** One of this many forwards goes to a draining executor; if all did, the router would soon find no executor that answers. */
     private static final int MISDIRECT_INTERVAL = 4;
 
     private BreachingFrontEnd() { }
 
     public static void main(String[] args) throws InterruptedException {
         int rule = Integer.parseInt(args[0]);
-        FaultInjection breach = new FaultInjection(real -> wrapActions(real, rule), UnaryOperator.identity(), Disk.FILE_SYSTEM);
-        System.exit(FrontEndProcess.run(Path.of(args[1]), breach, System.out, System.err));
+        FaultInjection violation = new FaultInjection(real -> wrapActions(real, rule), UnaryOperator.identity(), Disk.FILE_SYSTEM);
+        System.exit(FrontEndProcess.run(Path.of(args[1]), violation, System.out, System.err));
     }
 
     private static RouterActions wrapActions(RouterActions real, int rule) {
-        Set<Executor> met = new LinkedHashSet<>();
+        Set<Executor> usedExecutors = new LinkedHashSet<>();
         int[] count = {0};
-        return (RouterActions) Proxy.newProxyInstance(RouterActions.class.getClassLoader(), new Class<?>[] {RouterActions.class},
-                (proxy, called, args) -> {
-                    String name = called.getName();
+        return (RouterActions) Proxy.newProxyInstance(RouterActions.class.getClassLoader(),
+                new Class<?>[] {RouterActions.class},
+                (proxy, method, args) -> {
+                    String name = method.getName();
                     if (name.equals("sendForward")) {
-                        met.add((Executor) args[1]);
+                        usedExecutors.add((Executor) args[1]);
                         if (rule == 1 && ++count[0] == 20) {
                             Thread.sleep(3000);
                         }
@@ -44,7 +45,7 @@
                             real.sendForward((Inference) args[0], (Executor) args[1], (Double) args[2]);
                         }
                         if (rule == 3 && ++count[0] % MISDIRECT_INTERVAL == 0) {
-                            args[1] = met.stream().filter(ex -> ex.state != ExecutorState.READY).findFirst()
+                            args[1] = usedExecutors.stream().filter(executor -> executor.state != ExecutorState.READY).findFirst()
                                     .orElse((Executor) args[1]);
                         }
                     }
@@ -54,7 +55,7 @@
                         }
                     }
                     try {
-                        Object result = called.invoke(real, args);
+                        Object result = method.invoke(real, args);
                         if (rule == 4 && name.equals("sendForward") && ((Executor) args[1]).startedAt > 0) {
                             for (int i = 0; i < 300; i++) {
                                 real.sendForward((Inference) args[0], (Executor) args[1], (Double) args[2]);
--- a/rehearsal/src/test/java/gradereach/rehearsal/CrashPointsTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/CrashPointsTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Front ends as processes that end at a step of their work, one run for every step there is; then started anew, and
- * asked again until the client has a true word. Executions are counted at the stand-ins.
+ * Crashes a front end process at each step of an inference, one run a step, restarts it, and repeats the request until the
+ * client gets its answer. Executions are counted at the stand-in executors.
  */
 @Timeout(240)
 class CrashPointsTest {
@@ -36,19 +36,19 @@
 
     @TempDir
     private Path folder;
-    private ReservationTestbed site;
+    private ReservationTestbed testbed;
 
     @BeforeEach
-    void start() throws Exception {
-        site = new ReservationTestbed(folder);
+    void createTestbed() throws Exception {
+        testbed = new ReservationTestbed(folder);
     }
 
     @AfterEach
-    void end() throws Exception {
-        site.close();
+    void closeTestbed() throws Exception {
+        testbed.close();
     }
 
-    /** Every step of a path with so many commits and one forward. */
+    /** Every step of an inference with {@code commits} commits to the ledger and one forward. */
     private static List<String> crashSteps(int commits) {
         List<String> steps = new ArrayList<>(List.of("forward:1:before", "forward:1:after", "heard"));
         for (int i = 1; i <= commits; i++) {
@@ -58,268 +58,278 @@
         return steps;
     }
 
-    private static <T> void runAll(List<T> cases, int atOnce, java.util.function.Function<T, Callable<Void>> run)
+    private static <T> void runAll(List<T> cases, int concurrency, java.util.function.Function<T, Callable<Void>> task)
             throws InterruptedException, ExecutionException {
-        ExecutorService pool = Executors.newFixedThreadPool(atOnce);
+        ExecutorService pool = Executors.newFixedThreadPool(concurrency);
         try {
             List<Future<Void>> running = new ArrayList<>();
-            cases.forEach(one -> running.add(pool.submit(run.apply(one))));
-            for (Future<Void> one : running) {
-                one.get();
+            cases.forEach(testCase -> running.add(pool.submit(task.apply(testCase))));
+            for (Future<Void> future : running) {
+                future.get();
             }
         } finally {
             pool.shutdownNow();
         }
     }
 
-    /** An intent and an outcome; a promise, an intent, and an outcome once for who asked and once for the outbox. */
+    /**
+     * A synchronous request commits an intent and an outcome; an asynchronous one commits the acceptance, the intent, and the
+     * outcome, which serves both repeats and the webhook delivery.
+     */
     @Test
     void reservationRunsOnceWhenFrontEndCrashesAtAnyStep() throws Exception {
         List<String> cases = new ArrayList<>();
         crashSteps(2).forEach(step -> cases.add("sync-" + step));
         crashSteps(3).forEach(step -> cases.add("async-" + step));
-        Map<String, String> told = new java.util.concurrent.ConcurrentHashMap<>();
-        runAll(cases, CONCURRENCY, what -> () -> {
-            String step = what.substring(what.indexOf('-') + 1);
-            boolean async = what.startsWith("async");
-            Path at = folder.resolve(what.replace(':', '-'));
-            FrontEndTestProcess first = site.startFrontEnd(at, site.createDeployment(at, 0, List.of()), step.equals("heard") ? "none" : step, 0);
-            HttpResponse<String> heard = first.send(what, "book-1", async);
+        Map<String, String> answers = new java.util.concurrent.ConcurrentHashMap<>();
+        runAll(cases, CONCURRENCY, testCase -> () -> {
+            String step = testCase.substring(testCase.indexOf('-') + 1);
+            boolean async = testCase.startsWith("async");
+            Path directory = folder.resolve(testCase.replace(':', '-'));
+            FrontEndTestProcess first = testbed.startFrontEnd(directory, testbed.createDeployment(directory, 0, List.of()),
+                    step.equals("heard") ? "none" : step, 0);
+            HttpResponse<String> firstResponse = first.send(testCase, "book-1", async);
             if (step.equals("heard")) {
-                assertEquals(async ? 202 : 200, heard.statusCode(), what);
+                assertEquals(async ? 202 : 200, firstResponse.statusCode(), testCase);
                 first.kill();
             }
-            assertTrue(first.process.waitFor(20, TimeUnit.SECONDS), what + " was not reached");
-            assertEquals(FaultyFrontEnd.KILLED_EXIT_CODE, first.process.exitValue(), what);
-            FrontEndTestProcess second = site.startFrontEnd(at, site.createDeployment(at, 0, List.of()), "none", 0);
-            HttpResponse<String> answer = second.sendUntilReturned(what, "book-1");
-            if (heard != null && heard.statusCode() == 200) {
-                assertEquals(heard.body(), answer.body(), what);
+            assertTrue(first.process.waitFor(20, TimeUnit.SECONDS), testCase + " was not reached");
+            assertEquals(FaultyFrontEnd.KILLED_EXIT_CODE, first.process.exitValue(), testCase);
+            FrontEndTestProcess second = testbed.startFrontEnd(directory, testbed.createDeployment(directory, 0, List.of()), "none", 0);
+            HttpResponse<String> finalResponse = second.sendUntilReturned(testCase, "book-1");
+            if (firstResponse != null && firstResponse.statusCode() == 200) {
+                assertEquals(firstResponse.body(), finalResponse.body(), testCase);
             }
-            told.put(what, answer.body());
+            answers.put(testCase, finalResponse.body());
             second.kill();
             return null;
         });
-        site.fleet.close();
-        Map<String, List<JsonNode>> ran = site.transcriptEvents("ran", "mark");
-        for (String what : cases) {
-            assertEquals(1, ran.getOrDefault("yard/" + what, List.of()).size(), what);
+        testbed.fleet.close();
+        Map<String, List<JsonNode>> executions = testbed.transcriptEvents("ran", "mark");
+        for (String testCase : cases) {
+            assertEquals(1, executions.getOrDefault("yard/" + testCase, List.of()).size(), testCase);
         }
-        // One content for one id, however often it went out.
-        site.transcriptEvents("webhook", "id").forEach((id, sent) -> {
+        // Every delivery of one webhook id has the same body.
+        site.transcriptEvents("webhook", "id").forEach((id, deliveries) -> {
             Set<String> bodies = new HashSet<>();
-            sent.forEach(one -> bodies.add(one.path("body").asText()));
+            deliveries.forEach(delivery -> bodies.add(delivery.path("body").asText()));
             assertEquals(1, bodies.size(), id);
         });
     }
 
-    /** Claims among three: whoever is asked ends at a step; the repeat goes to another, which must not run it anew. */
+    /**
+     * Three front ends that share claims: the first one crashes at a step, and the repeat goes to another one, which must not
+     * execute the reservation again.
+     */
     @Test
     void reservationRunsOnceWhenOneOfThreeFrontEndsCrashesAtAnyStep() throws Exception {
         List<String> cases = crashSteps(3);
         runAll(cases, CONCURRENCY / 2, step -> () -> {
-            Path at = folder.resolve("three-" + step.replace(':', '-'));
+            Path directory = folder.resolve("three-" + step.replace(':', '-'));
             List<Integer> ports = ReservationTestbed.freePorts(6);
-            FrontEndTestProcess[] fronts = new FrontEndTestProcess[3];
+            FrontEndTestProcess[] frontEnds = new FrontEndTestProcess[3];
             for (int i = 0; i < 3; i++) {
-                fronts[i] = site.startFrontEnd(at, site.createDeployment(at, i, ports), i == 0 && !step.equals("heard") ? step : "none", 0);
+                frontEnds[i] = testbed.startFrontEnd(directory, testbed.createDeployment(directory, i, ports),
+                        i == 0 && !step.equals("heard") ? step : "none", 0);
             }
-            HttpResponse<String> heard = null;
+            HttpResponse<String> firstResponse = null;
             if (step.equals("heard")) {
-                heard = fronts[0].sendUntilReturned("three-" + step, "book-1");
-                fronts[0].kill();
+                firstResponse = frontEnds[0].sendUntilReturned("three-" + step, "book-1");
+                frontEnds[0].kill();
             } else {
-                // Its peers may not be up to a claim in their first moment: that is said, and the claim tried anew.
+                // Right after their start the peers may not grant claims yet: the request is answered so and sent again.
                 do {
-                    heard = fronts[0].send("three-" + step, "book-1", false);
-                } while (heard != null && heard.statusCode() != 200);
-                assertTrue(fronts[0].process.waitFor(20, TimeUnit.SECONDS), step + " was not reached");
+                    firstResponse = frontEnds[0].send("three-" + step, "book-1", false);
+                } while (firstResponse != null && firstResponse.statusCode() != 200);
+                assertTrue(frontEnds[0].process.waitFor(20, TimeUnit.SECONDS), step + " was not reached");
             }
-            HttpResponse<String> elsewhere = fronts[1].send("three-" + step, "book-1", false);
-            assertNotEquals(null, elsewhere);
-            fronts[0] = site.startFrontEnd(at, site.createDeployment(at, 0, ports), "none", 0);
-            String answer = fronts[2].sendUntilReturned("three-" + step, "book-1").body();
-            assertEquals(answer, fronts[0].sendUntilReturned("three-" + step, "book-1").body(), step);
-            if (heard != null && heard.statusCode() == 200) {
-                assertEquals(heard.body(), answer, step);
+            HttpResponse<String> otherResponse = frontEnds[1].send("three-" + step, "book-1", false);
+            assertNotEquals(null, otherResponse);
+            frontEnds[0] = testbed.startFrontEnd(directory, testbed.createDeployment(directory, 0, ports), "none", 0);
+            String answer = frontEnds[2].sendUntilReturned("three-" + step, "book-1").body();
+            assertEquals(answer, frontEnds[0].sendUntilReturned("three-" + step, "book-1").body(), step);
+            if (firstResponse != null && firstResponse.statusCode() == 200) {
+                assertEquals(firstResponse.body(), answer, step);
             }
-            for (FrontEndTestProcess front : fronts) {
-                front.kill();
+            for (FrontEndTestProcess frontEnd : frontEnds) {
+                frontEnd.kill();
             }
             return null;
         });
-        site.fleet.close();
-        Map<String, List<JsonNode>> ran = site.transcriptEvents("ran", "mark");
+        testbed.fleet.close();
+        Map<String, List<JsonNode>> executions = testbed.transcriptEvents("ran", "mark");
         for (String step : cases) {
-            assertEquals(1, ran.getOrDefault("yard/three-" + step, List.of()).size(), step);
+            assertEquals(1, executions.getOrDefault("yard/three-" + step, List.of()).size(), step);
         }
     }
 
-    /** Two keepers whose clocks are an hour ahead for one life still know whose it was. */
+    /** Two claim replicas whose clocks are an hour ahead during one process run still know which front end owns the message. */
     @Test
     void claimsSurviveWrongReplicaClocks() throws Exception {
         List<Integer> ports = ReservationTestbed.freePorts(6);
-        FrontEndTestProcess[] fronts = new FrontEndTestProcess[3];
+        FrontEndTestProcess[] frontEnds = new FrontEndTestProcess[3];
         for (int i = 0; i < 3; i++) {
-            fronts[i] = site.startFrontEnd(folder, site.createDeployment(folder, i, ports), "none", 0);
+            frontEnds[i] = testbed.startFrontEnd(folder, testbed.createDeployment(folder, i, ports), "none", 0);
         }
-        String answer = fronts[0].sendUntilReturned("kept", "book-1").body();
-        for (FrontEndTestProcess front : fronts) {
-            front.kill();
+        String answer = frontEnds[0].sendUntilReturned("kept", "book-1").body();
+        for (FrontEndTestProcess frontEnd : frontEnds) {
+            frontEnd.kill();
         }
-        for (long ahead : new long[] {3_600_000, 0}) {
+        for (long aheadMillis : new long[] {3_600_000, 0}) {
             for (int i = 1; i < 3; i++) {
-                fronts[i] = site.startFrontEnd(folder, site.createDeployment(folder, i, ports), "none", ahead);
+                frontEnds[i] = testbed.startFrontEnd(folder, testbed.createDeployment(folder, i, ports), "none", aheadMillis);
             }
-            fronts[1].sendUntilReturned("other-" + ahead, "book-1");
-            if (ahead == 0) {
-                assertEquals(504, fronts[1].send("kept", "book-1", false).statusCode());
-                assertEquals(504, fronts[2].send("kept", "book-1", false).statusCode());
-                fronts[0] = site.startFrontEnd(folder, site.createDeployment(folder, 0, ports), "none", 0);
-                assertEquals(answer, fronts[1].sendUntilReturned("kept", "book-1").body());
-                fronts[0].kill();
+            frontEnds[1].sendUntilReturned("other-" + aheadMillis, "book-1");
+            if (aheadMillis == 0) {
+                assertEquals(504, frontEnds[1].send("kept", "book-1", false).statusCode());
+                assertEquals(504, frontEnds[2].send("kept", "book-1", false).statusCode());
+                frontEnds[0] = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, ports), "none", 0);
+                assertEquals(answer, frontEnds[1].sendUntilReturned("kept", "book-1").body());
+                frontEnds[0].kill();
             }
-            fronts[1].kill();
-            fronts[2].kill();
+            frontEnds[1].kill();
+            frontEnds[2].kill();
         }
-        site.fleet.close();
-        assertEquals(1, site.transcriptEvents("ran", "mark").get("yard/kept").size());
+        testbed.fleet.close();
+        assertEquals(1, testbed.transcriptEvents("ran", "mark").get("yard/kept").size());
     }
 
-    /** What needs the ledger is shed while the disk is full, the rest is returned; then all is. */
+    /** While the disk is full, inferences that need the ledger are shed and others are answered; afterwards all are answered. */
     @Test
     void fullDiskShedsOnlyInferencesThatNeedTheLedger() throws Exception {
-        FrontEndTestProcess front = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "full:2500", 0);
-        assertEquals(503, front.send("first", "book-1", false).statusCode(), "its intent could not be durable");
-        assertEquals(503, front.send("second", "book-1", false).statusCode());
-        assertEquals(200, front.send("free", "look-1", false).statusCode());
-        assertEquals(200, front.sendUntilReturned("first", "book-1").statusCode());
-        front.kill();
-        FrontEndTestProcess again = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "none", 0);
-        assertEquals(200, again.sendUntilReturned("first", "book-1").statusCode());
-        site.fleet.close();
-        assertEquals(1, site.transcriptEvents("ran", "mark").get("yard/first").size());
-        assertEquals(null, site.transcriptEvents("ran", "mark").get("yard/second"));
+        FrontEndTestProcess frontEnd = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "full:2500", 0);
+        assertEquals(503, frontEnd.send("first", "book-1", false).statusCode(), "its intent could not be made durable");
+        assertEquals(503, frontEnd.send("second", "book-1", false).statusCode());
+        assertEquals(200, frontEnd.send("free", "look-1", false).statusCode());
+        assertEquals(200, frontEnd.sendUntilReturned("first", "book-1").statusCode());
+        frontEnd.kill();
+        FrontEndTestProcess restarted = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
+        assertEquals(200, restarted.sendUntilReturned("first", "book-1").statusCode());
+        testbed.fleet.close();
+        assertEquals(1, testbed.transcriptEvents("ran", "mark").get("yard/first").size());
+        assertEquals(null, testbed.transcriptEvents("ran", "mark").get("yard/second"));
     }
 
-    /** One force serves all that waits: many at once take no longer than a few. */
+    /** One force commits all waiting records, so that many concurrent requests succeed on a slow disk. */
     @Test
     void slowDiskCommitsWaitingRecordsTogether() throws Exception {
-        FrontEndTestProcess front = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "slow:50", 0);
+        FrontEndTestProcess frontEnd = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "slow:50", 0);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             ids.add("slow-" + i);
         }
         runAll(ids, 50, id -> () -> {
-            assertEquals(200, front.send(id, "book-" + id.hashCode() % 4, false).statusCode(), id);
+            assertEquals(200, frontEnd.send(id, "book-" + id.hashCode() % 4, false).statusCode(), id);
             return null;
         });
         Path ledger = folder.resolve("fe-0.ledger");
-        front.kill();
+        frontEnd.kill();
         int[] records = new int[1];
         gradereach.ledger.disk.LedgerFolder.read(ledger, false, (record, segment) -> records[0]++);
         assertEquals(400, records[0]);
-        site.fleet.close();
-        site.transcriptEvents("ran", "mark").forEach((mark, runs) -> assertEquals(1, runs.size(), mark));
+        testbed.fleet.close();
+        testbed.transcriptEvents("ran", "mark").forEach((mark, runs) -> assertEquals(1, runs.size(), mark));
     }
 
-    /** A signature played again after a restart, under the same id with another body, and under another's id. */
+    /** A signed message is replayed after a restart: the same message, and its id with another body. */
     @Test
     void replayAfterRestartIsNotExecuted() throws Exception {
-        FrontEndTestProcess first = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "none", 0);
+        FrontEndTestProcess first = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
         String answer = first.sendUntilReturned("once", "book-1").body();
         first.kill();
-        FrontEndTestProcess second = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "none", 0);
+        FrontEndTestProcess second = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
         for (int i = 0; i < 5; i++) {
             assertEquals(answer, second.send("once", "book-1", false).body());
         }
         assertEquals(409, second.send("once", "book-2", false).statusCode());
         second.kill();
-        site.fleet.close();
-        assertEquals(1, site.transcriptEvents("ran", "mark").get("yard/once").size());
+        testbed.fleet.close();
+        assertEquals(1, testbed.transcriptEvents("ran", "mark").get("yard/once").size());
     }
 
-    /** The ledger of a front end that is down is told that so much time has passed, by both clocks that it goes by. */
+    /** Makes the ledger of a stopped front end take {@code millis} as passed, by setting back both clocks that it has stored. */
     private void advanceLedgerClock(int frontEnd, long millis) throws IOException {
         Path clock = folder.resolve("fe-" + frontEnd + ".ledger").resolve("clock");
-        String[] words = Files.readString(clock).strip().split(" ");
-        for (int word : new int[] {1, 4}) { // uptime, monotonic clock
-            words[word] = Double.toString(Double.parseDouble(words[word]) - millis);
+        String[] fields = Files.readString(clock).strip().split(" ");
+        for (int index : new int[] {1, 4}) { // uptime, monotonic clock
+            fields[index] = Double.toString(Double.parseDouble(fields[index]) - millis);
         }
-        Files.writeString(clock, String.join(" ", words) + "\n");
+        Files.writeString(clock, String.join(" ", fields) + "\n");
     }
 
     /**
-     * Forgotten for its age, its segment gone; then our clock is set back: its signature would pass again. The ledger's clock
-     * is told that eleven minutes have passed, the wall clock of the second life shows it.
+     * The message is forgotten for its age and its segment deleted; then the wall clock is set back, so that its signature
+     * is valid again. Eleven minutes pass by the ledger's clock and by the wall clock of the second process run.
      */
     @Test
     void replayAfterClockRollbackIsNotExecuted() throws Exception {
         long elevenMinutes = 660_000;
-        FrontEndTestProcess first = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "none", 0);
+        FrontEndTestProcess first = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
         long signedAt = System.currentTimeMillis() / 1000;
         HttpResponse<String> answer;
         do {
             answer = first.send("old", "book-1", false, signedAt);
-        } while (answer.statusCode() == 503); // discovery was not heard in its time: it never left
+        } while (answer.statusCode() == 503); // the executors were not known in time: it was never sent
         assertEquals(200, answer.statusCode());
         first.kill();
         advanceLedgerClock(0, elevenMinutes);
-        FrontEndTestProcess second = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "none", elevenMinutes);
+        FrontEndTestProcess second = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", elevenMinutes);
         second.sendUntilReturned("other", "book-1");
         second.kill();
-        FrontEndTestProcess third = site.startFrontEnd(folder, site.createDeployment(folder, 0, List.of()), "none", 0);
+        FrontEndTestProcess third = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
         HttpResponse<String> replayed = third.send("old", "book-1", false, signedAt);
         third.kill();
-        site.fleet.close();
-        assertEquals(1, site.transcriptEvents("ran", "mark").get("yard/old").size(), "it ran; the replay heard " + replayed.statusCode());
+        testbed.fleet.close();
+        assertEquals(1, testbed.transcriptEvents("ran", "mark").get("yard/old").size(),
+                "executions; status of the replay: " + replayed.statusCode());
         assertEquals(400, replayed.statusCode());
     }
 
     /**
-     * Keepers have forgotten whose it was, and its holder is away; then their clocks are set back, and its signature would pass
-     * again at them.
+     * The claim has expired at its replicas, and the owner is down; then the clocks of the replicas are set back, so that the
+     * signature is valid there again.
      */
     @Test
     void expiredClaimIsNotGrantedAgainAfterClockRollback() throws Exception {
         long elevenMinutes = 660_000;
         List<Integer> ports = ReservationTestbed.freePorts(6);
-        FrontEndTestProcess[] fronts = new FrontEndTestProcess[3];
+        FrontEndTestProcess[] frontEnds = new FrontEndTestProcess[3];
         for (int i = 0; i < 3; i++) {
-            fronts[i] = site.startFrontEnd(folder, site.createDeployment(folder, i, ports), "none", 0);
+            frontEnds[i] = testbed.startFrontEnd(folder, testbed.createDeployment(folder, i, ports), "none", 0);
         }
         long signedAt = System.currentTimeMillis() / 1000;
-        assertEquals(200, sendUntilAccepted(fronts[0], signedAt).statusCode());
+        assertEquals(200, sendUntilAccepted(frontEnds[0], signedAt).statusCode());
         for (int i = 0; i < 3; i++) {
-            fronts[i].kill();
+            frontEnds[i].kill();
             advanceLedgerClock(i, elevenMinutes);
         }
-        for (long ahead : new long[] {elevenMinutes, 0}) {
+        for (long aheadMillis : new long[] {elevenMinutes, 0}) {
             for (int i = 1; i < 3; i++) {
-                fronts[i] = site.startFrontEnd(folder, site.createDeployment(folder, i, ports), "none", ahead);
+                frontEnds[i] = testbed.startFrontEnd(folder, testbed.createDeployment(folder, i, ports), "none", aheadMillis);
             }
-            if (ahead > 0) {
-                fronts[1].sendUntilReturned("other", "book-1");
-                fronts[1].kill();
-                fronts[2].kill();
+            if (aheadMillis > 0) {
+                frontEnds[1].sendUntilReturned("other", "book-1");
+                frontEnds[1].kill();
+                frontEnds[2].kill();
             }
         }
-        List<Integer> heard = new ArrayList<>();
+        List<Integer> replayStatuses = new ArrayList<>();
         for (int i = 0; i < REPLAYS; i++) {
-            heard.add(fronts[1 + i % 2].send("old", "book-1", false, signedAt).statusCode());
+            replayStatuses.add(frontEnds[1 + i % 2].send("old", "book-1", false, signedAt).statusCode());
         }
-        site.fleet.close();
-        assertEquals(1, site.transcriptEvents("ran", "mark").get("yard/old").size(), "it ran; its replays heard " + heard);
-        assertEquals(java.util.Collections.nCopies(REPLAYS, 504), heard);
+        testbed.fleet.close();
+        assertEquals(1, testbed.transcriptEvents("ran", "mark").get("yard/old").size(),
+                "executions; statuses of the replays: " + replayStatuses);
+        assertEquals(java.util.Collections.nCopies(REPLAYS, 504), replayStatuses);
     }
 
     private static final int REPLAYS = 10;
 
-    /** Peers may not be up to a claim in their first moment, and discovery is not heard in it: then nothing has left. */
-    private HttpResponse<String> sendUntilAccepted(FrontEndTestProcess front, long signedAt) throws InterruptedException {
+    /** Repeats a request that was not sent because peers granted no claims yet or no executors were known right after the start. */
+    private HttpResponse<String> sendUntilAccepted(FrontEndTestProcess frontEnd, long signedAt) throws InterruptedException {
         HttpResponse<String> answer;
         do {
-            answer = front.send("old", "book-1", false, signedAt);
+            answer = frontEnd.send("old", "book-1", false, signedAt);
         } while (answer.statusCode() >= 503);
         return answer;
     }
--- a/rehearsal/src/test/java/gradereach/rehearsal/FrontEndTestProcess.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/FrontEndTestProcess.java
@@ -20,13 +20,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A front end with one fault as a process of its own, and a client that asks it. */
+/** A front end process with one injected fault, and a client that sends requests to it. */
 final class FrontEndTestProcess {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
-    private static final long ALWAYS_MILLIS = 1_000_000; // milliseconds
+    private static final long ALWAYS_MILLIS = 1_000_000; // longer than any test
     private static final int SHED_STATUS = 503;
-    /** In which every front end is ready after its start, by the operators' terms. */
+    /** The time within which every front end must be ready after its start. */
     private static final long READY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     final Process process;
@@ -36,40 +36,41 @@
     private final long clockAheadMillis;
 
     /**
-     * Listens when this returns.
+     * Starts a front end and returns once it listens.
      *
-     * @param processes to be ended with the test: this one is among them whatever becomes of its start
-     * @param clockAhead milliseconds by which its wall clock is ahead; its client goes by that clock as well
+     * @param processes the processes to kill at the end of the test; this one is added even if its start fails
+     * @param clockAheadMillis how far its wall clock is ahead; its client uses that clock too
      */
-    FrontEndTestProcess(Path at, ObjectNode plan, String fault, WebhookKey key, List<Process> processes, long clockAhead)
+    FrontEndTestProcess(Path directory, ObjectNode deployment, String fault, WebhookKey key, List<Process> processes, long clockAheadMillis)
             throws IOException, InterruptedException {
         this.key = key;
-        this.clockAheadMillis = clockAhead;
-        Files.createDirectories(at);
-        Path file = Files.write(Files.createTempFile(at, "fe", ".json"), JSON.writeValueAsBytes(plan));
+        this.clockAheadMillis = clockAheadMillis;
+        Files.createDirectories(directory);
+        Path file = Files.write(Files.createTempFile(directory, "fe", ".json"), JSON.writeValueAsBytes(deployment));
         List<String> command = new ArrayList<>(
                 Rehearsal.javaCommand("gradereach.rehearsal.FaultyFrontEnd"));
         command.add(fault);
         command.add(file.toString());
         ProcessBuilder start = new ProcessBuilder(command)
-                .redirectError(ProcessBuilder.Redirect.appendTo(at.resolve("log").toFile()));
-        if (clockAhead != 0) {
-            FaultShim.compile(at).preload(start, List.of(SystemFault.clockStep(clockAhead, 0, ALWAYS_MILLIS)), 1, Files.createTempFile(at, "faults", ""));
+                .redirectError(ProcessBuilder.Redirect.appendTo(directory.resolve("log").toFile()));
+        if (clockAheadMillis != 0) {
+            FaultShim.compile(directory).preload(start,
+                    List.of(SystemFault.clockStep(clockAheadMillis, 0, ALWAYS_MILLIS)), 1, Files.createTempFile(directory, "faults", ""));
         }
         process = start.start();
         processes.add(process);
-        BufferedReader said = process.inputReader(StandardCharsets.UTF_8);
-        String line = said.readLine();
-        assertTrue(line != null && line.startsWith("listening "), "see " + at.resolve("log"));
+        BufferedReader output = process.inputReader(StandardCharsets.UTF_8);
+        String line = output.readLine();
+        assertTrue(line != null && line.startsWith("listening "), "see " + directory.resolve("log"));
         address = URI.create("http://" + line.split(" ")[1] + "/v1/inferences");
     }
 
-    /** Null where the connection broke. */
+    /** Sends one request; null where the connection broke. */
     HttpResponse<String> send(String id, String model, boolean async) throws InterruptedException {
         return send(id, model, async, (System.currentTimeMillis() + clockAheadMillis) / 1000);
     }
 
-    /** @param signedAt its signed timestamp, Unix seconds */
+    /** @param signedAt the signed timestamp, Unix seconds */
     HttpResponse<String> send(String id, String model, boolean async, long signedAt) throws InterruptedException {
         byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"" + model
                 + "\",\"input\":{\"inputs\":[]}}}").getBytes(StandardCharsets.UTF_8);
@@ -87,20 +88,20 @@
     }
 
     /**
-     * Asks until it is not shed any more, which a front end that has just started may do until it is ready. Nothing of what is
-     * shed has left, so that each time its client must be told that a repeat is harmless. Null where the connection broke.
+     * Repeats a request until it is not shed, as a front end may shed until it is ready after its start. A shed request was
+     * not sent to an executor, so each such answer must allow a safe retry. Null where the connection broke.
      */
     HttpResponse<String> sendUntilNotShed(String id, String model) throws InterruptedException {
         HttpResponse<String> answer = send(id, model, false);
         while (answer != null && answer.statusCode() == SHED_STATUS) {
-            assertTrue(answer.body().contains("\"repeat_harmless\":true"), id + " was shed, and its client told " + answer.body());
+            assertTrue(answer.body().contains("\"repeat_harmless\":true"), id + " was shed, and its client got " + answer.body());
             assertTrue(System.nanoTime() - startedAt < READY_TIMEOUT_NANOS, id + " is shed by a front end that should be ready");
             answer = send(id, model, false);
         }
         return answer;
     }
 
-    /** Asks until it is told what came of it. */
+    /** Repeats a request until its answer is returned. */
     HttpResponse<String> sendUntilReturned(String id, String model) throws InterruptedException {
         HttpResponse<String> answer;
         do {
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A rehearsal's end while a front end is still starting: one that was killed and never says that it listens again. */
+/** The end of a rehearsal while a front end is still starting, as one that was killed does not become ready again. */
 @Timeout(120)
 class RehearsalEndTest {
     @TempDir
     private Path folder;
 
-    /** Plays the day of this test in the folder that is named: for a rehearsal that is itself ended. */
+    /** Runs the rehearsal of this test in the given folder, as a process that the test can terminate. */
     public static void main(String[] args) throws Exception {
         play(Path.of(args[0]));
     }
@@ -36,10 +36,10 @@
                 mv %1$s/starting.tmp %1$s/starting
                 exec sleep 60
                 """.formatted(folder, String.join(" ", Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"))));
-        ObjectNode day = (ObjectNode) Rehearsal.loadScript("quick").deepCopy();
-        day.put("length_ms", 1500).put("front_ends", 1);
-        day.putArray("events").addObject().put("at_ms", 300).put("kind", "kill_front_end").put("fe", 0).put("for_ms", 100);
-        return new Rehearsal(day, folder.resolve("play"), List.of("sh", command.toString()),
+        ObjectNode script = (ObjectNode) Rehearsal.loadScript("quick").deepCopy();
+        script.put("length_ms", 1500).put("front_ends", 1);
+        script.putArray("events").addObject().put("at_ms", 300).put("kind", "kill_front_end").put("fe", 0).put("for_ms", 100);
+        return new Rehearsal(script, folder.resolve("play"), List.of("sh", command.toString()),
                 new PrintStream(PrintStream.nullOutputStream())).withMaxEventMillis(500).run();
     }
 
@@ -62,15 +62,15 @@
         }
     }
 
-    /** Guards against front ends that go on for ever beside every later play, and against a day that hides it was cut short. */
+    /** Guards against front ends that outlive the rehearsal, and against a report that hides that the rehearsal was cut short. */
     @Test
     void startingFrontEndStopsWithRehearsalAndReportIsInconclusive() throws Exception {
-        Auditor.AuditReport found = play(folder);
+        Auditor.AuditReport report = play(folder);
         assertTrue(awaitExit(startingProcess()));
-        assertFalse(found.conclusive(), found.toString());
+        assertFalse(report.conclusive(), report.toString());
     }
 
-    /** The same where the rehearsal is ended by a signal at that moment. */
+    /** The same where a signal terminates the rehearsal at that moment. */
     @Test
     void startingFrontEndStopsWhenRehearsalIsTerminated() throws Exception {
         Process rehearsal = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
@@ -20,82 +20,83 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole days with processes of their own: front ends, stand-ins, clients, auditor. */
+/** Whole rehearsals with front ends and stand-ins as processes, scripted clients and the auditor. */
 @Timeout(120)
 class RehearsalTest {
     @TempDir
     private Path folder;
 
-    private AuditReport play(JsonNode day, List<String> frontEnd) throws Exception {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        AuditReport found = new Rehearsal(day, folder, frontEnd, new PrintStream(said)).run();
-        assertFalse(said.toString().contains("event failed"), said.toString());
-        return found;
+    private AuditReport play(JsonNode script, List<String> frontEnd) throws Exception {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        AuditReport report = new Rehearsal(script, folder, frontEnd, new PrintStream(output)).run();
+        assertFalse(output.toString().contains("event failed"), output.toString());
+        return report;
     }
 
     @Test
     void shortDayPassesAllRules() throws Exception {
-        AuditReport found = play(Rehearsal.loadScript("short-day"), Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
-        assertTrue(found.passed(), found.results().toString());
-        assertTrue(found.counts().get("heard returned") > 300, found.counts().toString());
+        AuditReport report = play(Rehearsal.loadScript("short-day"), Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
+        assertTrue(report.passed(), report.results().toString());
+        assertTrue(report.counts().get("heard returned") > 300, report.counts().toString());
     }
 
-    /** The users' test: each reservation sent ten times over front ends that are killed; each runs once. */
+    /** Each reservation is sent ten times while front ends are killed, and must be executed once. */
     @Test
     void reservationsSentTenTimesThroughKillsRunOnce() throws Exception {
-        ObjectNode day = (ObjectNode) Rehearsal.loadScript("reservations").deepCopy();
-        day.put("length_ms", 8000);
-        ((ObjectNode) day.path("clients")).put("rate", 25);
-        var events = day.putArray("events");
+        ObjectNode script = (ObjectNode) Rehearsal.loadScript("reservations").deepCopy();
+        script.put("length_ms", 8000);
+        ((ObjectNode) script.path("clients")).put("rate", 25);
+        var events = script.putArray("events");
         for (int i = 0; i < 2; i++) {
             events.addObject().put("at_ms", 2000 + 3000 * i).put("kind", "kill_front_end").put("fe", i).put("for_ms", 300);
         }
-        AuditReport found = play(day, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
-        assertTrue(found.passed(), found.results().toString());
-        assertTrue(found.counts().get("ran") > 100, found.counts().toString());
-        assertTrue(found.counts().get("heard returned") > 4 * found.counts().get("ran"), found.counts().toString());
+        AuditReport report = play(script, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
+        assertTrue(report.passed(), report.results().toString());
+        assertTrue(report.counts().get("ran") > 100, report.counts().toString());
+        assertTrue(report.counts().get("heard returned") > 4 * report.counts().get("ran"), report.counts().toString());
     }
 
-    /** The same without claims and ledgers must be found out: the auditor can see a reservation that runs twice. */
+    /** Without claims and ledgers, the auditor must detect reservations that are executed twice. */
     @Test
     void doubleExecutionWithoutClaimsIsDetected() throws Exception {
-        ObjectNode day = (ObjectNode) Rehearsal.loadScript("reservations").deepCopy();
-        day.put("length_ms", 2000).put("peers", false).put("ledger", false);
-        day.putArray("events");
-        ((ObjectNode) day.path("clients")).put("rate", 10);
-        assertFalse(play(day, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess")).results().get(1).passed());
+        ObjectNode script = (ObjectNode) Rehearsal.loadScript("reservations").deepCopy();
+        script.put("length_ms", 2000).put("peers", false).put("ledger", false);
+        script.putArray("events");
+        ((ObjectNode) script.path("clients")).put("rate", 10);
+        assertFalse(play(script, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess")).results().get(1).passed());
     }
 
-    /** A gateway that breaks a rule is found out from what passed on the sockets. */
+    /** A front end that violates a rule is detected from the transcripts alone. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5})
     void ruleViolationIsDetected(int rule) throws Exception {
-        ObjectNode day = (ObjectNode) Rehearsal.loadScript("short-day").deepCopy();
-        day.put("length_ms", 4500);
-        var events = day.putArray("events");
+        ObjectNode script = (ObjectNode) Rehearsal.loadScript("short-day").deepCopy();
+        script.put("length_ms", 4500);
+        var events = script.putArray("events");
         events.addObject().put("at_ms", 1000).put("kind", "drain").put("part", 0.7).put("for_ms", 400).put("drain_ms", 2400);
-        ((ObjectNode) day.path("clients")).put("rate", 60);
+        ((ObjectNode) script.path("clients")).put("rate", 60);
         List<String> command = new ArrayList<>(Rehearsal.javaCommand("gradereach.rehearsal.BreachingFrontEnd"));
         command.add(Integer.toString(rule));
-        AuditReport found = play(day, command);
-        assertFalse(found.results().get(rule - 1).passed(), found.results().toString());
+        AuditReport report = play(script, command);
+        assertFalse(report.results().get(rule - 1).passed(), report.results().toString());
     }
 
     @Test
     void shippedScriptsAreValidAndInvalidScriptIsNamed() throws Exception {
         List<Path> scripts;
-        try (var found = Files.walk(Path.of(Rehearsal.class.getResource("bad-day.json").toURI()).getParent())) {
-            scripts = found.filter(f -> f.toString().endsWith(".json") && !f.toString().endsWith("schema.json")).toList();
+        try (var files = Files.walk(Path.of(Rehearsal.class.getResource("bad-day.json").toURI()).getParent())) {
+            scripts = files.filter(file -> file.toString().endsWith(".json") && !file.toString().endsWith("schema.json")).toList();
         }
         for (Path script : scripts) {
             Rehearsal.loadScript(script.toString());
         }
         assertTrue(scripts.size() >= 20);
-        Path bad = folder.resolve("bad.json");
-        Files.writeString(bad, Files.readString(scripts.stream()
-                .filter(f -> f.endsWith("quiet-day.json")).findFirst().orElseThrow()).replace("\"front_ends\"", "\"front_end\""));
-        String says = assertThrows(Rehearsal.InvalidScriptException.class, () -> Rehearsal.loadScript(bad.toString())).getMessage();
-        assertTrue(says.contains("front_end"), says);
+        Path invalidScript = folder.resolve("bad.json");
+        Files.writeString(invalidScript, Files.readString(scripts.stream()
+                .filter(file -> file.endsWith("quiet-day.json")).findFirst().orElseThrow()).replace("\"front_ends\"", "\"front_end\""));
+        String message = assertThrows(Rehearsal.InvalidScriptException.class,
+                () -> Rehearsal.loadScript(invalidScript.toString())).getMessage();
+        assertTrue(message.contains("front_end"), message);
         assertEquals(true, assertThrows(Rehearsal.InvalidScriptException.class, () -> Rehearsal.loadScript("none")).getMessage()
                 .startsWith("none: "));
     }
--- a/rehearsal/src/test/java/gradereach/rehearsal/ReservationTestbed.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/ReservationTestbed.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Front ends as processes, one or some that keep each other's claims, before stand-ins that count what runs. */
+/** Front ends as processes, with or without peers that replicate claims, and stand-in executors that record executions. */
 final class ReservationTestbed implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String MODELS = """
@@ -37,30 +37,30 @@
     /** @param folder gets the transcript */
     ReservationTestbed(Path folder) throws IOException, InterruptedException {
         this.folder = folder;
-        ObjectNode told = (ObjectNode) JSON.readTree(MODELS);
-        told.put("executors", 2).put("work_ms", 5);
-        fleet = new StandInFleet(told, folder.resolve(TRANSCRIPT_FILE));
+        ObjectNode fleetConfig = (ObjectNode) JSON.readTree(MODELS);
+        fleetConfig.put("executors", 2).put("work_ms", 5);
+        fleet = new StandInFleet(fleetConfig, folder.resolve(TRANSCRIPT_FILE));
     }
 
     /**
-     * A front end's deployment.
+     * Creates the deployment of a front end.
      *
-     * @param at gets its ledger
-     * @param me its number
-     * @param ports of the fronts, then of the peers; none for a front end without peers
+     * @param directory gets its ledger
+     * @param index the number of the front end
+     * @param ports the client ports of all front ends, then their peer ports; empty for a front end without peers
      */
-    ObjectNode createDeployment(Path at, int me, List<Integer> ports) throws IOException {
-        ObjectNode plan = ((ObjectNode) JSON.readTree(MODELS)).put("name", "fe-" + me)
-                .put("listen", "127.0.0.1:" + (ports.isEmpty() ? 0 : ports.get(me)));
-        plan.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
-        plan.putArray("customers").addObject().put("name", "yard")
+    ObjectNode createDeployment(Path directory, int index, List<Integer> ports) throws IOException {
+        ObjectNode deployment = ((ObjectNode) JSON.readTree(MODELS)).put("name", "fe-" + index)
+                .put("listen", "127.0.0.1:" + (ports.isEmpty() ? 0 : ports.get(index)));
+        deployment.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
+        deployment.putArray("customers").addObject().put("name", "yard")
                 .put("answers_to", "http://127.0.0.1:" + fleet.controlPort() + "/answers")
                 .putArray("keys").addObject().put("inline", key.secretText());
-        plan.putObject("ledger").put("folder", ledgerFolder(at, me).toString());
-        plan.putObject("executors").put("outcomes_kept_ms", 60_000);
+        deployment.putObject("ledger").put("folder", ledgerFolder(directory, index).toString());
+        deployment.putObject("executors").put("outcomes_kept_ms", 60_000);
         if (!ports.isEmpty()) {
             int count = ports.size() / 2;
-            ObjectNode peers = plan.putObject("peers").put("listen", "127.0.0.1:" + ports.get(count + me));
+            ObjectNode peers = deployment.putObject("peers").put("listen", "127.0.0.1:" + ports.get(count + index));
             peers.putObject("key").put("inline", key.secretText());
             ArrayNode members = peers.putArray("members");
             for (int i = 0; i < count; i++) {
@@ -68,16 +68,17 @@
                         .put("front", "127.0.0.1:" + ports.get(i));
             }
         }
-        return plan;
+        return deployment;
     }
 
-    static Path ledgerFolder(Path at, int frontEnd) {
-        return at.resolve("fe-" + frontEnd + ".ledger");
+    static Path ledgerFolder(Path directory, int frontEnd) {
+        return directory.resolve("fe-" + frontEnd + ".ledger");
     }
 
-    /** @param clockAhead milliseconds by which its wall clock is ahead */
-    FrontEndTestProcess startFrontEnd(Path at, ObjectNode plan, String fault, long clockAhead) throws IOException, InterruptedException {
-        return new FrontEndTestProcess(at, plan, fault, key, processes, clockAhead);
+    /** @param clockAheadMillis how far its wall clock is ahead */
+    FrontEndTestProcess startFrontEnd(Path directory, ObjectNode deployment, String fault, long clockAheadMillis)
+            throws IOException, InterruptedException {
+        return new FrontEndTestProcess(directory, deployment, fault, key, processes, clockAheadMillis);
     }
 
     static List<Integer> freePorts(int count) throws IOException {
@@ -93,16 +94,16 @@
         return ports;
     }
 
-    /** Events of the stand-ins by what they are about. */
-    Map<String, List<JsonNode>> transcriptEvents(String event, String about) throws IOException {
-        Map<String, List<JsonNode>> found = new HashMap<>();
+    /** The events of one kind in the transcript of the stand-ins, grouped by the value of {@code keyField}. */
+    Map<String, List<JsonNode>> transcriptEvents(String event, String keyField) throws IOException {
+        Map<String, List<JsonNode>> events = new HashMap<>();
         for (String line : Files.readAllLines(folder.resolve(TRANSCRIPT_FILE))) {
             JsonNode node = JSON.readTree(line);
             if (node.path("ev").asText().equals(event)) {
-                found.computeIfAbsent(node.path(about).asText(), k -> new ArrayList<>()).add(node);
+                events.computeIfAbsent(node.path(keyField).asText(), value -> new ArrayList<>()).add(node);
             }
         }
-        return found;
+        return events;
     }
 
     @Override
--- a/rehearsal/src/test/java/gradereach/rehearsal/RestartInquirySocketTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RestartInquirySocketTest.java
@@ -29,19 +29,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A front end process is killed with a reservation out, and asks after its restart whoever stands where it went: an
- * executor whose clock is its own, or another one at its address. Executions are counted at the stand-ins.
+ * A front end process is killed while a reservation is in flight, and after its restart inquires about the outcome at the
+ * address that the forward went to. There may be the same executor with a wrong clock, a restarted one, or another one.
+ * Executions are counted at the stand-in executors.
  */
 @Timeout(60)
 class RestartInquirySocketTest {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** As the front ends know them. Executors here drop no repeat: the window of what is marked has closed before any comes. */
+    /** The models as configured at front ends. Executors drop no repeat here: the dedup window has closed before any comes. */
     private static final String MODELS = """
             {"model_groups": [{"name": "book", "repeat": "non-retriable", "slo_ms": 1000, "route_timeout_ms": 3000},
               {"name": "mark", "repeat": "deduped", "dedup_window_ms": 100, "slo_ms": 1000, "route_timeout_ms": 3000}],
              "models": [{"name": "book-*", "group": "book", "lanes": 8, "load_ms": 10},
               {"name": "mark-*", "group": "mark", "lanes": 8, "load_ms": 10}]}""";
-    /** Each waits up to the route's time for knowledge: 15 s, over which executors are asked again and again. */
+    /** Each attempt waits for the outcome up to the route timeout: 15 s in all, in which executors are queried repeatedly. */
     private static final int MAX_ATTEMPTS = 5;
     private static final long HOUR_MILLIS = 3_600_000;
     private static final long MINUTE_MILLIS = 60_000;
@@ -53,52 +54,52 @@
     private final List<StandInFleet> fleets = Collections.synchronizedList(new ArrayList<>());
 
     @AfterEach
-    void end() throws Exception {
+    void stopProcesses() throws Exception {
         processes.forEach(Process::destroyForcibly);
         for (StandInFleet fleet : fleets) {
             fleet.close();
         }
     }
 
-    /** What a client hears that sends one message again, and how often it ran. */
+    /** One message that a client sends repeatedly, and the number of its executions. */
     private final class Reservation {
         private final String id;
         private final String model;
         private final Path directory;
         private final StandInFleet fleet;
-        /** Executors take inferences by gRPC. */
+        /** Whether executors receive inferences by gRPC. */
         private boolean executorsUseGrpc;
 
-        /** @param fleetTold beside the models */
-        Reservation(String id, String model, ObjectNode fleetTold) throws Exception {
+        /** @param fleetSettings settings of the stand-in executors besides the models */
+        Reservation(String id, String model, ObjectNode fleetSettings) throws Exception {
             this.id = id;
             this.model = model;
             directory = Files.createDirectory(folder.resolve(id));
-            ObjectNode told = ((ObjectNode) JSON.readTree(MODELS)).put("work_ms", 5);
-            told.remove("model_groups");
-            fleet = new StandInFleet(told.setAll(fleetTold), directory.resolve("t.jsonl"));
+            ObjectNode fleetConfig = ((ObjectNode) JSON.readTree(MODELS)).put("work_ms", 5);
+            fleetConfig.remove("model_groups");
+            fleet = new StandInFleet(fleetConfig.setAll(fleetSettings), directory.resolve("t.jsonl"));
             fleets.add(fleet);
         }
 
-        FrontEndTestProcess startFrontEnd(String fault, long clockAhead) throws IOException, InterruptedException {
-            ObjectNode plan = ((ObjectNode) JSON.readTree(MODELS)).put("name", "fe-0").put("listen", "127.0.0.1:0");
-            plan.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
-            plan.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject()
+        FrontEndTestProcess startFrontEnd(String fault, long clockAheadMillis) throws IOException, InterruptedException {
+            ObjectNode deployment = ((ObjectNode) JSON.readTree(MODELS)).put("name", "fe-0").put("listen", "127.0.0.1:0");
+            deployment.putObject("roster").put("server", "http://127.0.0.1:" + fleet.rosterPort());
+            deployment.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject()
                     .put("inline", key.secretText());
-            plan.putObject("ledger").put("folder", directory.resolve("ledger").toString());
-            ObjectNode executors = plan.putObject("executors").put("outcomes_kept_ms", 60_000);
+            deployment.putObject("ledger").put("folder", directory.resolve("ledger").toString());
+            ObjectNode executors = deployment.putObject("executors").put("outcomes_kept_ms", 60_000);
             if (executorsUseGrpc) {
                 executors.putArray("grpc_kinds").add(0);
             }
-            return new FrontEndTestProcess(directory, plan, fault, key, processes, clockAhead);
+            return new FrontEndTestProcess(directory, deployment, fault, key, processes, clockAheadMillis);
         }
 
-        /** The first executor runs it and its answer is lost; then its front end is killed. */
+        /** The first executor executes the reservation and its answer is lost; then the front end is killed. */
         void executeThenKillFrontEnd() throws Exception {
             FrontEndTestProcess first = startFrontEnd("none", 0);
-            first.sendUntilReturned(id + "-before", model); // discovery is heard, the model loaded: the next one leaves in its time
+            first.sendUntilReturned(id + "-before", model); // the executors are known and the model is loaded after it
             injectFault("answers_lost", 0, HOUR_MILLIS);
-            CompletableFuture<Map<String, Object>> ran = fleet.nextEvent("ran", "mark", "yard/" + id);
+            CompletableFuture<Map<String, Object>> executed = fleet.nextEvent("ran", "mark", "yard/" + id);
             Thread client = new Thread(() -> {
                 try {
                     first.sendUntilNotShed(id, model);
@@ -107,22 +108,22 @@
                 }
             });
             client.start();
-            ran.get(20, TimeUnit.SECONDS);
+            executed.get(20, TimeUnit.SECONDS);
             first.kill();
             client.join();
         }
 
-        /** It reaches the executor's machine and is not read; then its front end, which gave it up, is killed. */
+        /** The forward reaches the executor's socket and is not read; then the front end, which has given it up, is killed. */
         void sendUnreadThenKillFrontEnd() throws Exception {
             FrontEndTestProcess first = startFrontEnd("none", 0);
-            first.sendUntilReturned(id + "-before", model); // discovery is heard, the model loaded, a connection open
+            first.sendUntilReturned(id + "-before", model); // the executors are known and a connection is open after it
             injectFault("unread", 0, 0);
             HttpResponse<String> answer = first.sendUntilNotShed(id, model);
             assertEquals(504, answer.statusCode(), id + ": " + answer.body());
             first.kill();
         }
 
-        /** What waited unread is read now, and has done what it does. */
+        /** Lets the executor read the waiting forward, and waits until it is executed or refused. */
         void resumeReading() throws Exception {
             CompletableFuture<Map<String, Object>> arrived = fleet.nextEvent("arrived", "mark", "yard/" + id);
             CompletableFuture<?> done = CompletableFuture.anyOf(fleet.nextEvent("ran", "mark", "yard/" + id),
@@ -132,48 +133,48 @@
             done.get(20, TimeUnit.SECONDS);
         }
 
-        /** The executor's process ends, and the next one is up. */
+        /** Restarts the executor's process and waits until the new one is up. */
         void restartExecutor() throws Exception {
             CompletableFuture<Map<String, Object>> started = fleet.nextEvent("start", "ex", fleet.addresses().get(0));
             injectFault("crash", 0, 0);
             started.get(20, TimeUnit.SECONDS);
         }
 
-        void injectFault(String kind, double size, double length) throws InterruptedException {
+        void injectFault(String kind, double size, double durationMillis) throws InterruptedException {
             fleet.injectFault(JSON.createObjectNode().put("kind", kind).put("ex", 0).put("size", size)
-                    .put("for_ms", (long) length).put("by", 1));
+                    .put("for_ms", (long) durationMillis).put("by", 1));
         }
 
-        /** What each of its clients' requests is answered, until it is returned. */
-        List<String> sendUntilReturned(FrontEndTestProcess front) throws InterruptedException, IOException {
-            List<String> heard = new ArrayList<>();
-            for (int i = 0; i < MAX_ATTEMPTS && (heard.isEmpty() || !heard.get(i - 1).startsWith("200")); i++) {
-                HttpResponse<String> answer = front.send(id, model, false);
-                heard.add(answer.statusCode() + (answer.statusCode() == 200 ? ""
-                        : JSON.readTree(answer.body()).path("repeat_harmless").asBoolean() ? " harmless" : " unknown"));
+        /** Sends the reservation until an answer is returned; returns the status of each attempt. */
+        List<String> sendUntilReturned(FrontEndTestProcess frontEnd) throws InterruptedException, IOException {
+            List<String> statuses = new ArrayList<>();
+            for (int i = 0; i < MAX_ATTEMPTS && (statuses.isEmpty() || !statuses.get(i - 1).startsWith("200")); i++) {
+                HttpResponse<String> response = frontEnd.send(id, model, false);
+                statuses.add(response.statusCode() + (response.statusCode() == 200 ? ""
+                        : JSON.readTree(response.body()).path("repeat_harmless").asBoolean() ? " harmless" : " unknown"));
             }
-            front.kill();
-            return heard;
+            frontEnd.kill();
+            return statuses;
         }
 
         int countExecutions() throws IOException {
             fleet.close();
-            int runs = 0;
+            int executions = 0;
             for (String line : Files.readAllLines(directory.resolve("t.jsonl"))) {
                 JsonNode event = JSON.readTree(line);
-                runs += event.path("ev").asText().equals("ran") && event.path("mark").asText().equals("yard/" + id) ? 1 : 0;
+                executions += event.path("ev").asText().equals("ran") && event.path("mark").asText().equals("yard/" + id) ? 1 : 0;
             }
-            return runs;
+            return executions;
         }
 
-        void assertRanOnceAndOutcomeUnknown(List<String> heard) throws IOException {
-            assertEquals(1, countExecutions(), id + " ran, and its client heard " + heard);
-            assertTrue(heard.stream().allMatch("504 unknown"::equals), id + ": " + heard);
+        void assertRanOnceAndOutcomeUnknown(List<String> statuses) throws IOException {
+            assertEquals(1, countExecutions(), id + ": executions; its client got " + statuses);
+            assertTrue(statuses.stream().allMatch("504 unknown"::equals), id + ": " + statuses);
         }
 
-        void assertRanOnceAndReturned(List<String> heard) throws IOException {
-            assertEquals(1, countExecutions(), id + " ran, and its client heard " + heard);
-            assertEquals("200", heard.get(heard.size() - 1), id + ": " + heard);
+        void assertRanOnceAndReturned(List<String> statuses) throws IOException {
+            assertEquals(1, countExecutions(), id + ": executions; its client got " + statuses);
+            assertEquals("200", statuses.get(statuses.size() - 1), id + ": " + statuses);
         }
     }
 
@@ -181,82 +182,82 @@
         return JSON.createObjectNode().put("executors", count).put("listed", 1);
     }
 
-    /** The executor restarts as well; its clock is an hour behind, so that it seems to have been up all along. */
+    /** The executor restarts too; its clock is an hour behind, so that it seems not to have restarted. */
     private void restartedExecutorClockIsBehind() throws Exception {
-        Reservation one = new Reservation("behind", "book-1", executors(1));
-        one.executeThenKillFrontEnd();
-        one.injectFault("clock", -HOUR_MILLIS, 0);
-        one.restartExecutor();
-        one.assertRanOnceAndOutcomeUnknown(one.sendUntilReturned(one.startFrontEnd("none", 0)));
+        Reservation reservation = new Reservation("behind", "book-1", executors(1));
+        reservation.executeThenKillFrontEnd();
+        reservation.injectFault("clock", -HOUR_MILLIS, 0);
+        reservation.restartExecutor();
+        reservation.assertRanOnceAndOutcomeUnknown(reservation.sendUntilReturned(reservation.startFrontEnd("none", 0)));
     }
 
-    /** Another executor, up long before, is at its address; all clocks agree. */
+    /** Another executor that has run for long takes over the address; all clocks agree. */
     private void addressTakenByAnotherExecutor() throws Exception {
-        Reservation one = new Reservation("taken", "book-1", executors(2));
-        one.executeThenKillFrontEnd();
-        one.injectFault("taken_over", 0, 0);
-        one.assertRanOnceAndOutcomeUnknown(one.sendUntilReturned(one.startFrontEnd("none", 0)));
+        Reservation reservation = new Reservation("taken", "book-1", executors(2));
+        reservation.executeThenKillFrontEnd();
+        reservation.injectFault("taken_over", 0, 0);
+        reservation.assertRanOnceAndOutcomeUnknown(reservation.sendUntilReturned(reservation.startFrontEnd("none", 0)));
     }
 
-    /** The same process is there, and has its answer. */
+    /** The same process still runs and knows the outcome. */
     private void sameProcessKnowsOutcome() throws Exception {
-        Reservation one = new Reservation("known", "book-1", executors(1).put("clock_ahead_ms", HOUR_MILLIS));
-        one.executeThenKillFrontEnd();
-        one.assertRanOnceAndReturned(one.sendUntilReturned(one.startFrontEnd("none", 0)));
+        Reservation reservation = new Reservation("known", "book-1", executors(1).put("clock_ahead_ms", HOUR_MILLIS));
+        reservation.executeThenKillFrontEnd();
+        reservation.assertRanOnceAndReturned(reservation.sendUntilReturned(reservation.startFrontEnd("none", 0)));
     }
 
-    /** The same process is there and never saw it; its clock is an hour ahead, so that it seems to have started since. */
+    /** The same process still runs and never got the forward; its clock is an hour ahead, so that it seems to have started since. */
     private void forwardWasNeverSent() throws Exception {
-        Reservation one = new Reservation("never-left", "book-1", executors(1).put("clock_ahead_ms", HOUR_MILLIS));
-        FrontEndTestProcess first = one.startFrontEnd("forward:1:before", 0);
+        Reservation reservation = new Reservation("never-left", "book-1", executors(1).put("clock_ahead_ms", HOUR_MILLIS));
+        FrontEndTestProcess first = reservation.startFrontEnd("forward:1:before", 0);
         assertEquals(null, first.sendUntilNotShed("never-left", "book-1"));
         assertTrue(first.process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(FaultyFrontEnd.KILLED_EXIT_CODE, first.process.exitValue());
-        one.assertRanOnceAndReturned(one.sendUntilReturned(one.startFrontEnd("none", 0)));
+        reservation.assertRanOnceAndReturned(reservation.sendUntilReturned(reservation.startFrontEnd("none", 0)));
     }
 
     private interface Scenario {
         void run() throws Exception;
     }
 
-    /** Our clock is set back by a minute, so that the window of 100 ms seems to be to come. */
+    /** The front end's clock is set back by a minute, so that the dedup window of 100 ms seems not to have begun. */
     private void dedupWindowHasClosed() throws Exception {
-        Reservation one = new Reservation("window", "mark-1", executors(1));
-        one.executeThenKillFrontEnd();
-        one.restartExecutor();
-        one.assertRanOnceAndOutcomeUnknown(one.sendUntilReturned(one.startFrontEnd("none", -MINUTE_MILLIS)));
+        Reservation reservation = new Reservation("window", "mark-1", executors(1));
+        reservation.executeThenKillFrontEnd();
+        reservation.restartExecutor();
+        reservation.assertRanOnceAndOutcomeUnknown(reservation.sendUntilReturned(reservation.startFrontEnd("none", -MINUTE_MILLIS)));
     }
 
-    /** Our clock is an hour ahead for one life, in which something else is written. */
+    /** The front end's clock is an hour ahead during one process run, in which another outcome is written. */
     private void outcomeSurvivesWrongFrontEndClock() throws Exception {
-        Reservation one = new Reservation("answered", "book-1", executors(1));
-        FrontEndTestProcess first = one.startFrontEnd("none", 0);
+        Reservation reservation = new Reservation("answered", "book-1", executors(1));
+        FrontEndTestProcess first = reservation.startFrontEnd("none", 0);
         String answer = first.sendUntilReturned("answered", "book-1").body();
         first.kill();
-        FrontEndTestProcess second = one.startFrontEnd("none", HOUR_MILLIS);
+        FrontEndTestProcess second = reservation.startFrontEnd("none", HOUR_MILLIS);
         assertEquals(200, second.sendUntilReturned("other", "book-1").statusCode());
         second.kill();
-        FrontEndTestProcess third = one.startFrontEnd("none", 0);
-        String again = third.send("answered", "book-1", false).body();
+        FrontEndTestProcess third = reservation.startFrontEnd("none", 0);
+        String repeated = third.send("answered", "book-1", false).body();
         third.kill();
-        assertEquals(1, one.countExecutions(), "answered ran");
-        assertEquals(answer, again);
+        assertEquals(1, reservation.countExecutions(), "answered ran");
+        assertEquals(answer, repeated);
     }
 
-    private static void runAll(List<Scenario> plays) throws InterruptedException {
-        ExecutorService threads = Executors.newFixedThreadPool(plays.size());
+    private static void runAll(List<Scenario> scenarios) throws InterruptedException {
+        ExecutorService threads = Executors.newFixedThreadPool(scenarios.size());
         try {
             List<Future<?>> running = new ArrayList<>();
-            for (Scenario play : plays) {
+            for (Scenario scenario : scenarios) {
                 running.add(threads.submit(() -> {
-                    play.run();
+                    scenario.run();
                     return null;
                 }));
             }
             List<String> failures = new ArrayList<>();
-            for (Future<?> one : running) {
+            for (Future<?> future : running) {
                 try {
-                    one.get();
+                    future.get();
                 } catch (ExecutionException e) {
                     failures.add(String.valueOf(e.getCause()));
                 }
@@ -269,7 +270,8 @@
 
     @Test
     void reservationRunsOnceWhicheverExecutorIsAtTheAddress() throws Exception {
-        runAll(List.of(this::restartedExecutorClockIsBehind, this::addressTakenByAnotherExecutor, this::sameProcessKnowsOutcome, this::forwardWasNeverSent));
+        runAll(List.of(this::restartedExecutorClockIsBehind, this::addressTakenByAnotherExecutor,
+                this::sameProcessKnowsOutcome, this::forwardWasNeverSent));
     }
 
     @Test
@@ -277,51 +279,52 @@
         runAll(List.of(this::dedupWindowHasClosed, this::outcomeSurvivesWrongFrontEndClock));
     }
 
-    private static final long CLOCK_AT_START_MILLIS = 1_764_000_000_000L; // Unix milliseconds
+    private static final long CLOCK_AT_START_MILLIS = 1_764_000_000_000L; // since the Unix epoch
 
-    /** Another executor, started in the same millisecond, is at its address; discovery names both by that address. */
+    /** Another executor that reports the same start time takes over the address; discovery identifies both by the address. */
     private void addressTakenByExecutorWithSameStart() throws Exception {
-        Reservation one = new Reservation("twin", "book-1", executors(2).put("shown_at_start_ms", CLOCK_AT_START_MILLIS));
-        one.executeThenKillFrontEnd();
-        one.injectFault("taken_over", 0, 0);
-        one.assertRanOnceAndOutcomeUnknown(one.sendUntilReturned(one.startFrontEnd("none", 0)));
+        Reservation reservation = new Reservation("twin", "book-1", executors(2).put("shown_at_start_ms", CLOCK_AT_START_MILLIS));
+        reservation.executeThenKillFrontEnd();
+        reservation.injectFault("taken_over", 0, 0);
+        reservation.assertRanOnceAndOutcomeUnknown(reservation.sendUntilReturned(reservation.startFrontEnd("none", 0)));
     }
 
-    /** The same, and each has a uid, but discovery is away while we ask. */
+    /** The same, and each executor has a uid, but discovery is unavailable during the inquiry. */
     private void sameStartWhileDiscoveryUnavailable() throws Exception {
-        Reservation one = new Reservation("twin-unheard", "book-1", executors(2).put("uids", true).put("shown_at_start_ms", CLOCK_AT_START_MILLIS));
-        one.executeThenKillFrontEnd();
-        one.injectFault("taken_over", 0, 0);
-        one.injectFault("roster_away", 0, 9500);
-        one.assertRanOnceAndOutcomeUnknown(one.sendUntilReturned(one.startFrontEnd("none", 0)));
+        Reservation reservation = new Reservation("twin-unheard", "book-1", executors(2).put("uids", true)
+                .put("shown_at_start_ms", CLOCK_AT_START_MILLIS));
+        reservation.executeThenKillFrontEnd();
+        reservation.injectFault("taken_over", 0, 0);
+        reservation.injectFault("roster_away", 0, 9500);
+        reservation.assertRanOnceAndOutcomeUnknown(reservation.sendUntilReturned(reservation.startFrontEnd("none", 0)));
     }
 
-    /** The executor restarts on a machine whose clock shows the same at every start. */
+    /** The executor restarts on a machine whose clock shows the same time at every start. */
     private void executorRestartsWithSameStart() throws Exception {
-        Reservation one = new Reservation("anew", "book-1", executors(1).put("shown_at_start_ms", CLOCK_AT_START_MILLIS));
-        one.executeThenKillFrontEnd();
-        one.restartExecutor();
-        one.assertRanOnceAndOutcomeUnknown(one.sendUntilReturned(one.startFrontEnd("none", 0)));
+        Reservation reservation = new Reservation("anew", "book-1", executors(1).put("shown_at_start_ms", CLOCK_AT_START_MILLIS));
+        reservation.executeThenKillFrontEnd();
+        reservation.restartExecutor();
+        reservation.assertRanOnceAndOutcomeUnknown(reservation.sendUntilReturned(reservation.startFrontEnd("none", 0)));
     }
 
-    /** Guards against an effect twice by two processes that tell the same start. */
+    /** Guards against a double execution caused by two processes that report the same start time. */
     @Test
     void executorWithSameStartDoesNotProveOutcome() throws Exception {
         runAll(List.of(this::addressTakenByExecutorWithSameStart, this::sameStartWhileDiscoveryUnavailable,
                 this::executorRestartsWithSameStart));
     }
 
-    /** Its executor says on a new connection that it never saw it, and reads it afterwards on the old one. */
+    /** The executor replies on a new connection that it never got the forward, and reads it on the old connection afterwards. */
     private void forwardIsReadAfterInquiry(String id, boolean byGrpc) throws Exception {
-        Reservation one = new Reservation(id, "book-1", executors(1));
-        one.executorsUseGrpc = byGrpc;
-        one.sendUnreadThenKillFrontEnd();
-        List<String> heard = one.sendUntilReturned(one.startFrontEnd("none", 0));
-        one.resumeReading();
-        one.assertRanOnceAndReturned(heard);
+        Reservation reservation = new Reservation(id, "book-1", executors(1));
+        reservation.executorsUseGrpc = byGrpc;
+        reservation.sendUnreadThenKillFrontEnd();
+        List<String> statuses = reservation.sendUntilReturned(reservation.startFrontEnd("none", 0));
+        reservation.resumeReading();
+        reservation.assertRanOnceAndReturned(statuses);
     }
 
-    /** Guards against an effect twice by a forward that is delivered after its sender's end, however long after. */
+    /** Guards against a double execution by a forward that is delivered after its front end crashed, however much later. */
     @Test
     void forwardDeliveredAfterSenderCrashIsNotExecuted() throws Exception {
         runAll(List.of(() -> forwardIsReadAfterInquiry("read-late", false), () -> forwardIsReadAfterInquiry("read-late-grpc", true)));
--- a/rehearsal/src/test/java/gradereach/rehearsal/RestoredLedgerTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RestoredLedgerTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A front end's ledger is restored from a copy that was made before a reservation: it must not run a second time. */
+/** A front end's ledger is restored from a copy that was made before a reservation, which must not be executed again. */
 @Timeout(60)
 class RestoredLedgerTest {
     private static final String MODEL = "book-1";
-    /** Their records fill more than one segment of the least size. */
+    /** Enough requests to fill more than one segment of the minimum size. */
     private static final int SEGMENT_FILL_REQUESTS = 20;
     private static final int MIN_SEGMENT_BYTES = 4096;
     private static final int REPEATS = 5;
@@ -33,55 +33,55 @@
     /** What the front end did between the copy and the reservation, or after it. */
     enum LedgerActivity { NOTHING, A_SEGMENT, A_COMPACTION }
 
-    /** How the copy takes the place of the folder. */
+    /** How the copy replaces the folder. */
     enum RestoreMethod { AFTER_DELETING_IT, AFTER_RENAMING_IT, REPLACING_WHAT_DIFFERS }
 
     @TempDir
     private Path folder;
-    private ReservationTestbed site;
+    private ReservationTestbed testbed;
     private List<Integer> ports = List.of();
 
     @BeforeEach
-    void start() throws Exception {
-        site = new ReservationTestbed(folder);
+    void createTestbed() throws Exception {
+        testbed = new ReservationTestbed(folder);
     }
 
     @AfterEach
-    void end() throws Exception {
-        site.close();
+    void closeTestbed() throws Exception {
+        testbed.close();
     }
 
     private FrontEndTestProcess startFrontEnd(int number) throws IOException, InterruptedException {
-        var plan = site.createDeployment(folder, number, ports);
-        plan.withObject("/ledger").put("segment_bytes", MIN_SEGMENT_BYTES);
-        return site.startFrontEnd(folder, plan, "none", 0);
+        var deployment = testbed.createDeployment(folder, number, ports);
+        deployment.withObject("/ledger").put("segment_bytes", MIN_SEGMENT_BYTES);
+        return testbed.startFrontEnd(folder, deployment, "none", 0);
     }
 
-    private static List<Path> listFiles(Path of) throws IOException {
-        try (var files = Files.list(of)) {
+    private static List<Path> listFiles(Path directory) throws IOException {
+        try (var files = Files.list(directory)) {
             return files.sorted(Comparator.reverseOrder()).toList();
         }
     }
 
-    /** Files that are there are replaced where their bytes differ, as rsync does. */
+    /** Copies new files and replaces those whose bytes differ, as rsync does. */
     private static Path copyChangedFiles(Path from, Path to) throws IOException {
         Files.createDirectories(to);
         for (Path file : listFiles(from)) {
-            Path there = to.resolve(file.getFileName());
-            if (!Files.exists(there) || Files.mismatch(file, there) >= 0) {
-                Path fresh = Files.copy(file, to.resolve("." + file.getFileName()));
-                Files.move(fresh, there, StandardCopyOption.REPLACE_EXISTING);
+            Path target = to.resolve(file.getFileName());
+            if (!Files.exists(target) || Files.mismatch(file, target) >= 0) {
+                Path temporary = Files.copy(file, to.resolve("." + file.getFileName()));
+                Files.move(temporary, target, StandardCopyOption.REPLACE_EXISTING);
             }
         }
         return to;
     }
 
-    private static void restore(Path copy, Path ledger, RestoreMethod how) throws IOException {
-        if (how == RestoreMethod.AFTER_RENAMING_IT) {
+    private static void restore(Path copy, Path ledger, RestoreMethod method) throws IOException {
+        if (method == RestoreMethod.AFTER_RENAMING_IT) {
             Files.move(ledger, ledger.resolveSibling("aside"));
         } else {
             for (Path file : listFiles(ledger)) {
-                if (how == RestoreMethod.AFTER_DELETING_IT || !Files.exists(copy.resolve(file.getFileName()))) {
+                if (method == RestoreMethod.AFTER_DELETING_IT || !Files.exists(copy.resolve(file.getFileName()))) {
                     Files.delete(file);
                 }
             }
@@ -89,25 +89,26 @@
         copyChangedFiles(copy, ledger);
     }
 
-    private List<Integer> sendRepeats(FrontEndTestProcess front, String id) throws InterruptedException {
-        List<Integer> heard = new ArrayList<>();
+    private List<Integer> sendRepeats(FrontEndTestProcess frontEnd, String id) throws InterruptedException {
+        List<Integer> statuses = new ArrayList<>();
         for (int i = 0; i < REPEATS; i++) {
-            heard.add(front.send(id, MODEL, false).statusCode());
+            statuses.add(frontEnd.send(id, MODEL, false).statusCode());
         }
-        return heard;
+        return statuses;
     }
 
-    private void assertRanOnce(String id, List<Integer> heard) throws IOException {
-        site.fleet.close();
-        assertEquals(1, site.transcriptEvents("ran", "mark").get("yard/" + id).size(), "it ran; its repeats heard " + heard);
-        assertFalse(heard.contains(200), "its answer is in no ledger, and its repeats heard " + heard);
+    private void assertRanOnce(String id, List<Integer> statuses) throws IOException {
+        testbed.fleet.close();
+        assertEquals(1, testbed.transcriptEvents("ran", "mark").get("yard/" + id).size(),
+                "executions; statuses of its repeats: " + statuses);
+        assertFalse(statuses.contains(200), "its answer is in no ledger; statuses of its repeats: " + statuses);
     }
 
     @ParameterizedTest
     @CsvSource({"1, NOTHING, AFTER_DELETING_IT", "1, A_SEGMENT, AFTER_DELETING_IT", "1, A_COMPACTION, AFTER_DELETING_IT",
         "1, NOTHING, AFTER_RENAMING_IT", "1, A_SEGMENT, REPLACING_WHAT_DIFFERS", "1, A_COMPACTION, REPLACING_WHAT_DIFFERS",
         "3, NOTHING, AFTER_DELETING_IT", "3, A_SEGMENT, AFTER_RENAMING_IT", "3, A_COMPACTION, AFTER_DELETING_IT"})
-    void whatRanSinceTheCopyDoesNotRunAgain(int frontEnds, LedgerActivity since, RestoreMethod how) throws Exception {
+    void whatRanSinceTheCopyDoesNotRunAgain(int frontEnds, LedgerActivity since, RestoreMethod method) throws Exception {
         ports = frontEnds == 1 ? List.of() : ReservationTestbed.freePorts(2 * frontEnds);
         List<FrontEndTestProcess> peers = new ArrayList<>();
         for (int i = 1; i < frontEnds; i++) {
@@ -127,25 +128,25 @@
         if (since == LedgerActivity.A_COMPACTION) {
             LedgerFolder.compact(ledger, 0);
         }
-        restore(copy, ledger, how);
+        restore(copy, ledger, method);
         FrontEndTestProcess third = startFrontEnd(0);
-        List<Integer> heard = sendRepeats(third, "since");
+        List<Integer> statuses = sendRepeats(third, "since");
         for (FrontEndTestProcess peer : peers) {
-            heard.addAll(sendRepeats(peer, "since"));
+            statuses.addAll(sendRepeats(peer, "since"));
         }
         assertEquals(before.body(), third.sendUntilReturned("before", MODEL).body(), "what is in the copy is known");
         third.kill();
-        heard.addAll(sendRepeats(startFrontEnd(0), "since"));
-        assertRanOnce("since", heard);
+        statuses.addAll(sendRepeats(startFrontEnd(0), "since"));
+        assertRanOnce("since", statuses);
     }
 
     /**
-     * Put back with the numbers of its files, as by a snapshot of the file system: the folder cannot tell, the peers can. A
-     * snapshot that was taken while it ran lacks a reservation, and one after it that the peers heard of.
+     * The ledger is restored with its inode numbers, as by a file system snapshot: the folder itself does not show it, but
+     * the peers detect it. The snapshot lacks a reservation and a later one that the peers know of.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void peersDetectRestoredLedger(boolean takenWhileItRan) throws Exception {
+    void peersDetectRestoredLedger(boolean copiedWhileRunning) throws Exception {
         ports = ReservationTestbed.freePorts(6);
         FrontEndTestProcess peer = startFrontEnd(1);
         startFrontEnd(2);
@@ -153,7 +154,7 @@
         running.sendUntilReturned("before", MODEL);
         Path ledger = ReservationTestbed.ledgerFolder(folder, 0);
         Path copy;
-        if (takenWhileItRan) {
+        if (copiedWhileRunning) {
             copy = copyChangedFiles(ledger, folder.resolve("copy"));
         } else {
             running.kill();
@@ -166,14 +167,15 @@
         restore(copy, ledger, RestoreMethod.AFTER_DELETING_IT);
         writeCurrentInodes(ledger);
         FrontEndTestProcess restored = startFrontEnd(0);
-        List<Integer> heard = sendRepeats(restored, "since");
-        heard.addAll(sendRepeats(peer, "since"));
+        List<Integer> statuses = sendRepeats(restored, "since");
+        statuses.addAll(sendRepeats(peer, "since"));
         restored.kill();
-        heard.addAll(sendRepeats(startFrontEnd(0), "since"));
-        assertRanOnce("since", heard);
+        statuses.addAll(sendRepeats(startFrontEnd(0), "since"));
+        assertRanOnce("since", statuses);
         assertFalse(LedgerFolder.isRestoredCopy(ledger));
     }
 
+    /** Records the current inode numbers, so that the ledger does not notice that its files were copied. */
     private static void writeCurrentInodes(Path ledger) throws IOException {
         List<String> lines = new ArrayList<>();
         for (String line : Files.readAllLines(ledger.resolve("files"))) {
@@ -183,7 +185,7 @@
         Files.write(ledger.resolve("files"), lines);
     }
 
-    /** As a keeper: it granted the reservation to another front end after the copy, and the third one was away then. */
+    /** The restored front end is a claim replica: it granted the claim to another one after the copy, while the third was down. */
     @Test
     void claimGrantedSinceTheCopyIsNotGrantedAgain() throws Exception {
         ports = ReservationTestbed.freePorts(6);
@@ -202,17 +204,17 @@
         assertRanOnce("since", sendRepeats(startFrontEnd(2), "since"));
     }
 
-    /** A front end that was stopped, whose folder was renamed, and that is started there goes on as before. */
+    /** A front end that is stopped and restarted on its renamed ledger folder works as before. */
     @Test
     void renamedFolderIsNotARestoredCopy() throws Exception {
         FrontEndTestProcess first = startFrontEnd(0);
         HttpResponse<String> answer = first.sendUntilReturned("before", MODEL);
         first.kill();
         Path ledger = ReservationTestbed.ledgerFolder(folder, 0);
-        Path elsewhere = Files.move(ledger, folder.resolve("elsewhere"));
-        var plan = site.createDeployment(folder, 0, ports);
-        plan.withObject("/ledger").put("folder", elsewhere.toString());
-        FrontEndTestProcess second = site.startFrontEnd(folder, plan, "none", 0);
+        Path renamed = Files.move(ledger, folder.resolve("elsewhere"));
+        var deployment = testbed.createDeployment(folder, 0, ports);
+        deployment.withObject("/ledger").put("folder", renamed.toString());
+        FrontEndTestProcess second = testbed.startFrontEnd(folder, deployment, "none", 0);
         assertEquals(answer.body(), second.sendUntilReturned("before", MODEL).body());
         assertEquals(200, second.sendUntilReturned("new", MODEL).statusCode());
     }
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndProcessTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndProcessTest.java
@@ -19,7 +19,7 @@
     @TempDir
     private Path folder;
 
-    /** Guards against a soak that ends while one of its front ends starts, and leaves that one running. */
+    /** Guards against a soak that is interrupted while a front end starts and leaves it running. */
     @Test
     void interruptedStartLeavesNoProcess() throws Exception {
         Path starting = folder.resolve("starting");
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A front end loses its watch of the change log, an executor drains right after, and its probes are answered over a second
- * late, the last of them "ready" still: none of those answers lets a request go to it past the grace.
+ * A front end loses its watch of the change log, an executor drains right after, and its probe answers come over a second
+ * late, the last of them still "ready". No such answer may let a request go to it after the drain grace.
  */
 @Timeout(60)
 class HeldProbesTest {
@@ -32,11 +32,11 @@
     private static final int CLIENTS = 6;
     private static final double DRAIN_GRACE_MILLIS = 500;
     private static final long INITIAL_SERVICE_MILLIS = 3000;
-    /** Executors are probed every second at least. */
+    /** Executors are probed at least every second, so that each is probed within this time. */
     private static final long FIRST_PROBE_WAIT_MILLIS = 1500;
-    /** The break may be seen before the drain. */
+    /** Lets the front end notice the broken watch before the drain. */
     private static final long DRAIN_DELAY_MILLIS = 50;
-    /** Beyond the protocol's 2 s after a break, the grace, and the answer to the last probe. */
+    /** Longer than the protocol's 2 s after a broken watch, the grace and the answer to the last probe together. */
     private static final long SERVICE_AFTER_DRAIN_MILLIS = 5000;
     private static final long FINAL_ANSWERS_WAIT_MILLIS = 2500;
 
@@ -65,12 +65,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1200, 2500, 3100, 4000})
-    void lateProbeAnswerReleasesNoRequest(long heldMillis) throws Exception {
+    void lateProbeAnswerReleasesNoRequest(long probeDelayMillis) throws Exception {
         try (PeerEventLoops loops = new PeerEventLoops(); ChildProcesses processes = new ChildProcesses(0)) {
             RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE_MILLIS, loops.lagIntervals());
             ChangelogServer changelog = new ChangelogServer(loops);
             List<FrameExecutor> executors = executors(loops, auditor, changelog);
-            FrontEndProcess frontEnd = new FrontEndProcess(processes, SoakTest.frontEndCommand(), folder.resolve("n0.json"), config(changelog),
+            FrontEndProcess frontEnd = new FrontEndProcess(processes, SoakTest.frontEndCommand(), folder.resolve("n0.json"),
+                    config(changelog),
                     FaultShim.compile(folder), List.of(), 1);
             List<RequestClient> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
@@ -78,19 +79,19 @@
             }
             clients.forEach(RequestClient::start);
             Thread.sleep(INITIAL_SERVICE_MILLIS);
-            executors.forEach(executor -> executor.setProbeDelay(heldMillis));
+            executors.forEach(executor -> executor.setProbeDelay(probeDelayMillis));
             Thread.sleep(FIRST_PROBE_WAIT_MILLIS);
             changelog.startOutage(Outage.BROKEN_OFF);
             Thread.sleep(DRAIN_DELAY_MILLIS);
-            FrameExecutor drains = executors.get(1);
-            drains.startDraining();
-            auditor.executorDraining(drains.instanceId, changelog.deliveredAt(loops.now()));
+            FrameExecutor draining = executors.get(1);
+            draining.startDraining();
+            auditor.executorDraining(draining.instanceId, changelog.deliveredAt(loops.now()));
             Thread.sleep(SERVICE_AFTER_DRAIN_MILLIS);
             clients.forEach(RequestClient::stop);
-            double asked = loops.now();
+            double stoppedAt = loops.now();
             Thread.sleep(FINAL_ANSWERS_WAIT_MILLIS);
             frontEnd.close();
-            assertEquals(List.of(), auditor.findings(asked));
+            assertEquals(List.of(), auditor.findings(stoppedAt));
             assertTrue(auditor.successRate(time -> true) > 0, "nothing was served");
         }
     }
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * One soak of front ends as processes, with the options that the deploy file gives them. The build plays one seed; more are
- * played by {@code gradereach rehearse soak}. It runs on the wall's clock; what it finds becomes a test whose order is forced.
+ * Soaks with front ends as processes that get the JVM options of the deploy file. The build runs fixed seeds; {@code
+ * gradereach rehearse soak} runs others. A soak depends on real time, so what it finds is made a deterministic test.
  */
 @Timeout(180)
 class SoakTest {
     private static final Path OPTIONS = Path.of("..", "deploy", "platform.jvm");
     private static final int SECONDS = 30;
     private static final int FRONT_ENDS = 3;
-    /** Serving goes on through an outage: at least so much of what is served otherwise. */
+    /** The success rate during an outage, as a share of the rate otherwise, must be at least this. */
     private static final double MIN_OUTAGE_SUCCESS_SHARE = 0.85;
 
     @TempDir
@@ -40,8 +40,8 @@
         return command;
     }
 
-    private SoakReport play(long seed, Set<SoakFault> troubles) throws Exception {
-        try (Soak soak = new Soak(new SoakPlan(seed, SECONDS, FRONT_ENDS, troubles, frontEndCommand()), folder)) {
+    private SoakReport play(long seed, Set<SoakFault> faults) throws Exception {
+        try (Soak soak = new Soak(new SoakPlan(seed, SECONDS, FRONT_ENDS, faults, frontEndCommand()), folder)) {
             SoakReport report = soak.run();
             System.out.println("seed " + seed + ": " + report);
             return report;
@@ -54,7 +54,7 @@
         assertTrue(report.passed(), report::toString);
     }
 
-    /** Incident 1c4c95: executors drain unheard. Serving goes on meanwhile. */
+    /** Incident 1c4c95: executors drain while the change log is unavailable. Front ends must go on serving meanwhile. */
     @Test
     void servesWhileChangelogIsUnavailable() throws Exception {
         SoakReport report = play(2, EnumSet.of(SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.STANDSTILL, SoakFault.TERMINATION,
