--- a/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
@@ -87,7 +87,7 @@
         this.out = out;
     }
 
-    /** Runs each rate directly, through the front end by HTTP/2 and through it by gRPC, {@code rounds} times in turn. */
+    /** Runs each rate directly, through the front end by webhook and through it by gRPC, {@code rounds} times in turn. */
     public List<LoadMeasurement> run(int[] rates, int seconds, int rounds, int openConnections)
             throws IOException, InterruptedException {
         List<LoadMeasurement> measurements = new ArrayList<>();
@@ -99,25 +99,25 @@
             }
             String frontEndOutput = startProcess(writeFrontEndCommand(ports, null, "plan"));
             Process frontEnd = processes.get(processes.size() - 1);
-            InetSocketAddress front = new InetSocketAddress("127.0.0.1",
+            InetSocketAddress frontEndAddress = new InetSocketAddress("127.0.0.1",
                     Integer.parseInt(frontEndOutput.split(" ")[1].replaceAll(".*:", "")));
-            InetSocketAddress direct = new InetSocketAddress("127.0.0.1", ports.get(0));
-            InetSocketAddress grpc = new InetSocketAddress("127.0.0.1",
+            InetSocketAddress executorAddress = new InetSocketAddress("127.0.0.1", ports.get(0));
+            InetSocketAddress grpcAddress = new InetSocketAddress("127.0.0.1",
                     Integer.parseInt(frontEndOutput.split(" ")[3].replaceAll(".*:", "")));
-            runLoad("warm-up", front, 1000, 5, null);
-            runLoad("grpc", grpc, 1000, 5, null);
-            runLoad("direct", direct, 1000, 2, null);
+            runLoad("warm-up", frontEndAddress, 1000, 5, null);
+            runLoad("grpc", grpcAddress, 1000, 5, null);
+            runLoad("direct", executorAddress, 1000, 2, null);
             for (int i = 0; i < openConnections; i++) {
-                idleConnections.add(new Socket(front.getAddress(), front.getPort()));
+                idleConnections.add(new Socket(frontEndAddress.getAddress(), frontEndAddress.getPort()));
             }
             if (openConnections > 0) {
                 out.println(openConnections + " further connections are open");
             }
             for (int round = 0; round < rounds; round++) {
                 for (int rate : rates) {
-                    measurements.add(print(runLoad("direct", direct, rate, seconds, null)));
-                    measurements.add(print(runLoad("through", front, rate, seconds, frontEnd)));
-                    measurements.add(print(runLoad("grpc", grpc, rate, seconds, frontEnd)));
+                    measurements.add(print(runLoad("direct", executorAddress, rate, seconds, null)));
+                    measurements.add(print(runLoad("through", frontEndAddress, rate, seconds, frontEnd)));
+                    measurements.add(print(runLoad("grpc", grpcAddress, rate, seconds, frontEnd)));
                 }
             }
         } finally {
@@ -145,24 +145,24 @@
             for (int i = 0; i < EXECUTORS; i++) {
                 ports.add(Integer.parseInt(startProcess(Rehearsal.javaCommand("gradereach.serve.EchoExecutor")).split(" ")[1]));
             }
-            Map<String, InetSocketAddress> fronts = new LinkedHashMap<>();
+            Map<String, InetSocketAddress> addressByVariant = new LinkedHashMap<>();
             Map<String, Process> processByVariant = new HashMap<>();
             for (String variant : new String[] {"off", "off too", "healthy", "dropping", "hanging"}) {
                 RemoteWriteServer target = receivers.get(variant.equals("healthy") ? "" : variant.equals("dropping") ? "drop-half"
                         : variant.equals("hanging") ? "hang" : "none");
                 String output = startProcess(writeFrontEndCommand(ports, target == null ? null : target.url(), variant.replace(' ', '-')));
                 processByVariant.put(variant, processes.get(processes.size() - 1));
-                fronts.put(variant, new InetSocketAddress("127.0.0.1", Integer.parseInt(output.split(" ")[1].replaceAll(".*:", ""))));
+                addressByVariant.put(variant, new InetSocketAddress("127.0.0.1", Integer.parseInt(output.split(" ")[1].replaceAll(".*:", ""))));
             }
             for (int i = 0; i < 2; i++) {
-                for (InetSocketAddress front : fronts.values()) {
-                    runLoad("warm-up", front, rate, 4, null);
+                for (InetSocketAddress address : addressByVariant.values()) {
+                    runLoad("warm-up", address, rate, 4, null);
                 }
             }
             Map<String, Histogram> latenciesByVariant = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
-                for (String variant : fronts.keySet()) {
-                    LoadMeasurement measurement = runLoad(variant, fronts.get(variant), rate, seconds, processByVariant.get(variant));
+                for (String variant : addressByVariant.keySet()) {
+                    LoadMeasurement measurement = runLoad(variant, addressByVariant.get(variant), rate, seconds, processByVariant.get(variant));
                     print(measurement);
                     latenciesByVariant.computeIfAbsent(variant, name -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3))
                             .add(lastLatencies);
--- a/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
@@ -51,6 +51,7 @@
     private final List<FrontEndTransport> clients = new ArrayList<>();
     private int requestCount;
 
+    /** @param frontEndCommand starts a front end when a deployment file is appended */
     public StreamingBenchmark(Path folder, List<String> frontEndCommand, PrintStream out) {
         this.folder = folder;
         this.frontEndCommand = frontEndCommand;
@@ -232,10 +233,10 @@
         }
         double elapsedSeconds = (System.nanoTime() - start) / 1e9;
         Histogram latenciesMeanwhile = measureFirstParts(address, 100, 5000);
-        long with = residentMb(frontEnd);
+        long memoryWith = residentMb(frontEnd);
         out.println(String.format("open at once               %d of %d streams after %.1f s, %d ended; %d MB resident before, %d with: "
-                + "%.1f KB each", started.get(), open, elapsedSeconds, ended.get(), memoryBefore, with,
-                (with - memoryBefore) * 1024.0 / Math.max(1, started.get())));
+                + "%.1f KB each", started.get(), open, elapsedSeconds, ended.get(), memoryBefore, memoryWith,
+                (memoryWith - memoryBefore) * 1024.0 / Math.max(1, started.get())));
         printLatencies("first part beside them", latenciesMeanwhile);
     }
 
--- a/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
@@ -34,6 +34,7 @@
     private final List<ScriptEvent> events = new ArrayList<>();
     private long startedAt;
 
+    /** @param script the rehearsal script, from which the alert rules take objectives and load times */
     public AlertMonitor(JsonNode script) throws IOException {
         Map<String, Double> objectives = new LinkedHashMap<>();
         double maxLoadMillis = 0;
@@ -64,10 +65,12 @@
         timer.shutdownNow();
     }
 
+    /** Records an event of the script, to report how long after it an alert fired. */
     synchronized void recordEvent(String kind) {
         events.add(new ScriptEvent(kind, System.currentTimeMillis()));
     }
 
+    /** Prints the alerts that fired and totals of the pushed metrics. */
     public synchronized void print(PrintStream out) {
         out.println("alerts (a minute of the rules is a second here): " + (rules.fired().isEmpty() ? "none" : ""));
         for (RuleEvaluator.FiredAlert fired : rules.fired()) {
--- a/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
@@ -29,7 +29,7 @@
      */
     public synchronized Process start(ProcessBuilder command) throws IOException {
         if (closed) {
-            throw new IOException("not started, the play has ended: " + command.command());
+            throw new IOException("not started, the run has ended: " + command.command());
         }
         Process process = command.start();
         running.add(process);
--- a/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
@@ -135,9 +135,9 @@
     }
 
     /** Overrides a base script: objects are merged member by member, any other value is replaced as a whole. */
-    private static JsonNode merge(JsonNode base, JsonNode own) {
+    private static JsonNode merge(JsonNode base, JsonNode overrides) {
         ObjectNode script = base.deepCopy();
-        own.properties().forEach(field -> {
+        overrides.properties().forEach(field -> {
             JsonNode existing = script.path(field.getKey());
             boolean both = existing.isObject() && field.getValue().isObject();
             script.set(field.getKey(), both ? merge(existing, field.getValue()) : field.getValue());
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/BackgroundTasks.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/BackgroundTasks.java
@@ -21,6 +21,7 @@
         this.onFailure = onFailure;
     }
 
+    /** Starts a task on a thread of its own. */
     void start(BackgroundTask task) {
         threads.submit(() -> {
             try {
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndProcess.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndProcess.java
@@ -83,9 +83,9 @@
                 synchronized (log) {
                     log.add(line);
                 }
-                int at = line.indexOf(LISTENING);
-                if (at >= 0) {
-                    String[] parts = line.substring(at + LISTENING.length()).split("[: ]");
+                int index = line.indexOf(LISTENING);
+                if (index >= 0) {
+                    String[] parts = line.substring(index + LISTENING.length()).split("[: ]");
                     listening.complete(new InetSocketAddress(parts[0], Integer.parseInt(parts[1])));
                 }
             }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
@@ -306,6 +306,7 @@
         return true;
     }
 
+    /** Reloads the configuration several times, each time with another address of the change log. */
     private boolean reload(Random ownRandom) {
         SoakFrontEnd frontEnd = reserveFrontEnd(ownRandom);
         if (frontEnd == null) {
--- a/rehearsal/src/test/java/gradereach/rehearsal/CrashPointsTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/CrashPointsTest.java
@@ -110,7 +110,7 @@
             assertEquals(1, executions.getOrDefault("yard/" + testCase, List.of()).size(), testCase);
         }
         // Every delivery of one webhook id has the same body.
-        site.transcriptEvents("webhook", "id").forEach((id, deliveries) -> {
+        testbed.transcriptEvents("webhook", "id").forEach((id, deliveries) -> {
             Set<String> bodies = new HashSet<>();
             deliveries.forEach(delivery -> bodies.add(delivery.path("body").asText()));
             assertEquals(1, bodies.size(), id);
@@ -228,7 +228,7 @@
         gradereach.ledger.disk.LedgerFolder.read(ledger, false, (record, segment) -> records[0]++);
         assertEquals(400, records[0]);
         testbed.fleet.close();
-        testbed.transcriptEvents("ran", "mark").forEach((mark, runs) -> assertEquals(1, runs.size(), mark));
+        testbed.transcriptEvents("ran", "mark").forEach((message, runs) -> assertEquals(1, runs.size(), message));
     }
 
     /** A signed message is replayed after a restart: the same message, and its id with another body. */
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
@@ -22,10 +22,10 @@
 
     /** Runs the rehearsal of this test in the given folder, as a process that the test can terminate. */
     public static void main(String[] args) throws Exception {
-        play(Path.of(args[0]));
+        runRehearsal(Path.of(args[0]));
     }
 
-    private static Auditor.AuditReport play(Path folder) throws Exception {
+    private static Auditor.AuditReport runRehearsal(Path folder) throws Exception {
         Path command = folder.resolve("front-end.sh");
         Files.writeString(command, """
                 #!/bin/sh
@@ -65,7 +65,7 @@
     /** Guards against front ends that outlive the rehearsal, and against a report that hides that the rehearsal was cut short. */
     @Test
     void startingFrontEndStopsWithRehearsalAndReportIsInconclusive() throws Exception {
-        Auditor.AuditReport report = play(folder);
+        Auditor.AuditReport report = runRehearsal(folder);
         assertTrue(awaitExit(startingProcess()));
         assertFalse(report.conclusive(), report.toString());
     }
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
@@ -26,7 +26,7 @@
     @TempDir
     private Path folder;
 
-    private AuditReport play(JsonNode script, List<String> frontEnd) throws Exception {
+    private AuditReport runRehearsal(JsonNode script, List<String> frontEnd) throws Exception {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         AuditReport report = new Rehearsal(script, folder, frontEnd, new PrintStream(output)).run();
         assertFalse(output.toString().contains("event failed"), output.toString());
@@ -35,7 +35,7 @@
 
     @Test
     void shortDayPassesAllRules() throws Exception {
-        AuditReport report = play(Rehearsal.loadScript("short-day"), Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
+        AuditReport report = runRehearsal(Rehearsal.loadScript("short-day"), Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
         assertTrue(report.passed(), report.results().toString());
         assertTrue(report.counts().get("heard returned") > 300, report.counts().toString());
     }
@@ -50,7 +50,7 @@
         for (int i = 0; i < 2; i++) {
             events.addObject().put("at_ms", 2000 + 3000 * i).put("kind", "kill_front_end").put("fe", i).put("for_ms", 300);
         }
-        AuditReport report = play(script, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
+        AuditReport report = runRehearsal(script, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
         assertTrue(report.passed(), report.results().toString());
         assertTrue(report.counts().get("ran") > 100, report.counts().toString());
         assertTrue(report.counts().get("heard returned") > 4 * report.counts().get("ran"), report.counts().toString());
@@ -63,7 +63,7 @@
         script.put("length_ms", 2000).put("peers", false).put("ledger", false);
         script.putArray("events");
         ((ObjectNode) script.path("clients")).put("rate", 10);
-        assertFalse(play(script, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess")).results().get(1).passed());
+        assertFalse(runRehearsal(script, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess")).results().get(1).passed());
     }
 
     /** A front end that violates a rule is detected from the transcripts alone. */
@@ -77,7 +77,7 @@
         ((ObjectNode) script.path("clients")).put("rate", 60);
         List<String> command = new ArrayList<>(Rehearsal.javaCommand("gradereach.rehearsal.BreachingFrontEnd"));
         command.add(Integer.toString(rule));
-        AuditReport report = play(script, command);
+        AuditReport report = runRehearsal(script, command);
         assertFalse(report.results().get(rule - 1).passed(), report.results().toString());
     }
 
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
@@ -40,7 +40,7 @@
         return command;
     }
 
-    private SoakReport play(long seed, Set<SoakFault> faults) throws Exception {
+    private SoakReport runSoak(long seed, Set<SoakFault> faults) throws Exception {
         try (Soak soak = new Soak(new SoakPlan(seed, SECONDS, FRONT_ENDS, faults, frontEndCommand()), folder)) {
             SoakReport report = soak.run();
             System.out.println("seed " + seed + ": " + report);
@@ -50,14 +50,14 @@
 
     @Test
     void noRuleIsBrokenUnderAnyTrouble() throws Exception {
-        SoakReport report = play(1, EnumSet.allOf(SoakFault.class));
+        SoakReport report = runSoak(1, EnumSet.allOf(SoakFault.class));
         assertTrue(report.passed(), report::toString);
     }
 
     /** Incident 1c4c95: executors drain while the change log is unavailable. Front ends must go on serving meanwhile. */
     @Test
     void servesWhileChangelogIsUnavailable() throws Exception {
-        SoakReport report = play(2, EnumSet.of(SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.STANDSTILL, SoakFault.TERMINATION,
+        SoakReport report = runSoak(2, EnumSet.of(SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.STANDSTILL, SoakFault.TERMINATION,
                 SoakFault.RESET));
         assertTrue(report.passed(), report::toString);
         assertTrue(report.outageSuccessRate() >= MIN_OUTAGE_SUCCESS_SHARE * report.successRate(), report::toString);
