--- a/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
@@ -152,7 +152,8 @@
                         : variant.equals("hanging") ? "hang" : "none");
                 String output = startProcess(writeFrontEndCommand(ports, target == null ? null : target.url(), variant.replace(' ', '-')));
                 processByVariant.put(variant, processes.get(processes.size() - 1));
-                addressByVariant.put(variant, new InetSocketAddress("127.0.0.1", Integer.parseInt(output.split(" ")[1].replaceAll(".*:", ""))));
+                addressByVariant.put(variant, new InetSocketAddress("127.0.0.1",
+                        Integer.parseInt(output.split(" ")[1].replaceAll(".*:", ""))));
             }
             for (int i = 0; i < 2; i++) {
                 for (InetSocketAddress address : addressByVariant.values()) {
@@ -162,7 +163,8 @@
             Map<String, Histogram> latenciesByVariant = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
                 for (String variant : addressByVariant.keySet()) {
-                    LoadMeasurement measurement = runLoad(variant, addressByVariant.get(variant), rate, seconds, processByVariant.get(variant));
+                    LoadMeasurement measurement = runLoad(variant, addressByVariant.get(variant), rate, seconds,
+                            processByVariant.get(variant));
                     print(measurement);
                     latenciesByVariant.computeIfAbsent(variant, name -> new Histogram(TimeUnit.SECONDS.toNanos(60), 3))
                             .add(lastLatencies);
--- a/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
@@ -268,8 +268,8 @@
 
         /**
          * Selects the front end of an attempt. A replay goes where the message was sent last, as other front ends know of
-         * the message only by claims. Otherwise a first attempt that was never sent, its retry elsewhere and the replay at
-         * the first front end count as a violation, though that front end never received the message.
+         * the message only by claims. Otherwise a first attempt that was never sent, its retry elsewhere and a replay at a
+         * front end that never received the message look like a violation.
          */
         private int selectFrontEnd(int attempt) {
             if (attempt != REPLAY_ATTEMPT) {
