--- a/client/src/main/java/gradereach/client/AttemptOutcome.java
+++ b/client/src/main/java/gradereach/client/AttemptOutcome.java
@@ -1,23 +1,24 @@
 package gradereach.client;
 
 /**
- * What one try came to.
+ * The outcome of one attempt.
  *
- * @param pause milliseconds that the front end asks to wait, 0 for nothing
- * @param harmless whether the front end says that the same message may come again
- * @param leaving whether that front end takes nothing more: another may
- * @param answer of a returned one, in the form of its way; null otherwise
- * @param why a sentence, for what was not returned
+ * @param retryAfterMillis delay that the front end requests before a retry, 0 for none
+ * @param retrySafe whether the front end reports that the same message may be sent again
+ * @param frontEndDraining whether that front end accepts no more inferences, so that another should be tried
+ * @param answer the answer in the transport's form if one was returned, else null
+ * @param detail why no answer was returned, else null
  */
-public record AttemptOutcome(Kind kind, double retryAfterMillis, boolean retrySafe, boolean frontEndDraining, Object answer, String detail) {
-    /** Ways in which a try ends. */
+public record AttemptOutcome(Kind kind, double retryAfterMillis, boolean retrySafe, boolean frontEndDraining, Object answer,
+        String detail) {
+    /** How an attempt ended. */
     public enum Kind {
         RETURNED, SHED, FAILED,
-        /** The message cannot be an inference, or not this client's. */
+        /** The request is invalid or not authenticated. */
         REFUSED,
-        /** Nothing of it left this machine. */
+        /** Nothing was sent. */
         NEVER_SENT,
-        /** It left, and no answer came. */
+        /** The request was sent and no answer arrived; it may have taken effect. */
         LOST
     }
 
@@ -25,7 +26,7 @@
         return new AttemptOutcome(Kind.RETURNED, 0, true, false, answer, null);
     }
 
-    static AttemptOutcome notReturned(Kind kind, String why) {
-        return new AttemptOutcome(kind, 0, kind == Kind.NEVER_SENT, kind == Kind.NEVER_SENT, null, why);
+    static AttemptOutcome notReturned(Kind kind, String detail) {
+        return new AttemptOutcome(kind, 0, kind == Kind.NEVER_SENT, kind == Kind.NEVER_SENT, null, detail);
     }
 }
--- a/client/src/main/java/gradereach/client/FrontEndSelector.java
+++ b/client/src/main/java/gradereach/client/FrontEndSelector.java
@@ -5,16 +5,15 @@
 import java.util.Random;
 
 /**
- * The front ends that a client knows, and when each may be tried: state and decisions, no I/O. One that could not be
- * reached is left alone for a while drawn over a window, so that a thousand clients that lost it together do not come
- * back together.
+ * Selects the front end for the next attempt, round robin: state and decisions, no I/O. One that could not be reached is
+ * skipped for a random time within a backoff window, so that many clients that lost it together do not reconnect together.
  */
 final class FrontEndSelector {
-    /** Milliseconds; the users' wish for a thousand tablets. */
+    /** Backoff window after the first failure; spreads the reconnects of a thousand clients. */
     static final double INITIAL_BACKOFF_MILLIS = 10_000;
-    private static final double MAX_BACKOFF_MILLIS = 60_000; // a front end that is gone for long costs each client a try a minute
+    private static final double MAX_BACKOFF_MILLIS = 60_000; // limits retries of a front end that stays down to one per client and minute
 
-    /** One front end. */
+    /** One front end and its backoff state. */
     static final class Target {
         final String address;
         private double notBefore = Double.NEGATIVE_INFINITY;
@@ -29,39 +28,39 @@
     private final Random random;
     private int nextIndex;
 
-    FrontEndSelector(List<String> addresses, Random chance) {
+    FrontEndSelector(List<String> addresses, Random random) {
         addresses.forEach(address -> targets.add(new Target(address)));
-        this.random = chance;
-        nextIndex = chance.nextInt(targets.size());
+        this.random = random;
+        nextIndex = random.nextInt(targets.size());
     }
 
-    /** The next that may be tried now, in turn; null where none may. */
+    /** The next front end in round-robin order that is not backing off, null if there is none. */
     Target next(double now) {
         for (int i = 0; i < targets.size(); i++) {
-            Target front = targets.get((nextIndex + i) % targets.size());
-            if (front.notBefore <= now) {
+            Target target = targets.get((nextIndex + i) % targets.size());
+            if (target.notBefore <= now) {
                 nextIndex = (nextIndex + i + 1) % targets.size();
-                return front;
+                return target;
             }
         }
         return null;
     }
 
-    /** When {@link #next} has one again at the earliest. */
+    /** The earliest time at which {@link #next} returns a front end. */
     double nextAvailableAt() {
-        return targets.stream().mapToDouble(front -> front.notBefore).min().orElseThrow();
+        return targets.stream().mapToDouble(target -> target.notBefore).min().orElseThrow();
     }
 
-    void markReachable(Target front) {
-        front.failures = 0;
-        front.notBefore = Double.NEGATIVE_INFINITY;
+    void markReachable(Target target) {
+        target.failures = 0;
+        target.notBefore = Double.NEGATIVE_INFINITY;
     }
 
-    void markUnavailable(Target front, double now) {
-        if (front.notBefore > now) {
-            return; // another inference found out just before
+    void markUnavailable(Target target, double now) {
+        if (target.notBefore > now) {
+            return; // already marked by another inference
         }
-        double window = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(10, front.failures++)));
-        front.notBefore = now + random.nextDouble() * window;
+        double window = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(10, target.failures++)));
+        target.notBefore = now + random.nextDouble() * window;
     }
 }
--- a/client/src/main/java/gradereach/client/FrontEndTransport.java
+++ b/client/src/main/java/gradereach/client/FrontEndTransport.java
@@ -4,37 +4,42 @@
 import io.netty.channel.EventLoopGroup;
 import java.util.function.Consumer;
 
-/** One protocol's way to a front end: single tries, for those who script their repeats themselves. Any thread; nothing blocks. */
+/**
+ * Sends single attempts to a front end over one protocol, for callers that retry on their own. Methods may be called from any
+ * thread and do not block.
+ */
 public interface FrontEndTransport extends AutoCloseable {
-    /** A try under way. */
+    /** An attempt in progress. */
     interface Attempt {
-        /** Nobody waits any more; the front end is told. */
+        /** Cancels the request; the front end sees the cancellation. */
         void cancel();
     }
 
     /**
-     * Sends one inference; {@code then} is told once.
+     * Sends one inference; {@code onOutcome} is called once.
      *
      * @param address host and port
-     * @param left milliseconds until the deadline
+     * @param remainingMillis milliseconds until the deadline
      */
-    Attempt send(String address, Inference inference, double left, Consumer<AttemptOutcome> then);
+    Attempt send(String address, Inference inference, double remainingMillis, Consumer<AttemptOutcome> onOutcome);
 
     /**
-     * The same for an answer in parts, told in order on the way's thread, which reads no further meanwhile.
+     * Sends one inference whose answer is streamed. Parts are delivered in order on the transport's thread; the next part is read
+     * after {@code parts} returns.
      *
-     * @param parts hears each {@code ModelInferResponse}
+     * @param parts receives each {@code ModelInferResponse}
      */
-    default Attempt stream(String address, Inference inference, double left, Consumer<Object> parts, Consumer<AttemptOutcome> then) {
-        throw new UnsupportedOperationException("no parts by this way");
+    default Attempt stream(String address, Inference inference, double remainingMillis, Consumer<Object> parts,
+            Consumer<AttemptOutcome> onOutcome) {
+        throw new UnsupportedOperationException("this transport does not support streamed answers");
     }
 
-    /** By gRPC; addresses are those of gRPC listeners. */
+    /** Creates a gRPC transport; addresses are those of gRPC listeners. */
     static FrontEndTransport grpc(WebhookKey key) {
         return new GrpcTransport(key, GrpcTransport::channel);
     }
 
-    /** The same on threads of the caller's: ends and parts are told by the one that reads them, which must not be held up. */
+    /** Creates a gRPC transport on the caller's event loops, which also run the callbacks: these must not block. */
     static FrontEndTransport grpc(WebhookKey key, EventLoopGroup loops) {
         return new GrpcTransport(key, address -> GrpcTransport.channel(address, loops));
     }
--- a/client/src/main/java/gradereach/client/GradereachClient.java
+++ b/client/src/main/java/gradereach/client/GradereachClient.java
@@ -20,42 +20,44 @@
 import java.util.function.Consumer;
 
 /**
- * Asks front ends for inferences, by webhook or by gRPC. An inference keeps one id through all its repeats, so that front
- * ends know it again; it is asked again only where that is harmless, after the pause that was asked for, within its
- * deadline, which its future never outlives. One thread owns the state; all methods may be called from any.
+ * Sends inferences to front ends, by webhook or by gRPC. An inference keeps one id over all its attempts, so that front ends
+ * recognize a repeat. It is retried only where that is safe, after the requested delay and within its deadline; its future
+ * completes at the deadline at the latest. One thread owns the state; all methods may be called from any thread.
  */
 public final class GradereachClient implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What an inference may do twice. */
+    /** How often the effect of an inference may take place. */
     public enum Effect {
-        /** Anything, any number of times. */
+        /** The inference has no side effect; it may run any number of times. */
         NONE,
-        /** Once, and the front ends remember ids over restarts (they have ledgers): a lost try may be asked again. */
+        /** At most once; the front ends have ledgers and so keep ids over restarts: a lost attempt may be repeated. */
         ONCE_REMEMBERED,
-        /** Once, and nobody remembers: a lost try stays unknown. */
+        /** At most once, and ids do not survive a restart: a lost attempt is not repeated. */
         ONCE
     }
 
-    /** Inferences of one client at once: as many as a front end holds by default; more wait nowhere, they are refused. */
+    /** Open inferences of one client: as many as a front end holds by default. Further ones are rejected, not queued. */
     private static final int MAX_OPEN_INFERENCES = 20_000;
 
-    /** An inference that was not returned: its last end, and whether its effect is known not to have happened. */
+    /** An inference without an answer: the outcome of its last attempt, which shows whether it may have taken effect. */
     public static final class NotReturned extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient AttemptOutcome lastOutcome;
         private final int attempts;
 
-        NotReturned(AttemptOutcome end, int tries) {
-            super(end.kind() + ": " + end.detail());
-            this.lastOutcome = end;
-            this.attempts = tries;
+        NotReturned(AttemptOutcome lastOutcome, int attempts) {
+            super(lastOutcome.kind() + ": " + lastOutcome.detail());
+            this.lastOutcome = lastOutcome;
+            this.attempts = attempts;
         }
 
+        /** The outcome of the last attempt that tells most about the inference. */
         public AttemptOutcome lastOutcome() {
             return lastOutcome;
         }
 
+        /** Attempts made, the first included. */
         public int attempts() {
             return attempts;
         }
@@ -67,53 +69,59 @@
     private final Random random;
     private final AtomicInteger openInferences = new AtomicInteger();
     private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(work -> {
-        Thread made = new Thread(work, "gradereach-client");
-        made.setDaemon(true);
-        return made;
+        Thread thread = new Thread(work, "gradereach-client");
+        thread.setDaemon(true);
+        return thread;
     });
 
-    private GradereachClient(FrontEndTransport way, List<String> fronts, Random chance) {
-        this.transport = way;
-        this.random = chance;
-        this.frontEnds = new FrontEndSelector(fronts, chance);
+    private GradereachClient(FrontEndTransport transport, List<String> addresses, Random random) {
+        this.transport = transport;
+        this.random = random;
+        this.frontEnds = new FrontEndSelector(addresses, random);
     }
 
-    /** By signed webhooks; front ends as {@code host:port}. */
-    public static GradereachClient webhooks(WebhookKey key, List<String> fronts) {
-        return new GradereachClient(new WebhookTransport(key), fronts, new Random());
+    /** Creates a client that sends signed webhooks; addresses as {@code host:port}. */
+    public static GradereachClient webhooks(WebhookKey key, List<String> addresses) {
+        return new GradereachClient(new WebhookTransport(key), addresses, new Random());
     }
 
-    /** By gRPC; front ends as {@code host:port} of their gRPC listeners. */
-    public static GradereachClient grpc(WebhookKey key, List<String> fronts) {
-        return new GradereachClient(FrontEndTransport.grpc(key), fronts, new Random());
+    /** Creates a client that calls by gRPC; addresses are {@code host:port} of gRPC listeners. */
+    public static GradereachClient grpc(WebhookKey key, List<String> addresses) {
+        return new GradereachClient(FrontEndTransport.grpc(key), addresses, new Random());
     }
 
-    /** @param input an inference request object of the protocol; the future holds the response object */
-    public CompletableFuture<JsonNode> infer(String model, JsonNode input, Effect effect, Duration within) {
+    /**
+     * Sends an inference request of the Open Inference Protocol in JSON; the future holds the response object.
+     *
+     * @param input the request object
+     * @param timeout after which the future fails
+     */
+    public CompletableFuture<JsonNode> infer(String model, JsonNode input, Effect effect, Duration timeout) {
         ObjectNode message = JSON.createObjectNode().put("type", "inference.requested").put("timestamp", Instant.now().toString());
-        message.putObject("data").put("model", model).put("budget_ms", within.toMillis()).set("input", input);
+        message.putObject("data").put("model", model).put("budget_ms", timeout.toMillis()).set("input", input);
         byte[] body = message.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        return submit(new Inference(newId(), model, body), effect, within).thenApply(answer -> (JsonNode) answer);
+        return submit(new Inference(newId(), model, body), effect, timeout).thenApply(answer -> (JsonNode) answer);
     }
 
-    public CompletableFuture<ModelInferResponse> infer(ModelInferRequest request, Effect effect, Duration within) {
-        return submit(new Inference(newId(), request.getModelName(), request), effect, within)
+    /** Sends a request by gRPC; the future holds the response. */
+    public CompletableFuture<ModelInferResponse> infer(ModelInferRequest request, Effect effect, Duration timeout) {
+        return submit(new Inference(newId(), request.getModelName(), request), effect, timeout)
                 .thenApply(answer -> (ModelInferResponse) answer);
     }
 
     /**
-     * An answer in parts, each given to {@code parts} in order while the next waits. It is asked again only as long as no
-     * part has come; the future holds how many came.
+     * Sends a request for a streamed answer. {@code parts} is called with each part in order; the next part is read after it
+     * returns. Retried only until the first part has arrived; the future holds the number of parts.
      */
-    public CompletableFuture<Long> stream(ModelInferRequest request, Effect effect, Duration within,
+    public CompletableFuture<Long> stream(ModelInferRequest request, Effect effect, Duration timeout,
             Consumer<ModelInferResponse> parts) {
         AtomicLong count = new AtomicLong();
         Consumer<Object> counted = part -> {
             count.incrementAndGet();
             parts.accept((ModelInferResponse) part);
         };
-        return submit(new Inference(newId(), request.getModelName(), request), effect, within, counted, count)
-                .thenApply(end -> count.get());
+        return submit(new Inference(newId(), request.getModelName(), request), effect, timeout, counted, count)
+                .thenApply(last -> count.get());
     }
 
     private static String newId() {
@@ -124,31 +132,35 @@
         return System.nanoTime() / 1e6;
     }
 
-    private CompletableFuture<Object> submit(Inference inference, Effect effect, Duration within) {
-        return submit(inference, effect, within, null, new AtomicLong());
+    private CompletableFuture<Object> submit(Inference inference, Effect effect, Duration timeout) {
+        return submit(inference, effect, timeout, null, new AtomicLong());
     }
 
-    /** @param parts null for a whole answer; {@code begun} is above 0 once one has come */
-    private CompletableFuture<Object> submit(Inference inference, Effect effect, Duration within, Consumer<Object> parts,
-            AtomicLong begun) {
+    /**
+     * @param parts receives the parts of a streamed answer, null for a unary call
+     * @param partsReceived number of parts that have arrived
+     */
+    private CompletableFuture<Object> submit(Inference inference, Effect effect, Duration timeout, Consumer<Object> parts,
+            AtomicLong partsReceived) {
         CompletableFuture<Object> answer = new CompletableFuture<>();
         if (openInferences.incrementAndGet() > MAX_OPEN_INFERENCES) {
             openInferences.decrementAndGet();
-            answer.completeExceptionally(new NotReturned(AttemptOutcome.notReturned(AttemptOutcome.Kind.NEVER_SENT, MAX_OPEN_INFERENCES + " inferences are open"), 0));
+            answer.completeExceptionally(new NotReturned(AttemptOutcome.notReturned(AttemptOutcome.Kind.NEVER_SENT,
+                    MAX_OPEN_INFERENCES + " inferences are open"), 0));
             return answer;
         }
         answer.whenComplete((returned, failure) -> openInferences.decrementAndGet());
-        double deadline = now() + within.toNanos() / 1e6;
+        double deadline = now() + timeout.toNanos() / 1e6;
         scheduler.execute(() -> {
-            PendingInference asked = new PendingInference(inference, deadline, new RetryPolicy(effect, deadline, random, retryBudget), answer,
-                    parts, begun);
-            scheduler.schedule(asked::onDeadline, within.toNanos(), TimeUnit.NANOSECONDS);
-            asked.send();
+            PendingInference pending = new PendingInference(inference, deadline,
+                    new RetryPolicy(effect, deadline, random, retryBudget), answer, parts, partsReceived);
+            scheduler.schedule(pending::onDeadline, timeout.toNanos(), TimeUnit.NANOSECONDS);
+            pending.send();
         });
         return answer;
     }
 
-    /** One inference over its tries. Of the client's thread. */
+    /** One inference over all its attempts. Only the client's thread uses it. */
     private final class PendingInference {
         private final Inference inference;
         private final double deadline;
@@ -157,17 +169,18 @@
         private final Consumer<Object> parts;
         private final AtomicLong partsReceived;
         private int attempts;
-        private AttemptOutcome lastOutcome = AttemptOutcome.notReturned(AttemptOutcome.Kind.NEVER_SENT, "no front end could be reached");
+        private AttemptOutcome lastOutcome = AttemptOutcome.notReturned(AttemptOutcome.Kind.NEVER_SENT,
+                "no front end could be reached");
         private FrontEndTransport.Attempt currentAttempt;
         private FrontEndSelector.Target currentFrontEnd;
 
-        PendingInference(Inference inference, double deadline, RetryPolicy repeats, CompletableFuture<Object> answer, Consumer<Object> parts,
-                AtomicLong begun) {
+        PendingInference(Inference inference, double deadline, RetryPolicy retryPolicy, CompletableFuture<Object> answer,
+                Consumer<Object> parts, AtomicLong partsReceived) {
             this.parts = parts;
-            this.partsReceived = begun;
+            this.partsReceived = partsReceived;
             this.inference = inference;
             this.deadline = deadline;
-            this.retryPolicy = repeats;
+            this.retryPolicy = retryPolicy;
             this.answer = answer;
         }
 
@@ -175,16 +188,16 @@
             if (answer.isDone()) {
                 return;
             }
-            FrontEndSelector.Target front = frontEnds.next(now());
-            if (front == null) {
+            FrontEndSelector.Target target = frontEnds.next(now());
+            if (target == null) {
                 scheduleAttempt(frontEnds.nextAvailableAt());
                 return;
             }
-            currentFrontEnd = front;
-            int number = ++attempts;
-            Consumer<AttemptOutcome> then = end -> scheduler.execute(() -> onAttemptEnded(number, front, end));
-            currentAttempt = parts == null ? transport.send(front.address, inference, deadline - now(), then)
-                    : transport.stream(front.address, inference, deadline - now(), parts, then);
+            currentFrontEnd = target;
+            int attemptNumber = ++attempts;
+            Consumer<AttemptOutcome> onOutcome = outcome -> scheduler.execute(() -> onAttemptEnded(attemptNumber, target, outcome));
+            currentAttempt = parts == null ? transport.send(target.address, inference, deadline - now(), onOutcome)
+                    : transport.stream(target.address, inference, deadline - now(), parts, onOutcome);
         }
 
         private void scheduleAttempt(double at) {
@@ -195,35 +208,36 @@
             }
         }
 
-        private void onAttemptEnded(int number, FrontEndSelector.Target front, AttemptOutcome end) {
-            if (end.frontEndDraining()) {
-                frontEnds.markUnavailable(front, now());
-            } else if (end.kind() != AttemptOutcome.Kind.LOST) {
-                frontEnds.markReachable(front);
+        private void onAttemptEnded(int attemptNumber, FrontEndSelector.Target target, AttemptOutcome outcome) {
+            if (outcome.frontEndDraining()) {
+                frontEnds.markUnavailable(target, now());
+            } else if (outcome.kind() != AttemptOutcome.Kind.LOST) {
+                frontEnds.markReachable(target);
             }
-            if (answer.isDone() || number != attempts) {
+            if (answer.isDone() || attemptNumber != attempts) {
                 return;
             }
             currentAttempt = null;
-            // What may have run before cannot be un-known by a later try that never left.
-            lastOutcome = lastOutcome.kind() == AttemptOutcome.Kind.LOST && end.kind() == AttemptOutcome.Kind.NEVER_SENT ? lastOutcome : end;
-            if (end.kind() == AttemptOutcome.Kind.RETURNED) {
-                answer.complete(end.answer());
+            // An earlier attempt that may have run still counts when a later one was never sent.
+            lastOutcome = lastOutcome.kind() == AttemptOutcome.Kind.LOST && outcome.kind() == AttemptOutcome.Kind.NEVER_SENT
+                    ? lastOutcome : outcome;
+            if (outcome.kind() == AttemptOutcome.Kind.RETURNED) {
+                answer.complete(outcome.answer());
                 return;
             }
-            // What has been read of a first answer cannot be unread.
-            double again = partsReceived.get() > 0 ? Double.NaN : retryPolicy.nextAttemptAt(end, now());
-            if (Double.isNaN(again)) {
+            // Parts that the caller has received cannot be taken back.
+            double retryAt = partsReceived.get() > 0 ? Double.NaN : retryPolicy.nextAttemptAt(outcome, now());
+            if (Double.isNaN(retryAt)) {
                 fail();
             } else {
-                scheduleAttempt(again);
+                scheduleAttempt(retryAt);
             }
         }
 
         private void onDeadline() {
             if (currentAttempt != null) {
                 currentAttempt.cancel();
-                // A front end that is there answers in time, if only that it cannot: others are asked first from now on.
+                // A reachable front end answers in time, at least with an error: prefer the others from now on.
                 frontEnds.markUnavailable(currentFrontEnd, now());
                 lastOutcome = AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "no answer within its time");
             }
--- a/client/src/main/java/gradereach/client/GrpcTransport.java
+++ b/client/src/main/java/gradereach/client/GrpcTransport.java
@@ -25,8 +25,8 @@
 import java.util.function.Function;
 
 /**
- * Unary calls of the Open Inference Protocol's gRPC service, signed in metadata, and streamed calls of one inference, signed in
- * the message; the library repeats nothing itself but what a server proves not to have processed.
+ * Calls the Open Inference Protocol's gRPC service: unary calls are signed in metadata, streaming calls of one inference in the
+ * message. gRPC itself retries only calls that a server proves not to have processed (transparent retries).
  */
 final class GrpcTransport implements FrontEndTransport {
     private static final String UNARY_METHOD = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
@@ -41,17 +41,17 @@
     private final WebhookKey signer;
     private final Function<String, ManagedChannel> channelFactory;
 
-    /** @param connects makes the channel to an address */
-    GrpcTransport(WebhookKey signer, Function<String, ManagedChannel> connects) {
+    /** @param channelFactory creates the channel to an address */
+    GrpcTransport(WebhookKey signer, Function<String, ManagedChannel> channelFactory) {
         this.signer = signer;
-        this.channelFactory = connects;
+        this.channelFactory = channelFactory;
     }
 
     private static Metadata.Key<String> key(String name) {
         return Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER);
     }
 
-    /** Without a policy the library repeats a call by itself only where the server proves not to have processed it. */
+    /** No retry policy is set, so gRPC repeats a call only where the server proves not to have processed it. */
     private static NettyChannelBuilder channelBuilder(String address) {
         return NettyChannelBuilder.forTarget(address).usePlaintext();
     }
@@ -65,19 +65,19 @@
     }
 
     @Override
-    public Attempt send(String address, Inference inference, double left, Consumer<AttemptOutcome> then) {
+    public Attempt send(String address, Inference inference, double remainingMillis, Consumer<AttemptOutcome> onOutcome) {
         ModelInferRequest request = (ModelInferRequest) inference.message();
-        long at = System.currentTimeMillis() / 1000;
+        long timestamp = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
         headers.put(key(CallSignature.ID), inference.id());
-        headers.put(key(CallSignature.TIMESTAMP), Long.toString(at));
-        headers.put(key(CallSignature.SIGNATURE), KeyRing.signatureHeader(List.of(signer), inference.id(), at,
+        headers.put(key(CallSignature.TIMESTAMP), Long.toString(timestamp));
+        headers.put(key(CallSignature.SIGNATURE), KeyRing.signatureHeader(List.of(signer), inference.id(), timestamp,
                 CallSignature.signedContent(UNARY_METHOD, CallSignature.digest(request))));
-        HeadersSentTracer head = new HeadersSentTracer();
+        HeadersSentTracer tracer = new HeadersSentTracer();
         ClientCall<ModelInferRequest, ModelInferResponse> call = channels.computeIfAbsent(address, channelFactory).newCall(
                 GRPCInferenceServiceGrpc.getModelInferMethod(),
-                CallOptions.DEFAULT.withStreamTracerFactory(head)
-                        .withDeadlineAfter((long) (left * 1000), TimeUnit.MICROSECONDS));
+                CallOptions.DEFAULT.withStreamTracerFactory(tracer)
+                        .withDeadlineAfter((long) (remainingMillis * 1000), TimeUnit.MICROSECONDS));
         call.start(new ClientCall.Listener<>() {
             private ModelInferResponse answer;
 
@@ -88,55 +88,59 @@
 
             @Override
             public void onClose(Status status, Metadata trailers) {
-                then.accept(status.isOk() && answer != null ? AttemptOutcome.returned(answer) : toOutcome(status, trailers, head.headersSent));
+                onOutcome.accept(status.isOk() && answer != null ? AttemptOutcome.returned(answer)
+                        : toOutcome(status, trailers, tracer.headersSent));
             }
         }, headers);
         call.request(2);
         call.sendMessage(request);
         call.halfClose();
-        return () -> call.cancel("its time is up", null);
+        return () -> call.cancel("the attempt was cancelled", null);
     }
 
     @Override
-    public Attempt stream(String address, Inference inference, double left, Consumer<Object> parts, Consumer<AttemptOutcome> then) {
-        ModelInferRequest bare = ((ModelInferRequest) inference.message()).toBuilder().setId(inference.id()).build();
-        long at = System.currentTimeMillis() / 1000;
-        ModelInferRequest signed = bare.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(at)))
-                .putParameters(CallSignature.SIGNATURE, stringParameter(KeyRing.signatureHeader(List.of(signer), inference.id(), at,
-                        CallSignature.signedContent(STREAMING_METHOD, CallSignature.digest(bare))))).build();
-        HeadersSentTracer head = new HeadersSentTracer();
+    public Attempt stream(String address, Inference inference, double remainingMillis, Consumer<Object> parts,
+            Consumer<AttemptOutcome> onOutcome) {
+        ModelInferRequest unsigned = ((ModelInferRequest) inference.message()).toBuilder().setId(inference.id()).build();
+        long timestamp = System.currentTimeMillis() / 1000;
+        ModelInferRequest signed = unsigned.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(timestamp)))
+                .putParameters(CallSignature.SIGNATURE, stringParameter(KeyRing.signatureHeader(List.of(signer), inference.id(), timestamp,
+                        CallSignature.signedContent(STREAMING_METHOD, CallSignature.digest(unsigned))))).build();
+        HeadersSentTracer tracer = new HeadersSentTracer();
         ClientCall<ModelInferRequest, ModelStreamInferResponse> call = channels.computeIfAbsent(address, channelFactory).newCall(
                 GRPCInferenceServiceGrpc.getModelStreamInferMethod(),
-                CallOptions.DEFAULT.withStreamTracerFactory(head)
-                        .withDeadlineAfter((long) (left * 1000), TimeUnit.MICROSECONDS));
+                CallOptions.DEFAULT.withStreamTracerFactory(tracer)
+                        .withDeadlineAfter((long) (remainingMillis * 1000), TimeUnit.MICROSECONDS));
         call.start(new ClientCall.Listener<>() {
-            private AttemptOutcome end;
+            private AttemptOutcome outcome;
 
             @Override
             public void onMessage(ModelStreamInferResponse message) {
-                ModelInferResponse told = message.getInferResponse();
+                ModelInferResponse response = message.getInferResponse();
                 if (!message.getErrorMessage().isEmpty()) {
-                    end = toOutcome(parameter(told, "grpc-status"), message.getErrorMessage(), name -> parameter(told, name.name()), true);
-                } else if (told.containsParameters(FINAL_PARAMETER)) {
-                    end = AttemptOutcome.returned(told);
+                    outcome = toOutcome(parameter(response, "grpc-status"), message.getErrorMessage(),
+                            name -> parameter(response, name.name()), true);
+                } else if (response.containsParameters(FINAL_PARAMETER)) {
+                    outcome = AttemptOutcome.returned(response);
                 } else {
-                    parts.accept(told);
-                    // One that came whole is its own end.
-                    end = told.containsParameters(PART_PARAMETER) ? end : AttemptOutcome.returned(told);
+                    parts.accept(response);
+                    // A message that is not a part is the whole answer.
+                    outcome = response.containsParameters(PART_PARAMETER) ? outcome : AttemptOutcome.returned(response);
                 }
-                call.request(1); // the next when this one has been dealt with: a slow client slows its own stream
+                call.request(1); // flow control: the next part is read once this one has been processed
             }
 
             @Override
             public void onClose(Status status, Metadata trailers) {
-                then.accept(end != null ? end : status.isOk() ? AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "the stream ended without an end")
-                        : toOutcome(status, trailers, head.headersSent));
+                onOutcome.accept(outcome != null ? outcome : status.isOk()
+                        ? AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "the stream closed without a final message")
+                        : toOutcome(status, trailers, tracer.headersSent));
             }
         }, new Metadata());
         call.request(1);
         call.sendMessage(signed);
         call.halfClose();
-        return () -> call.cancel("its time is up", null);
+        return () -> call.cancel("the attempt was cancelled", null);
     }
 
     private static InferParameter stringParameter(String value) {
@@ -156,7 +160,7 @@
 
         @Override
         public ClientStreamTracer newClientStreamTracer(ClientStreamTracer.StreamInfo info, Metadata headers) {
-            headersSent = false; // whatever was written before is proven not to have been processed
+            headersSent = false; // a transparent retry: the previous stream was proven not to have been processed
             return new ClientStreamTracer() {
                 @Override
                 public void outboundHeaders() {
@@ -166,27 +170,31 @@
         }
     }
 
-    /** Statuses without our trailers come from the library or from something between: what is no proof is none. */
-    private static AttemptOutcome toOutcome(Status status, Metadata trailers, boolean leftUs) {
-        Metadata told = trailers == null ? new Metadata() : trailers;
-        return toOutcome(status.getCode().name(), status.getDescription(), told::get, leftUs);
+    /** A status without the trailers of a front end comes from gRPC or from a proxy and proves nothing about the inference. */
+    private static AttemptOutcome toOutcome(Status status, Metadata trailers, boolean headersSent) {
+        Metadata trailersOrEmpty = trailers == null ? new Metadata() : trailers;
+        return toOutcome(status.getCode().name(), status.getDescription(), trailersOrEmpty::get, headersSent);
     }
 
-    /** @param told what the front end says beside the status, null for what it does not */
-    private static AttemptOutcome toOutcome(String code, String sentence, Function<Metadata.Key<String>, String> told, boolean leftUs) {
-        String why = code + " " + sentence;
-        String outcome = told.apply(OUTCOME);
+    /**
+     * @param details returns the front end's metadata beside the status, null for a key that is absent
+     * @param headersSent whether the call's headers were written, so that the front end may have run it
+     */
+    private static AttemptOutcome toOutcome(String code, String description, Function<Metadata.Key<String>, String> details,
+            boolean headersSent) {
+        String detail = code + " " + description;
+        String outcome = details.apply(OUTCOME);
         if (outcome != null) {
             AttemptOutcome.Kind kind = outcome.equals("shed") ? AttemptOutcome.Kind.SHED : AttemptOutcome.Kind.FAILED;
-            String pause = told.apply(PUSHBACK);
-            return new AttemptOutcome(kind, pause != null && pause.matches("\\d{1,8}") ? Long.parseLong(pause) : 0,
-                    Boolean.parseBoolean(told.apply(REPEAT_HARMLESS)),
-                    kind == AttemptOutcome.Kind.SHED && Boolean.parseBoolean(told.apply(STOPPING)), null, why);
+            String pushback = details.apply(PUSHBACK);
+            return new AttemptOutcome(kind, pushback != null && pushback.matches("\\d{1,8}") ? Long.parseLong(pushback) : 0,
+                    Boolean.parseBoolean(details.apply(REPEAT_HARMLESS)),
+                    kind == AttemptOutcome.Kind.SHED && Boolean.parseBoolean(details.apply(STOPPING)), null, detail);
         }
         return switch (String.valueOf(code)) {
             case "INVALID_ARGUMENT", "UNAUTHENTICATED", "NOT_FOUND", "ALREADY_EXISTS", "RESOURCE_EXHAUSTED", "UNIMPLEMENTED" ->
-                AttemptOutcome.notReturned(AttemptOutcome.Kind.REFUSED, why);
-            default -> AttemptOutcome.notReturned(leftUs ? AttemptOutcome.Kind.LOST : AttemptOutcome.Kind.NEVER_SENT, why);
+                AttemptOutcome.notReturned(AttemptOutcome.Kind.REFUSED, detail);
+            default -> AttemptOutcome.notReturned(headersSent ? AttemptOutcome.Kind.LOST : AttemptOutcome.Kind.NEVER_SENT, detail);
         };
     }
 
--- a/client/src/main/java/gradereach/client/Inference.java
+++ b/client/src/main/java/gradereach/client/Inference.java
@@ -1,9 +1,9 @@
 package gradereach.client;
 
 /**
- * What is asked, the same over all its repeats.
+ * A request, unchanged over all its attempts.
  *
- * @param id the webhook-id; the same id is the same inference
- * @param message a {@code ModelInferRequest} for gRPC, the signed body's bytes for webhooks
+ * @param id the webhook-id; a repeat has the same id
+ * @param message a {@code ModelInferRequest} for gRPC, the bytes of the signed body for webhooks
  */
 public record Inference(String id, String model, Object message) { }
--- a/client/src/main/java/gradereach/client/RetryBudget.java
+++ b/client/src/main/java/gradereach/client/RetryBudget.java
@@ -1,12 +1,12 @@
 package gradereach.client;
 
 /**
- * What a client may spend on repeats over all its inferences: a tenth of its first tries, and a handful to begin with.
- * When everything fails, clients that repeat without such a bound are themselves the next flood.
+ * Token bucket that bounds the retries of all inferences of a client: each first attempt adds a tenth of a token, a retry takes
+ * one. It keeps retries from adding to an overload when most attempts fail.
  */
 final class RetryBudget {
-    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.1; // retries at most 10% over time: what a fleet near its bound can bear
-    private static final double MAX_TOKENS = 10; // a short fault may be ridden out by every inference that is open then
+    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.1; // retries add at most 10% load over time
+    private static final double MAX_TOKENS = 10; // retries available at the start and after a quiet time
     private double tokens = MAX_TOKENS;
     private long rejected;
 
@@ -14,6 +14,7 @@
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_FIRST_ATTEMPT);
     }
 
+    /** Takes a token for a retry; false if there is none. */
     boolean tryAcquire() {
         if (tokens < 1) {
             rejected++;
@@ -23,6 +24,7 @@
         return true;
     }
 
+    /** Retries that found no token. */
     long rejected() {
         return rejected;
     }
--- a/client/src/main/java/gradereach/client/RetryPolicy.java
+++ b/client/src/main/java/gradereach/client/RetryPolicy.java
@@ -4,14 +4,14 @@
 import java.util.Random;
 
 /**
- * Whether and when an inference is asked again, under the same id: state and decisions, no I/O. It is asked again only
- * where that is harmless, within its deadline, not before the pause that a front end asked for which stays, and within the
- * client's {@link Purse}.
+ * Decides whether and when an inference is retried under the same id; no I/O. It is retried only where that is safe, before
+ * its deadline, not before the delay that a front end requested (unless that front end is draining), and within the client's
+ * {@link RetryBudget}.
  */
 final class RetryPolicy {
-    private static final double INITIAL_BACKOFF_MILLIS = 50; // a front end's own second choice takes some ten milliseconds
-    private static final double MAX_BACKOFF_MILLIS = 5_000; // longer than most deadlines: only patient ones ever wait so long
-    /** A try with less time than this is not worth a front end's work. */
+    private static final double INITIAL_BACKOFF_MILLIS = 50; // a front end's own second forward takes about 10 ms
+    private static final double MAX_BACKOFF_MILLIS = 5_000; // longer than most deadlines
+    /** An attempt with less time than this is not sent: it would only cost the front end work. */
     private static final double MIN_ATTEMPT_MILLIS = 20;
 
     private final Effect effect;
@@ -20,36 +20,37 @@
     private final RetryBudget retryBudget;
     private int retries;
 
-    /** @param deadline in the time of {@link #after} */
-    RetryPolicy(Effect effect, double deadline, Random chance, RetryBudget purse) {
+    /** @param deadline on the clock of {@link #nextAttemptAt} */
+    RetryPolicy(Effect effect, double deadline, Random random, RetryBudget retryBudget) {
         this.effect = effect;
         this.deadline = deadline;
-        this.random = chance;
-        this.retryBudget = purse;
-        purse.recordFirstAttempt();
+        this.random = random;
+        this.retryBudget = retryBudget;
+        retryBudget.recordFirstAttempt();
     }
 
-    /** When it is asked again, NaN where its end is final. */
-    double nextAttemptAt(AttemptOutcome end, double now) {
-        boolean harmless = switch (end.kind()) {
+    /** When the next attempt may start, NaN if the outcome is final. */
+    double nextAttemptAt(AttemptOutcome outcome, double now) {
+        boolean safe = switch (outcome.kind()) {
             case RETURNED, REFUSED -> false;
             case SHED, NEVER_SENT -> true;
-            case FAILED -> end.retrySafe();
+            case FAILED -> outcome.retrySafe();
             case LOST -> effect != Effect.ONCE;
         };
-        if (!harmless) {
+        if (!safe) {
             return Double.NaN;
         }
-        // Full jitter: waits of clients that failed together spread over the whole of it.
-        double wait = random.nextDouble() * Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(20, retries++)));
-        if (!end.frontEndDraining()) {
-            // What all were asked to wait is stretched, or all would come back together.
-            wait += end.retryAfterMillis() * (1 + random.nextDouble() / 4);
-        } // else it was asked for by a front end that is not asked again
-        if (now + wait + MIN_ATTEMPT_MILLIS > deadline) {
+        // Full jitter spreads the retries of clients that failed together.
+        double delay = random.nextDouble()
+                * Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(20, retries++)));
+        if (!outcome.frontEndDraining()) {
+            // Up to a quarter more: all clients were given the same delay and would return together.
+            delay += outcome.retryAfterMillis() * (1 + random.nextDouble() / 4);
+        } // a draining front end is not used again, so its delay does not apply
+        if (now + delay + MIN_ATTEMPT_MILLIS > deadline) {
             return Double.NaN;
         }
-        // A try that never left, or met a front end that is stopping, cost nobody any work.
-        return end.frontEndDraining() || retryBudget.tryAcquire() ? now + wait : Double.NaN;
+        // An attempt that was not sent, or that a draining front end shed, cost no work and no token.
+        return outcome.frontEndDraining() || retryBudget.tryAcquire() ? now + delay : Double.NaN;
     }
 }
--- a/client/src/main/java/gradereach/client/WebhookTransport.java
+++ b/client/src/main/java/gradereach/client/WebhookTransport.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.Consumer;
 
-/** Signed webhooks over HTTP/1.1 (Standard Webhooks). */
+/** Sends inferences as signed webhooks over HTTP/1.1 (Standard Webhooks). */
 final class WebhookTransport implements FrontEndTransport {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
@@ -29,23 +29,23 @@
     }
 
     @Override
-    public Attempt send(String address, Inference inference, double left, Consumer<AttemptOutcome> then) {
+    public Attempt send(String address, Inference inference, double remainingMillis, Consumer<AttemptOutcome> onOutcome) {
         byte[] body = (byte[]) inference.message();
-        long at = System.currentTimeMillis() / 1000;
+        long timestamp = System.currentTimeMillis() / 1000;
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + "/v1/inferences"))
                 .header("content-type", "application/json").header("webhook-id", inference.id())
-                .header("webhook-timestamp", Long.toString(at))
-                .header("webhook-signature", KeyRing.signatureHeader(List.of(key), inference.id(), at, body))
+                .header("webhook-timestamp", Long.toString(timestamp))
+                .header("webhook-signature", KeyRing.signatureHeader(List.of(key), inference.id(), timestamp, body))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build();
         CompletableFuture<HttpResponse<byte[]>> sent = client.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray());
-        sent.whenComplete((answer, failure) -> then.accept(answer != null ? toOutcome(answer) : toOutcome(failure)));
+        sent.whenComplete((answer, failure) -> onOutcome.accept(answer != null ? toOutcome(answer) : toOutcome(failure)));
         return () -> sent.cancel(true);
     }
 
     private static AttemptOutcome toOutcome(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        boolean never = cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
-        return AttemptOutcome.notReturned(never ? AttemptOutcome.Kind.NEVER_SENT : AttemptOutcome.Kind.LOST, String.valueOf(cause));
+        boolean notSent = cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
+        return AttemptOutcome.notReturned(notSent ? AttemptOutcome.Kind.NEVER_SENT : AttemptOutcome.Kind.LOST, String.valueOf(cause));
     }
 
     private static AttemptOutcome toOutcome(HttpResponse<byte[]> answer) {
@@ -60,10 +60,11 @@
                 default -> AttemptOutcome.Kind.REFUSED;
             };
             return new AttemptOutcome(kind, body.path("retry_after_ms").asDouble(0), body.path("repeat_harmless").asBoolean(),
-                    kind == AttemptOutcome.Kind.SHED && answer.headers().firstValue("connection").orElse("").equalsIgnoreCase("close"), null,
-                    answer.statusCode() + " " + body.path("detail").asText());
+                    kind == AttemptOutcome.Kind.SHED
+                            && answer.headers().firstValue("connection").orElse("").equalsIgnoreCase("close"),
+                    null, answer.statusCode() + " " + body.path("detail").asText());
         } catch (IOException e) {
-            return AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "HTTP " + answer.statusCode() + " without a proper body");
+            return AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "HTTP " + answer.statusCode() + " with an invalid body");
         }
     }
 
