--- a/signing/src/main/java/gradereach/webhook/CallSignature.java
+++ b/signing/src/main/java/gradereach/webhook/CallSignature.java
@@ -10,20 +10,20 @@
 import java.util.HexFormat;
 
 /**
- * What a customer signs of a gRPC inference, by the same keys and the same scheme as a webhook: {@code id.timestamp.}
- * and then the method's full name, a line feed, and the SHA-256 in hexadecimal of the message. The message is taken
- * without its {@code webhook-} parameters and with its maps in the order of their keys, so that the signature can travel
- * in it (streams) as well as beside it (metadata).
+ * The content that a customer signs for a gRPC inference, with the same keys and scheme as for a webhook: {@code id.timestamp.}
+ * followed by the method's full name, a line feed, and the SHA-256 of the message in hexadecimal. The message is serialized
+ * without its {@code webhook-} parameters and with its maps sorted by key, so that the signature can be carried in the message
+ * (streams) as well as in the metadata (unary calls).
  */
 public final class CallSignature {
-    /** Names of metadata of a unary call, and of parameters of a message in a stream. */
+    /** Keys of the metadata of a unary call and of the parameters of a message in a stream. */
     public static final String ID = "webhook-id";
     public static final String TIMESTAMP = "webhook-timestamp";
     public static final String SIGNATURE = "webhook-signature";
 
     private CallSignature() { }
 
-    /** The message as it is signed and goes on: nothing of the signature in it. */
+    /** The message without the parameters of the signature, as it is signed and passed on. */
     public static ModelInferRequest withoutSignature(ModelInferRequest request) {
         if (!request.containsParameters(ID) && !request.containsParameters(TIMESTAMP)
                 && !request.containsParameters(SIGNATURE)) {
@@ -32,13 +32,13 @@
         return request.toBuilder().removeParameters(ID).removeParameters(TIMESTAMP).removeParameters(SIGNATURE).build();
     }
 
-    /** SHA-256 of a bare message. */
-    public static byte[] digest(ModelInferRequest bare) {
-        byte[] bytes = new byte[bare.getSerializedSize()];
+    /** The SHA-256 of a message without its signature. */
+    public static byte[] digest(ModelInferRequest unsigned) {
+        byte[] bytes = new byte[unsigned.getSerializedSize()];
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
         out.useDeterministicSerialization();
         try {
-            bare.writeTo(out);
+            unsigned.writeTo(out);
             return MessageDigest.getInstance("SHA-256").digest(bytes);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** What is signed in the place of a webhook's body; {@code method} as in {@code inference.Service/Method}. */
+    /** The content that is signed in place of a webhook's body; {@code method} as in {@code inference.Service/Method}. */
     public static byte[] signedContent(String method, byte[] digest) {
         return (method + '\n' + HexFormat.of().formatHex(digest)).getBytes(StandardCharsets.US_ASCII);
     }
--- a/signing/src/main/java/gradereach/webhook/KeyRing.java
+++ b/signing/src/main/java/gradereach/webhook/KeyRing.java
@@ -5,27 +5,27 @@
 import java.util.List;
 
 /**
- * All customers' live keys; says whose a message is. The specification names no key in a message, so keys are
- * tried in turn, those of the customer last seen on the same connection first: one check a message as a rule.
+ * The keys of all customers; verifies a message and finds the customer who signed it. Messages carry no key id, so the keys are
+ * tried in order, those of the customer last seen on the same connection first, which usually takes one verification.
  */
 public final class KeyRing {
-    /** Five minutes each way, as the specification advises. */
+    /** Tolerated clock difference in both directions, as the specification recommends. */
     public static final long TOLERANCE_SECONDS = 300;
-    /** For how long a message can be played again: its timestamp may lie ahead by the tolerance, and is good as long after. */
+    /** How long a message can be replayed: its timestamp may be ahead by the tolerance, and stays valid as long after it. */
     public static final double REPLAY_WINDOW_MILLIS = 2000d * TOLERANCE_SECONDS;
-    /** Longer ones are refused: an id is kept for as long as its message could be replayed. */
+    /** Longer ids are rejected: an id is stored for as long as its message can be replayed. */
     static final int MAX_ID_LENGTH = 128;
-    /** Several signatures in a header serve rotation; more than these only cost us work. */
+    /** Signatures of a header that are verified; several are needed for key rotation, more would only cost time. */
     private static final int MAX_SIGNATURES = 8;
 
-    /** Whose it is, or why it is nobody's; {@code customer} is -1 then. */
+    /** The index of the customer who signed the message, or -1 and the reason for the rejection. */
     public record VerificationResult(int customer, SignatureRejection rejection) { }
 
     private record ParsedSignature(boolean hmac, byte[] bytes) { }
 
     private final List<List<WebhookKey>> keysOf;
 
-    /** {@code keysOf} by customer index. */
+    /** @param keysOf keys by customer index */
     public KeyRing(List<List<WebhookKey>> keysOf) {
         this.keysOf = keysOf.stream().map(List::copyOf).toList();
     }
@@ -35,48 +35,48 @@
     }
 
     /**
-     * Judges one message by the Standard Webhooks specification.
+     * Verifies one message by the Standard Webhooks specification.
      *
-     * @param nowSeconds Unix time here
+     * @param nowSeconds the current Unix time
      * @param likely the customer to try first, -1 for none
      */
     public VerificationResult verify(String id, String timestamp, String signatures, byte[] body, long nowSeconds, int likely) {
         if (!isValidId(id)) {
             return rejected(SignatureRejection.NO_ID);
         }
-        long at = parseSeconds(timestamp);
-        if (at < 0) {
+        long timestampSeconds = parseSeconds(timestamp);
+        if (timestampSeconds < 0) {
             return rejected(SignatureRejection.NO_TIMESTAMP);
         }
-        if (at < nowSeconds - TOLERANCE_SECONDS) {
+        if (timestampSeconds < nowSeconds - TOLERANCE_SECONDS) {
             return rejected(SignatureRejection.TOO_OLD);
         }
-        if (at > nowSeconds + TOLERANCE_SECONDS) {
+        if (timestampSeconds > nowSeconds + TOLERANCE_SECONDS) {
             return rejected(SignatureRejection.TOO_NEW);
         }
-        List<ParsedSignature> given = parseSignatures(signatures);
-        if (given.isEmpty()) {
+        List<ParsedSignature> parsedSignatures = parseSignatures(signatures);
+        if (parsedSignatures.isEmpty()) {
             return rejected(SignatureRejection.NO_SIGNATURE);
         }
-        if (likely >= 0 && signedBy(likely, given, id, at, body, nowSeconds)) {
+        if (likely >= 0 && signedBy(likely, parsedSignatures, id, timestampSeconds, body, nowSeconds)) {
             return new VerificationResult(likely, null);
         }
         for (int customer = 0; customer < keysOf.size(); customer++) {
-            if (customer != likely && signedBy(customer, given, id, at, body, nowSeconds)) {
+            if (customer != likely && signedBy(customer, parsedSignatures, id, timestampSeconds, body, nowSeconds)) {
                 return new VerificationResult(customer, null);
             }
         }
         return rejected(SignatureRejection.NOT_SIGNED);
     }
 
-    private boolean signedBy(int customer, List<ParsedSignature> given, String id, long at, byte[] body, long now) {
+    private boolean signedBy(int customer, List<ParsedSignature> parsedSignatures, String id, long timestampSeconds, byte[] body, long now) {
         for (WebhookKey key : keysOf.get(customer)) {
             if (!key.isValidAt(now)) {
                 continue;
             }
             boolean hmac = key.scheme().equals("v1");
-            for (ParsedSignature one : given) {
-                if (one.hmac == hmac && key.verify(one.bytes, id, at, body)) {
+            for (ParsedSignature signature : parsedSignatures) {
+                if (signature.hmac == hmac && key.verify(signature.bytes, id, timestampSeconds, body)) {
                     return true;
                 }
             }
@@ -84,8 +84,8 @@
         return false;
     }
 
-    private static VerificationResult rejected(SignatureRejection why) {
-        return new VerificationResult(-1, why);
+    private static VerificationResult rejected(SignatureRejection reason) {
+        return new VerificationResult(-1, reason);
     }
 
     private static boolean isValidId(String id) {
@@ -103,26 +103,26 @@
     }
 
     private static List<ParsedSignature> parseSignatures(String header) {
-        List<ParsedSignature> given = new ArrayList<>(1);
+        List<ParsedSignature> parsedSignatures = new ArrayList<>(1);
         if (header == null) {
-            return given;
+            return parsedSignatures;
         }
-        for (String word : header.split(" ", MAX_SIGNATURES + 1)) {
-            int comma = word.indexOf(',');
-            String scheme = comma < 0 ? "" : word.substring(0, comma);
-            if (given.size() == MAX_SIGNATURES || !scheme.equals("v1") && !scheme.equals("v1a")) {
+        for (String entry : header.split(" ", MAX_SIGNATURES + 1)) {
+            int comma = entry.indexOf(',');
+            String scheme = comma < 0 ? "" : entry.substring(0, comma);
+            if (parsedSignatures.size() == MAX_SIGNATURES || !scheme.equals("v1") && !scheme.equals("v1a")) {
                 continue;
             }
             try {
-                given.add(new ParsedSignature(scheme.equals("v1"), Base64.getDecoder().decode(word.substring(comma + 1))));
+                parsedSignatures.add(new ParsedSignature(scheme.equals("v1"), Base64.getDecoder().decode(entry.substring(comma + 1))));
             } catch (IllegalArgumentException e) {
-                // One that is not base64 counts as none: another in the header may be good.
+                // Ignored: another signature in the header may be valid.
             }
         }
-        return given;
+        return parsedSignatures;
     }
 
-    /** The value of {@code webhook-signature}: one signature a live key that can sign, so that rotation has no gap. */
+    /** The value of {@code webhook-signature}: one signature for each valid key that can sign, so that a rotation has no gap. */
     public static String signatureHeader(List<WebhookKey> keys, String id, long timestamp, byte[] body) {
         StringBuilder value = new StringBuilder();
         for (WebhookKey key : keys) {
--- a/signing/src/main/java/gradereach/webhook/SignatureRejection.java
+++ b/signing/src/main/java/gradereach/webhook/SignatureRejection.java
@@ -1,6 +1,6 @@
 package gradereach.webhook;
 
-/** Why a message's signature was not taken; the word is for the client and tells nothing of keys. */
+/** Why a message was rejected; the detail is sent to the client and reveals nothing about keys. */
 public enum SignatureRejection {
     NO_ID("webhook-id is missing, too long or holds a character that is not printable"),
     NO_TIMESTAMP("webhook-timestamp is missing or no whole number of seconds"),
@@ -11,7 +11,7 @@
 
     public final String detail;
 
-    SignatureRejection(String word) {
-        this.detail = word;
+    SignatureRejection(String detail) {
+        this.detail = detail;
     }
 }
--- a/signing/src/main/java/gradereach/webhook/WebhookKey.java
+++ b/signing/src/main/java/gradereach/webhook/WebhookKey.java
@@ -10,9 +10,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * One key of the Standard Webhooks specification, sections "Signature scheme" and "Signing secrets":
+ * A key as in the Standard Webhooks specification, sections "Signature scheme" and "Signing secrets":
  * {@code whsec_} (HMAC-SHA256, 24 to 64 bytes, scheme {@code v1}), {@code whpk_} and {@code whsk_} (Ed25519,
- * scheme {@code v1a}). Immutable; safe for all threads.
+ * scheme {@code v1a}). Immutable and thread-safe.
  */
 public final class WebhookKey {
     private static final ThreadLocal<Mac> HMAC = ThreadLocal.withInitial(() -> {
@@ -29,45 +29,46 @@
     private final long validFrom;
     private final long validUntil;
 
-    private WebhookKey(SecretKeySpec secret, byte[] seed, byte[] publicHalf, long from, long until) {
+    private WebhookKey(SecretKeySpec secret, byte[] seed, byte[] publicKey, long validFrom, long validUntil) {
         this.secret = secret;
         this.seed = seed;
-        this.publicKey = publicHalf;
-        this.validFrom = from;
-        this.validUntil = until;
+        this.publicKey = publicKey;
+        this.validFrom = validFrom;
+        this.validUntil = validUntil;
     }
 
-    private WebhookKey(SecretKeySpec secret, byte[] seed, byte[] publicHalf) {
-        this(secret, seed, publicHalf, Long.MIN_VALUE, Long.MAX_VALUE);
+    private WebhookKey(SecretKeySpec secret, byte[] seed, byte[] publicKey) {
+        this(secret, seed, publicKey, Long.MIN_VALUE, Long.MAX_VALUE);
     }
 
-    /** The same key, good from one Unix second up to another: for rotation, where old and new overlap. */
+    /** This key with a validity period in Unix seconds, the end excluded; old and new keys overlap during a rotation. */
     public WebhookKey validBetween(long fromSecond, long untilSecond) {
         return new WebhookKey(secret, seed, publicKey, fromSecond, untilSecond);
     }
 
+    /** Whether the key is in its validity period. */
     public boolean isValidAt(long unixSecond) {
         return unixSecond >= validFrom && unixSecond < validUntil;
     }
 
     /**
-     * Reads a key with its prefix.
+     * Parses a key with its prefix.
      *
-     * @throws IllegalArgumentException says what is wrong and never quotes the key
+     * @throws IllegalArgumentException if it is invalid; the message never quotes the key
      */
     public static WebhookKey parse(String text) {
-        String word = text.strip();
-        int mark = word.indexOf('_');
-        String kind = mark < 0 ? "" : word.substring(0, mark);
-        require(kind.equals("whsec") || kind.equals("whpk") || kind.equals("whsk"),
+        String stripped = text.strip();
+        int separator = stripped.indexOf('_');
+        String prefix = separator < 0 ? "" : stripped.substring(0, separator);
+        require(prefix.equals("whsec") || prefix.equals("whpk") || prefix.equals("whsk"),
                 "key has none of the prefixes whsec_, whpk_, whsk_");
         byte[] raw;
         try {
-            raw = Base64.getDecoder().decode(word.substring(mark + 1));
+            raw = Base64.getDecoder().decode(stripped.substring(separator + 1));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("key is not base64 after its prefix");
         }
-        switch (kind) {
+        switch (prefix) {
             case "whsec" -> {
                 require(raw.length >= 24 && raw.length <= 64, "whsec_ key holds " + raw.length + " bytes, not 24 to 64");
                 return new WebhookKey(new SecretKeySpec(raw, "HmacSHA256"), null, null);
@@ -80,63 +81,64 @@
             default -> {
                 require(raw.length == 32 || raw.length == 64, "whsk_ key holds " + raw.length + " bytes, not 32 or 64");
                 byte[] seed = Arrays.copyOf(raw, 32);
-                byte[] half = Ed25519Keys.publicKey(seed);
-                require(raw.length == 32 || Arrays.equals(half, Arrays.copyOfRange(raw, 32, 64)),
+                byte[] publicKey = Ed25519Keys.publicKey(seed);
+                require(raw.length == 32 || Arrays.equals(publicKey, Arrays.copyOfRange(raw, 32, 64)),
                         "whsk_ key's second half is not the public part of its first");
-                return new WebhookKey(null, seed, half);
+                return new WebhookKey(null, seed, publicKey);
             }
         }
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 
-    /** A new {@code whsec_} key of 32 random bytes. */
-    public static String newSecret(SecureRandom chance) {
+    /** Generates a {@code whsec_} key of 32 random bytes. */
+    public static String newSecret(SecureRandom random) {
         byte[] raw = new byte[32];
-        chance.nextBytes(raw);
+        random.nextBytes(raw);
         return "whsec_" + Base64.getEncoder().encodeToString(raw);
     }
 
-    /** A new {@code whsk_} key: seed and public half. */
-    public static String newPrivate(SecureRandom chance) {
+    /** Generates a {@code whsk_} key: seed and public key. */
+    public static String newPrivate(SecureRandom random) {
         byte[] seed = new byte[32];
-        chance.nextBytes(seed);
+        random.nextBytes(seed);
         byte[] raw = Arrays.copyOf(seed, 64);
         System.arraycopy(Ed25519Keys.publicKey(seed), 0, raw, 32, 32);
         return "whsk_" + Base64.getEncoder().encodeToString(raw);
     }
 
-    /** The {@code whpk_} form of this key's public half; null for a shared secret, which has none. */
+    /** The public key in its {@code whpk_} form; null for a shared secret. */
     public String publicKeyText() {
         return publicKey == null ? null : "whpk_" + Base64.getEncoder().encodeToString(publicKey);
     }
 
-    /** A shared secret in its {@code whsec_} form, for handing it on; null for other keys. */
+    /** The shared secret in its {@code whsec_} form; null for other keys. */
     public String secretText() {
         return secret == null ? null : "whsec_" + Base64.getEncoder().encodeToString(secret.getEncoded());
     }
 
-    /** {@code v1} or {@code v1a}. */
+    /** The signature scheme, {@code v1} or {@code v1a}. */
     public String scheme() {
         return secret != null ? "v1" : "v1a";
     }
 
+    /** Whether the key can sign; a {@code whpk_} key can only verify. */
     public boolean canSign() {
         return secret != null || seed != null;
     }
 
-    /** The signature of {@code id.timestamp.body}, base64, without its scheme. */
+    /** The signature of {@code id.timestamp.body}, in base64, without the scheme. */
     public String sign(String id, long timestamp, byte[] body) {
         byte[] signature = secret != null ? hmac(id, timestamp, body)
                 : Ed25519Keys.sign(seed, publicKey, signedContent(id, timestamp, body));
         return Base64.getEncoder().encodeToString(signature);
     }
 
-    /** Whether {@code signature} (raw bytes) is this key's; in constant time where the key is secret. */
+    /** Verifies a signature (raw bytes) with this key; in constant time for a shared secret. */
     public boolean verify(byte[] signature, String id, long timestamp, byte[] body) {
         return secret != null ? MessageDigest.isEqual(hmac(id, timestamp, body), signature)
                 : Ed25519Keys.verify(signature, publicKey, signedContent(id, timestamp, body));
@@ -154,10 +156,10 @@
     }
 
     private static byte[] signedContent(String id, long timestamp, byte[] body) {
-        byte[] head = signedPrefix(id, timestamp);
-        byte[] whole = Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, whole, head.length, body.length);
-        return whole;
+        byte[] prefix = signedPrefix(id, timestamp);
+        byte[] content = Arrays.copyOf(prefix, prefix.length + body.length);
+        System.arraycopy(body, 0, content, prefix.length, body.length);
+        return content;
     }
 
     private static byte[] signedPrefix(String id, long timestamp) {
--- a/telemetry/src/main/java/gradereach/alerts/AlertRuleFile.java
+++ b/telemetry/src/main/java/gradereach/alerts/AlertRuleFile.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 
 /**
- * The Prometheus rules file that comes with the program: recording rules, then alerts over them (Prometheus, "Recording rules",
- * "Alerting rules"). Burn rates as in the SRE workbook, "Alerting on SLOs": a fast and a slow pair of windows.
+ * Generates the Prometheus rules file: recording rules, and alerts based on them (Prometheus, "Recording rules", "Alerting rules").
+ * Burn rates follow the SRE workbook, "Alerting on SLOs": a fast and a slow pair of windows.
  */
 public final class AlertRuleFile {
-    /** Where a model group names none: one in twenty may miss, as on the users' benches. */
+    /** Objective of a model group that sets none: one in twenty may miss the SLO, as in the users' benchmarks. */
     public static final double DEFAULT_OBJECTIVE = 0.95;
-    /** A load that takes three times what models say is slow. */
+    /** A load is slow if it takes three times the load time that the models declare. */
     public static final double SLOW_LOAD_FACTOR = 3;
-    /** Of the time in which the whole allowance would be used: 2% of a month's in an hour, 5% in six. */
+    /** Burn rates that use 2% of a month's error budget in an hour, or 5% in six hours. */
     private static final double FAST_BURN_RATE = 14.4;
     private static final double SLOW_BURN_RATE = 6;
-    /** Half of everything missed is reason enough, whatever the objective: a low one's burn rates lie beyond all. */
+    /** A miss ratio of one half always raises the alert: for a low objective the burn rates alone would exceed 1. */
     private static final double MAX_MISSED_RATIO = 0.5;
-    /** Above these, somebody should look; the module sheds little before it is short. */
+    /** Ratios above which an operator should look; the router sheds little unless capacity is short. */
     private static final double SHED_RATIO = 0.05;
     private static final double FAILED_RATIO = 0.02;
     private static final double LOADS_FAILED_RATIO = 0.2;
@@ -35,25 +35,26 @@
     private final String runbookPage;
 
     /**
-     * @param objectives share of the value asked for that is to be returned within the SLO time, by model group
-     * @param loadMillis a load's mean time above which the store counts as slow
-     * @param minute milliseconds that a minute of the rules lasts: 60,000, or less where a rehearsal plays fast
-     * @param page where the operators' page is
+     * @param objectives part of the requested value that is to be returned within the SLO time, by model group
+     * @param slowLoadMillis mean load time above which the model store counts as slow
+     * @param millisPerMinute length of a minute in the rules: 60,000, or less for a rehearsal in accelerated time
+     * @param runbookPage where the operators' page is
      */
-    public AlertRuleFile(Map<String, Double> objectives, double loadMillis, double minute, String page) {
+    public AlertRuleFile(Map<String, Double> objectives, double slowLoadMillis, double millisPerMinute, String runbookPage) {
         this.objectives = objectives;
-        this.slowLoadMillis = loadMillis;
-        this.millisPerMinute = minute;
-        this.runbookPage = page;
+        this.slowLoadMillis = slowLoadMillis;
+        this.millisPerMinute = millisPerMinute;
+        this.runbookPage = runbookPage;
     }
 
-    /** As Prometheus writes durations: one unit, whole. */
-    private String duration(double count) {
-        long millis = Math.round(count * millisPerMinute);
+    /** A number of minutes as a Prometheus duration: a whole number of one unit. */
+    private String duration(double minutes) {
+        long millis = Math.round(minutes * millisPerMinute);
         return millis % 3_600_000 == 0 ? millis / 3_600_000 + "h" : millis % 60_000 == 0 ? millis / 60_000 + "m"
                 : millis % 1000 == 0 ? millis / 1000 + "s" : millis + "ms";
     }
 
+    /** The text of the rules file. */
     public String toYaml() {
         ObjectMapper yaml = new ObjectMapper(new YAMLFactory().enable(YAMLGenerator.Feature.MINIMIZE_QUOTES)
                 .disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER).disable(YAMLGenerator.Feature.SPLIT_LINES));
@@ -76,17 +77,18 @@
                     "1 - sum by (group) (rate(gradereach_group_value_in_slo_total[" + duration(window) + "])) / "
                     + "sum by (group) (rate(gradereach_group_value_asked_total[" + duration(window) + "]))");
         }
-        for (String end : new String[] {"shed", "failed"}) {
-            rules.addObject().put("record", "gradereach:" + end + ":ratio_5m").put("expr",
-                    "sum by (group) (rate(gradereach_group_inferences_ended_total{outcome=\"" + end + "\"}[" + duration(5) + "])) / "
+        for (String outcome : new String[] {"shed", "failed"}) {
+            rules.addObject().put("record", "gradereach:" + outcome + ":ratio_5m").put("expr",
+                    "sum by (group) (rate(gradereach_group_inferences_ended_total{outcome=\"" + outcome + "\"}[" + duration(5) + "])) / "
                     + "sum by (group) (rate(gradereach_group_inferences_total[" + duration(5) + "]))");
         }
         rules.addObject().put("record", "gradereach:load_milliseconds:mean_5m").put("expr",
                 "sum(rate(gradereach_load_orders_milliseconds_total[" + duration(5) + "])) / sum(rate(gradereach_load_orders_sent_total["
                 + duration(5) + "]))");
         rules.addObject().put("record", "gradereach:loads_failed:ratio_5m").put("expr",
-                "(sum(rate(gradereach_load_orders_ended_full_total[" + duration(5) + "])) + sum(rate(gradereach_load_orders_ended_error_total["
-                + duration(5) + "])) + sum(rate(gradereach_load_orders_ended_timed_out_total[" + duration(5) + "]))) / "
+                "(sum(rate(gradereach_load_orders_ended_full_total[" + duration(5)
+                + "])) + sum(rate(gradereach_load_orders_ended_error_total[" + duration(5)
+                + "])) + sum(rate(gradereach_load_orders_ended_timed_out_total[" + duration(5) + "]))) / "
                 + "sum(rate(gradereach_load_orders_sent_total[" + duration(5) + "]))");
         rules.addObject().put("record", "gradereach:forwards_broken:ratio_5m").put("expr",
                 "(sum(rate(gradereach_forwards_ended_reset_total[" + duration(5) + "])) + "
@@ -112,38 +114,38 @@
                 "loads take longer than " + slowLoadMillis + " ms on the mean");
         addAlert(rules, "GradereachExecutorsBreak", "gradereach:forwards_broken:ratio_5m > " + BROKEN_FORWARDS_RATIO, 1, "warning",
                 "more than " + BROKEN_FORWARDS_RATIO + " of the forwards meet broken or silent executors");
-        addAlert(rules, "GradereachLimitNear", "gradereach:limit_used:ratio{limit!=\"grpc_connections\"} > " + LIMIT_USED_RATIO, 2, "warning",
-                "{{ $labels.limit }} on {{ $labels.instance }} is over " + LIMIT_USED_RATIO + " of its bound");
+        addAlert(rules, "GradereachLimitNear", "gradereach:limit_used:ratio{limit!=\"grpc_connections\"} > " + LIMIT_USED_RATIO, 2,
+                "warning", "{{ $labels.limit }} on {{ $labels.instance }} is over " + LIMIT_USED_RATIO + " of its bound");
         addAlert(rules, "GradereachRosterOld", "sum by (instance) (increase(gradereach_roster_failures_total[" + duration(5) + "])) > 0", 5,
                 "warning", "{{ $labels.instance }} cannot read its roster");
         addAlert(rules, "GradereachOutboxStuck", "gradereach_limit_present{limit=\"answers_in_outbox\"} > 0 and on (instance) "
                 + "increase(gradereach_answers_delivered_total[" + duration(10) + "]) == 0", 10, "warning",
                 "promised answers of {{ $labels.instance }} are not taken by their receivers");
-        addAlert(rules, "GradereachLedgerFails", "sum by (instance) (increase(gradereach_shed_for_the_ledger_total[" + duration(5) + "])) > 0", 0,
-                "critical", "{{ $labels.instance }} sheds what needs its ledger");
-        addAlert(rules, "GradereachModuleFailed", "sum by (instance) (increase(gradereach_module_failures_total[" + duration(10) + "])) > 0", 0,
-                "critical", "the decisions of {{ $labels.instance }} broke and began anew");
+        addAlert(rules, "GradereachLedgerFails",
+                "sum by (instance) (increase(gradereach_shed_for_the_ledger_total[" + duration(5) + "])) > 0", 0, "critical", "{{ $labels.instance }} sheds what needs its ledger");
+        addAlert(rules, "GradereachModuleFailed",
+                "sum by (instance) (increase(gradereach_module_failures_total[" + duration(10) + "])) > 0", 0, "critical", "the decisions of {{ $labels.instance }} broke and began anew");
         addAlert(rules, "GradereachHalts", "sum by (instance) (rate(gradereach_decision_turns_slow_total[" + duration(5) + "])) > 1", 2,
                 "warning", "{{ $labels.instance }} stands still now and then");
-        addAlert(rules, "GradereachPushLoses", "sum by (instance) (increase(gradereach_push_samples_dropped_total[" + duration(10) + "])) > 0", 0,
-                "warning", "{{ $labels.instance }} lets samples go that the receiver did not take");
+        addAlert(rules, "GradereachPushLoses",
+                "sum by (instance) (increase(gradereach_push_samples_dropped_total[" + duration(10) + "])) > 0", 0, "warning", "{{ $labels.instance }} lets samples go that the receiver did not take");
         addAlert(rules, "GradereachSilent", "absent(gradereach_inferences_taken_total)", 2, "critical", "no front end is heard");
     }
 
-    private void addBurnRateAlert(ArrayNode rules, String group, double objective, String pace, int shorter, int longer, double burn,
-            double forMinutes, String severity) {
-        String over = String.format(java.util.Locale.ROOT, "%.6f", Math.min(MAX_MISSED_RATIO, burn * (1 - objective)));
-        addAlert(rules, "GradereachService" + pace + "Burn", "gradereach:missed:ratio_" + shorter + "m{group=\"" + group + "\"} > " + over
-                + " and gradereach:missed:ratio_" + longer + "m{group=\"" + group + "\"} > " + over, forMinutes, severity,
-                "{{ $labels.group }} misses its objective of " + objective + " at " + burn + " times the allowed rate");
+    private void addBurnRateAlert(ArrayNode rules, String group, double objective, String pace, int shortWindow, int longWindow,
+            double burnRate, double forMinutes, String severity) {
+        String threshold = String.format(java.util.Locale.ROOT, "%.6f", Math.min(MAX_MISSED_RATIO, burnRate * (1 - objective)));
+        addAlert(rules, "GradereachService" + pace + "Burn", "gradereach:missed:ratio_" + shortWindow + "m{group=\"" + group + "\"} > "
+                + threshold + " and gradereach:missed:ratio_" + longWindow + "m{group=\"" + group + "\"} > " + threshold,
+                forMinutes, severity, "{{ $labels.group }} misses its objective of " + objective + " at " + burnRate + " times the allowed rate");
     }
 
-    private void addAlert(ArrayNode rules, String name, String expr, double forMinutes, String severity, String says) {
+    private void addAlert(ArrayNode rules, String name, String expr, double forMinutes, String severity, String summary) {
         ObjectNode rule = rules.addObject().put("alert", name).put("expr", expr);
         if (forMinutes > 0) {
             rule.put("for", duration(forMinutes));
         }
         rule.putObject("labels").put("severity", severity);
-        rule.putObject("annotations").put("summary", says).put("runbook_url", runbookPage + "#" + name.toLowerCase());
+        rule.putObject("annotations").put("summary", summary).put("runbook_url", runbookPage + "#" + name.toLowerCase());
     }
 }
--- a/telemetry/src/main/java/gradereach/measures/CounterTable.java
+++ b/telemetry/src/main/java/gradereach/measures/CounterTable.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Counters in rows of columns, which one thread adds to without allocating or waiting and any thread reads. Rows may be bound
- * to {@link TopNames}: what leaves a slot is added to row 0, so that the sum over all rows is always all that was counted.
+ * A table of counters. One thread writes without allocating or locking, any thread reads. Rows may be the slots of {@link TopNames}:
+ * the counts of an evicted name are added to row 0, so that the sum over all rows is the total.
  */
 public final class CounterTable {
     private final int columns;
@@ -25,13 +25,13 @@
         cells.lazySet(i, cells.getPlain(i) + amount);
     }
 
-    /** A row changes its meaning: its counts go to row 0 and begin anew. */
+    /** Adds the counts of a row to row 0 and resets the row, whose slot gets another name. */
     public void moveToOthers(int row, long nowMillis) {
         for (int c = 0; c < columns; c++) {
             int i = row * columns + c;
-            long had = cells.getPlain(i);
+            long count = cells.getPlain(i);
             cells.lazySet(i, 0);
-            add(0, c, had);
+            add(0, c, count);
         }
         createdMillis.lazySet(row, nowMillis);
     }
--- a/telemetry/src/main/java/gradereach/measures/DurationHistogram.java
+++ b/telemetry/src/main/java/gradereach/measures/DurationHistogram.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Times in an exponential histogram with four buckets to each doubling (schema 2), from a microsecond to an hour. One thread
- * adds, without allocating; any thread reads. Adding is an exponent and two comparisons; the Prometheus client's own histogram
- * is for many writers (measured side by side in benchmarks).
+ * An exponential histogram of durations with four buckets per power of two (schema 2), from a microsecond to an hour. One thread
+ * records without allocating, any thread reads. Recording takes the exponent and a few comparisons. The Prometheus client's own
+ * histogram is made for many writers (the benchmark Recording compares the two).
  */
 public final class DurationHistogram {
     public static final int SCHEMA = 2;
@@ -14,7 +14,7 @@
     /** Buckets end at 2^(i/4) seconds: from 2^-20 (a microsecond) to 2^12 (an hour and more). */
     private static final int FIRST_BUCKET = -20 * BUCKETS_PER_DOUBLING;
     private static final int BUCKET_COUNT = 32 * BUCKETS_PER_DOUBLING;
-    /** 2^(1/4), 2^(2/4), 2^(3/4): ends of the buckets within [1, 2). */
+    /** 2^(1/4), 2^(2/4), 2^(3/4): upper bounds of the buckets within [1, 2). */
     private static final double[] BUCKET_BOUNDS = {1, Math.pow(2, 0.25), Math.pow(2, 0.5), Math.pow(2, 0.75)};
 
     private final AtomicLongArray counts = new AtomicLongArray(BUCKET_COUNT);
@@ -26,6 +26,7 @@
         createdMillis = nowMillis;
     }
 
+    /** Records one duration. */
     public void record(double millis) {
         double seconds = millis / 1000;
         sumNanos.lazySet(sumNanos.getPlain() + (long) (millis * 1e6));
@@ -37,14 +38,16 @@
         counts.lazySet(i, counts.getPlain(i) + 1);
     }
 
-    /** The bucket (2^((i-1)/4), 2^(i/4)] that a value lies in. */
+    /** The index i of the bucket (2^((i-1)/4), 2^(i/4)] that contains a value. */
     static int bucketIndex(double value) {
         int exponent = Math.getExponent(value);
         double mantissa = value / Math.scalb(1.0, exponent);
-        int within = mantissa > BUCKET_BOUNDS[2] ? mantissa > BUCKET_BOUNDS[3] ? 4 : 3 : mantissa > BUCKET_BOUNDS[1] ? 2 : mantissa > BUCKET_BOUNDS[0] ? 1 : 0;
-        return exponent * BUCKETS_PER_DOUBLING + within;
+        int offset = mantissa > BUCKET_BOUNDS[2] ? mantissa > BUCKET_BOUNDS[3] ? 4 : 3
+                : mantissa > BUCKET_BOUNDS[1] ? 2 : mantissa > BUCKET_BOUNDS[0] ? 1 : 0;
+        return exponent * BUCKETS_PER_DOUBLING + offset;
     }
 
+    /** The buckets from the first to the last that is not empty. */
     public MetricFamily.Buckets snapshot() {
         long[] all = new long[BUCKET_COUNT];
         long count = zeroCount.get();
@@ -58,8 +61,9 @@
                 to = i + 1;
             }
         }
-        long[] some = from < to ? java.util.Arrays.copyOfRange(all, from, to) : new long[0];
-        return new MetricFamily.Buckets(SCHEMA, count, sumNanos.get() / 1e9, from < to ? FIRST_BUCKET + from : 0, some, zeroCount.get());
+        long[] nonEmptyRange = from < to ? java.util.Arrays.copyOfRange(all, from, to) : new long[0];
+        return new MetricFamily.Buckets(SCHEMA, count, sumNanos.get() / 1e9, from < to ? FIRST_BUCKET + from : 0, nonEmptyRange,
+                zeroCount.get());
     }
 
     public long createdMillis() {
--- a/telemetry/src/main/java/gradereach/measures/MetricFamily.java
+++ b/telemetry/src/main/java/gradereach/measures/MetricFamily.java
@@ -3,30 +3,33 @@
 import java.util.List;
 
 /**
- * Measures of one name as they are at one moment. Counters have names without {@code _total}.
+ * All points of one metric at one time. Names of counters are without {@code _total}.
  *
- * @param points one for each set of labels
+ * @param points one for each label set
  */
 public record MetricFamily(String name, Type type, String unit, String help, List<Point> points) {
-    /** What a value means. */
+    /** Type of a metric. */
     public enum Type { COUNTER, GAUGE, HISTOGRAM }
 
     /**
-     * @param labels names and values in turn, sorted by name
+     * The value of one series.
+     *
+     * @param labels alternating names and values, sorted by name
      * @param value NaN for a histogram
      * @param histogram null for a single value
-     * @param createdMillis Unix time since which it counts; 0 for gauges
+     * @param createdMillis Unix time at which counting began; 0 for gauges
      */
     public record Point(List<String> labels, double value, Buckets histogram, long createdMillis) { }
 
     /**
-     * An exponential histogram (Prometheus native histograms): bucket {@code i} of {@code counts} holds what lies in
-     * (base^(first+i-1), base^(first+i)], base = 2^(2^-schema).
+     * An exponential histogram (Prometheus native histograms): {@code counts[i]} counts the values in
+     * (base^(firstIndex+i-1), base^(firstIndex+i)], base = 2^(2^-schema).
      */
     public record Buckets(int schema, long count, double sum, int firstIndex, long[] counts, long zeroCount) { }
 
-    /** Whoever has something to be measured; called by the thread that collects. */
+    /** A component that has metrics; called by the collecting thread. */
     public interface Source {
+        /** Adds the component's metrics to the list. */
         void collect(List<MetricFamily> into);
     }
 }
--- a/telemetry/src/main/java/gradereach/measures/TopNames.java
+++ b/telemetry/src/main/java/gradereach/measures/TopNames.java
@@ -3,19 +3,20 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 
 /**
- * Which names have a slot of their own: the most used lately, so many at most; all others share slot 0. A name that is not
- * known must be seen clearly more often than the least used one before it takes that one's slot, by the estimate of a
- * count-min sketch (Cormode and Muthukrishnan) that is halved now and then, so that a scan through a million names changes
- * nothing. One thread writes; any thread reads, by {@link #stamp} before and after.
+ * Assigns slots to the most frequently used names, up to a maximum; all other names share slot 0. A name without a slot replaces the
+ * least used one once it is clearly more frequent, by the estimate of a count-min sketch (Cormode and Muthukrishnan) whose counts
+ * are halved periodically. So a scan through a million names evicts nothing. One thread writes; any thread reads and compares
+ * {@link #version} before and after.
  *
- * Made for the job: a plain map of names grows with the names, an LRU lets a scan evict everything.
+ * A plain map would grow with the number of names, and an LRU cache would let a scan evict everything.
  */
 public final class TopNames {
-    /** Told before a slot changes its name: what it holds belongs to the others from here on. */
+    /** Called before a slot gets another name: its counts then belong to slot 0. */
     public interface EvictionListener {
         void onEvicted(int slot);
     }
 
+    /** The name of slot 0. */
     public static final String OTHERS = "other";
     private static final int SKETCH_ROWS = 4;
 
@@ -26,7 +27,7 @@
     private final int agingInterval;
     private int usesUntilAging;
 
-    // Open addressing from a name's hash to its slot; twice to four times as wide as the slots.
+    // Hash table with open addressing from a name's hash to its slot; two to four times as many entries as slots.
     private final int tableMask;
     private final int[] slotTable;
 
@@ -35,72 +36,72 @@
     private final int[] weights;
     private final AtomicIntegerArray versions;
     private volatile int slotsInUse = 1;
-    /** No slot's weight is below this: weights only grow between agings. */
+    /** A lower bound of all slots' weights: weights only grow between agings. */
     private int minWeight;
 
-    /** @param most slots beside the one of the others */
-    public TopNames(int most, EvictionListener leaving) {
-        this.maxNames = most;
-        this.evictionListener = leaving;
-        int width = Integer.highestOneBit(Math.max(256, most * 16) * 2 - 1);
-        sketchMask = width - 1;
-        sketch = new int[SKETCH_ROWS * width];
-        agingInterval = 10 * width; // an estimate's error stays a few in so many
+    /** @param maxNames number of slots besides slot 0 */
+    public TopNames(int maxNames, EvictionListener evictionListener) {
+        this.maxNames = maxNames;
+        this.evictionListener = evictionListener;
+        int sketchWidth = Integer.highestOneBit(Math.max(256, maxNames * 16) * 2 - 1);
+        sketchMask = sketchWidth - 1;
+        sketch = new int[SKETCH_ROWS * sketchWidth];
+        agingInterval = 10 * sketchWidth; // keeps the error of an estimate at a few counts
         usesUntilAging = agingInterval;
-        int wide = Integer.highestOneBit(most * 4 + 3);
-        tableMask = wide - 1;
-        slotTable = new int[wide];
-        names = new String[most + 1];
-        hashes = new long[most + 1];
-        weights = new int[most + 1];
-        versions = new AtomicIntegerArray(most + 1);
+        int tableWidth = Integer.highestOneBit(maxNames * 4 + 3);
+        tableMask = tableWidth - 1;
+        slotTable = new int[tableWidth];
+        names = new String[maxNames + 1];
+        hashes = new long[maxNames + 1];
+        weights = new int[maxNames + 1];
+        versions = new AtomicIntegerArray(maxNames + 1);
         names[0] = OTHERS;
     }
 
-    /** The slot of a name that is used now, 0 for the others'. {@code hash} must be of the name alone, and well mixed. */
+    /** Counts one use of a name and returns its slot, 0 without one. {@code hash} must depend on the name only and be well mixed. */
     public int recordUse(String name, long hash) {
         if (--usesUntilAging == 0) {
             age();
         }
         int estimate = countAndEstimate(hash);
-        int at = findSlot(hash, name);
-        if (at > 0) {
-            weights[at]++;
-            return at;
+        int slot = findSlot(hash, name);
+        if (slot > 0) {
+            weights[slot]++;
+            return slot;
         }
         if (slotsInUse <= maxNames) {
             beginChange(slotsInUse);
             assignSlot(slotsInUse, name, hash, estimate);
             return slotsInUse++;
         }
-        // A quarter more and eight: clearly, not by the sketch's error.
+        // A margin of a quarter and eight uses exceeds the error of the sketch.
         if (estimate <= minWeight + minWeight / 4 + 8) {
             return 0;
         }
-        int least = 1;
+        int leastUsed = 1;
         for (int i = 2; i <= maxNames; i++) {
-            least = weights[i] < weights[least] ? i : least;
+            leastUsed = weights[i] < weights[leastUsed] ? i : leastUsed;
         }
-        minWeight = weights[least];
+        minWeight = weights[leastUsed];
         if (estimate <= minWeight + minWeight / 4 + 8) {
             return 0;
         }
-        beginChange(least);
-        evictionListener.onEvicted(least);
-        removeFromTable(least);
-        assignSlot(least, name, hash, estimate);
-        return least;
+        beginChange(leastUsed);
+        evictionListener.onEvicted(leastUsed);
+        removeFromTable(leastUsed);
+        assignSlot(leastUsed, name, hash, estimate);
+        return leastUsed;
     }
 
     private int countAndEstimate(long hash) {
-        int least = Integer.MAX_VALUE;
+        int estimate = Integer.MAX_VALUE;
         long h = hash;
         for (int row = 0; row < SKETCH_ROWS; row++) {
             int i = row * (sketchMask + 1) + (int) (h & sketchMask);
-            least = Math.min(least, ++sketch[i]);
+            estimate = Math.min(estimate, ++sketch[i]);
             h = Long.rotateRight(h, 16) * 0x9e3779b97f4a7c15L;
         }
-        return least;
+        return estimate;
     }
 
     private void age() {
@@ -140,7 +141,7 @@
         versions.set(slot, versions.get(slot) + 1);
     }
 
-    /** Closes the gap that a removed entry leaves in its run (Knuth, 6.4, algorithm R). */
+    /** Removes an entry and closes the gap in its probe sequence (Knuth, 6.4, algorithm R). */
     private void removeFromTable(int slot) {
         int i = (int) hashes[slot] & tableMask;
         while (slotTable[i] != slot) {
@@ -158,7 +159,7 @@
         }
     }
 
-    /** Slots in use, the others' included. */
+    /** Slots in use, slot 0 included. */
     public int slotsInUse() {
         return slotsInUse;
     }
@@ -167,7 +168,7 @@
         return names[slot];
     }
 
-    /** Changes when a slot changes its name, and is odd meanwhile. */
+    /** Version of a slot's name; odd while the name is changing. */
     public int version(int slot) {
         return versions.get(slot);
     }
--- a/telemetry/src/main/java/gradereach/remotewrite/ProtocolVersionSelector.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/ProtocolVersionSelector.java
@@ -1,28 +1,28 @@
 package gradereach.remotewrite;
 
 /**
- * Which version of the protocol the receiver is spoken to in: 2.0 until it says {@code 415}, then 1.0 for an hour (specification
- * 2.0, "Content-Type and Content-Encoding": a sender may fall back). No I/O, no clock.
+ * Selects the version of the protocol for the next request: 2.0 until the receiver answers {@code 415}, then 1.0 for an hour
+ * (specification 2.0, "Content-Type and Content-Encoding": a sender may fall back). No I/O, no clock.
  */
 final class ProtocolVersionSelector {
-    private static final double FALLBACK_MILLIS = 3_600_000; // receivers are updated now and then, not by the minute
+    private static final double FALLBACK_MILLIS = 3_600_000; // receivers are upgraded rarely, so 2.0 is tried once an hour
 
     private final boolean onlyVersion1;
     private double fallbackUntil = Double.NEGATIVE_INFINITY;
 
-    ProtocolVersionSelector(boolean onlyOne) {
-        this.onlyVersion1 = onlyOne;
+    ProtocolVersionSelector(boolean onlyVersion1) {
+        this.onlyVersion1 = onlyVersion1;
     }
 
     boolean useVersion2(double now) {
         return !onlyVersion1 && now >= fallbackUntil;
     }
 
-    /** {@code 415} was the answer; true where the same batch may go in the other version. */
-    boolean onUnsupportedMediaType(boolean two, double now) {
-        if (two) {
+    /** Handles {@code 415}; true if the same batch may be sent in version 1.0. */
+    boolean onUnsupportedMediaType(boolean version2, double now) {
+        if (version2) {
             fallbackUntil = now + FALLBACK_MILLIS;
         }
-        return two;
+        return version2;
     }
 }
--- a/telemetry/src/main/java/gradereach/remotewrite/PushSchedule.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/PushSchedule.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * When one of many front ends collects and pushes: every interval, at a point of it that its name alone decides, so that sixty that
- * restart at once do not push at once, now or ever after. Unix milliseconds; no clock.
+ * Decides when a front end collects and pushes: once an interval, at an offset derived from its name, so that front ends that restart
+ * together do not push together. Unix milliseconds; no clock.
  */
 public final class PushSchedule {
     private final long interval;
@@ -13,26 +13,26 @@
 
     public PushSchedule(String instance, long intervalMillis) {
         interval = intervalMillis;
-        long h = 0xcbf29ce484222325L;
+        long hash = 0xcbf29ce484222325L;
         for (byte b : instance.getBytes(StandardCharsets.UTF_8)) {
-            h = (h ^ b & 0xff) * 0x100000001b3L;
+            hash = (hash ^ b & 0xff) * 0x100000001b3L;
         }
-        // FNV's low bits of like names are alike; its high ones are not.
-        h = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
-        offsetMillis = Math.floorMod(h ^ h >>> 32, interval);
+        // Similar names have similar low bits in FNV-1a, so the high bits are mixed in.
+        hash = (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L;
+        offsetMillis = Math.floorMod(hash ^ hash >>> 32, interval);
     }
 
     /**
-     * The time that a collection is stamped with. Receivers refuse a second sample of a series for one time, so a stamp is later
-     * than the one before, also where the clock went back a little; where it went back by more than an interval it is followed, and
-     * what the receiver makes of that is up to its out-of-order window.
+     * The timestamp of a collection. Receivers reject a second sample of a series with the same timestamp, so each timestamp is later
+     * than the last, also where the clock was set back by up to an interval. A clock that was set back further is followed; the
+     * receiver's out-of-order window decides what becomes of those samples.
      */
     public long nextTimestamp(long now) {
         lastTimestamp = now > lastTimestamp || lastTimestamp - now > interval ? now : lastTimestamp + 1;
         return lastTimestamp;
     }
 
-    /** The first turn after {@code now}. A clock that was set back or forward moves turns, not their distance. */
+    /** The first push time after {@code now}. Setting the clock shifts push times, not the interval between them. */
     public long nextPushAt(long now) {
         return now + interval - Math.floorMod(now - offsetMillis, interval);
     }
--- a/telemetry/src/main/java/gradereach/remotewrite/Pusher.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Pusher.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Collects what is measured and pushes it by Prometheus remote write. It has a thread of its own, which owns the queues, and
- * connections and I/O threads of its own; nobody in the program ever waits for it or shares a lock with it.
+ * Collects the process's metrics and pushes them by Prometheus remote write. It has its own thread, which owns the queues, and its
+ * own connections and I/O thread; no other part of the program waits for it or shares a lock with it.
  */
 public final class Pusher implements MetricFamily.Source, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Pusher.class);
@@ -34,14 +34,16 @@
     private static final String WRITTEN_HEADER_PREFIX = "X-Prometheus-Remote-Write-";
 
     /**
-     * Where and how.
+     * The remote write receiver and how to push to it.
      *
-     * @param common labels of every series of this front end, names and values in turn
-     * @param timeout of one request, milliseconds
-     * @param stopPatience how long a stop may take for what is held and the stale markers, milliseconds
+     * @param commonLabels labels of every series of this front end, alternating names and values
+     * @param instance name of this front end, which also determines its push times
+     * @param timeoutMillis of one request
+     * @param limits of all shards together
+     * @param stopTimeoutMillis time that {@link #close} may take to send the pending samples and the stale markers
      */
-    public record Receiver(URI uri, boolean onlyVersionOne, List<String> commonLabels, String instance, long intervalMillis, long timeoutMillis,
-            int maxShards, SendQueue.Limits limits, long stopTimeoutMillis) { }
+    public record Receiver(URI uri, boolean onlyVersionOne, List<String> commonLabels, String instance, long intervalMillis,
+            long timeoutMillis, int maxShards, SendQueue.Limits limits, long stopTimeoutMillis) { }
 
     private final Receiver receiver;
     private final List<MetricFamily.Source> sources;
@@ -55,10 +57,10 @@
     private final HttpClient client;
     private final Thread thread = daemonThread(this::run, "push");
     private final long startedMillis;
-    /** Series of the last collection, for their end. */
+    /** Samples of the last collection by their labels, to detect series that have ended. */
     private Map<List<String>, SeriesSample> lastSamples = new LinkedHashMap<>();
 
-    // Of the thread; what others read is volatile.
+    // Written by the push thread only; fields that other threads read are volatile.
     private long collectedAt;
     private boolean stopping;
     private double stopDeadline;
@@ -71,33 +73,35 @@
     private long failures;
     private volatile long lastSuccessAt;
 
-    /** What became of all samples so far. */
-    public record PushStatistics(long added, long accepted, long[] dropped, long pending, long bytes, int shards, long requests, long failures) {
-        public long dropped(DropReason why) {
-            return dropped[why.ordinal()];
+    /** Totals of samples and requests since the start, and what is pending now. */
+    public record PushStatistics(long added, long accepted, long[] dropped, long pending, long bytes, int shards, long requests,
+            long failures) {
+        public long dropped(DropReason reason) {
+            return dropped[reason.ordinal()];
         }
     }
 
-    public Pusher(Receiver to, List<MetricFamily.Source> sources, LongSupplier unixMillis, Random chance) {
-        this.receiver = to;
+    public Pusher(Receiver receiver, List<MetricFamily.Source> sources, LongSupplier unixMillis, Random random) {
+        this.receiver = receiver;
         this.sources = new ArrayList<>(sources);
         this.sources.add(this);
         this.unixMillis = unixMillis;
-        schedule = new PushSchedule(to.instance, to.intervalMillis);
-        shards = new Shards(to.limits, chance);
-        shardCalculator = new ShardCalculator(to.maxShards);
-        versionSelector = new ProtocolVersionSelector(to.onlyVersionOne);
+        schedule = new PushSchedule(receiver.instance, receiver.intervalMillis);
+        shards = new Shards(receiver.limits, random);
+        shardCalculator = new ShardCalculator(receiver.maxShards);
+        versionSelector = new ProtocolVersionSelector(receiver.onlyVersionOne);
         startedMillis = unixMillis.getAsLong();
         client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(httpExecutor)
-                .connectTimeout(Duration.ofMillis(Math.min(5000, to.timeoutMillis))).build();
+                .connectTimeout(Duration.ofMillis(Math.min(5000, receiver.timeoutMillis))).build();
     }
 
     private static Thread daemonThread(Runnable work, String name) {
-        Thread made = new Thread(work, name);
-        made.setDaemon(true);
-        return made;
+        Thread daemon = new Thread(work, name);
+        daemon.setDaemon(true);
+        return daemon;
     }
 
+    /** Starts collecting and pushing. */
     public void start() {
         thread.start();
     }
@@ -107,7 +111,7 @@
     }
 
     private void run() {
-        // A turn is a point of wall time; the wait for it is not, so that a clock that is set does no harm.
+        // Push times are wall-clock times, but the wait uses the steady clock: setting the clock does not disturb it.
         double collectAt = now() + schedule.nextPushAt(unixMillis.getAsLong()) - unixMillis.getAsLong();
         try {
             while (!stopping || shards.pending() > 0 && now() < stopDeadline) {
@@ -131,21 +135,22 @@
     }
 
     private void collect() {
-        List<SeriesSample> items = collectSamples();
+        List<SeriesSample> samples = collectSamples();
         Map<List<String>, SeriesSample> present = new LinkedHashMap<>();
-        items.forEach(item -> present.put(item.labels(), item));
-        long at = collectedAt;
-        // A series that is no longer there has ended: a model that lost its slot, say.
+        samples.forEach(sample -> present.put(sample.labels(), sample));
+        long timestamp = collectedAt;
+        // A series that is gone has ended, for example that of a model that lost its slot.
         lastSamples.forEach((labels, last) -> {
             if (!present.containsKey(labels)) {
-                shards.add(last.toStaleMarker(at), now());
+                shards.add(last.toStaleMarker(timestamp), now());
             }
         });
         lastSamples = present;
-        items.forEach(item -> shards.add(item, now()));
+        samples.forEach(sample -> shards.add(sample, now()));
         long added = shards.added();
         long sent = shards.accepted() + shards.dropped(DropReason.REFUSED);
-        shards.resize(shardCalculator.update(receiver.intervalMillis, added - lastAdded, sent - lastSent, sendingMillis, shards.pending(), failing));
+        shards.resize(shardCalculator.update(receiver.intervalMillis, added - lastAdded, sent - lastSent, sendingMillis,
+                shards.pending(), failing));
         lastAdded = added;
         lastSent = sent;
         sendingMillis = 0;
@@ -156,11 +161,11 @@
         for (MetricFamily.Source source : sources) {
             source.collect(families);
         }
-        long at = schedule.nextTimestamp(unixMillis.getAsLong());
-        collectedAt = at;
-        List<SeriesSample> items = new ArrayList<>();
-        families.forEach(family -> SeriesSample.addSamples(family, receiver.commonLabels, at, items));
-        return items;
+        long timestamp = schedule.nextTimestamp(unixMillis.getAsLong());
+        collectedAt = timestamp;
+        List<SeriesSample> samples = new ArrayList<>();
+        families.forEach(family -> SeriesSample.addSamples(family, receiver.commonLabels, timestamp, samples));
+        return samples;
     }
 
     private void sendDueBatches() {
@@ -172,31 +177,33 @@
         }
     }
 
-    private void post(int shard, SendQueue.Batch batch, boolean two) {
+    private void post(int shard, SendQueue.Batch batch, boolean version2) {
         requests++;
-        double began = now();
+        double startedAt = now();
         byte[] body;
         try {
-            body = two ? RemoteWriteEncoder.encodeV2(batch.samples()) : RemoteWriteEncoder.encodeV1(batch.samples());
+            body = version2 ? RemoteWriteEncoder.encodeV2(batch.samples()) : RemoteWriteEncoder.encodeV1(batch.samples());
         } catch (IOException e) {
-            LOG.warn("a batch could not be written: {}", e.getMessage());
+            LOG.warn("remote write batch could not be encoded: {}", e.getMessage());
             shards.onSendResult(shard, new SendQueue.Rejected(0), now());
             return;
         }
         HttpRequest request = HttpRequest.newBuilder(receiver.uri).timeout(Duration.ofMillis(receiver.timeoutMillis))
-                .header("Content-Encoding", "snappy").header("Content-Type", two ? CONTENT_TYPE_V2 : CONTENT_TYPE_V1)
-                .header("X-Prometheus-Remote-Write-Version", two ? "2.0.0" : "0.1.0").header("User-Agent", "gradereach/" + receiver.instance)
-                .header("Retry-Attempt", Integer.toString(batch.failedAttempts)).POST(HttpRequest.BodyPublishers.ofByteArray(body)).build();
-        client.sendAsync(request, HttpResponse.BodyHandlers.discarding()).whenComplete((answer, failure) ->
-                events.add(() -> onResponse(shard, batch, two, answer, now() - began)));
+                .header("Content-Encoding", "snappy").header("Content-Type", version2 ? CONTENT_TYPE_V2 : CONTENT_TYPE_V1)
+                .header("X-Prometheus-Remote-Write-Version", version2 ? "2.0.0" : "0.1.0")
+                .header("User-Agent", "gradereach/" + receiver.instance)
+                .header("Retry-Attempt", Integer.toString(batch.failedAttempts))
+                .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build();
+        client.sendAsync(request, HttpResponse.BodyHandlers.discarding()).whenComplete((response, failure) ->
+                events.add(() -> onResponse(shard, batch, version2, response, now() - startedAt)));
     }
 
-    /** {@code answer} null where none came. */
-    private void onResponse(int shard, SendQueue.Batch batch, boolean two, HttpResponse<Void> answer, double took) {
-        sendingMillis += took;
-        int status = answer == null ? 0 : answer.statusCode();
-        if (status == 415 && versionSelector.onUnsupportedMediaType(two, now())) {
-            LOG.info("the receiver does not know remote write 2.0; 1.0 from now on");
+    /** Handles the end of a request; {@code response} is null if there was none. */
+    private void onResponse(int shard, SendQueue.Batch batch, boolean version2, HttpResponse<Void> response, double elapsedMillis) {
+        sendingMillis += elapsedMillis;
+        int status = response == null ? 0 : response.statusCode();
+        if (status == 415 && versionSelector.onUnsupportedMediaType(version2, now())) {
+            LOG.info("the receiver does not support remote write 2.0; falling back to 1.0");
             post(shard, batch, false);
             return;
         }
@@ -204,63 +211,66 @@
         failures += status / 100 == 2 ? 0 : 1;
         if (status / 100 == 2) {
             lastSuccessAt = unixMillis.getAsLong();
-            shards.onSendResult(shard, new SendQueue.Accepted(two ? writtenCount(answer, -1) : -1), now());
+            shards.onSendResult(shard, new SendQueue.Accepted(version2 ? writtenCount(response, -1) : -1), now());
         } else if (failing) {
-            shards.onSendResult(shard, new SendQueue.Retry(answer == null ? 0 : retryAfterMillis(answer)), now());
+            shards.onSendResult(shard, new SendQueue.Retry(response == null ? 0 : retryAfterMillis(response)), now());
         } else {
-            int written = two ? writtenCount(answer, 0) : 0;
-            LOG.warn("the receiver refused a batch of {} with {}, {} written", batch.samples().size(), status, written);
+            int written = version2 ? writtenCount(response, 0) : 0;
+            LOG.warn("the receiver rejected a batch of {} samples with status {}, {} written", batch.samples().size(), status,
+                    written);
             shards.onSendResult(shard, new SendQueue.Rejected(written), now());
         }
     }
 
-    /** Samples and histograms that the receiver says it wrote. */
-    private static int writtenCount(HttpResponse<Void> answer, int otherwise) {
+    /** Samples and histograms that the receiver reports as written, {@code defaultCount} if it reports none. */
+    private static int writtenCount(HttpResponse<Void> response, int defaultCount) {
         int sum = 0;
-        boolean told = false;
-        for (String what : List.of("Samples-Written", "Histograms-Written")) {
-            String text = answer.headers().firstValue(WRITTEN_HEADER_PREFIX + what).orElse("");
-            if (text.matches("\\d{1,9}")) {
-                told = true;
-                sum += Integer.parseInt(text);
+        boolean reported = false;
+        for (String header : List.of("Samples-Written", "Histograms-Written")) {
+            String value = response.headers().firstValue(WRITTEN_HEADER_PREFIX + header).orElse("");
+            if (value.matches("\\d{1,9}")) {
+                reported = true;
+                sum += Integer.parseInt(value);
             }
         }
-        return told ? sum : otherwise;
+        return reported ? sum : defaultCount;
     }
 
-    /** Milliseconds; a date is not used by receivers of metrics, and is no figure here. */
-    private static double retryAfterMillis(HttpResponse<Void> answer) {
-        String text = answer.headers().firstValue("Retry-After").orElse("");
+    /** The delay of the Retry-After header, 0 without one. A date is ignored: receivers of metrics do not send one. */
+    private static double retryAfterMillis(HttpResponse<Void> response) {
+        String text = response.headers().firstValue("Retry-After").orElse("");
         return text.matches("\\d{1,6}") ? Integer.parseInt(text) * 1000.0 : 0;
     }
 
     private void updateStatistics() {
         long[] dropped = new long[DropReason.values().length];
-        for (DropReason why : DropReason.values()) {
-            dropped[why.ordinal()] = shards.dropped(why);
+        for (DropReason reason : DropReason.values()) {
+            dropped[reason.ordinal()] = shards.dropped(reason);
         }
-        statistics = new PushStatistics(shards.added(), shards.accepted(), dropped, shards.pending(), shards.bytes(), shards.size(), requests, failures);
+        statistics = new PushStatistics(shards.added(), shards.accepted(), dropped, shards.pending(), shards.bytes(), shards.size(),
+                requests, failures);
     }
 
+    /** The latest statistics; for any thread. */
     public PushStatistics statistics() {
         return statistics;
     }
 
-    /** What is said of the pushing itself. */
+    /** Adds the metrics of the pusher itself. */
     @Override
     public void collect(List<MetricFamily> into) {
-        PushStatistics now = statistics;
-        into.add(counter("gradereach_push_samples_added", "Samples given to the pusher", now.added));
-        into.add(counter("gradereach_push_samples_accepted", "Samples that the receiver took", now.accepted));
+        PushStatistics current = statistics;
+        into.add(counter("gradereach_push_samples_added", "Samples given to the pusher", current.added));
+        into.add(counter("gradereach_push_samples_accepted", "Samples that the receiver took", current.accepted));
         List<Point> dropped = new ArrayList<>();
-        for (DropReason why : DropReason.values()) {
-            dropped.add(new Point(List.of("reason", why.name().toLowerCase()), now.dropped(why), null, startedMillis));
+        for (DropReason reason : DropReason.values()) {
+            dropped.add(new Point(List.of("reason", reason.name().toLowerCase()), current.dropped(reason), null, startedMillis));
         }
         into.add(new MetricFamily("gradereach_push_samples_dropped", Type.COUNTER, "", "Samples let go, by reason", dropped));
-        into.add(counter("gradereach_push_requests", "Requests to the receiver", now.requests));
-        into.add(counter("gradereach_push_failures", "Requests that were not answered with 2xx", now.failures));
-        into.add(gauge("gradereach_push_samples_held", "Samples that wait for the receiver", now.pending));
-        into.add(gauge("gradereach_push_shards", "Requests that may be out at once", now.shards));
+        into.add(counter("gradereach_push_requests", "Requests to the receiver", current.requests));
+        into.add(counter("gradereach_push_failures", "Requests that were not answered with 2xx", current.failures));
+        into.add(gauge("gradereach_push_samples_held", "Samples that wait for the receiver", current.pending));
+        into.add(gauge("gradereach_push_shards", "Requests that may be out at once", current.shards));
         into.add(gauge("gradereach_push_reached_seconds", "When the receiver last took something, Unix time", lastSuccessAt / 1000.0));
     }
 
@@ -272,15 +282,15 @@
         return new MetricFamily(name, Type.GAUGE, "", help, List.of(new Point(List.of(), value, null, 0)));
     }
 
-    /** A last collection and the end of every series, within the patience that was set; what is then still held is lost. */
+    /** Collects once more, ends every series with a stale marker and sends both; drops what is left after the stop timeout. */
     @Override
     public void close() {
         events.add(() -> {
             if (!stopping) {
                 List<SeriesSample> last = collectSamples();
-                last.forEach(item -> shards.add(item, now()));
-                long at = schedule.nextTimestamp(unixMillis.getAsLong()); // after the last sample of its series
-                last.forEach(item -> shards.add(item.toStaleMarker(at), now()));
+                last.forEach(sample -> shards.add(sample, now()));
+                long timestamp = schedule.nextTimestamp(unixMillis.getAsLong()); // after the last sample of its series
+                last.forEach(sample -> shards.add(sample.toStaleMarker(timestamp), now()));
                 stopDeadline = now() + receiver.stopTimeoutMillis;
                 shards.flush();
                 stopping = true;
--- a/telemetry/src/main/java/gradereach/remotewrite/RemoteWriteEncoder.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/RemoteWriteEncoder.java
@@ -16,80 +16,80 @@
 import java.util.Set;
 import org.xerial.snappy.Snappy;
 
-/** Items as the bodies of remote write requests: protobuf in the snappy block format, both versions. */
+/** Encodes samples as bodies of remote write requests, in both versions: protobuf in the snappy block format. */
 final class RemoteWriteEncoder {
     private RemoteWriteEncoder() { }
 
-    /** Version 2.0: labels as references into a table of symbols, of which the first is empty. */
-    static byte[] encodeV2(List<SeriesSample> items) throws IOException {
+    /** Version 2.0: labels are references into a symbol table whose first entry is the empty string. */
+    static byte[] encodeV2(List<SeriesSample> samples) throws IOException {
         Request.Builder request = Request.newBuilder();
         Map<String, Integer> symbols = new HashMap<>();
         symbolIndex(symbols, request, "");
-        for (SeriesSample item : items) {
+        for (SeriesSample sample : samples) {
             var series = request.addTimeseriesBuilder();
-            for (String label : item.labels()) {
+            for (String label : sample.labels()) {
                 series.addLabelsRefs(symbolIndex(symbols, request, label));
             }
-            series.setMetadata(Metadata.newBuilder().setType(switch (item.type()) {
+            series.setMetadata(Metadata.newBuilder().setType(switch (sample.type()) {
                 case COUNTER -> Metadata.MetricType.METRIC_TYPE_COUNTER;
                 case GAUGE -> Metadata.MetricType.METRIC_TYPE_GAUGE;
                 case HISTOGRAM -> Metadata.MetricType.METRIC_TYPE_HISTOGRAM;
-            }).setHelpRef(symbolIndex(symbols, request, item.help())).setUnitRef(symbolIndex(symbols, request, item.unit())));
-            series.setCreatedTimestamp(item.createdMillis());
-            if (item.histogram() == null) {
-                series.addSamplesBuilder().setValue(item.value()).setTimestamp(item.timestampMillis());
+            }).setHelpRef(symbolIndex(symbols, request, sample.help())).setUnitRef(symbolIndex(symbols, request, sample.unit())));
+            series.setCreatedTimestamp(sample.createdMillis());
+            if (sample.histogram() == null) {
+                series.addSamplesBuilder().setValue(sample.value()).setTimestamp(sample.timestampMillis());
             } else {
-                series.addHistograms(histogram(item));
+                series.addHistograms(histogram(sample));
             }
         }
         return compress(request.build().toByteArray());
     }
 
-    private static int symbolIndex(Map<String, Integer> known, Request.Builder request, String text) {
-        return known.computeIfAbsent(text, t -> {
-            request.addSymbols(t);
+    private static int symbolIndex(Map<String, Integer> symbols, Request.Builder request, String text) {
+        return symbols.computeIfAbsent(text, symbol -> {
+            request.addSymbols(symbol);
             return request.getSymbolsCount() - 1;
         });
     }
 
-    /** Spans of buckets that lie together, and each count as its difference from the one before. */
-    private static Histogram histogram(SeriesSample item) {
-        MetricFamily.Buckets from = item.histogram();
-        Histogram.Builder to = Histogram.newBuilder().setCountInt(from.count()).setSum(from.sum()).setSchema(from.schema())
-                .setZeroThreshold(1e-6).setZeroCountInt(from.zeroCount()).setTimestamp(item.timestampMillis());
-        int end = 0; // of the last span; the first one's offset is its index
-        long before = 0;
+    /** Encodes a histogram as spans of adjacent buckets, with each count as the difference from the previous one. */
+    private static Histogram histogram(SeriesSample sample) {
+        MetricFamily.Buckets buckets = sample.histogram();
+        Histogram.Builder histogram = Histogram.newBuilder().setCountInt(buckets.count()).setSum(buckets.sum()).setSchema(buckets.schema())
+                .setZeroThreshold(1e-6).setZeroCountInt(buckets.zeroCount()).setTimestamp(sample.timestampMillis());
+        int spanEnd = 0; // index after the last span; the offset of the first span is its index
+        long previousCount = 0;
         BucketSpan.Builder span = null;
-        for (int i = 0; i < from.counts().length; i++) {
-            if (from.counts()[i] == 0) {
+        for (int i = 0; i < buckets.counts().length; i++) {
+            if (buckets.counts()[i] == 0) {
                 span = null;
                 continue;
             }
             if (span == null) {
-                span = to.addPositiveSpansBuilder().setOffset(from.firstIndex() + i - end);
+                span = histogram.addPositiveSpansBuilder().setOffset(buckets.firstIndex() + i - spanEnd);
             }
             span.setLength(span.getLength() + 1);
-            end = from.firstIndex() + i + 1;
-            to.addPositiveDeltas(from.counts()[i] - before);
-            before = from.counts()[i];
+            spanEnd = buckets.firstIndex() + i + 1;
+            histogram.addPositiveDeltas(buckets.counts()[i] - previousCount);
+            previousCount = buckets.counts()[i];
         }
-        return to.build();
+        return histogram.build();
     }
 
-    /** Version 1.0: plain samples, a histogram as its classic series. */
-    static byte[] encodeV1(List<SeriesSample> items) throws IOException {
+    /** Version 1.0: plain samples only, a histogram as the series of a classic histogram. */
+    static byte[] encodeV1(List<SeriesSample> samples) throws IOException {
         WriteRequest.Builder request = WriteRequest.newBuilder();
-        Set<String> told = new HashSet<>();
-        for (SeriesSample item : items) {
-            if (item.histogram() == null) {
-                addSample(request, item.labels(), null, null, item.value(), item.timestampMillis());
+        Set<String> namesWithMetadata = new HashSet<>();
+        for (SeriesSample sample : samples) {
+            if (sample.histogram() == null) {
+                addSample(request, sample.labels(), null, null, sample.value(), sample.timestampMillis());
             } else {
-                addClassicHistogram(request, item);
+                addClassicHistogram(request, sample);
             }
-            String name = item.labels().get(item.labels().indexOf("__name__") + 1);
-            if (told.add(name)) {
-                request.addMetadata(MetricMetadata.newBuilder().setMetricFamilyName(name).setHelp(item.help()).setUnit(item.unit())
-                        .setType(switch (item.type()) {
+            String name = sample.labels().get(sample.labels().indexOf("__name__") + 1);
+            if (namesWithMetadata.add(name)) {
+                request.addMetadata(MetricMetadata.newBuilder().setMetricFamilyName(name).setHelp(sample.help()).setUnit(sample.unit())
+                        .setType(switch (sample.type()) {
                             case COUNTER -> MetricMetadata.MetricType.COUNTER;
                             case GAUGE -> MetricMetadata.MetricType.GAUGE;
                             case HISTOGRAM -> MetricMetadata.MetricType.HISTOGRAM;
@@ -99,39 +99,41 @@
         return compress(request.build().toByteArray());
     }
 
-    private static void addSample(WriteRequest.Builder request, List<String> labels, String suffix, String le, double value, long at) {
+    private static void addSample(WriteRequest.Builder request, List<String> labels, String suffix, String le, double value,
+            long timestampMillis) {
         var series = request.addTimeseriesBuilder();
-        boolean leDue = le != null;
+        boolean lePending = le != null;
         for (int i = 0; i < labels.size(); i += 2) {
             String name = labels.get(i);
-            if (leDue && name.compareTo("le") > 0) {
+            if (lePending && name.compareTo("le") > 0) {
                 series.addLabels(Label.newBuilder().setName("le").setValue(le));
-                leDue = false;
+                lePending = false;
             }
-            String text = name.equals("__name__") && suffix != null ? labels.get(i + 1) + suffix : labels.get(i + 1);
-            series.addLabels(Label.newBuilder().setName(name).setValue(text));
+            String labelValue = name.equals("__name__") && suffix != null ? labels.get(i + 1) + suffix : labels.get(i + 1);
+            series.addLabels(Label.newBuilder().setName(name).setValue(labelValue));
         }
-        if (leDue) {
+        if (lePending) {
             series.addLabels(Label.newBuilder().setName("le").setValue(le));
         }
-        series.addSamplesBuilder().setValue(value).setTimestamp(at);
+        series.addSamplesBuilder().setValue(value).setTimestamp(timestampMillis);
     }
 
-    /** Every whole doubling is a bucket's end: of finer ones a receiver of classic histograms would have too many series. */
-    private static void addClassicHistogram(WriteRequest.Builder request, SeriesSample item) {
-        MetricFamily.Buckets from = item.histogram();
-        int step = 1 << from.schema();
-        long below = from.zeroCount();
-        int next = 0;
+    /** Adds a classic histogram with a bucket for each power of two: finer ones would give the receiver too many series. */
+    private static void addClassicHistogram(WriteRequest.Builder request, SeriesSample sample) {
+        MetricFamily.Buckets buckets = sample.histogram();
+        int bucketsPerDoubling = 1 << buckets.schema();
+        long cumulativeCount = buckets.zeroCount();
+        int index = 0;
         for (int exponent = -10; exponent <= 6; exponent++) { // a millisecond to a minute
-            for (; next < from.counts().length && from.firstIndex() + next <= exponent * step; next++) {
-                below += from.counts()[next];
+            for (; index < buckets.counts().length && buckets.firstIndex() + index <= exponent * bucketsPerDoubling; index++) {
+                cumulativeCount += buckets.counts()[index];
             }
-            addSample(request, item.labels(), "_bucket", Double.toString(Math.pow(2, exponent)), below, item.timestampMillis());
+            addSample(request, sample.labels(), "_bucket", Double.toString(Math.pow(2, exponent)), cumulativeCount,
+                    sample.timestampMillis());
         }
-        addSample(request, item.labels(), "_bucket", "+Inf", from.count(), item.timestampMillis());
-        addSample(request, item.labels(), "_sum", null, from.sum(), item.timestampMillis());
-        addSample(request, item.labels(), "_count", null, from.count(), item.timestampMillis());
+        addSample(request, sample.labels(), "_bucket", "+Inf", buckets.count(), sample.timestampMillis());
+        addSample(request, sample.labels(), "_sum", null, buckets.sum(), sample.timestampMillis());
+        addSample(request, sample.labels(), "_count", null, buckets.count(), sample.timestampMillis());
     }
 
     private static byte[] compress(byte[] message) throws IOException {
--- a/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
@@ -8,47 +8,48 @@
 import java.util.Random;
 
 /**
- * What waits for the receiver on one shard, and what becomes of it: no I/O, no clock. One batch is out at a time, so that every
- * series stays in order. Bounded in items and bytes; the oldest go first, since the newest tell what is the matter now. A batch that
- * the receiver could not take is sent again after a jittered back-off, or when it asked to, until its items are too old.
+ * The samples of one shard that wait to be sent, and the account of what became of them: no I/O, no clock. One batch is in flight
+ * at a time, so that every series stays in order. The queue is bounded in samples and bytes and drops the oldest first, since the
+ * newest show the present state. A batch that failed for a passing reason is sent again after a jittered backoff, or after the
+ * delay that the receiver requested, until its samples are too old.
  *
- * At each moment: added = accepted + dropped + held.
+ * Invariant: added = accepted + dropped + pending.
  */
 public final class SendQueue {
     /**
-     * Times in milliseconds.
+     * Limits of a queue; times in milliseconds.
      *
-     * @param batchAge after which a batch is sent though it is not full
-     * @param keptFor after which an item is let go
+     * @param maxBatchDelay after which a batch is sent although it is not full
+     * @param maxAge after which a sample is dropped
      */
-    public record Limits(int maxSamples, long maxBytes, int maxBatchSamples, long maxBatchBytes, double maxBatchDelay, double maxAge, double initialBackoff,
-            double maxBackoff) { }
+    public record Limits(int maxSamples, long maxBytes, int maxBatchSamples, long maxBatchBytes, double maxBatchDelay, double maxAge,
+            double initialBackoff, double maxBackoff) { }
 
-    /** Why an item was let go. */
+    /** Why a sample was dropped. */
     public enum DropReason { FULL, TOO_OLD, REFUSED, STOPPED }
 
-    /** What the receiver said, or did not. */
+    /** The result of sending a batch. */
     public sealed interface SendResult permits Accepted, Retry, Rejected { }
 
-    /** {@code 2xx}. {@code written} items of it, -1 where it does not say. */
+    /** {@code 2xx}; {@code written} samples of the batch, -1 if the receiver does not report it. */
     public record Accepted(int written) implements SendResult { }
 
-    /** {@code 5xx}, {@code 429}, no answer: again, not before {@code after} milliseconds (0 where it did not say). */
+    /** {@code 5xx}, {@code 429} or no response: the batch is sent again; the receiver may request a delay, 0 for none. */
     public record Retry(double retryAfterMillis) implements SendResult { }
 
-    /** Any other: not again. {@code written} items of it were taken all the same. */
+    /** Any other status: the batch is not sent again, although {@code written} samples of it may have been written. */
     public record Rejected(int written) implements SendResult { }
 
     private record QueuedSample(SeriesSample sample, double addedAt) { }
 
-    /** Items that are out, or about to be. */
+    /** A batch in flight. */
     public static final class Batch {
         private final List<QueuedSample> queuedSamples;
         public final int failedAttempts;
 
-        private Batch(List<QueuedSample> held, int tries) {
-            this.queuedSamples = held;
-            this.failedAttempts = tries;
+        private Batch(List<QueuedSample> queuedSamples, int failedAttempts) {
+            this.queuedSamples = queuedSamples;
+            this.failedAttempts = failedAttempts;
         }
 
         public List<SeriesSample> samples() {
@@ -61,7 +62,7 @@
     private final ArrayDeque<QueuedSample> queue = new ArrayDeque<>();
     private long bytes;
     private List<QueuedSample> inFlight;
-    /** The batch that is to be sent again, null for none. */
+    /** The batch that waits to be sent again, null for none. */
     private List<QueuedSample> retryBatch;
     private int failedAttempts;
     private boolean flushing;
@@ -70,48 +71,49 @@
     private long accepted;
     private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
-    public SendQueue(Limits bounds, Random chance) {
-        this.limits = bounds;
-        this.random = chance;
-        for (DropReason why : DropReason.values()) {
-            dropped.put(why, 0L);
+    public SendQueue(Limits limits, Random random) {
+        this.limits = limits;
+        this.random = random;
+        for (DropReason reason : DropReason.values()) {
+            dropped.put(reason, 0L);
         }
     }
 
-    public void add(SeriesSample item, double now) {
+    /** Adds a sample, and drops the oldest ones where a limit is exceeded. */
+    public void add(SeriesSample sample, double now) {
         added++;
-        queue.add(new QueuedSample(item, now));
-        bytes += item.estimatedBytes();
+        queue.add(new QueuedSample(sample, now));
+        bytes += sample.estimatedBytes();
         while (sampleCount() > limits.maxSamples || bytes > limits.maxBytes) {
             if (retryBatch != null) {
-                drop(retryBatch, DropReason.FULL); // older than whatever is queued; what is out cannot be called back
+                drop(retryBatch, DropReason.FULL); // older than all queued samples; a batch in flight cannot be cancelled
                 retryBatch = null;
             } else if (queue.size() > 1 || inFlight != null) {
                 dropOldest(DropReason.FULL);
             } else {
-                break; // one item alone is more than all: it may try
+                break; // a single sample above the byte limit is sent all the same
             }
         }
     }
 
-    private void dropOldest(DropReason why) {
+    private void dropOldest(DropReason reason) {
         QueuedSample oldest = queue.poll();
         if (oldest != null) {
             bytes -= oldest.sample.estimatedBytes();
-            dropped.merge(why, 1L, Long::sum);
+            dropped.merge(reason, 1L, Long::sum);
         }
     }
 
-    private void drop(List<QueuedSample> some, DropReason why) {
-        some.forEach(held -> bytes -= held.sample.estimatedBytes());
-        dropped.merge(why, (long) some.size(), Long::sum);
+    private void drop(List<QueuedSample> samples, DropReason reason) {
+        samples.forEach(queued -> bytes -= queued.sample.estimatedBytes());
+        dropped.merge(reason, (long) samples.size(), Long::sum);
     }
 
     private int sampleCount() {
         return queue.size() + (inFlight == null ? 0 : inFlight.size()) + (retryBatch == null ? 0 : retryBatch.size());
     }
 
-    /** The batch to be sent now, null where none is due. It must be told of by {@link #ended}. */
+    /** The batch to send now, null if none is due. Its result must be reported by {@link #onSendResult}. */
     public Batch nextBatch(double now) {
         if (inFlight != null || now < notBefore) {
             return null;
@@ -137,12 +139,12 @@
         return new Batch(batch, 0);
     }
 
-    /** From now on batches need not be full, nor old. */
+    /** Makes all batches due at once, whether full or not. */
     public void flush() {
         flushing = true;
     }
 
-    /** When {@link #next} may have something, Double.POSITIVE_INFINITY while it cannot. */
+    /** When {@link #nextBatch} may return a batch, Double.POSITIVE_INFINITY while it cannot. */
     public double dueAt() {
         if (inFlight != null) {
             return Double.POSITIVE_INFINITY;
@@ -159,42 +161,43 @@
 
     private void dropExpired(double now) {
         if (retryBatch != null) {
-            List<QueuedSample> old = new ArrayList<>();
-            List<QueuedSample> young = new ArrayList<>();
-            retryBatch.forEach(held -> (now - held.addedAt > limits.maxAge ? old : young).add(held));
-            drop(old, DropReason.TOO_OLD);
-            retryBatch = young.isEmpty() ? null : young;
+            List<QueuedSample> expired = new ArrayList<>();
+            List<QueuedSample> remaining = new ArrayList<>();
+            retryBatch.forEach(queued -> (now - queued.addedAt > limits.maxAge ? expired : remaining).add(queued));
+            drop(expired, DropReason.TOO_OLD);
+            retryBatch = remaining.isEmpty() ? null : remaining;
         }
         while (!queue.isEmpty() && now - queue.peek().addedAt > limits.maxAge) {
             dropOldest(DropReason.TOO_OLD);
         }
     }
 
-    /** What became of the batch that is out. */
-    public void onSendResult(SendResult word, double now) {
+    /** Records the result of the batch in flight. */
+    public void onSendResult(SendResult result, double now) {
         List<QueuedSample> batch = inFlight;
         inFlight = null;
-        if (word instanceof Retry later) {
+        if (result instanceof Retry retry) {
             retryBatch = batch;
-            // Full jitter over a time that doubles: many front ends that lost one receiver must not meet there again.
-            double most = Math.min(limits.maxBackoff, limits.initialBackoff * Math.pow(2, Math.min(30, failedAttempts)));
+            // Exponential backoff with full jitter: front ends that lost one receiver must not all return at once.
+            double backoff = Math.min(limits.maxBackoff, limits.initialBackoff * Math.pow(2, Math.min(30, failedAttempts)));
             failedAttempts++;
-            notBefore = now + (later.retryAfterMillis > 0 ? later.retryAfterMillis * (1 + random.nextDouble() / 4) : most * random.nextDouble());
+            notBefore = now + (retry.retryAfterMillis > 0 ? retry.retryAfterMillis * (1 + random.nextDouble() / 4)
+                    : backoff * random.nextDouble());
             return;
         }
         failedAttempts = 0;
         notBefore = Double.NEGATIVE_INFINITY;
-        int written = word instanceof Accepted taken ? taken.written : ((Rejected) word).written;
-        long good = Math.min(batch.size(), written < 0 ? batch.size() : written);
-        batch.forEach(held -> bytes -= held.sample.estimatedBytes());
-        accepted += good;
-        dropped.merge(DropReason.REFUSED, batch.size() - good, Long::sum);
+        int written = result instanceof Accepted acceptedResult ? acceptedResult.written : ((Rejected) result).written;
+        long acceptedCount = Math.min(batch.size(), written < 0 ? batch.size() : written);
+        batch.forEach(queued -> bytes -= queued.sample.estimatedBytes());
+        accepted += acceptedCount;
+        dropped.merge(DropReason.REFUSED, batch.size() - acceptedCount, Long::sum);
     }
 
-    /** All that is held, oldest first, for another queue; nothing may be out. */
+    /** Removes and returns all pending samples, oldest first, for another queue; no batch may be in flight. */
     List<SeriesSample> drain(List<Double> addedAt) {
         if (inFlight != null) {
-            throw new IllegalStateException("a batch is out");
+            throw new IllegalStateException("a batch is in flight");
         }
         List<QueuedSample> all = new ArrayList<>(retryBatch == null ? List.of() : retryBatch);
         all.addAll(queue);
@@ -202,11 +205,11 @@
         retryBatch = null;
         bytes = 0;
         added -= all.size();
-        all.forEach(held -> addedAt.add(held.addedAt));
+        all.forEach(queued -> addedAt.add(queued.addedAt));
         return all.stream().map(QueuedSample::sample).toList();
     }
 
-    /** What is still held is let go; a batch that is out counts as lost, for nobody waits for its end. */
+    /** Drops all pending samples; a batch in flight counts as dropped, since its result is no longer awaited. */
     public void stop() {
         if (inFlight != null) {
             drop(inFlight, DropReason.STOPPED);
@@ -233,10 +236,11 @@
         return accepted;
     }
 
-    public long dropped(DropReason why) {
-        return dropped.get(why);
+    public long dropped(DropReason reason) {
+        return dropped.get(reason);
     }
 
+    /** Samples not yet accepted or dropped, those in flight included. */
     public int pending() {
         return sampleCount();
     }
@@ -245,7 +249,7 @@
         return bytes;
     }
 
-    /** Since when the oldest waits; NaN where none does. */
+    /** When the oldest pending sample was added; NaN if there is none. */
     public double oldestAddedAt() {
         return inFlight != null ? inFlight.get(0).addedAt : retryBatch != null ? retryBatch.get(0).addedAt
                 : queue.isEmpty() ? Double.NaN : queue.peek().addedAt;
--- a/telemetry/src/main/java/gradereach/remotewrite/ShardCalculator.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/ShardCalculator.java
@@ -1,15 +1,15 @@
 package gradereach.remotewrite;
 
 /**
- * How many shards send at once: as many as it takes to send what comes in, and a little of what has piled up, at the time that a
- * sample has taken lately. After Prometheus' own sender, as its documentation of remote write tuning describes it. No I/O, no clock.
+ * Calculates how many shards send in parallel: enough to send the incoming samples and a part of the backlog at the recent send
+ * time of a sample. Modelled on the Prometheus sender, as its documentation of remote write tuning describes it. No I/O, no clock.
  */
 public final class ShardCalculator {
-    /** Each new figure counts a fifth: some ten intervals remember. */
+    /** Weight of a new interval in the moving averages, which so cover about ten intervals. */
     private static final double SMOOTHING_FACTOR = 0.2;
-    /** A twentieth of what has piled up is to be gone in an interval. */
+    /** Part of the backlog that is to be sent within one interval. */
     private static final double BACKLOG_FRACTION = 0.05;
-    /** Within this of the present number nothing changes: each change stops sending for a moment. */
+    /** Relative change below which the number stays: each change interrupts sending briefly. */
     private static final double TOLERANCE = 0.3;
 
     private final int maxShards;
@@ -19,34 +19,34 @@
     private double busyShards;
     private boolean initialized;
 
-    public ShardCalculator(int most) {
-        this.maxShards = most;
+    public ShardCalculator(int maxShards) {
+        this.maxShards = maxShards;
     }
 
     /**
-     * One interval has passed.
+     * Updates the number of shards after an interval.
      *
-     * @param millis how long it was
-     * @param added samples that came in
-     * @param sent samples that were accepted or refused
-     * @param sending milliseconds during which batches were out, over all shards
-     * @param held samples that wait
-     * @param failing whether the receiver failed last: more shards would only fail more often
-     * @return shards from now on
+     * @param intervalMillis length of the interval
+     * @param added samples added in it
+     * @param sent samples that were accepted or rejected in it
+     * @param sendingMillis time during which batches were in flight, summed over all shards
+     * @param pending samples that wait to be sent
+     * @param failing whether the last request failed: more shards would only fail more often
+     * @return the new number of shards
      */
-    public int update(double millis, long added, long sent, double sending, long held, boolean failing) {
+    public int update(double intervalMillis, long added, long sent, double sendingMillis, long pending, boolean failing) {
         double weight = initialized ? SMOOTHING_FACTOR : 1;
         initialized = true;
-        samplesInPerMilli += weight * (added / millis - samplesInPerMilli);
-        samplesOutPerMilli += weight * (sent / millis - samplesOutPerMilli);
-        busyShards += weight * (sending / millis - busyShards);
+        samplesInPerMilli += weight * (added / intervalMillis - samplesInPerMilli);
+        samplesOutPerMilli += weight * (sent / intervalMillis - samplesOutPerMilli);
+        busyShards += weight * (sendingMillis / intervalMillis - busyShards);
         if (failing || samplesOutPerMilli <= 0) {
             return shards;
         }
-        double each = busyShards / samplesOutPerMilli;
-        double wanted = each * (samplesInPerMilli + BACKLOG_FRACTION * held / millis);
-        if (Math.abs(wanted - shards) > TOLERANCE * shards) {
-            shards = Math.max(1, Math.min(maxShards, (int) Math.ceil(wanted)));
+        double millisPerSample = busyShards / samplesOutPerMilli;
+        double neededShards = millisPerSample * (samplesInPerMilli + BACKLOG_FRACTION * pending / intervalMillis);
+        if (Math.abs(neededShards - shards) > TOLERANCE * shards) {
+            shards = Math.max(1, Math.min(maxShards, (int) Math.ceil(neededShards)));
         }
         return shards;
     }
--- a/telemetry/src/main/java/gradereach/remotewrite/Shards.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Shards.java
@@ -6,74 +6,75 @@
 import java.util.Random;
 
 /**
- * The queues of all shards. A series always goes to the same one; when their number changes, nothing new leaves until all that
- * is out has ended, then what waits is dealt out anew in its order.
+ * The send queues of all shards. A series always maps to the same shard. When the number of shards changes, no new batch is sent
+ * until those in flight have ended; then the pending samples are redistributed in their order.
  */
 public final class Shards {
     private final SendQueue.Limits limits;
     private final Random random;
     private List<SendQueue> queues = new ArrayList<>();
     private int targetSize = 1;
-    // Of queues that were given up.
+    // Totals of queues that a resize has replaced.
     private long added;
     private long accepted;
     private final long[] dropped = new long[DropReason.values().length];
 
-    /** @param bounds of all shards together */
-    public Shards(SendQueue.Limits bounds, Random chance) {
-        this.limits = bounds;
-        this.random = chance;
-        queues.add(new SendQueue(bounds, chance));
+    /** @param limits of all shards together */
+    public Shards(SendQueue.Limits limits, Random random) {
+        this.limits = limits;
+        this.random = random;
+        queues.add(new SendQueue(limits, random));
     }
 
-    public void add(SeriesSample item, double now) {
-        queues.get(Math.floorMod(item.labels().hashCode(), queues.size())).add(item, now);
+    public void add(SeriesSample sample, double now) {
+        queues.get(Math.floorMod(sample.labels().hashCode(), queues.size())).add(sample, now);
     }
 
+    /** Sets the number of shards, which takes effect once no batch is in flight. */
     public void resize(int shards) {
         targetSize = shards;
         applyResize();
     }
 
-    /** Deals out anew once nothing is out. */
+    /** Redistributes the pending samples to the new number of shards once no batch is in flight. */
     private void applyResize() {
         if (targetSize == queues.size() || queues.stream().anyMatch(SendQueue::hasBatchInFlight)) {
             return;
         }
-        record Waiting(SeriesSample item, double addedAt) { }
-        List<Waiting> all = new ArrayList<>();
+        record Pending(SeriesSample sample, double addedAt) { }
+        List<Pending> all = new ArrayList<>();
         for (SendQueue queue : queues) {
             List<Double> times = new ArrayList<>();
-            List<SeriesSample> items = queue.drain(times);
-            for (int i = 0; i < items.size(); i++) {
-                all.add(new Waiting(items.get(i), times.get(i)));
+            List<SeriesSample> samples = queue.drain(times);
+            for (int i = 0; i < samples.size(); i++) {
+                all.add(new Pending(samples.get(i), times.get(i)));
             }
             added += queue.added();
             accepted += queue.accepted();
-            for (DropReason why : DropReason.values()) {
-                dropped[why.ordinal()] += queue.dropped(why);
+            for (DropReason reason : DropReason.values()) {
+                dropped[reason.ordinal()] += queue.dropped(reason);
             }
         }
         queues = new ArrayList<>();
         for (int i = 0; i < targetSize; i++) {
-            queues.add(new SendQueue(new SendQueue.Limits(Math.max(1, limits.maxSamples() / targetSize), Math.max(1, limits.maxBytes() / targetSize),
-                    limits.maxBatchSamples(), limits.maxBatchBytes(), limits.maxBatchDelay(), limits.maxAge(), limits.initialBackoff(),
-                    limits.maxBackoff()), random));
+            queues.add(new SendQueue(new SendQueue.Limits(Math.max(1, limits.maxSamples() / targetSize),
+                    Math.max(1, limits.maxBytes() / targetSize), limits.maxBatchSamples(), limits.maxBatchBytes(), limits.maxBatchDelay(),
+                    limits.maxAge(), limits.initialBackoff(), limits.maxBackoff()), random));
         }
-        all.forEach(waiting -> add(waiting.item, waiting.addedAt));
+        all.forEach(pending -> add(pending.sample, pending.addedAt));
     }
 
     public int size() {
         return queues.size();
     }
 
-    /** The next batch of a shard; none while their number is about to change. */
+    /** The next batch of a shard; null if none is due or while a resize is pending. */
     public SendQueue.Batch nextBatch(int shard, double now) {
         return targetSize != queues.size() ? null : queues.get(shard).nextBatch(now);
     }
 
-    public void onSendResult(int shard, SendQueue.SendResult word, double now) {
-        queues.get(shard).onSendResult(word, now);
+    public void onSendResult(int shard, SendQueue.SendResult result, double now) {
+        queues.get(shard).onSendResult(result, now);
         applyResize();
     }
 
@@ -81,7 +82,7 @@
         return queues.stream().mapToDouble(SendQueue::dueAt).min().orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** All that is held may go at once. */
+    /** Makes all batches due at once. */
     public void flush() {
         queues.forEach(SendQueue::flush);
     }
@@ -98,8 +99,8 @@
         return accepted + queues.stream().mapToLong(SendQueue::accepted).sum();
     }
 
-    public long dropped(DropReason why) {
-        return dropped[why.ordinal()] + queues.stream().mapToLong(q -> q.dropped(why)).sum();
+    public long dropped(DropReason reason) {
+        return dropped[reason.ordinal()] + queues.stream().mapToLong(queue -> queue.dropped(reason)).sum();
     }
 
     public long pending() {
