--- a/cli/src/main/java/gradereach/cli/AlertsCommand.java
+++ b/cli/src/main/java/gradereach/cli/AlertsCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The Prometheus rules file for a deployment. */
+/** Prints and checks the Prometheus rules file of a deployment. */
 @Command(name = "alerts", mixinStandardHelpOptions = true, description = "Alert rules for a deployment's objectives (docs/alerts.md).")
 final class AlertsCommand {
     @Option(names = "--page", defaultValue = "docs/alerts.md", scope = picocli.CommandLine.ScopeType.INHERIT,
@@ -18,8 +18,9 @@
     private String page;
 
     private String ruleFileFor(Path file) throws InvalidDeploymentException {
-        Deployment plan = Deployment.read(file);
-        return new AlertRuleFile(plan.objectives(), AlertRuleFile.SLOW_LOAD_FACTOR * plan.maxLoadMillis(), 60_000, page).toYaml();
+        Deployment deployment = Deployment.read(file);
+        return new AlertRuleFile(deployment.objectives(), AlertRuleFile.SLOW_LOAD_FACTOR * deployment.maxLoadMillis(), 60_000, page)
+                .toYaml();
     }
 
     @Command(name = "print", mixinStandardHelpOptions = true, description = "Print the rules file.")
@@ -36,17 +37,17 @@
     @Command(name = "check", mixinStandardHelpOptions = true, description = "Say whether a rules file is the one for a deployment.")
     int check(@Parameters(paramLabel = "FILE") Path file, @Parameters(paramLabel = "RULES") Path rules) throws IOException {
         try {
-            String wanted = ruleFileFor(file);
+            String expected = ruleFileFor(file);
             if (!Files.isReadable(rules)) {
                 System.err.println(rules + ": cannot be read");
                 return 2;
             }
-            String[] have = Files.readString(rules).split("\n", -1);
-            String[] want = wanted.split("\n", -1);
-            for (int i = 0; i < Math.max(have.length, want.length); i++) {
-                if (i >= have.length || i >= want.length || !have[i].equals(want[i])) {
+            String[] actualLines = Files.readString(rules).split("\n", -1);
+            String[] expectedLines = expected.split("\n", -1);
+            for (int i = 0; i < Math.max(actualLines.length, expectedLines.length); i++) {
+                if (i >= actualLines.length || i >= expectedLines.length || !actualLines[i].equals(expectedLines[i])) {
                     System.out.println(rules + ":" + (i + 1) + ": differs from what " + file + " gives: "
-                            + (i < want.length ? want[i].strip() : "no more lines"));
+                            + (i < expectedLines.length ? expectedLines[i].strip() : "no more lines"));
                     return 1;
                 }
             }
--- a/cli/src/main/java/gradereach/cli/GrpcCall.java
+++ b/cli/src/main/java/gradereach/cli/GrpcCall.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One signed inference, or several in one stream, by gRPC; answers are printed as protobuf text. */
+/** Sends one signed inference, or several in one stream, by gRPC and prints the answers as protobuf text. */
 final class GrpcCall {
     private static final String UNARY = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
     private static final String STREAMING = GRPCInferenceServiceGrpc.getModelStreamInferMethod().getFullMethodName();
@@ -35,19 +35,24 @@
     private final long budgetMillis;
     private final PrintStream out;
 
-    GrpcCall(WebhookKey key, String model, JsonNode input, String id, long budget, PrintStream out) throws IOException {
+    GrpcCall(WebhookKey key, String model, JsonNode input, String id, long budgetMillis, PrintStream out) throws IOException {
         this.key = key;
         request = InferenceJsonConverter.requestFromJson(input, model);
         this.id = id;
-        this.budgetMillis = budget > 0 ? budget : 60_000;
+        this.budgetMillis = budgetMillis > 0 ? budgetMillis : 60_000;
         this.out = out;
     }
 
-    private String signature(String of, long at, String method, ModelInferRequest bare) {
-        return KeyRing.signatureHeader(List.of(key), of, at, CallSignature.signedContent(method, CallSignature.digest(bare)));
+    private String signature(String messageId, long timestamp, String method, ModelInferRequest unsigned) {
+        return KeyRing.signatureHeader(List.of(key), messageId, timestamp,
+                CallSignature.signedContent(method, CallSignature.digest(unsigned)));
     }
 
-    /** The exit code. With {@code streamed} above 0 so many inferences go in one stream, as ID-0, ID-1 ... */
+    /**
+     * Sends the inferences and returns the exit code.
+     *
+     * @param streamed number of inferences to send in one stream, with the ids ID-0, ID-1 and so on; 0 for a unary call
+     */
     int run(URI url, int streamed) throws InterruptedException {
         ManagedChannel channel = NettyChannelBuilder.forAddress(url.getHost(), url.getPort()).usePlaintext().disableRetry()
                 .build();
@@ -59,11 +64,11 @@
     }
 
     private int unary(ManagedChannel channel) {
-        long at = System.currentTimeMillis() / 1000;
+        long timestamp = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
         put(headers, CallSignature.ID, id);
-        put(headers, CallSignature.TIMESTAMP, Long.toString(at));
-        put(headers, CallSignature.SIGNATURE, signature(id, at, UNARY, request));
+        put(headers, CallSignature.TIMESTAMP, Long.toString(timestamp));
+        put(headers, CallSignature.SIGNATURE, signature(id, timestamp, UNARY, request));
         try {
             out.print(TextFormat.printer().printToString(GRPCInferenceServiceGrpc.newBlockingStub(channel)
                     .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers))
@@ -82,13 +87,13 @@
         }
     }
 
-    private static void put(Metadata to, String name, String value) {
-        to.put(Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER), value);
+    private static void put(Metadata headers, String name, String value) {
+        headers.put(Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER), value);
     }
 
     private int stream(ManagedChannel channel, int count) throws InterruptedException {
-        CompletableFuture<Integer> end = new CompletableFuture<>();
-        StreamObserver<ModelInferRequest> to = GRPCInferenceServiceGrpc.newStub(channel)
+        CompletableFuture<Integer> exitCode = new CompletableFuture<>();
+        StreamObserver<ModelInferRequest> requests = GRPCInferenceServiceGrpc.newStub(channel)
                 .withDeadlineAfter(budgetMillis, TimeUnit.MILLISECONDS).modelStreamInfer(new StreamObserver<>() {
                     private int code;
 
@@ -99,24 +104,25 @@
                     }
 
                     @Override
-                    public void onError(Throwable why) {
-                        out.println(Status.fromThrowable(why));
-                        end.complete(1);
+                    public void onError(Throwable failure) {
+                        out.println(Status.fromThrowable(failure));
+                        exitCode.complete(1);
                     }
 
                     @Override
                     public void onCompleted() {
-                        end.complete(code);
+                        exitCode.complete(code);
                     }
                 });
         for (int i = 0; i < count; i++) {
-            long at = System.currentTimeMillis() / 1000;
-            ModelInferRequest bare = request.toBuilder().setId(id + "-" + i).build();
-            to.onNext(bare.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(at)))
-                    .putParameters(CallSignature.SIGNATURE, stringParameter(signature(bare.getId(), at, STREAMING, bare))).build());
+            long timestamp = System.currentTimeMillis() / 1000;
+            ModelInferRequest unsigned = request.toBuilder().setId(id + "-" + i).build();
+            requests.onNext(unsigned.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(timestamp)))
+                    .putParameters(CallSignature.SIGNATURE,
+                            stringParameter(signature(unsigned.getId(), timestamp, STREAMING, unsigned))).build());
         }
-        to.onCompleted();
-        return end.join();
+        requests.onCompleted();
+        return exitCode.join();
     }
 
     private static InferParameter stringParameter(String value) {
--- a/cli/src/main/java/gradereach/cli/LogSetup.java
+++ b/cli/src/main/java/gradereach/cli/LogSetup.java
@@ -11,13 +11,15 @@
 import ch.qos.logback.core.encoder.EncoderBase;
 import org.slf4j.LoggerFactory;
 
-/** Sets up logging of a serving process: JSON lines or plain ones, on standard error, never in the way. */
+/** Configures logging of a front end: JSON or plain lines on standard error, written asynchronously. */
 final class LogSetup {
-    private static final int QUEUE_CAPACITY = 8192; // a second or so of lives; beyond it lines are let go, not waited for
+    /** About a second of inference lines; when the queue is full, lines are dropped rather than waited for. */
+    private static final int QUEUE_CAPACITY = 8192;
 
     private LogSetup() { }
 
-    static void configure(boolean json, String level, boolean lives) {
+    /** @param inferenceLines whether to log a line for each inference */
+    static void configure(boolean json, String level, boolean inferenceLines) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         EncoderBase<ILoggingEvent> encoder = json ? jsonEncoder() : plainEncoder();
@@ -40,7 +42,7 @@
         root.setLevel(Level.WARN);
         root.addAppender(async);
         context.getLogger("gradereach").setLevel(Level.toLevel(level, Level.INFO));
-        if (!lives) {
+        if (!inferenceLines) {
             context.getLogger("gradereach.inferences").setLevel(Level.WARN);
         }
     }
--- a/cli/src/main/java/gradereach/cli/Main.java
+++ b/cli/src/main/java/gradereach/cli/Main.java
@@ -38,14 +38,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line. Exit codes: 0 done, 1 run errors and broken rules, 2 bad command line or files. */
+/**
+ * The command line. Exit codes: 0 success, 1 runtime error or violated rule, 2 invalid command line or file, 3 inconclusive
+ * rehearsal or soak.
+ */
 @Command(name = "gradereach", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
         description = "A gateway that runs calls on executors that load models on demand.",
         footer = {"", "Begin with: gradereach rehearse quick", "Exit codes: 0 done, 1 failed, 2 bad command line or file."},
         subcommands = {Main.Serve.class, Main.Check.class, Main.Call.class, Main.Keys.class, Main.StandIn.class,
-            Main.Rehearse.class, Main.MeasureCommand.class, Main.Bench.class, LedgerCommand.class, AlertsCommand.class, MembersCommand.class, Main.VersionCommand.class, Main.Completion.class})
+            Main.Rehearse.class, Main.MeasureCommand.class, Main.Bench.class, LedgerCommand.class, AlertsCommand.class,
+            MembersCommand.class, Main.VersionCommand.class, Main.Completion.class})
 public final class Main implements Runnable {
-    /** Exit code where no rule was broken and a play could not tell all of it. */
+    /** Exit code of a run that found no violation but could not decide every rule. */
     static final int EXIT_INCONCLUSIVE = 3;
 
     @Spec
@@ -56,8 +60,8 @@
     }
 
     static CommandLine commandLine() {
-        return new CommandLine(new Main()).setExecutionExceptionHandler((e, at, result) -> {
-            at.getErr().println(at.getCommandSpec().qualifiedName() + ": " + (e.getMessage() == null ? e : e.getMessage()));
+        return new CommandLine(new Main()).setExecutionExceptionHandler((e, command, result) -> {
+            command.getErr().println(command.getCommandSpec().qualifiedName() + ": " + (e.getMessage() == null ? e : e.getMessage()));
             return 1;
         });
     }
@@ -114,8 +118,8 @@
         @Override
         public Integer call() {
             try {
-                Deployment plan = Deployment.read(file);
-                System.out.println(file + ": good; " + plan.customers().size() + " customers, " + plan.groups().size()
+                Deployment deployment = Deployment.read(file);
+                System.out.println(file + ": good; " + deployment.customers().size() + " customers, " + deployment.groups().size()
                         + " model groups");
                 return 0;
             } catch (InvalidDeploymentException e) {
@@ -129,7 +133,8 @@
             description = "Send one signed inference and print the answer's body.",
             footer = "Exits with 0 for returned, 1 for shed, failed or refused.")
     static final class Call implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "URL", description = "a front end, as http://127.0.0.1:8080 or, by gRPC, grpc://127.0.0.1:8081")
+        @Parameters(index = "0", paramLabel = "URL",
+                description = "a front end, as http://127.0.0.1:8080 or, by gRPC, grpc://127.0.0.1:8081")
         private URI url;
         @Parameters(index = "1", paramLabel = "MODEL")
         private String model;
@@ -165,32 +170,33 @@
                 throw new CommandLine.ParameterException(spec.commandLine(), "--key: a whpk_ key cannot sign");
             }
             ObjectMapper json = new ObjectMapper();
-            JsonNode told = json.readTree(input.startsWith("@") ? Files.readString(Path.of(input.substring(1))) : input);
+            JsonNode inputJson = json.readTree(input.startsWith("@") ? Files.readString(Path.of(input.substring(1))) : input);
             String messageId = id != null ? id : "call-" + UUID.randomUUID();
             if ("grpc".equals(url.getScheme())) {
-                return new GrpcCall(signer, model, told, messageId, budget, System.out).run(url, stream);
+                return new GrpcCall(signer, model, inputJson, messageId, budget, System.out).run(url, stream);
             }
+            // A given id may be a repeat, whose bytes must be the same: its timestamp is constant.
             var message = json.createObjectNode().put("type", "inference.requested")
-                    .put("timestamp", (id == null ? Instant.now() : Instant.EPOCH).toString()); // the same id: the same bytes
+                    .put("timestamp", (id == null ? Instant.now() : Instant.EPOCH).toString());
             var data = message.putObject("data").put("model", model);
-            data.set("input", told);
+            data.set("input", inputJson);
             if (budget > 0) {
                 data.put("budget_ms", budget);
             }
             byte[] body = json.writeValueAsBytes(message);
-            long at = System.currentTimeMillis() / 1000;
+            long timestamp = System.currentTimeMillis() / 1000;
             HttpRequest.Builder request = HttpRequest.newBuilder(url.resolve("/v1/inferences"))
                     .timeout(Duration.ofMillis(budget > 0 ? budget + 1000 : 60_000))
                     .header("content-type", "application/json").header("webhook-id", messageId)
-                    .header("webhook-timestamp", Long.toString(at))
-                    .header("webhook-signature", KeyRing.signatureHeader(List.of(signer), messageId, at, body))
+                    .header("webhook-timestamp", Long.toString(timestamp))
+                    .header("webhook-signature", KeyRing.signatureHeader(List.of(signer), messageId, timestamp, body))
                     .POST(HttpRequest.BodyPublishers.ofByteArray(body));
             if (async) {
                 request.header("prefer", "respond-async");
             }
-            HttpResponse<String> answer;
+            HttpResponse<String> response;
             try {
-                answer = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
+                response = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
                         .connectTimeout(Duration.ofSeconds(5)).build()
                         .send(request.build(), HttpResponse.BodyHandlers.ofString());
             } catch (IOException e) {
@@ -198,11 +204,11 @@
                 return 1;
             }
             if (verbose) {
-                System.out.println("HTTP " + answer.statusCode());
-                answer.headers().map().forEach((name, values) -> System.out.println(name + ": " + String.join(", ", values)));
+                System.out.println("HTTP " + response.statusCode());
+                response.headers().map().forEach((name, values) -> System.out.println(name + ": " + String.join(", ", values)));
             }
-            System.out.println(answer.body());
-            return answer.statusCode() < 300 ? 0 : 1;
+            System.out.println(response.body());
+            return response.statusCode() < 300 ? 0 : 1;
         }
     }
 
@@ -225,18 +231,18 @@
 
         @Command(name = "public", mixinStandardHelpOptions = true, description = "Print the whpk_ part of a whsk_ key.")
         int show(@Parameters(paramLabel = "FILE") Path file) throws IOException {
-            String shown;
+            String publicKey;
             try {
-                shown = WebhookKey.parse(Files.readString(file)).publicKeyText();
+                publicKey = WebhookKey.parse(Files.readString(file)).publicKeyText();
             } catch (IllegalArgumentException e) {
                 System.err.println(file + ": " + e.getMessage());
                 return 2;
             }
-            if (shown == null) {
+            if (publicKey == null) {
                 System.err.println(file + ": a shared secret has no public part");
                 return 2;
             }
-            System.out.println(shown);
+            System.out.println(publicKey);
             return 0;
         }
     }
@@ -251,8 +257,8 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            JsonNode told = new ObjectMapper().readTree(fleet.toFile());
-            try (StandInFleet running = new StandInFleet(told, transcript)) {
+            JsonNode fleetConfig = new ObjectMapper().readTree(fleet.toFile());
+            try (StandInFleet running = new StandInFleet(fleetConfig, transcript)) {
                 System.out.println("roster http://127.0.0.1:" + running.rosterPort() + "\ncontrol http://127.0.0.1:"
                         + running.controlPort() + "\nexecutors " + String.join(" ", running.addresses()));
                 while (System.in.read() >= 0) { }
@@ -290,32 +296,32 @@
                 System.err.println(e.getMessage());
                 return 2;
             }
-            boolean kept = true;
-            boolean decided = true;
+            boolean passed = true;
+            boolean conclusive = true;
             for (int i = 0; i < times; i++) {
-                Path folder = keep != null ? keep.resolve(times > 1 ? Integer.toString(i + 1) : "")
+                Path runFolder = keep != null ? keep.resolve(times > 1 ? Integer.toString(i + 1) : "")
                         : Files.createTempDirectory("rehearsal");
                 List<String> frontEnd = new ArrayList<>(Rehearsal.javaCommand("gradereach.cli.Main"));
                 frontEnd.add("serve");
-                System.out.println(day + ": " + script.path("about").asText() + " (" + folder + ")");
-                Rehearsal rehearsal = new Rehearsal(script, folder, frontEnd, System.out);
-                Auditor.AuditReport found;
+                System.out.println(day + ": " + script.path("about").asText() + " (" + runFolder + ")");
+                Rehearsal rehearsal = new Rehearsal(script, runFolder, frontEnd, System.out);
+                Auditor.AuditReport report;
                 if (alerts) {
-                    try (AlertMonitor watch = new AlertMonitor(script)) {
-                        found = rehearsal.withAlertMonitor(watch).run();
-                        watch.print(System.out);
+                    try (AlertMonitor monitor = new AlertMonitor(script)) {
+                        report = rehearsal.withAlertMonitor(monitor).run();
+                        monitor.print(System.out);
                     }
                 } else {
-                    found = rehearsal.run();
+                    report = rehearsal.run();
                 }
-                found.counts().forEach((what, count) -> System.out.println("  " + what + ": " + count));
-                found.results().forEach(System.out::println);
-                found.inconclusiveReasons().forEach(why -> System.out.println("not decided: " + why));
-                decided &= found.conclusive();
-                kept &= found.passed() || !found.conclusive();
+                report.counts().forEach((name, count) -> System.out.println("  " + name + ": " + count));
+                report.results().forEach(System.out::println);
+                report.inconclusiveReasons().forEach(reason -> System.out.println("not decided: " + reason));
+                conclusive &= report.conclusive();
+                passed &= report.passed() || !report.conclusive();
             }
-            System.out.println(!kept ? "FAIL" : decided ? "PASS" : "VOID");
-            return !kept ? 1 : decided ? 0 : EXIT_INCONCLUSIVE;
+            System.out.println(!passed ? "FAIL" : conclusive ? "PASS" : "VOID");
+            return !passed ? 1 : conclusive ? 0 : EXIT_INCONCLUSIVE;
         }
     }
 
@@ -333,7 +339,8 @@
         @Option(names = "--ledger", description = "non-retriable inferences with a ledger, in place of retriable ones without")
         private boolean ledger;
 
-        @Option(names = "--push", description = "what pushing measures costs inferences: off, to a receiver that is well, drops half, hangs")
+        @Option(names = "--push",
+                description = "what pushing measures costs inferences: off, to a receiver that is well, drops half, hangs")
         private boolean push;
         @Option(names = "--streams", paramLabel = "OPEN", description = "answers in parts instead, with so many streams open at last")
         private Integer streams;
@@ -348,9 +355,9 @@
                 return 0;
             }
             if (push) {
-                LatencyBenchmark measure = new LatencyBenchmark(Files.createTempDirectory("measure"), frontEnd, ledger, System.out);
-                measure.runRemoteWrite(rates[0], seconds, rounds);
-                measure.runSimultaneousPushers();
+                LatencyBenchmark benchmark = new LatencyBenchmark(Files.createTempDirectory("measure"), frontEnd, ledger, System.out);
+                benchmark.runRemoteWrite(rates[0], seconds, rounds);
+                benchmark.runSimultaneousPushers();
                 return 0;
             }
             new LatencyBenchmark(Files.createTempDirectory("measure"), frontEnd, ledger, System.out)
--- a/cli/src/main/java/gradereach/cli/SoakCommand.java
+++ b/cli/src/main/java/gradereach/cli/SoakCommand.java
@@ -15,10 +15,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays soaks, one seed after the other. */
+/** Runs soak tests, one seed after the other. */
 @Command(name = "soak", mixinStandardHelpOptions = true,
         description = "Play front ends of the platform's form under drawn faults of peers, signals and system calls.",
-        footer = {"", "Exits with 0 only when no rule was broken and nothing crashed; with 3 where that is so and not all can be told. Needs a C compiler (cc)."})
+        footer = {"", "Exits with 0 only when no rule was broken and nothing crashed; with 3 where that is so and not all can be told. "
+            + "Needs a C compiler (cc)."})
 final class SoakCommand implements Callable<Integer> {
     private static final String FRONT_END = "gradereach.platform.serve.PlatformProcess";
 
@@ -45,32 +46,32 @@
             System.err.println("--seconds, --nodes and --seeds: at least 1");
             return 2;
         }
-        Set<SoakFault> troubles = only == null ? EnumSet.allOf(SoakFault.class) : EnumSet.copyOf(only);
+        Set<SoakFault> faults = only == null ? EnumSet.allOf(SoakFault.class) : EnumSet.copyOf(only);
         if (without != null) {
-            troubles.removeAll(without);
+            faults.removeAll(without);
         }
-        if (troubles.isEmpty()) {
+        if (faults.isEmpty()) {
             System.err.println("--only, --without: nothing is left to be played");
             return 2;
         }
         boolean failed = false;
-        boolean decided = true;
-        for (long next = seed; next < seed + seeds; next++) {
-            SoakReport report = runSoak(next, troubles);
-            decided &= report.conclusive();
+        boolean conclusive = true;
+        for (long currentSeed = seed; currentSeed < seed + seeds; currentSeed++) {
+            SoakReport report = runSoak(currentSeed, faults);
+            conclusive &= report.conclusive();
             if (!report.passed() && report.conclusive()) {
                 failed = true;
                 if (reduce) {
-                    reduce(next, troubles);
+                    reduce(currentSeed, faults);
                 }
             }
         }
-        System.out.println(failed ? "FAIL" : decided ? "PASS" : "VOID");
-        return failed ? 1 : decided ? 0 : Main.EXIT_INCONCLUSIVE;
+        System.out.println(failed ? "FAIL" : conclusive ? "PASS" : "VOID");
+        return failed ? 1 : conclusive ? 0 : Main.EXIT_INCONCLUSIVE;
     }
 
-    private SoakReport runSoak(long seed, Set<SoakFault> troubles) throws IOException, InterruptedException {
-        SoakPlan plan = new SoakPlan(seed, seconds, nodes, troubles, Rehearsal.javaCommand(FRONT_END));
+    private SoakReport runSoak(long seed, Set<SoakFault> faults) throws IOException, InterruptedException {
+        SoakPlan plan = new SoakPlan(seed, seconds, nodes, faults, Rehearsal.javaCommand(FRONT_END));
         try (Soak soak = new Soak(plan, Files.createTempDirectory("soak"))) {
             SoakReport report = soak.run();
             System.out.println("seed " + seed + ": " + report);
@@ -81,11 +82,11 @@
         }
     }
 
-    private void reduce(long seed, Set<SoakFault> troubles) throws IOException, InterruptedException {
-        Set<SoakFault> needed = EnumSet.copyOf(troubles);
-        for (SoakFault trouble : troubles) {
+    private void reduce(long seed, Set<SoakFault> faults) throws IOException, InterruptedException {
+        Set<SoakFault> needed = EnumSet.copyOf(faults);
+        for (SoakFault fault : faults) {
             Set<SoakFault> fewer = EnumSet.copyOf(needed);
-            fewer.remove(trouble);
+            fewer.remove(fault);
             SoakReport report = fewer.isEmpty() ? null : runSoak(seed, fewer);
             if (report != null && report.conclusive() && !report.passed()) {
                 needed = fewer;
--- a/cli/src/test/java/gradereach/cli/ArchitectureTest.java
+++ b/cli/src/test/java/gradereach/cli/ArchitectureTest.java
@@ -8,14 +8,15 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Dependencies point inward: decisions and state know no I/O. */
+/** Checks the direction of dependencies: packages that decide or hold state do no I/O. */
 @AnalyzeClasses(packages = "gradereach", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-    private static final String[] PURE = {"gradereach.webhook..", "gradereach.message..", "gradereach.desk..",
-        "gradereach.counts..", "gradereach.replay..", "gradereach.flow..", "gradereach.measures..", "gradereach.membership..", "gradereach.alerts..", "gradereach.inquiry..", "gradereach.ledger"};
+    private static final String[] DECISION_PACKAGES = {"gradereach.webhook..", "gradereach.message..", "gradereach.desk..",
+        "gradereach.counts..", "gradereach.replay..", "gradereach.flow..", "gradereach.measures..", "gradereach.membership..",
+        "gradereach.alerts..", "gradereach.inquiry..", "gradereach.ledger"};
 
     @ArchTest
-    static final ArchRule coreKnowsNothing = classes().that().resideInAnyPackage("gradereach", "gradereach.api..",
+    static final ArchRule coreDependsOnJavaLangAndUtilOnly = classes().that().resideInAnyPackage("gradereach", "gradereach.api..",
             "gradereach.state..").should().onlyDependOnClassesThat().resideInAnyPackage("gradereach",
             "gradereach.api..", "gradereach.state..", "java.lang..", "java.util..");
 
@@ -30,16 +31,18 @@
             "gradereach.state..", "gradereach.benchlink..", "java..");
 
     @ArchTest
-    static final ArchRule decisionPackagesDoNoIo = noClasses().that().resideInAnyPackage(PURE).should()
+    static final ArchRule decisionPackagesDoNoIo = noClasses().that().resideInAnyPackage(DECISION_PACKAGES).should()
             .dependOnClassesThat().resideInAnyPackage("io.netty..", "java.net..", "java.nio.file..", "java.nio.channels..");
 
     @ArchTest
     static final ArchRule decisionClassesInIoPackagesDoNoIo = noClasses().that()
-            .haveNameMatching(".*\\.(StreamAllocator|ChangelogState|Frame|FrameOutcomes|LoadReportParser|ExchangeOutcomes|OrcaReportParser|RosterTracker|DeliveryScheduler|ClaimTable|ClaimCoordinator|FrontEndSet|SendQueue|Shards|ShardCalculator|PushSchedule)").should()
+            .haveNameMatching(".*\\.(StreamAllocator|ChangelogState|Frame|FrameOutcomes|LoadReportParser|ExchangeOutcomes|OrcaReportParser"
+                    + "|RosterTracker|DeliveryScheduler|ClaimTable|ClaimCoordinator|FrontEndSet|SendQueue|Shards|ShardCalculator"
+                    + "|PushSchedule)").should()
             .dependOnClassesThat().resideInAnyPackage("io.netty.channel..", "java.net..", "java.nio.file..", "java.nio.channels..");
 
     @ArchTest
-    static final ArchRule decisionPackagesDoNotDependOnOuterPackages = noClasses().that().resideInAnyPackage(PURE).should()
+    static final ArchRule decisionPackagesDoNotDependOnOuterPackages = noClasses().that().resideInAnyPackage(DECISION_PACKAGES).should()
             .dependOnClassesThat().resideInAnyPackage("gradereach.front..", "gradereach.link..", "gradereach.loop..",
             "gradereach.serve..", "gradereach.plan..", "gradereach.http2..", "gradereach.delivery..");
 
@@ -56,6 +59,6 @@
     @ArchTest
     static final ArchRule standInsDoNotDependOnTheProduct = noClasses().that().resideInAPackage("gradereach.standins..")
             .should().dependOnClassesThat(com.tngtech.archunit.base.DescribedPredicate.describe("of the product",
-            c -> c.getPackageName().startsWith("gradereach") && !c.getPackageName().startsWith("gradereach.standins")
-                    && !c.getPackageName().startsWith("gradereach.protocol")));
+            type -> type.getPackageName().startsWith("gradereach") && !type.getPackageName().startsWith("gradereach.standins")
+                    && !type.getPackageName().startsWith("gradereach.protocol")));
 }
--- a/cli/src/test/java/gradereach/cli/MainTest.java
+++ b/cli/src/test/java/gradereach/cli/MainTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
+/** Runs the command line with valid and invalid arguments. */
 class MainTest {
     @TempDir
     private Path folder;
@@ -30,24 +31,25 @@
         "call http://127.0.0.1:1 m --key FOLDER/none | 2 | --key: cannot be read",
         "call http://127.0.0.1:1 m --key FOLDER/old | 2 | --key: key has none", "completion | 0 | complete -F",
         "ledger unknown FOLDER/none | 2 | no such folder", "ledger unknown FOLDER | 0 | 0 unknown of 0",
-        "ledger show FOLDER yard a | 1 | not there", "ledger verify FOLDER/broken | 1 | 0000000000000001.ledger: bytes 0 to 3: no ledger segment",
+        "ledger show FOLDER yard a | 1 | not there",
+        "ledger verify FOLDER/broken | 1 | 0000000000000001.ledger: bytes 0 to 3: no ledger segment",
     })
-    void printsExpectedTextAndExitCode(String args, int code, String says) throws Exception {
+    void printsExpectedTextAndExitCode(String args, int exitCode, String expectedText) throws Exception {
         Files.writeString(folder.resolve("bad.json"), "{}");
         Files.writeString(folder.resolve("old"), "x");
         Files.createDirectories(folder.resolve("broken"));
         Files.writeString(folder.resolve("broken/0000000000000001.ledger"), "???");
         Files.writeString(folder.resolve("broken/0000000000000002.ledger"), "gradereach ledger 1\n");
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
         PrintStream out = System.out;
         PrintStream err = System.err;
-        try (PrintStream to = new PrintStream(said, true)) {
-            System.setOut(to);
-            System.setErr(to);
-            CommandLine line = Main.commandLine().setErr(new PrintWriter(to, true)).setOut(new PrintWriter(to, true));
-            String at = folder.toString();
-            assertEquals(code, line.execute(args.isEmpty() ? new String[0] : args.replace("FOLDER", at).split(" ")));
-            assertTrue(said.toString().contains(says.replace("FOLDER", at)), said.toString());
+        try (PrintStream captured = new PrintStream(output, true)) {
+            System.setOut(captured);
+            System.setErr(captured);
+            CommandLine commandLine = Main.commandLine().setErr(new PrintWriter(captured, true)).setOut(new PrintWriter(captured, true));
+            String folderPath = folder.toString();
+            assertEquals(exitCode, commandLine.execute(args.isEmpty() ? new String[0] : args.replace("FOLDER", folderPath).split(" ")));
+            assertTrue(output.toString().contains(expectedText.replace("FOLDER", folderPath)), output.toString());
         } finally {
             System.setOut(out);
             System.setErr(err);
--- a/signing/src/main/java/gradereach/webhook/KeyRing.java
+++ b/signing/src/main/java/gradereach/webhook/KeyRing.java
@@ -69,7 +69,8 @@
         return rejected(SignatureRejection.NOT_SIGNED);
     }
 
-    private boolean signedBy(int customer, List<ParsedSignature> parsedSignatures, String id, long timestampSeconds, byte[] body, long now) {
+    private boolean signedBy(int customer, List<ParsedSignature> parsedSignatures, String id, long timestampSeconds, byte[] body,
+            long now) {
         for (WebhookKey key : keysOf.get(customer)) {
             if (!key.isValidAt(now)) {
                 continue;
--- a/telemetry/src/main/java/gradereach/alerts/AlertRuleFile.java
+++ b/telemetry/src/main/java/gradereach/alerts/AlertRuleFile.java
@@ -122,13 +122,16 @@
                 + "increase(gradereach_answers_delivered_total[" + duration(10) + "]) == 0", 10, "warning",
                 "promised answers of {{ $labels.instance }} are not taken by their receivers");
         addAlert(rules, "GradereachLedgerFails",
-                "sum by (instance) (increase(gradereach_shed_for_the_ledger_total[" + duration(5) + "])) > 0", 0, "critical", "{{ $labels.instance }} sheds what needs its ledger");
+                "sum by (instance) (increase(gradereach_shed_for_the_ledger_total[" + duration(5) + "])) > 0", 0, "critical",
+                "{{ $labels.instance }} sheds what needs its ledger");
         addAlert(rules, "GradereachModuleFailed",
-                "sum by (instance) (increase(gradereach_module_failures_total[" + duration(10) + "])) > 0", 0, "critical", "the decisions of {{ $labels.instance }} broke and began anew");
+                "sum by (instance) (increase(gradereach_module_failures_total[" + duration(10) + "])) > 0", 0, "critical",
+                "the decisions of {{ $labels.instance }} broke and began anew");
         addAlert(rules, "GradereachHalts", "sum by (instance) (rate(gradereach_decision_turns_slow_total[" + duration(5) + "])) > 1", 2,
                 "warning", "{{ $labels.instance }} stands still now and then");
         addAlert(rules, "GradereachPushLoses",
-                "sum by (instance) (increase(gradereach_push_samples_dropped_total[" + duration(10) + "])) > 0", 0, "warning", "{{ $labels.instance }} lets samples go that the receiver did not take");
+                "sum by (instance) (increase(gradereach_push_samples_dropped_total[" + duration(10) + "])) > 0", 0, "warning",
+                "{{ $labels.instance }} lets samples go that the receiver did not take");
         addAlert(rules, "GradereachSilent", "absent(gradereach_inferences_taken_total)", 2, "critical", "no front end is heard");
     }
 
@@ -137,7 +140,8 @@
         String threshold = String.format(java.util.Locale.ROOT, "%.6f", Math.min(MAX_MISSED_RATIO, burnRate * (1 - objective)));
         addAlert(rules, "GradereachService" + pace + "Burn", "gradereach:missed:ratio_" + shortWindow + "m{group=\"" + group + "\"} > "
                 + threshold + " and gradereach:missed:ratio_" + longWindow + "m{group=\"" + group + "\"} > " + threshold,
-                forMinutes, severity, "{{ $labels.group }} misses its objective of " + objective + " at " + burnRate + " times the allowed rate");
+                forMinutes, severity,
+                "{{ $labels.group }} misses its objective of " + objective + " at " + burnRate + " times the allowed rate");
     }
 
     private void addAlert(ArrayNode rules, String name, String expr, double forMinutes, String severity, String summary) {
