--- a/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
@@ -51,7 +51,7 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** From a message to its forward and from the executor's answer to the client's, without sockets. */
+/** Time of an inference's decisions, from the message to the forward and from the executor's answer to the client's; no sockets. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -71,7 +71,7 @@
         public void onFinalAnswer(FinalAnswer answer) { }
 
         @Override
-        public void onRejected(int status, String word, String why) { }
+        public void onRejected(int status, String code, String detail) { }
     };
     private InferenceCoordinator coordinator;
     private double now = 1e9;
@@ -82,15 +82,15 @@
     private InferenceCoordinator coordinator(Timers timers, Counts counts) {
         LoadingRules loading = new LoadingRules(true, false, 1e9, 3000, 0, List.of());
         ForwardRules forwarding = new ForwardRules(4, false, true, 250, 8, 1000, true, 500);
-        ColdStartRule cold = new ColdStartRule(1, 0, 0, 0);
-        ExecutorTransport links = new ExecutorTransport() {
+        ColdStartRule coldStart = new ColdStartRule(1, 0, 0, 0);
+        ExecutorTransport transport = new ExecutorTransport() {
             @Override
-            public void forward(InFlightForward flight) {
-                inFlightForwards.add(flight);
+            public void forward(InFlightForward forward) {
+                inFlightForwards.add(forward);
             }
 
             @Override
-            public void cancel(InFlightForward flight) { }
+            public void cancel(InFlightForward forward) { }
 
             @Override
             public void sendLoadOrder(LoadOrder order) {
@@ -98,58 +98,59 @@
             }
 
             @Override
-            public void unloadIdle(ExecutorEndpoint place, String name) { }
+            public void unloadIdle(ExecutorEndpoint endpoint, String model) { }
 
             @Override
             public void sendProbe(Probe probe) { }
 
             @Override
-            public void inquire(ExecutorEndpoint place, String forward, InquiryCallback then) { }
+            public void inquire(ExecutorEndpoint endpoint, String forwardId, InquiryCallback callback) { }
 
             @Override
-            public void requestProcessId(ExecutorEndpoint place, DoubleConsumer then) { }
+            public void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback) { }
 
             @Override
-            public void closeWhenIdle(ExecutorEndpoint place) { }
+            public void closeWhenIdle(ExecutorEndpoint endpoint) { }
         };
-        InferenceCoordinator.InferenceListener chronicle = new InferenceCoordinator.InferenceListener() {
+        InferenceCoordinator.InferenceListener listener = new InferenceCoordinator.InferenceListener() {
             @Override
-            public void onInferenceEnded(InferenceState life, double at) { }
+            public void onInferenceEnded(InferenceState inference, double endedAt) { }
 
             @Override
-            public void onRouterFailed(RuntimeException why, String during, int inferences) {
-                throw why;
+            public void onRouterFailed(RuntimeException failure, String during, int inferences) {
+                throw failure;
             }
 
             @Override
             public void onLogLine(String line) { }
         };
-        return new InferenceCoordinator("fe", out -> new Policy(out, new Random(1), new FrontEndSettings(0, 1, 0, false, false, false, 0, 0, 2),
-                List.of(group), List.of(), 1, cold, new LoadOrderBudget(0, 0, 0), loading, forwarding), links, timers,
-                chronicle, MonotonicClock.system(), new MessageStore(100_000, 1 << 24, 1e9, 1000, 1), gradereach.desk.Ledger.NONE,
+        return new InferenceCoordinator("fe", actions -> new Policy(actions, new Random(1),
+                new FrontEndSettings(0, 1, 0, false, false, false, 0, 0, 2),
+                List.of(group), List.of(), 1, coldStart, new LoadOrderBudget(0, 0, 0), loading, forwarding), transport, timers,
+                listener, MonotonicClock.system(), new MessageStore(100_000, 1 << 24, 1e9, 1000, 1), gradereach.desk.Ledger.NONE,
                 gradereach.desk.ClaimService.ALONE, new gradereach.inquiry.InquiryScheduler(0, 1, 1),
                 gradereach.message.AnswerFormat.WEBHOOK,
-                new InferenceCoordinator.AdmissionLimits(10_000, 100, 8), loading, forwarding, cold, List.of("yard"), counts);
+                new InferenceCoordinator.AdmissionLimits(10_000, 100, 8), loading, forwarding, coldStart, List.of("yard"), counts);
     }
 
     @Setup
     public void start() {
-        Timers none = new Timers() {
+        Timers noTimers = new Timers() {
             @Override
-            public long schedule(double at, Object whom) {
+            public long schedule(double at, Object event) {
                 return 0;
             }
 
             @Override
-            public void cancel(long timer, Object whom) { }
+            public void cancel(long timer, Object event) { }
         };
-        coordinator = coordinator(none, new Counts());
+        coordinator = coordinator(noTimers, new Counts());
         coordinator.beginBatch(now);
-        List<RosterEntry> lines = new ArrayList<>();
+        List<RosterEntry> entries = new ArrayList<>();
         for (int i = 0; i < executors; i++) {
-            lines.add(new RosterEntry("10.0.0." + i + ":80", 1, 0, ExecutorState.READY, 0, 0, 0));
+            entries.add(new RosterEntry("10.0.0." + i + ":80", 1, 0, ExecutorState.READY, 0, 0, 0));
         }
-        coordinator.onRosterUpdate(RosterUpdateKind.FULL, lines);
+        coordinator.onRosterUpdate(RosterUpdateKind.FULL, entries);
         coordinator.endBatch();
         for (int i = 0; i < 100; i++) {
             inference();
@@ -163,12 +164,13 @@
         loop.close();
     }
 
-    /** Two moments: taken and forwarded, ended and answered. */
+    /** Two event batches: the message is accepted and forwarded, the forward ends and the message is answered. */
     @Benchmark
     public void inference() {
         now += 0.1;
         coordinator.beginBatch(now);
-        coordinator.onMessage(new IncomingMessage(0, "i" + id++, 1, 1, model, new InferenceInput(new byte[0], null), 0, now, 1000, null, ignoringObserver));
+        coordinator.onMessage(new IncomingMessage(0, "i" + id++, 1, 1, model, new InferenceInput(new byte[0], null), 0, now, 1000, null,
+                ignoringObserver));
         coordinator.endBatch();
         for (LoadOrder order : List.copyOf(orders)) {
             orders.remove(order);
@@ -176,19 +178,19 @@
             coordinator.onLoadOrderEnded(order, Outcome.RETURNED, Math.max(1, order.copies));
             coordinator.endBatch();
         }
-        for (InFlightForward flight; (flight = inFlightForwards.poll()) != null;) {
+        for (InFlightForward forward; (forward = inFlightForwards.poll()) != null;) {
             now += 0.1;
             coordinator.beginBatch(now);
-            coordinator.onForwardEnded(flight, Outcome.RETURNED, LoadStatus.ALREADY_LOADED, 0, null, new byte[100]);
+            coordinator.onForwardEnded(forward, Outcome.RETURNED, LoadStatus.ALREADY_LOADED, 0, null, new byte[100]);
             coordinator.endBatch();
         }
     }
 
-    /** An event from another thread into the loop and seen to have been there. */
+    /** Posts an event to the loop from another thread and waits until it has run. */
     @Benchmark
     public void hop() {
         long before = hopCount;
-        loop.post(d -> hopCount = before + 1);
+        loop.post(ignored -> hopCount = before + 1);
         while (hopCount == before) {
             Thread.onSpinWait();
         }
--- a/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
@@ -23,15 +23,16 @@
 import org.h2.mvstore.MVStore;
 
 /**
- * The append-only log beside an embedded store (H2 MVStore) that commits in groups as well, in one run: records a second,
- * time to durable at 2,000 a second, and time to read a million back. Arguments: a folder, records for the recovery.
+ * Compares the ledger's append-only log with an embedded store (H2 MVStore) that also uses group commit, in one run: records per
+ * second, time until a record is durable at 2,000 per second, and time to read a million records. Arguments: a folder, number of
+ * records to read.
  */
 public final class LedgerStores {
     private static final byte[] BODY = new byte[300];
 
     private LedgerStores() { }
 
-    /** Something that makes records durable and says so. */
+    /** A store that makes records durable and reports when they are. */
     private interface Store extends AutoCloseable {
         void append(LedgerRecord record, Runnable durable) throws InterruptedException;
 
@@ -41,7 +42,7 @@
 
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args.length > 0 ? args[0] : "ledger-stores");
-        int million = args.length > 1 ? Integer.parseInt(args[1]) : 1_000_000;
+        int recordCount = args.length > 1 ? Integer.parseInt(args[1]) : 1_000_000;
         System.out.println("forced alone: " + medianForceMicros(folder) + " us a force of 200 bytes (median of 200)");
         for (int round = 0; round < 2; round++) {
             try (Store log = openLedger(folder.resolve("log" + round))) {
@@ -52,42 +53,42 @@
             }
         }
         try (Store log = openLedger(folder.resolve("log-big"))) {
-            fill(log, million);
+            fill(log, recordCount);
         }
         try (Store store = openMvStore(folder.resolve("mvstore-big"))) {
-            fill(store, million);
+            fill(store, recordCount);
         }
         long start = System.nanoTime();
-        LedgerState book = new LedgerState();
-        LedgerFolder.read(folder.resolve("log-big"), true, (r, s) -> book.apply(r));
-        System.out.printf("log      read %d records, %d messages in %d ms%n", million, book.size(),
+        LedgerState fromLog = new LedgerState();
+        LedgerFolder.read(folder.resolve("log-big"), true, (record, segment) -> fromLog.apply(record));
+        System.out.printf("log      read %d records, %d messages in %d ms%n", recordCount, fromLog.size(),
                 (System.nanoTime() - start) / 1_000_000);
         start = System.nanoTime();
-        LedgerState again = new LedgerState();
+        LedgerState fromMvStore = new LedgerState();
         try (MVStore store = MVStore.open(folder.resolve("mvstore-big").toString())) {
             MVMap<Long, byte[]> map = store.openMap("records");
             for (byte[] frame : map.values()) {
-                again.apply(RecordCodec.decode(frame, 0));
+                fromMvStore.apply(RecordCodec.decode(frame, 0));
             }
         }
-        System.out.printf("mvstore  read %d records, %d messages in %d ms%n", million, again.size(),
+        System.out.printf("mvstore  read %d records, %d messages in %d ms%n", recordCount, fromMvStore.size(),
                 (System.nanoTime() - start) / 1_000_000);
     }
 
     private static long medianForceMicros(Path folder) throws IOException {
         Files.createDirectories(folder);
-        List<Long> took = new ArrayList<>();
+        List<Long> forceMicros = new ArrayList<>();
         Path file = folder.resolve("force-" + System.nanoTime());
         try (Disk.Appender out = Disk.FILE_SYSTEM.create(file)) {
             for (int i = 0; i < 200; i++) {
                 long start = System.nanoTime();
                 out.write(java.nio.ByteBuffer.wrap(new byte[200]));
                 out.force();
-                took.add((System.nanoTime() - start) / 1000);
+                forceMicros.add((System.nanoTime() - start) / 1000);
             }
         }
         Files.delete(file);
-        return took.stream().sorted().toList().get(100);
+        return forceMicros.stream().sorted().toList().get(100);
     }
 
     private static LedgerRecord record(long i) {
@@ -98,44 +99,44 @@
     }
 
     private static void measure(String name, Store store) throws InterruptedException {
-        int window = 2048;
-        Semaphore room = new Semaphore(window);
+        int maxPending = 2048;
+        Semaphore permits = new Semaphore(maxPending);
         long start = System.nanoTime();
         int count = 0;
         while (System.nanoTime() - start < 4_000_000_000L) {
-            room.acquire();
-            store.append(record(count++), room::release);
+            permits.acquire();
+            store.append(record(count++), permits::release);
         }
-        room.acquire(window);
-        room.release(window);
+        permits.acquire(maxPending);
+        permits.release(maxPending);
         double perSecond = count / ((System.nanoTime() - start) / 1e9);
-        Recorder times = new Recorder(3);
-        long begin = System.nanoTime();
+        Recorder durableTimes = new Recorder(3);
+        long startedAt = System.nanoTime();
         int rate = 2000;
         for (int i = 0; i < rate * 5; i++) {
-            long due = begin + i * 1_000_000_000L / rate;
-            while (System.nanoTime() < due) {
+            long dueAt = startedAt + i * 1_000_000_000L / rate;
+            while (System.nanoTime() < dueAt) {
                 LockSupport.parkNanos(50_000);
             }
-            room.acquire();
+            permits.acquire();
             store.append(record(i), () -> {
-                times.recordValue((System.nanoTime() - due) / 1000);
-                room.release();
+                durableTimes.recordValue((System.nanoTime() - dueAt) / 1000);
+                permits.release();
             });
         }
-        room.acquire(window);
-        var histogram = times.getIntervalHistogram();
+        permits.acquire(maxPending);
+        var histogram = durableTimes.getIntervalHistogram();
         System.out.printf("%-8s %8.0f records/s at most; at 2,000/s durable after p50 %d us, p99 %d us%n", name, perSecond,
                 histogram.getValueAtPercentile(50), histogram.getValueAtPercentile(99));
     }
 
     private static void fill(Store store, int count) throws InterruptedException {
-        Semaphore room = new Semaphore(8192);
+        Semaphore permits = new Semaphore(8192);
         for (int i = 0; i < count; i++) {
-            room.acquire();
-            store.append(record(i), room::release);
+            permits.acquire();
+            store.append(record(i), permits::release);
         }
-        room.acquire(8192);
+        permits.acquire(8192);
     }
 
     private static Store openLedger(Path folder) throws IOException {
@@ -145,8 +146,8 @@
         return new Store() {
             @Override
             public void append(LedgerRecord record, Runnable durable) {
-                ledger.append(record, yes -> {
-                    if (!yes) {
+                ledger.append(record, success -> {
+                    if (!success) {
                         throw new IllegalStateException("not durable");
                     }
                     durable.run();
@@ -163,26 +164,26 @@
     private static Store openMvStore(Path file) {
         MVStore store = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open();
         MVMap<Long, byte[]> map = store.openMap("records");
-        record Waiting(byte[] frame, Runnable durable) { }
-        ArrayBlockingQueue<Waiting> queue = new ArrayBlockingQueue<>(65_536);
+        record Pending(byte[] frame, Runnable durable) { }
+        ArrayBlockingQueue<Pending> queue = new ArrayBlockingQueue<>(65_536);
         boolean[] closing = new boolean[1];
         Thread writer = new Thread(() -> {
-            long next = 0;
-            List<Waiting> batch = new ArrayList<>();
+            long nextKey = 0;
+            List<Pending> batch = new ArrayList<>();
             try {
                 while (!closing[0] || !queue.isEmpty()) {
-                    Waiting first = queue.poll(10, TimeUnit.MILLISECONDS);
+                    Pending first = queue.poll(10, TimeUnit.MILLISECONDS);
                     if (first == null) {
                         continue;
                     }
                     batch.add(first);
                     queue.drainTo(batch, 2047);
-                    for (Waiting w : batch) {
-                        map.put(next++, w.frame);
+                    for (Pending pending : batch) {
+                        map.put(nextKey++, pending.frame);
                     }
                     store.commit();
                     store.sync();
-                    batch.forEach(w -> w.durable.run());
+                    batch.forEach(pending -> pending.durable.run());
                     batch.clear();
                 }
             } catch (InterruptedException e) {
@@ -193,7 +194,7 @@
         return new Store() {
             @Override
             public void append(LedgerRecord record, Runnable durable) throws InterruptedException {
-                queue.put(new Waiting(RecordCodec.encode(record), durable));
+                queue.put(new Pending(RecordCodec.encode(record), durable));
             }
 
             @Override
--- a/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What it costs the deciding thread to record an inference's end, beside the plain ways. */
+/** Time that the decision thread takes to record the end of an inference, compared with simpler methods. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -40,14 +40,14 @@
 
     @Setup
     public void setUp() {
-        java.util.Random chance = new java.util.Random(1);
+        java.util.Random random = new java.util.Random(1);
         for (int i = 0; i < NAMES; i++) {
             names[i] = "model-" + i;
-            long h = names[i].hashCode() * 0x9e3779b97f4a7c15L;
-            hashes[i] = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
+            long hash = names[i].hashCode() * 0x9e3779b97f4a7c15L;
+            hashes[i] = (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L;
         }
         for (int i = 0; i < nameIndexes.length; i++) {
-            nameIndexes[i] = (int) Math.min(NAMES - 1, Math.exp(chance.nextDouble() * Math.log(NAMES))); // Zipf with exponent 1
+            nameIndexes[i] = (int) Math.min(NAMES - 1, Math.exp(random.nextDouble() * Math.log(NAMES))); // Zipf with exponent 1
         }
         service = new ServiceMetrics(List.of("a", "b"), 50, System::currentTimeMillis);
         frequentNames = new TopNames(50, slot -> { });
@@ -63,7 +63,8 @@
     @Benchmark
     public void inferencesEnd() {
         int n = nextNameIndex();
-        service.recordInference(n & 1, names[n & 15], hashes[n & 15], names[n], hashes[n], ServiceMetrics.EndReason.RETURNED, 1, 1, true, 12.5, 0.4, 1);
+        service.recordInference(n & 1, names[n & 15], hashes[n & 15], names[n], hashes[n], ServiceMetrics.EndReason.RETURNED, 1, 1, true,
+                12.5, 0.4, 1);
     }
 
     @Benchmark
@@ -74,7 +75,7 @@
 
     @Benchmark
     public long plainMapOfNames() {
-        return ++plainCounts.computeIfAbsent(names[nextNameIndex()], x -> new long[1])[0];
+        return ++plainCounts.computeIfAbsent(names[nextNameIndex()], name -> new long[1])[0];
     }
 
     @Benchmark
--- a/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
@@ -20,7 +20,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a message costs before it is decided on. */
+/** Time to verify and parse a message before it reaches the decision thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -34,7 +34,7 @@
     private final byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"m\",\"input\":{\"x\":["
             + "0.125,".repeat(127) + "0.125]}}}").getBytes(StandardCharsets.UTF_8);
     private final WebhookKey hmac = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
-    private final WebhookKey pair = WebhookKey.parse(WebhookKey.newPrivate(new SecureRandom()));
+    private final WebhookKey keyPair = WebhookKey.parse(WebhookKey.newPrivate(new SecureRandom()));
     private KeyRing ring;
     private String v1;
     private String v1a;
@@ -45,10 +45,10 @@
         for (int i = 0; i < customers - 1; i++) {
             keys.add(List.of(WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()))));
         }
-        keys.add(List.of(hmac, pair));
+        keys.add(List.of(hmac, keyPair));
         ring = new KeyRing(keys);
         v1 = "v1," + hmac.sign("id", 1000, body);
-        v1a = "v1a," + pair.sign("id", 1000, body);
+        v1a = "v1a," + keyPair.sign("id", 1000, body);
     }
 
     @Benchmark
--- a/cli/src/main/java/gradereach/cli/LedgerCommand.java
+++ b/cli/src/main/java/gradereach/cli/LedgerCommand.java
@@ -67,7 +67,8 @@
             if (message.hasUnknownOutcome()) {
                 count++;
                 System.out.println(Instant.ofEpochMilli((long) message.lastRecordedAt()) + " " + message.customer + " " + message.id
-                        + " " + message.model() + " " + message.unresolvedForwards().stream().map(forward -> forward.recipient().address()).toList());
+                        + " " + message.model() + " " + message.unresolvedForwards().stream()
+                        .map(forward -> forward.recipient().address()).toList());
             }
         }
         System.out.println(count + " unknown of " + ledger.size());
--- a/client/src/test/java/gradereach/client/DrainingFrontEnd.java
+++ b/client/src/test/java/gradereach/client/DrainingFrontEnd.java
@@ -13,7 +13,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** The listeners of a front end that takes nothing new and still accepts connections, as in the first instant of a stop. */
+/** The listeners of a draining front end: it sheds every inference but still accepts connections, as at the start of a stop. */
 final class DrainingFrontEnd implements AutoCloseable {
     private static final double RETRY_AFTER_MILLIS = 2000;
     private static final int MAX_BYTES = 1 << 16;
@@ -27,15 +27,17 @@
     private final InetSocketAddress webhookAddress;
     private final InetSocketAddress grpcAddress;
 
-    DrainingFrontEnd(Deployment plan) throws IOException, InterruptedException {
-        Intake intake = new Intake(new KeyRing(plan.customerKeys()), plan.answerKeys(), plan.modelCatalog(), null, DrainingFrontEnd::now,
-                DrainingFrontEnd::now, System::currentTimeMillis, RETRY_AFTER_MILLIS, new Intake.InputFormats(true, true), counts);
-        webhooks = new WebhookServer(intake, null, new WebhookServer.Limits(MAX_COUNT, MAX_BYTES, MAX_BYTES, MINUTE_MILLIS, MINUTE_MILLIS, MAX_COUNT), counts);
-        grpc = new GrpcServer(intake, new GrpcServer.Limits(MAX_COUNT, MAX_COUNT, MAX_BYTES, MAX_BYTES, MAX_BYTES, MINUTE_MILLIS, MINUTE_MILLIS, MINUTE_MILLIS, MINUTE_MILLIS),
-                () -> true, counts);
-        InetSocketAddress anywhere = new InetSocketAddress("127.0.0.1", 0);
-        webhookAddress = webhooks.listen(anywhere, loops, loops, NioServerSocketChannel.class);
-        grpcAddress = grpc.listen(anywhere, loops, loops, NioServerSocketChannel.class);
+    DrainingFrontEnd(Deployment deployment) throws IOException, InterruptedException {
+        Intake intake = new Intake(new KeyRing(deployment.customerKeys()), deployment.answerKeys(), deployment.modelCatalog(), null,
+                DrainingFrontEnd::now, DrainingFrontEnd::now, System::currentTimeMillis, RETRY_AFTER_MILLIS,
+                new Intake.InputFormats(true, true), counts);
+        webhooks = new WebhookServer(intake, null,
+                new WebhookServer.Limits(MAX_COUNT, MAX_BYTES, MAX_BYTES, MINUTE_MILLIS, MINUTE_MILLIS, MAX_COUNT), counts);
+        grpc = new GrpcServer(intake, new GrpcServer.Limits(MAX_COUNT, MAX_COUNT, MAX_BYTES, MAX_BYTES, MAX_BYTES, MINUTE_MILLIS,
+                MINUTE_MILLIS, MINUTE_MILLIS, MINUTE_MILLIS), () -> true, counts);
+        InetSocketAddress anyPort = new InetSocketAddress("127.0.0.1", 0);
+        webhookAddress = webhooks.listen(anyPort, loops, loops, NioServerSocketChannel.class);
+        grpcAddress = grpc.listen(anyPort, loops, loops, NioServerSocketChannel.class);
         intake.stop();
     }
 
@@ -43,11 +45,11 @@
         return System.nanoTime() / 1e6;
     }
 
-    String address(String way) {
-        return "127.0.0.1:" + (way.equals("grpc") ? grpcAddress : webhookAddress).getPort();
+    String address(String transport) {
+        return "127.0.0.1:" + (transport.equals("grpc") ? grpcAddress : webhookAddress).getPort();
     }
 
-    /** Inferences that it has read; it sheds each. */
+    /** Inferences received so far, each of which was shed. */
     long shedCount() {
         return counts.value("messages");
     }
--- a/client/src/test/java/gradereach/client/GoAwayServer.java
+++ b/client/src/test/java/gradereach/client/GoAwayServer.java
@@ -8,7 +8,7 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An HTTP/2 server that closes its listener at the first call and answers that with a GOAWAY that excludes it, and no more. */
+/** An HTTP/2 server that closes its listener at the first call and answers only with a GOAWAY that excludes the call. */
 final class GoAwayServer implements AutoCloseable {
     private static final int PREFACE_BYTES = 24;
     private static final int HEADERS = 1;
@@ -30,7 +30,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Calls that have come. */
+    /** Calls received so far. */
     int callsReceived() {
         return callsReceived.get();
     }
@@ -53,7 +53,7 @@
             out.writeInt(0); // no error
             out.flush();
         } catch (IOException e) {
-            // its client, or the test, has ended
+            // the client or the test has closed the connection
         }
     }
 
@@ -65,7 +65,7 @@
         out.writeInt(0);
     }
 
-    /** Returns the type of the next frame. */
+    /** Reads the next frame and returns its type. */
     private static int readFrameType(DataInputStream in) throws IOException {
         int length = in.readUnsignedByte() << 16 | in.readUnsignedShort();
         int type = in.readUnsignedByte();
--- a/client/src/test/java/gradereach/client/GradereachClientTest.java
+++ b/client/src/test/java/gradereach/client/GradereachClientTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The client against front ends on loopback, by both ways. */
+/** Runs the client against front ends on loopback, over both transports. */
 @Timeout(60)
 class GradereachClientTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -50,10 +50,10 @@
         addresses.put("webhooks", new ArrayList<>());
         addresses.put("grpc", new ArrayList<>());
         for (int i = 0; i < 2; i++) {
-            ObjectNode plan = fleet.createDeployment("fe-" + i, secret);
-            plan.putObject("grpc").put("listen", "127.0.0.1:0");
-            plan.putObject("executors").putArray("grpc_kinds").add(0);
-            Gateway gateway = new Gateway(Deployment.of(plan, folder), FaultInjection.NONE);
+            ObjectNode deployment = fleet.createDeployment("fe-" + i, secret);
+            deployment.putObject("grpc").put("listen", "127.0.0.1:0");
+            deployment.putObject("executors").putArray("grpc_kinds").add(0);
+            Gateway gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
             addresses.get("webhooks").add("127.0.0.1:" + gateway.listen().getPort());
             addresses.get("grpc").add("127.0.0.1:" + gateway.grpcAddress().getPort());
             gateways.add(gateway);
@@ -71,30 +71,31 @@
         fleet.close();
     }
 
-    private GradereachClient client(String way, List<String> fronts) {
+    private GradereachClient client(String transport, List<String> frontEndAddresses) {
         WebhookKey key = WebhookKey.parse(secret);
-        return way.equals("grpc") ? GradereachClient.grpc(key, fronts) : GradereachClient.webhooks(key, fronts);
+        return transport.equals("grpc") ? GradereachClient.grpc(key, frontEndAddresses) : GradereachClient.webhooks(key, frontEndAddresses);
     }
 
-    private static CompletableFuture<?> ask(GradereachClient client, String way, String model, double work, Effect effect,
-            int within) throws Exception {
-        return way.equals("grpc")
+    private static CompletableFuture<?> infer(GradereachClient client, String transport, String model, double work, Effect effect,
+            int timeoutMillis) throws Exception {
+        return transport.equals("grpc")
                 ? client.infer(ModelInferRequest.newBuilder().setModelName(model).putParameters("work_ms",
-                        InferParameter.newBuilder().setDoubleParam(work).build()).build(), effect, Duration.ofMillis(within))
+                        InferParameter.newBuilder().setDoubleParam(work).build()).build(), effect, Duration.ofMillis(timeoutMillis))
                 : client.infer(model, JSON.readTree("{\"inputs\":[],\"parameters\":{\"work_ms\":" + work + "}}"), effect,
-                        Duration.ofMillis(within));
+                        Duration.ofMillis(timeoutMillis));
     }
 
-    /** Guards against calls that wait out their time, one after the other, at a front end whose machine is gone. */
+    /** Guards against calls that time out one after the other at a front end whose machine is down. */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void silentFrontEndIsNotTriedNext(String way) throws Exception {
+    void silentFrontEndIsNotTriedNext(String transport) throws Exception {
         try (ServerSocket silent = new ServerSocket(0, 50, java.net.InetAddress.getLoopbackAddress());
-                GradereachClient client = client(way, List.of("127.0.0.1:" + silent.getLocalPort(), addresses.get(way).get(0)))) {
+                GradereachClient client = client(transport,
+                        List.of("127.0.0.1:" + silent.getLocalPort(), addresses.get(transport).get(0)))) {
             int lost = 0;
             for (int i = 0; i < 6; i++) {
                 try {
-                    ask(client, way, "look-1", 1, Effect.NONE, 1500).get();
+                    infer(client, transport, "look-1", 1, Effect.NONE, 1500).get();
                 } catch (ExecutionException e) {
                     lost++;
                 }
@@ -104,29 +105,29 @@
     }
 
     /**
-     * One front end closes in the middle, one address has nobody: reservations go elsewhere and none runs twice. One whose
-     * connection closes without a word stays lost: nobody here remembers ids.
+     * One front end stops midway and nothing listens on one address: reservations go to another front end and none runs twice. A
+     * call whose connection closes without an answer stays lost, as ids are not kept over restarts here.
      */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void inferencesSurviveTheLossOfAFrontEnd(String way) throws Exception {
-        List<String> fronts = new ArrayList<>(addresses.get(way));
-        try (ServerSocket nobody = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            fronts.add(0, "127.0.0.1:" + nobody.getLocalPort());
+    void inferencesSurviveTheLossOfAFrontEnd(String transport) throws Exception {
+        List<String> frontEndAddresses = new ArrayList<>(addresses.get(transport));
+        try (ServerSocket closed = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+            frontEndAddresses.add(0, "127.0.0.1:" + closed.getLocalPort());
         }
-        try (GradereachClient client = client(way, fronts)) {
-            ask(client, way, "book-1", 1, Effect.ONCE, 8000).get();
+        try (GradereachClient client = client(transport, frontEndAddresses)) {
+            infer(client, transport, "book-1", 1, Effect.ONCE, 8000).get();
             List<CompletableFuture<?>> all = new ArrayList<>();
             returned = 1;
             for (int i = 0; i < 200; i++) {
-                all.add(ask(client, way, "book-1", 5, Effect.ONCE, 20_000));
+                all.add(infer(client, transport, "book-1", 5, Effect.ONCE, 20_000));
                 if (i == 100) {
                     assertTrue(gateways.get(0).stop());
                 }
             }
-            for (CompletableFuture<?> one : all) {
+            for (CompletableFuture<?> answer : all) {
                 try {
-                    one.get();
+                    answer.get();
                     returned++;
                 } catch (ExecutionException e) {
                     assertEquals(AttemptOutcome.Kind.LOST, ((GradereachClient.NotReturned) e.getCause()).lastOutcome().kind());
@@ -139,84 +140,86 @@
     }
 
     /**
-     * Guards against an inference that ends as shed by a front end that is stopping, for want of retries or for the pause
-     * which that front end asks for, while another one serves. The stop stands still between its first step and the
-     * closing of the listener.
+     * Guards against an inference that ends as shed by a draining front end while another one serves, because the retry budget is
+     * used up or the requested delay exceeds the deadline. The front end stays between the first step of its stop and the closing
+     * of its listener.
      */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void inferencesShedByADrainingFrontEndGoToAnother(String way) throws Exception {
-        List<String> serving = addresses.get(way).subList(0, 1);
-        try (GradereachClient warmUp = client(way, serving)) {
-            ask(warmUp, way, "book-1", 1, Effect.ONCE, 8000).get();
+    void inferencesShedByADrainingFrontEndGoToAnother(String transport) throws Exception {
+        List<String> serving = addresses.get(transport).subList(0, 1);
+        try (GradereachClient warmUp = client(transport, serving)) {
+            infer(warmUp, transport, "book-1", 1, Effect.ONCE, 8000).get();
         }
-        try (DrainingFrontEnd stopping = new DrainingFrontEnd(Deployment.of(fleet.createDeployment("fe-stopping", secret), folder));
-                GradereachClient client = client(way, List.of(stopping.address(way), serving.get(0)))) {
+        try (DrainingFrontEnd draining = new DrainingFrontEnd(Deployment.of(fleet.createDeployment("fe-stopping", secret), folder));
+                GradereachClient client = client(transport, List.of(draining.address(transport), serving.get(0)))) {
             List<CompletableFuture<?>> all = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                all.add(ask(client, way, "book-1", 1, Effect.ONCE, 1500));
+                all.add(infer(client, transport, "book-1", 1, Effect.ONCE, 1500));
             }
-            for (CompletableFuture<?> one : all) {
-                one.get();
+            for (CompletableFuture<?> answer : all) {
+                answer.get();
             }
-            assertTrue(stopping.shedCount() > 10, stopping.shedCount() + " shed");
+            assertTrue(draining.shedCount() > 10, draining.shedCount() + " shed");
         }
         assertEquals(61, fleet.closeAndCountRuns().size());
     }
 
     /**
-     * Guards against taking a call for one that may have run which a GOAWAY proves not to have been processed (RFC 9113, 6.8):
-     * what may not run twice goes to another front end.
+     * Guards against treating a call that a GOAWAY proves not to have been processed (RFC 9113, 6.8) as one that may have run: an
+     * inference that must not run twice goes to another front end.
      */
     @Test
     void callsExcludedByGoAwayGoToAnother() throws Exception {
         List<String> serving = addresses.get("grpc").subList(0, 1);
         try (GradereachClient warmUp = client("grpc", serving)) {
-            ask(warmUp, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
+            infer(warmUp, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
         }
-        for (int i = 0; i < 4; i++) { // the client begins with either
-            try (GoAwayServer goingAway = new GoAwayServer();
-                    GradereachClient client = client("grpc", List.of(goingAway.address(), serving.get(0)))) {
-                ask(client, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
-                ask(client, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
-                assertEquals(1, goingAway.callsReceived());
+        for (int i = 0; i < 4; i++) { // the client starts with a random front end
+            try (GoAwayServer goAwayServer = new GoAwayServer();
+                    GradereachClient client = client("grpc", List.of(goAwayServer.address(), serving.get(0)))) {
+                infer(client, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
+                infer(client, "grpc", "book-1", 1, Effect.ONCE, 8000).get();
+                assertEquals(1, goAwayServer.callsReceived());
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
-    void invalidRequestIsNotRetriedAndDeadlineEndsAttempts(String way) throws Exception {
-        try (GradereachClient client = client(way, addresses.get(way))) {
-            ExecutionException refused = assertThrows(ExecutionException.class,
-                    () -> ask(client, way, "none", 1, Effect.NONE, 5000).get());
-            GradereachClient.NotReturned why = (GradereachClient.NotReturned) refused.getCause();
-            assertEquals(AttemptOutcome.Kind.REFUSED, why.lastOutcome().kind());
-            assertEquals(1, why.attempts());
-            ask(client, way, "book-1", 1, Effect.ONCE, 8000).get();
+    void invalidRequestIsNotRetriedAndDeadlineEndsAttempts(String transport) throws Exception {
+        try (GradereachClient client = client(transport, addresses.get(transport))) {
+            ExecutionException rejected = assertThrows(ExecutionException.class,
+                    () -> infer(client, transport, "none", 1, Effect.NONE, 5000).get());
+            GradereachClient.NotReturned notReturned = (GradereachClient.NotReturned) rejected.getCause();
+            assertEquals(AttemptOutcome.Kind.REFUSED, notReturned.lastOutcome().kind());
+            assertEquals(1, notReturned.attempts());
+            infer(client, transport, "book-1", 1, Effect.ONCE, 8000).get();
             ExecutionException late = assertThrows(ExecutionException.class,
-                    () -> ask(client, way, "book-1", 5000, Effect.ONCE, 300).get());
-            AttemptOutcome end = ((GradereachClient.NotReturned) late.getCause()).lastOutcome();
-            assertTrue(end.kind() == AttemptOutcome.Kind.LOST || end.kind() == AttemptOutcome.Kind.FAILED && !end.retrySafe(), end.toString());
+                    () -> infer(client, transport, "book-1", 5000, Effect.ONCE, 300).get());
+            AttemptOutcome outcome = ((GradereachClient.NotReturned) late.getCause()).lastOutcome();
+            assertTrue(outcome.kind() == AttemptOutcome.Kind.LOST
+                    || outcome.kind() == AttemptOutcome.Kind.FAILED && !outcome.retrySafe(), outcome.toString());
         }
     }
 
-    /** Parts come in order while the caller takes them; one that broke after its start is not asked for again. */
+    /** Parts arrive in order; a stream that breaks after its first part is not retried. */
     @Test
     void streamedAnswerArrivesInPartsAndIsNotRetriedAfterTheFirst() throws Exception {
-        ModelInferRequest asked = ModelInferRequest.newBuilder().setModelName("tell-1").putParameters("parts", number(5))
+        ModelInferRequest request = ModelInferRequest.newBuilder().setModelName("tell-1").putParameters("parts", number(5))
                 .putParameters("part_ms", number(1)).build();
         try (GradereachClient client = client("grpc", addresses.get("grpc"))) {
             List<Long> parts = new ArrayList<>();
-            assertEquals(5, client.stream(asked, Effect.NONE, Duration.ofSeconds(8), part -> parts.add(
+            assertEquals(5, client.stream(request, Effect.NONE, Duration.ofSeconds(8), part -> parts.add(
                     part.getParametersOrThrow("gradereach-part").getInt64Param())).get());
             assertEquals(List.of(1L, 2L, 3L, 4L, 5L), parts);
             fleet.injectFault(JSON.readTree("{\"kind\":\"reset_part\",\"for_ms\":20000}"));
             parts.clear();
-            ExecutionException broken = assertThrows(ExecutionException.class, () -> client.stream(asked, Effect.NONE,
+            ExecutionException broken = assertThrows(ExecutionException.class, () -> client.stream(request, Effect.NONE,
                     Duration.ofSeconds(8), part -> parts.add(1L)).get());
-            GradereachClient.NotReturned why = (GradereachClient.NotReturned) broken.getCause();
-            assertEquals(List.of(AttemptOutcome.Kind.FAILED, 1, 1), List.of(why.lastOutcome().kind(), why.attempts(), parts.size()));
+            GradereachClient.NotReturned notReturned = (GradereachClient.NotReturned) broken.getCause();
+            assertEquals(List.of(AttemptOutcome.Kind.FAILED, 1, 1),
+                    List.of(notReturned.lastOutcome().kind(), notReturned.attempts(), parts.size()));
         }
     }
 
--- a/signing/src/test/java/gradereach/webhook/KeyRingTest.java
+++ b/signing/src/test/java/gradereach/webhook/KeyRingTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Signing and verification by the Standard Webhooks specification. */
 class KeyRingTest {
     private static final byte[] BODY = "{\"test\": 2432232314}".getBytes(StandardCharsets.UTF_8);
     private static final long NOW = 1614265330;
@@ -30,26 +31,26 @@
                 secret.sign("msg_p5jXN8AQM9LWM0D4loKWxJek", NOW, BODY));
     }
 
-    /** RFC 8032, 7.1, test 1: the public half that belongs to a seed. */
+    /** RFC 8032, 7.1, test 1: the public key of a seed. */
     @Test
     void derivesThePublicKeyOfTheRfcExample() {
         byte[] seed = HexFormat.of().parseHex("9d61b19deffd5a60ba844af492ec2cc44449c5697b326919703bac031cae7f60");
-        byte[] half = HexFormat.of().parseHex("d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a");
-        assertEquals("whpk_" + Base64.getEncoder().encodeToString(half),
+        byte[] expectedKey = HexFormat.of().parseHex("d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a");
+        assertEquals("whpk_" + Base64.getEncoder().encodeToString(expectedKey),
                 WebhookKey.parse("whsk_" + Base64.getEncoder().encodeToString(seed)).publicKeyText());
     }
 
     @ParameterizedTest
     @CsvSource({
-        // what the header holds, whose it is, why not
+        // content of the header, customer, reason for the rejection
         "good, 0,", "good-other-scheme-first, 0,", "rotated, 0,", "ed25519, 1,",
         "other-body, -1, NOT_SIGNED", "other-id, -1, NOT_SIGNED", "other-time, -1, NOT_SIGNED",
         "hmac-as-v1a, -1, NOT_SIGNED", "not-base64, -1, NO_SIGNATURE", "empty, -1, NO_SIGNATURE",
         "unknown-scheme, -1, NO_SIGNATURE", "ninth-of-nine, -1, NOT_SIGNED",
     })
-    void messageBelongsToTheCustomerWhoseKeySignedIt(String what, int customer, SignatureRejection refusal) {
+    void messageBelongsToTheCustomerWhoseKeySignedIt(String headerContent, int customer, SignatureRejection rejection) {
         String good = secret.sign("m1", NOW, BODY);
-        String header = switch (what) {
+        String header = switch (headerContent) {
             case "good" -> "v1," + good;
             case "good-other-scheme-first" -> "v2,abc v1a,AAAA v1," + good;
             case "rotated" -> KeyRing.signatureHeader(List.of(secret, olderSecret), "m1", NOW, BODY);
@@ -63,7 +64,7 @@
             case "ninth-of-nine" -> "v1,AAAA ".repeat(8) + "v1," + good;
             default -> "v9," + good;
         };
-        assertEquals(new KeyRing.VerificationResult(customer, refusal),
+        assertEquals(new KeyRing.VerificationResult(customer, rejection),
                 ring.verify("m1", Long.toString(NOW), header, BODY, NOW, -1));
         assertEquals(customer, ring.verify("m1", Long.toString(NOW), header, BODY, NOW, 1).customer());
     }
@@ -75,32 +76,34 @@
         "m1, -5, 0, NO_TIMESTAMP", "m1, 99999999999999, 0, NO_TIMESTAMP", "m1, null, 0, NO_TIMESTAMP",
         "'', 1614265330, 0, NO_ID", "'a b', 1614265330, 0, NO_ID", "null, 1614265330, 0, NO_ID",
     }, nullValues = "null")
-    void idAndTimestampAreCheckedBeforeSignatures(String id, String timestamp, long later, SignatureRejection refusal) {
+    void idAndTimestampAreCheckedBeforeSignatures(String id, String timestamp, long clockOffset, SignatureRejection rejection) {
         String header = "v1," + secret.sign(id == null ? "" : id, NOW, BODY);
-        assertEquals(refusal, ring.verify(id, timestamp, header, BODY, NOW + later, 0).rejection());
+        assertEquals(rejection, ring.verify(id, timestamp, header, BODY, NOW + clockOffset, 0).rejection());
         assertEquals(SignatureRejection.NO_ID, ring.verify("x".repeat(129), timestamp, header, BODY, NOW, 0).rejection());
     }
 
-    /** Old until 100, new from 50: at every second a message signed by all that is good is believed, and no key alone after its time. */
+    /** Old key until 100, new key from 50: a message signed with all valid keys is always accepted, one with an expired key never. */
     @ParameterizedTest
     @CsvSource({"49, true, false, 1", "50, true, true, 2", "99, true, true, 2", "100, false, true, 1"})
-    void keyRotationHasNoGap(long now, boolean old, boolean fresh, int signatures) {
+    void keyRotationHasNoGap(long now, boolean oldKeyValid, boolean newKeyValid, int signatures) {
         List<WebhookKey> keys = List.of(olderSecret.validBetween(Long.MIN_VALUE, 100), secret.validBetween(50, Long.MAX_VALUE));
         KeyRing rotating = new KeyRing(List.of(keys));
-        String time = Long.toString(now);
-        assertEquals(old, rotating.verify("m", time, "v1," + olderSecret.sign("m", now, BODY), BODY, now, 0).rejection() == null);
-        assertEquals(fresh, rotating.verify("m", time, "v1," + secret.sign("m", now, BODY), BODY, now, 0).rejection() == null);
+        String timestamp = Long.toString(now);
+        assertEquals(oldKeyValid,
+                rotating.verify("m", timestamp, "v1," + olderSecret.sign("m", now, BODY), BODY, now, 0).rejection() == null);
+        assertEquals(newKeyValid,
+                rotating.verify("m", timestamp, "v1," + secret.sign("m", now, BODY), BODY, now, 0).rejection() == null);
         String header = KeyRing.signatureHeader(keys, "m", now, BODY);
         assertEquals(signatures, header.split(" ").length);
-        assertEquals(null, rotating.verify("m", time, header, BODY, now, 0).rejection());
+        assertEquals(null, rotating.verify("m", timestamp, header, BODY, now, 0).rejection());
     }
 
     @ParameterizedTest
     @CsvSource({"whsec_AAAA, 24 to 64", "whpk_AAAA, not 32", "whsk_AAAA, not 32 or 64", "AAAA, prefixes",
         "whsec_???, base64"})
-    void parseErrorNeverQuotesTheKey(String text, String says) {
+    void parseErrorNeverQuotesTheKey(String text, String expectedText) {
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> WebhookKey.parse(text));
-        assertTrue(e.getMessage().contains(says), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedText), e.getMessage());
         assertFalse(e.getMessage().contains("AAAA"));
     }
 }
--- a/telemetry/src/test/java/gradereach/measures/TopNamesTest.java
+++ b/telemetry/src/test/java/gradereach/measures/TopNamesTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Assignment of slots to frequent names, and the histogram of durations. */
 class TopNamesTest {
     private static long hash(String name) {
-        long h = name.hashCode() * 0x9e3779b97f4a7c15L;
-        return (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
+        long hash = name.hashCode() * 0x9e3779b97f4a7c15L;
+        return (hash ^ hash >>> 32) * 0xd6e8feb86659fd93L;
     }
 
     private final CounterTable counters = new CounterTable(51, 1, 0);
@@ -27,11 +28,11 @@
     }
 
     private Set<String> namesWithSlots() {
-        Set<String> known = new HashSet<>();
+        Set<String> slotNames = new HashSet<>();
         for (int i = 1; i < names.slotsInUse(); i++) {
-            known.add(names.name(i));
+            slotNames.add(names.name(i));
         }
-        return known;
+        return slotNames;
     }
 
     private long sum() {
@@ -42,20 +43,20 @@
         return sum;
     }
 
-    /** A scan through a million names, each met once, beside fifty that are used: none of those loses its slot. */
+    /** A scan through a million names, each used once, evicts none of fifty names in regular use. */
     @Test
     void scanOfManyNamesEvictsNothing() {
-        Random chance = new Random(1);
+        Random random = new Random(1);
         long count = 0;
         for (int i = 0; i < 20_000; i++, count++) {
-            recordUse("used-" + chance.nextInt(50));
+            recordUse("used-" + random.nextInt(50));
         }
         Set<String> before = namesWithSlots();
         assertEquals(50, before.size());
         for (int i = 0; i < 1_000_000; i++, count++) {
             recordUse("scan-" + i);
             if (i % 10 == 0) {
-                recordUse("used-" + chance.nextInt(50));
+                recordUse("used-" + random.nextInt(50));
                 count++;
             }
         }
@@ -63,20 +64,20 @@
         assertEquals(count, sum());
     }
 
-    /** What is used now takes the slots of what was used once, and nothing is counted twice or lost. */
+    /** Names that are frequent now replace formerly frequent ones, and no count is lost or duplicated. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void frequentlyUsedNamesGetSlots(long seed) {
-        Random chance = new Random(seed);
+        Random random = new Random(seed);
         long count = 0;
-        for (int turn = 0; turn < 3; turn++) {
+        for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 400_000; i++, count++) {
-                int n = (int) Math.min(4999, Math.floor(Math.exp(chance.nextDouble() * Math.log(5000))));
-                recordUse("m-" + turn + "-" + n);
+                int n = (int) Math.min(4999, Math.floor(Math.exp(random.nextDouble() * Math.log(5000))));
+                recordUse("m-" + round + "-" + n);
             }
-            Set<String> known = namesWithSlots();
+            Set<String> slotNames = namesWithSlots();
             for (int n = 1; n <= 20; n++) {
-                assertTrue(known.contains("m-" + turn + "-" + n), n + " of turn " + turn + " has no slot");
+                assertTrue(slotNames.contains("m-" + round + "-" + n), n + " of round " + round + " has no slot");
             }
         }
         assertEquals(count, sum());
@@ -92,15 +93,15 @@
 
     @Test
     void durationsAreCountedAndSummed() {
-        DurationHistogram times = new DurationHistogram(0);
+        DurationHistogram histogram = new DurationHistogram(0);
         double[] millis = {0, 0.0001, 1, 10, 10, 5000, 1e9};
-        for (double one : millis) {
-            times.record(one);
+        for (double duration : millis) {
+            histogram.record(duration);
         }
-        MetricFamily.Buckets read = times.snapshot();
-        assertEquals(millis.length, read.count());
-        assertEquals(2, read.zeroCount());
-        assertEquals(1_000_005.021, read.sum(), 0.001);
-        assertEquals(millis.length - 2, java.util.Arrays.stream(read.counts()).sum());
+        MetricFamily.Buckets buckets = histogram.snapshot();
+        assertEquals(millis.length, buckets.count());
+        assertEquals(2, buckets.zeroCount());
+        assertEquals(1_000_005.021, buckets.sum(), 0.001);
+        assertEquals(millis.length - 2, java.util.Arrays.stream(buckets.counts()).sum());
     }
 }
--- a/telemetry/src/test/java/gradereach/remotewrite/SendQueueTest.java
+++ b/telemetry/src/test/java/gradereach/remotewrite/SendQueueTest.java
@@ -22,11 +22,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Send queues, their shards and the push schedule, on a simulated clock. */
 class SendQueueTest {
     private static final Limits LIMITS = new Limits(100, 10_000, 10, 1000, 50, 5000, 100, 2000);
 
-    private static SeriesSample sample(String series, long at) {
-        return new SeriesSample(List.of("__name__", series), MetricFamily.Type.COUNTER, "", "", at, at, null, 0, 40);
+    private static SeriesSample sample(String series, long timestamp) {
+        return new SeriesSample(List.of("__name__", series), MetricFamily.Type.COUNTER, "", "", timestamp, timestamp, null, 0, 40);
     }
 
     private static SendQueue queueWithSamples(int count) {
@@ -37,15 +38,17 @@
         return queue;
     }
 
-    /** What the receiver says of a batch of ten, and what becomes of its items. */
+    /** Each result of a batch of ten, and what becomes of its samples. */
     @ParameterizedTest
-    @CsvSource({"taken, -1, 10, 0, 0", "taken, 10, 10, 0, 0", "taken, 7, 7, 3, 0", "refused, 0, 0, 10, 0", "refused, 9, 9, 1, 0",
-        "later, 0, 0, 0, 10"})
-    void everyResultIsAccountedFor(String word, int written, long accepted, long refused, long held) {
+    @CsvSource({"accepted, -1, 10, 0, 0", "accepted, 10, 10, 0, 0", "accepted, 7, 7, 3, 0", "rejected, 0, 0, 10, 0",
+        "rejected, 9, 9, 1, 0", "retry, 0, 0, 0, 10"})
+    void everyResultIsAccountedFor(String result, int written, long accepted, long rejected, long pending) {
         SendQueue queue = queueWithSamples(10);
         assertEquals(10, queue.nextBatch(0).samples().size());
-        queue.onSendResult(word.equals("taken") ? new Accepted(written) : word.equals("refused") ? new Rejected(written) : new Retry(0), 5);
-        assertEquals(List.of(accepted, refused, held), List.of(queue.accepted(), queue.dropped(DropReason.REFUSED), (long) queue.pending()));
+        queue.onSendResult(result.equals("accepted") ? new Accepted(written) : result.equals("rejected") ? new Rejected(written)
+                : new Retry(0), 5);
+        assertEquals(List.of(accepted, rejected, pending),
+                List.of(queue.accepted(), queue.dropped(DropReason.REFUSED), (long) queue.pending()));
     }
 
     @Test
@@ -53,12 +56,12 @@
         SendQueue queue = queueWithSamples(3);
         assertNull(queue.nextBatch(49));
         assertEquals(3, queue.nextBatch(50).samples().size());
-        assertNull(queue.nextBatch(1000), "one is out");
+        assertNull(queue.nextBatch(1000), "a batch is in flight");
         SendQueue full = queueWithSamples(25);
         assertEquals(10, full.nextBatch(0).samples().size());
-        SendQueue hurried = queueWithSamples(3);
-        hurried.flush();
-        assertEquals(3, hurried.nextBatch(0).samples().size());
+        SendQueue flushed = queueWithSamples(3);
+        flushed.flush();
+        assertEquals(3, flushed.nextBatch(0).samples().size());
     }
 
     @Test
@@ -68,17 +71,17 @@
         queue.onSendResult(new Retry(1000), 0);
         assertTrue(queue.dueAt() >= 1000 && queue.dueAt() <= 1250);
         assertNull(queue.nextBatch(queue.dueAt() - 1));
-        double before = queue.dueAt();
-        assertNotNull(queue.nextBatch(before));
-        double most = 0;
+        double retryAt = queue.dueAt();
+        assertNotNull(queue.nextBatch(retryAt));
+        double longestWait = 0;
         for (int i = 0; i < 4; i++) {
-            queue.onSendResult(new Retry(0), before);
-            most = Math.max(most, queue.dueAt() - before);
-            assertTrue(queue.dueAt() - before <= 200 * Math.pow(2, i));
-            before = queue.dueAt();
-            assertNotNull(queue.nextBatch(before));
+            queue.onSendResult(new Retry(0), retryAt);
+            longestWait = Math.max(longestWait, queue.dueAt() - retryAt);
+            assertTrue(queue.dueAt() - retryAt <= 200 * Math.pow(2, i));
+            retryAt = queue.dueAt();
+            assertNotNull(queue.nextBatch(retryAt));
         }
-        assertTrue(most > 0);
+        assertTrue(longestWait > 0);
     }
 
     @Test
@@ -93,57 +96,57 @@
         assertEquals(0, queue.pending() + queue.bytes());
     }
 
-    /** Random receivers and random resharding: nothing is lost unaccounted, every series stays in order, bounds hold. */
+    /** Random results and random resharding: every sample is accounted for, every series stays in order, the limits hold. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void addedEqualsAcceptedDroppedAndPending(long seed) {
-        Random chance = new Random(seed);
+        Random random = new Random(seed);
         Shards shards = new Shards(LIMITS, new Random(seed));
-        Map<String, Long> last = new HashMap<>();
-        Map<Integer, SendQueue.Batch> out = new HashMap<>();
+        Map<String, Long> lastTimestamps = new HashMap<>();
+        Map<Integer, SendQueue.Batch> inFlight = new HashMap<>();
         double now = 0;
-        long at = 0;
+        long timestamp = 0;
         long received = 0;
         for (int step = 0; step < 20_000; step++) {
-            now += chance.nextInt(20);
-            for (int i = chance.nextInt(3); i > 0; i--) {
-                shards.add(sample("s" + chance.nextInt(12), ++at), now);
+            now += random.nextInt(20);
+            for (int i = random.nextInt(3); i > 0; i--) {
+                shards.add(sample("s" + random.nextInt(12), ++timestamp), now);
             }
-            if (chance.nextInt(200) == 0) {
-                shards.resize(1 + chance.nextInt(4));
+            if (random.nextInt(200) == 0) {
+                shards.resize(1 + random.nextInt(4));
             }
             for (int shard = 0; shard < shards.size(); shard++) {
-                SendQueue.Batch next = out.containsKey(shard) ? null : shards.nextBatch(shard, now);
+                SendQueue.Batch next = inFlight.containsKey(shard) ? null : shards.nextBatch(shard, now);
                 if (next != null) {
-                    out.put(shard, next);
+                    inFlight.put(shard, next);
                 }
             }
-            for (int shard : new TreeSet<>(out.keySet())) {
-                if (chance.nextInt(3) > 0) {
+            for (int shard : new TreeSet<>(inFlight.keySet())) {
+                if (random.nextInt(3) > 0) {
                     continue;
                 }
-                SendQueue.Batch batch = out.remove(shard);
-                switch (chance.nextInt(step % 5000 > 4000 ? 40 : 5)) {
+                SendQueue.Batch batch = inFlight.remove(shard);
+                switch (random.nextInt(step % 5000 > 4000 ? 40 : 5)) {
                     case 0, 1, 2 -> {
-                        for (SeriesSample item : batch.samples()) {
-                            String name = item.labels().get(1);
-                            assertTrue(last.getOrDefault(name, 0L) < item.timestampMillis(), "out of order");
-                            last.put(name, item.timestampMillis());
+                        for (SeriesSample sample : batch.samples()) {
+                            String name = sample.labels().get(1);
+                            assertTrue(lastTimestamps.getOrDefault(name, 0L) < sample.timestampMillis(), "out of order");
+                            lastTimestamps.put(name, sample.timestampMillis());
                         }
                         received += batch.samples().size();
                         shards.onSendResult(shard, new Accepted(-1), now);
                     }
                     case 3 -> shards.onSendResult(shard, new Rejected(0), now);
-                    default -> shards.onSendResult(shard, new Retry(chance.nextInt(2) * 100), now);
+                    default -> shards.onSendResult(shard, new Retry(random.nextInt(2) * 100), now);
                 }
             }
             long dropped = 0;
-            for (DropReason why : DropReason.values()) {
-                dropped += shards.dropped(why);
+            for (DropReason reason : DropReason.values()) {
+                dropped += shards.dropped(reason);
             }
             assertEquals(shards.added(), shards.accepted() + dropped + shards.pending());
-            assertEquals(at, shards.added());
-            assertTrue(shards.pending() <= 104 && shards.bytes() <= 10_200, shards.pending() + " held, " + shards.bytes());
+            assertEquals(timestamp, shards.added());
+            assertTrue(shards.pending() <= 104 && shards.bytes() <= 10_200, shards.pending() + " pending, " + shards.bytes());
         }
         assertEquals(received, shards.accepted());
         assertTrue(received > 1000);
@@ -151,48 +154,48 @@
         assertEquals(0, shards.pending());
     }
 
-    /** A receiver that takes so long for each sample: as many shards as that needs, not more, and no swinging. */
+    /** The number of shards follows the send time of a sample without oscillating. */
     @ParameterizedTest
     @CsvSource({"1000, 0.1, 1", "1000, 20, 2", "10000, 4, 4", "10000, 100, 16"})
-    void shardCountFollowsSendTime(int samples, double millisEach, int wanted) {
-        ShardCalculator pace = new ShardCalculator(16);
+    void shardCountFollowsSendTime(int samples, double millisPerSample, int expectedShards) {
+        ShardCalculator calculator = new ShardCalculator(16);
         int changes = 0;
-        int before = 1;
-        double held = 0;
+        int shards = 1;
+        double backlog = 0;
         for (int i = 0; i < 100; i++) {
-            double most = pace.shards() * 10_000 / millisEach;
-            double sent = Math.min(most, samples + held);
-            held += samples - sent;
-            int now = pace.update(10_000, samples, (long) sent, sent * millisEach, (long) held, false);
-            changes += now == before ? 0 : 1;
-            before = now;
+            double maxSent = calculator.shards() * 10_000 / millisPerSample;
+            double sent = Math.min(maxSent, samples + backlog);
+            backlog += samples - sent;
+            int updated = calculator.update(10_000, samples, (long) sent, sent * millisPerSample, (long) backlog, false);
+            changes += updated == shards ? 0 : 1;
+            shards = updated;
         }
-        assertTrue(Math.abs(before - wanted) <= Math.max(1, wanted / 4), before + " shards");
+        assertTrue(Math.abs(shards - expectedShards) <= Math.max(1, expectedShards / 4), shards + " shards");
         assertTrue(changes < 12, changes + " changes");
     }
 
     @Test
     void failingReceiverGetsNoMoreShards() {
-        ShardCalculator pace = new ShardCalculator(16);
+        ShardCalculator calculator = new ShardCalculator(16);
         for (int i = 0; i < 50; i++) {
-            assertEquals(1, pace.update(10_000, 10_000, 10, 10_000, 10_000L * i, true));
+            assertEquals(1, calculator.update(10_000, 10_000, 10, 10_000, 10_000L * i, true));
         }
     }
 
-    /** What the clock says, and what a collection is stamped with: never the same twice, and a clock set back far is followed. */
+    /** Clock readings and the timestamps of collections: no timestamp repeats, and a clock that was set back far is followed. */
     @ParameterizedTest
     @CsvSource({"1000 1000 1000, 1000 1001 1002", "1000 990 2000, 1000 1001 2000", "100000 1000 1000, 100000 1000 1001",
         "1000 90000 90001, 1000 90000 90001"})
-    void timestampsIncrease(String clock, String stamps) {
-        PushSchedule turns = new PushSchedule("fe", 15_000);
-        StringBuilder told = new StringBuilder();
+    void timestampsIncrease(String clock, String expectedTimestamps) {
+        PushSchedule schedule = new PushSchedule("fe", 15_000);
+        StringBuilder timestamps = new StringBuilder();
         for (String now : clock.split(" ")) {
-            told.append(told.length() == 0 ? "" : " ").append(turns.nextTimestamp(Long.parseLong(now)));
+            timestamps.append(timestamps.length() == 0 ? "" : " ").append(schedule.nextTimestamp(Long.parseLong(now)));
         }
-        assertEquals(stamps, told.toString());
+        assertEquals(expectedTimestamps, timestamps.toString());
     }
 
-    /** Sixty that start at once push at sixty points of the interval, and each keeps its own over a restart. */
+    /** Sixty front ends that start together push at sixty times within the interval, and each keeps its time over a restart. */
     @Test
     void pushTimesAreSpread() {
         int[] perSecond = new int[15];
@@ -204,7 +207,7 @@
             perSecond[(int) (next - 1_000_000_007L - 1) / 1000]++;
             all.add(next);
         }
-        // Four a second in the mean; drawn evenly, ten in one would be seen once in some hundred such fleets.
+        // The mean is 4 per second; with uniform offsets, about one fleet in a hundred has a second with 10.
         for (int count : perSecond) {
             assertTrue(count <= 12, count + " in one second");
         }
