--- a/cli/src/main/java/gradereach/cli/LedgerCommand.java
+++ b/cli/src/main/java/gradereach/cli/LedgerCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Inspects a ledger, also while a front end has it open; only {@code compact} writes. */
+/** Inspects a ledger, also while a front end has it open, or compacts one that no front end has open. */
 @Command(name = "ledger", mixinStandardHelpOptions = true, description = "Look into a front end's ledger.")
 final class LedgerCommand {
     @CommandLine.Spec
--- a/client/src/main/java/gradereach/client/GrpcTransport.java
+++ b/client/src/main/java/gradereach/client/GrpcTransport.java
@@ -152,8 +152,8 @@
     }
 
     /**
-     * Whether the head of a call was written: the library says so of each stream. Without it nothing ran, whatever the
-     * status, as where a front end's listener closed on a connection that was only begun.
+     * Records whether the headers of a call were written, which gRPC reports for each stream. If they were not, the call did not run,
+     * whatever its status, for example when a front end closes its listener while a connection is being set up.
      */
     private static final class HeadersSentTracer extends ClientStreamTracer.Factory {
         private volatile boolean headersSent;
--- a/client/src/main/java/gradereach/client/RetryBudget.java
+++ b/client/src/main/java/gradereach/client/RetryBudget.java
@@ -5,8 +5,8 @@
  * one. It keeps retries from adding to an overload when most attempts fail.
  */
 final class RetryBudget {
-    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.1; // retries add at most 10% load over time
-    private static final double MAX_TOKENS = 10; // retries available at the start and after a quiet time
+    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.1; // retries add at most 10% over time, which a fleet near its limit can bear
+    private static final double MAX_TOKENS = 10; // lets the inferences that are open during a short fault be retried
     private double tokens = MAX_TOKENS;
     private long rejected;
 
--- a/client/src/main/java/gradereach/client/RetryPolicy.java
+++ b/client/src/main/java/gradereach/client/RetryPolicy.java
@@ -10,7 +10,7 @@
  */
 final class RetryPolicy {
     private static final double INITIAL_BACKOFF_MILLIS = 50; // a front end's own second forward takes about 10 ms
-    private static final double MAX_BACKOFF_MILLIS = 5_000; // longer than most deadlines
+    private static final double MAX_BACKOFF_MILLIS = 5_000; // longer than most deadlines, so only long-running inferences reach it
     /** An attempt with less time than this is not sent: it would only cost the front end work. */
     private static final double MIN_ATTEMPT_MILLIS = 20;
 
--- a/signing/src/main/java/gradereach/webhook/KeyRing.java
+++ b/signing/src/main/java/gradereach/webhook/KeyRing.java
@@ -30,6 +30,7 @@
         this.keysOf = keysOf.stream().map(List::copyOf).toList();
     }
 
+    /** All keys of a customer, in the order in which they are tried. */
     public List<WebhookKey> keysOf(int customer) {
         return keysOf.get(customer);
     }
--- a/telemetry/src/main/java/gradereach/measures/CounterTable.java
+++ b/telemetry/src/main/java/gradereach/measures/CounterTable.java
@@ -40,6 +40,7 @@
         return cells.get(row * columns + column);
     }
 
+    /** Unix time at which the row was created or last reset. */
     public long createdMillis(int row) {
         return createdMillis.get(row);
     }
--- a/telemetry/src/main/java/gradereach/measures/DurationHistogram.java
+++ b/telemetry/src/main/java/gradereach/measures/DurationHistogram.java
@@ -66,6 +66,7 @@
                 zeroCount.get());
     }
 
+    /** Unix time at which counting began. */
     public long createdMillis() {
         return createdMillis;
     }
--- a/telemetry/src/main/java/gradereach/remotewrite/PushSchedule.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/PushSchedule.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decides when a front end collects and pushes: once an interval, at an offset derived from its name, so that front ends that restart
- * together do not push together. Unix milliseconds; no clock.
+ * Decides when a front end collects and pushes: once an interval, at an offset derived from its name, so that sixty front ends that
+ * restart together do not push together, then or later. Unix milliseconds; no clock.
  */
 public final class PushSchedule {
     private final long interval;
--- a/telemetry/src/main/java/gradereach/remotewrite/Shards.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Shards.java
@@ -78,6 +78,7 @@
         applyResize();
     }
 
+    /** When a batch of any shard may be due, Double.POSITIVE_INFINITY while none can be. */
     public double dueAt() {
         return queues.stream().mapToDouble(SendQueue::dueAt).min().orElse(Double.POSITIVE_INFINITY);
     }
@@ -87,6 +88,7 @@
         queues.forEach(SendQueue::flush);
     }
 
+    /** Drops all pending samples. */
     public void stop() {
         queues.forEach(SendQueue::stop);
     }
@@ -111,6 +113,7 @@
         return queues.stream().mapToLong(SendQueue::bytes).sum();
     }
 
+    /** When the oldest pending sample was added; NaN if there is none. */
     public double oldestAddedAt() {
         return queues.stream().mapToDouble(SendQueue::oldestAddedAt).filter(t -> !Double.isNaN(t)).min().orElse(Double.NaN);
     }
