--- a/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
@@ -2,8 +2,8 @@
 
 import gradereach.counts.Counts;
 import gradereach.ledger.CompactionPlanner;
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.RecordCodec;
 import gradereach.ledger.disk.Disk;
 import gradereach.ledger.disk.DiskLedger;
--- a/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
@@ -1,7 +1,7 @@
 package gradereach.benchmarks;
 
-import gradereach.measures.ServiceMetrics;
 import gradereach.measures.DurationHistogram;
+import gradereach.measures.ServiceMetrics;
 import gradereach.measures.TopNames;
 import io.prometheus.metrics.core.metrics.Histogram;
 import java.util.HashMap;
--- a/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
@@ -1,7 +1,7 @@
 package gradereach.benchmarks;
 
-import gradereach.message.InvalidMessageException;
 import gradereach.message.InferenceMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.webhook.KeyRing;
 import gradereach.webhook.WebhookKey;
 import java.nio.charset.StandardCharsets;
--- a/cli/src/main/java/gradereach/cli/AlertsCommand.java
+++ b/cli/src/main/java/gradereach/cli/AlertsCommand.java
@@ -1,8 +1,8 @@
 package gradereach.cli;
 
 import gradereach.alerts.AlertRuleFile;
-import gradereach.plan.InvalidDeploymentException;
 import gradereach.plan.Deployment;
+import gradereach.plan.InvalidDeploymentException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/cli/src/main/java/gradereach/cli/LedgerCommand.java
+++ b/cli/src/main/java/gradereach/cli/LedgerCommand.java
@@ -1,7 +1,7 @@
 package gradereach.cli;
 
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.SegmentScanner;
 import gradereach.ledger.disk.LedgerClock;
 import gradereach.ledger.disk.LedgerFolder;
--- a/cli/src/main/java/gradereach/cli/SoakCommand.java
+++ b/cli/src/main/java/gradereach/cli/SoakCommand.java
@@ -2,9 +2,9 @@
 
 import gradereach.rehearsal.Rehearsal;
 import gradereach.rehearsal.soak.Soak;
+import gradereach.rehearsal.soak.SoakFault;
 import gradereach.rehearsal.soak.SoakPlan;
 import gradereach.rehearsal.soak.SoakReport;
-import gradereach.rehearsal.soak.SoakFault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/client/src/main/java/gradereach/client/GrpcTransport.java
+++ b/client/src/main/java/gradereach/client/GrpcTransport.java
@@ -1,11 +1,11 @@
 package gradereach.client;
 
-import gradereach.webhook.CallSignature;
 import gradereach.protocol.inference.GRPCInferenceServiceGrpc;
 import gradereach.protocol.inference.InferParameter;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.protocol.inference.ModelInferResponse;
 import gradereach.protocol.inference.ModelStreamInferResponse;
+import gradereach.webhook.CallSignature;
 import gradereach.webhook.KeyRing;
 import gradereach.webhook.WebhookKey;
 import io.grpc.CallOptions;
--- a/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
+++ b/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
@@ -1,7 +1,7 @@
 package gradereach.claims;
 
-import gradereach.desk.ClaimService.ClaimStatus;
 import gradereach.desk.ClaimService.ClaimResult;
+import gradereach.desk.ClaimService.ClaimStatus;
 import gradereach.desk.MessageIdentity;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
+++ b/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
@@ -1,8 +1,8 @@
 package gradereach.desk;
 
 import gradereach.api.ExecutorListing;
-import gradereach.api.RosterUpdateKind;
 import gradereach.api.ExecutorState;
+import gradereach.api.RosterUpdateKind;
 import gradereach.state.Executor;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
+++ b/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
@@ -2,15 +2,15 @@
 
 import gradereach.delivery.Outbox;
 import gradereach.desk.IncomingMessage;
-import gradereach.desk.ModelCatalog;
 import gradereach.desk.InferenceInput;
 import gradereach.desk.InferenceState;
+import gradereach.desk.ModelCatalog;
 import gradereach.intake.Intake;
 import gradereach.intake.WaitingClient;
 import gradereach.loop.UnreadBytes;
-import gradereach.message.InvalidMessageException;
 import gradereach.message.FinalAnswer;
 import gradereach.message.InferenceMessage;
+import gradereach.message.InvalidMessageException;
 import gradereach.webhook.KeyRing;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
+++ b/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
@@ -1,18 +1,18 @@
 package gradereach.grpcfront;
 
 import gradereach.desk.IncomingMessage;
+import gradereach.flow.AnswerStream;
 import gradereach.grpcfront.GrpcInferenceService.CallRejectedException;
 import gradereach.grpcfront.GrpcInferenceService.SignatureFields;
-import gradereach.flow.AnswerStream;
 import gradereach.intake.Intake;
 import gradereach.intake.WaitingClient;
 import gradereach.message.FinalAnswer;
-import gradereach.webhook.CallSignature;
 import gradereach.oip.AnswerBodyReader;
 import gradereach.protocol.inference.InferParameter;
 import gradereach.protocol.inference.ModelInferRequest;
 import gradereach.protocol.inference.ModelInferResponse;
 import gradereach.protocol.inference.ModelStreamInferResponse;
+import gradereach.webhook.CallSignature;
 import io.grpc.Deadline;
 import io.grpc.StatusRuntimeException;
 import io.grpc.stub.ServerCallStreamObserver;
--- a/gateway/src/main/java/gradereach/intake/Intake.java
+++ b/gateway/src/main/java/gradereach/intake/Intake.java
@@ -1,10 +1,10 @@
 package gradereach.intake;
 
+import gradereach.counts.Counts;
 import gradereach.desk.IncomingMessage;
 import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.InferenceInput;
 import gradereach.desk.ModelCatalog;
-import gradereach.counts.Counts;
 import gradereach.loop.DecisionLoop;
 import gradereach.message.FinalAnswer;
 import gradereach.message.InvalidMessageException;
--- a/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
@@ -2,8 +2,8 @@
 
 import gradereach.counts.Counts;
 import gradereach.desk.Ledger;
-import gradereach.ledger.CompactionPlanner;
 import gradereach.ledger.CommitDelay;
+import gradereach.ledger.CompactionPlanner;
 import gradereach.ledger.LedgerPosition;
 import gradereach.ledger.LedgerRecord;
 import gradereach.ledger.LedgerTime;
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
@@ -1,8 +1,8 @@
 package gradereach.ledger.disk;
 
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerPosition;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.RecordCodec;
 import gradereach.ledger.SegmentScanner.Damage;
 import java.io.Closeable;
--- a/gateway/src/main/java/gradereach/ledger/disk/RestoredCopy.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/RestoredCopy.java
@@ -1,8 +1,8 @@
 package gradereach.ledger.disk;
 
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerPosition;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.Recipient;
 import gradereach.message.FinalAnswer;
 import gradereach.webhook.KeyRing;
--- a/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
+++ b/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
@@ -1,11 +1,11 @@
 package gradereach.link;
 
-import gradereach.api.Outcome;
 import gradereach.api.ExecutorReport;
 import gradereach.api.LoadStatus;
+import gradereach.api.Outcome;
 import gradereach.counts.Counts;
-import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.InFlightForward;
+import gradereach.desk.InferenceCoordinator;
 import gradereach.flow.AnswerStream;
 import gradereach.http2.ExchangeListener;
 import gradereach.http2.Http2ConnectionPool;
--- a/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
@@ -1,14 +1,14 @@
 package gradereach.link;
 
-import gradereach.api.Outcome;
 import gradereach.api.ExecutorReport;
 import gradereach.api.LoadStatus;
+import gradereach.api.Outcome;
 import gradereach.counts.Counts;
-import gradereach.desk.InferenceCoordinator;
-import gradereach.desk.InFlightForward;
+import gradereach.desk.ExecutorEndpoint;
 import gradereach.desk.ExecutorTransport;
+import gradereach.desk.InFlightForward;
+import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.LoadOrder;
-import gradereach.desk.ExecutorEndpoint;
 import gradereach.desk.Probe;
 import gradereach.flow.AnswerStream;
 import gradereach.http2.ExchangeListener;
--- a/gateway/src/main/java/gradereach/roster/RosterTracker.java
+++ b/gateway/src/main/java/gradereach/roster/RosterTracker.java
@@ -1,8 +1,8 @@
 package gradereach.roster;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gradereach.api.RosterUpdateKind;
 import gradereach.api.ExecutorState;
+import gradereach.api.RosterUpdateKind;
 import gradereach.desk.RosterEntry;
 import gradereach.roster.EndpointSliceParser.MalformedRosterException;
 import java.util.ArrayList;
--- a/gateway/src/main/java/gradereach/roster/RosterWatch.java
+++ b/gateway/src/main/java/gradereach/roster/RosterWatch.java
@@ -1,11 +1,11 @@
 package gradereach.roster;
 
+import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.MappingIterator;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import com.fasterxml.jackson.core.JsonFactory;
 import gradereach.counts.Counts;
 import gradereach.counts.FailureText;
 import gradereach.roster.EndpointSliceParser.MalformedRosterException;
--- a/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
+++ b/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
@@ -1,7 +1,7 @@
 package gradereach.serve;
 
-import gradereach.plan.InvalidDeploymentException;
 import gradereach.plan.Deployment;
+import gradereach.plan.InvalidDeploymentException;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.BindException;
--- a/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
+++ b/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
@@ -1,9 +1,9 @@
 package gradereach.serve;
 
 import gradereach.api.ModelGroup;
-import gradereach.desk.ModelCatalog;
 import gradereach.desk.InferenceCoordinator;
 import gradereach.desk.InferenceState;
+import gradereach.desk.ModelCatalog;
 import gradereach.measures.ServiceMetrics;
 import gradereach.message.FinalAnswer;
 import java.util.HashMap;
--- a/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
+++ b/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gradereach.api.ExecutorState;
 import gradereach.api.Outcome;
 import gradereach.api.RosterUpdateKind;
-import gradereach.api.ExecutorState;
 import gradereach.desk.CoordinatorHarness.Client;
 import java.util.ArrayList;
 import java.util.List;
--- a/gateway/src/test/java/gradereach/desk/ClosedDedupWindowTest.java
+++ b/gateway/src/test/java/gradereach/desk/ClosedDedupWindowTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gradereach.api.ExecutorState;
 import gradereach.api.ModelGroup;
 import gradereach.api.Outcome;
 import gradereach.api.RosterUpdateKind;
-import gradereach.api.ExecutorState;
 import gradereach.desk.CoordinatorHarness.Client;
 import gradereach.ledger.LedgerRecord;
 import gradereach.message.FinalAnswer;
--- a/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
+++ b/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gradereach.api.ExecutorState;
 import gradereach.api.RosterUpdateKind;
 import gradereach.api.Router;
-import gradereach.api.ExecutorState;
 import gradereach.desk.CoordinatorHarness.Client;
 import java.util.List;
 import java.util.function.UnaryOperator;
--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -1,19 +1,19 @@
 package gradereach.desk;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gradereach.api.ExecutorState;
 import gradereach.api.ModelGroup;
 import gradereach.api.Outcome;
 import gradereach.api.RetrySafety;
 import gradereach.api.RosterUpdateKind;
 import gradereach.api.Router;
-import gradereach.api.ExecutorState;
 import gradereach.desk.CoordinatorHarness.Client;
 import gradereach.flow.AnswerStream;
 import gradereach.message.FinalAnswer;
--- a/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
+++ b/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
@@ -1,7 +1,7 @@
 package gradereach.desk;
 
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
+import gradereach.api.ExecutorState;
 import gradereach.api.Outcome;
 import gradereach.api.RosterUpdateKind;
-import gradereach.api.ExecutorState;
 import gradereach.inquiry.InquiryScheduler;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
+++ b/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gradereach.api.RosterUpdateKind;
 import gradereach.api.ExecutorState;
+import gradereach.api.RosterUpdateKind;
 import gradereach.counts.Counts;
 import gradereach.flow.AnswerStream;
 import gradereach.http2.Http2ConnectionPool;
--- a/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
+++ b/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.api.Outcome;
 import gradereach.api.ExecutorReport;
-import gradereach.api.RosterUpdateKind;
 import gradereach.api.ExecutorState;
 import gradereach.api.LoadStatus;
+import gradereach.api.Outcome;
+import gradereach.api.RosterUpdateKind;
 import gradereach.desk.CoordinatorHarness.Client;
-import gradereach.state.ModelCopies;
 import gradereach.state.Executor;
+import gradereach.state.ModelCopies;
 import java.util.List;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/gateway/src/test/java/gradereach/desk/UnansweredInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/UnansweredInquiryTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gradereach.api.RosterUpdateKind;
 import gradereach.api.ExecutorState;
+import gradereach.api.RosterUpdateKind;
 import gradereach.inquiry.InquiryScheduler;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
--- a/gateway/src/test/java/gradereach/desk/UnknownDedupScopeTest.java
+++ b/gateway/src/test/java/gradereach/desk/UnknownDedupScopeTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import gradereach.api.ExecutorState;
 import gradereach.api.ModelGroup;
 import gradereach.api.Outcome;
 import gradereach.api.RosterUpdateKind;
-import gradereach.api.ExecutorState;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/gateway/src/test/java/gradereach/ledger/disk/ForgottenClaimsTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/ForgottenClaimsTest.java
@@ -5,8 +5,8 @@
 
 import gradereach.counts.Counts;
 import gradereach.ledger.CompactionPlanner;
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradereach.ledger.LedgerState;
 import gradereach.ledger.LedgerRecord;
+import gradereach.ledger.LedgerState;
 import gradereach.ledger.Recipient;
 import gradereach.message.FinalAnswer;
 import java.io.IOException;
--- a/gateway/src/test/java/gradereach/link/ExchangeOutcomesTest.java
+++ b/gateway/src/test/java/gradereach/link/ExchangeOutcomesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import gradereach.api.Outcome;
 import gradereach.api.ExecutorReport;
+import gradereach.api.Outcome;
 import gradereach.http2.ExchangeListener.ExchangeResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
@@ -1,7 +1,7 @@
 package gradereach.rehearsal;
 
-import gradereach.desk.InFlightForward;
 import gradereach.desk.ExecutorTransport;
+import gradereach.desk.InFlightForward;
 import gradereach.ledger.disk.Disk;
 import gradereach.plan.Deployment;
 import gradereach.serve.FaultInjection;
--- a/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
@@ -1,8 +1,8 @@
 package gradereach.rehearsal;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gradereach.client.Inference;
 import gradereach.client.FrontEndTransport;
+import gradereach.client.Inference;
 import gradereach.counts.Counts;
 import gradereach.http2.ExchangeListener.ExchangeResult;
 import gradereach.http2.Http2ConnectionPool;
--- a/rehearsal/src/test/java/gradereach/rehearsal/BreachingFrontEnd.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/BreachingFrontEnd.java
@@ -1,8 +1,8 @@
 package gradereach.rehearsal;
 
-import gradereach.api.RouterActions;
-import gradereach.api.RetrySafety;
 import gradereach.api.ExecutorState;
+import gradereach.api.RetrySafety;
+import gradereach.api.RouterActions;
 import gradereach.ledger.disk.Disk;
 import gradereach.serve.FaultInjection;
 import gradereach.serve.FrontEndProcess;
--- a/standins/src/main/java/gradereach/standins/SimulatedMachine.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedMachine.java
@@ -1,5 +1,7 @@
 package gradereach.standins;
 
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,8 +11,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import io.netty.channel.EventLoop;
-import io.netty.util.concurrent.ScheduledFuture;
 
 /**
  * Simulates how an executor hosts models and runs inferences: the lanes of all copies share the cores, copies are loaded
--- a/telemetry/src/test/java/gradereach/remotewrite/SendQueueTest.java
+++ b/telemetry/src/test/java/gradereach/remotewrite/SendQueueTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gradereach.measures.MetricFamily;
-import gradereach.remotewrite.SendQueue.Limits;
+import gradereach.remotewrite.SendQueue.Accepted;
 import gradereach.remotewrite.SendQueue.DropReason;
-import gradereach.remotewrite.SendQueue.Retry;
+import gradereach.remotewrite.SendQueue.Limits;
 import gradereach.remotewrite.SendQueue.Rejected;
-import gradereach.remotewrite.SendQueue.Accepted;
+import gradereach.remotewrite.SendQueue.Retry;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
