--- a/client/src/test/java/gradereach/client/GradereachClientTest.java
+++ b/client/src/test/java/gradereach/client/GradereachClientTest.java
@@ -105,8 +105,9 @@
     }
 
     /**
-     * One front end stops midway and nothing listens on one address: reservations go to another front end and none runs twice. A
-     * call whose connection closes without an answer stays lost, as ids are not kept over restarts here.
+     * One front end stops midway and nothing listens on one address: inferences go to another front end and none runs twice. A
+     * call whose connection closes without an answer ends as LOST: with {@code Effect.ONCE}, as ids are not kept over restarts
+     * here, it may have run and is not repeated.
      */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
--- a/core/src/main/java/gradereach/api/RetrySafety.java
+++ b/core/src/main/java/gradereach/api/RetrySafety.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
-/** Whether an inference that may already have run may be forwarded again: yes, only where it is deduplicated, or no. */
+/** Whether an inference that may already have run may be forwarded again: always, only to executors that deduplicate it, or never. */
 public enum RetrySafety { RETRIABLE, DEDUPED, NON_RETRIABLE }
--- a/gateway/src/main/java/gradereach/desk/LoadOrder.java
+++ b/gateway/src/main/java/gradereach/desk/LoadOrder.java
@@ -11,6 +11,7 @@
     /** Milliseconds after which the reply is no longer waited for. */
     public final double timeout;
     final Model model;
+    /** Generation of the router that decided this; a router that replaced it gets no result of it. */
     final int routerGeneration;
     final double sentAt;
     private final double leaseEndsAt;
@@ -33,7 +34,10 @@
         this.timeout = timeout;
     }
 
-    /** When it must no longer be written, since its executor may drain unnoticed; a status query may be written at any time. */
+    /**
+     * When it must no longer be written: at the end of its executor's lease, after which a drain may go unnoticed. Never for a
+     * status query.
+     */
     public double sendDeadline() {
         return copies > 0 ? leaseEndsAt : Double.POSITIVE_INFINITY;
     }
--- a/gateway/src/main/java/gradereach/desk/Probe.java
+++ b/gateway/src/main/java/gradereach/desk/Probe.java
@@ -7,6 +7,7 @@
     public final ExecutorEndpoint endpoint;
     /** The endpoint's executor at the time the probe was sent. */
     final Executor executor;
+    /** Generation of the router that decided this; a router that replaced it gets no result of it. */
     final int routerGeneration;
     final double sentAt;
     long timer;
--- a/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
+++ b/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
@@ -143,7 +143,10 @@
             }
         }
 
-        /** Cancels the request; the peer gets RST_STREAM with CANCEL if writing had begun. May be called from any thread. */
+        /**
+         * Cancels the request; if writing had begun, its stream is reset with CANCEL or its connection closed. May be called
+         * from any thread.
+         */
         public void cancel() {
             eventLoop.execute(() -> {
                 if (finished) {
@@ -163,8 +166,8 @@
         }
 
         /**
-         * Resets the stream. If the request itself still waits for the socket, the reset would be sent after it and both too
-         * late; the connection, which the peer does not read, is closed instead.
+         * Resets the stream. If the request itself still waits for the socket, because the peer does not read, the reset would
+         * only be sent after the request, and both too late; the whole connection is closed instead.
          */
         private void resetStream() {
             Channel parent = streamChannel.parent();
--- a/gateway/src/main/java/gradereach/http2/StreamAllocator.java
+++ b/gateway/src/main/java/gradereach/http2/StreamAllocator.java
@@ -12,7 +12,7 @@
  * @param <C> the pool's object for an open connection
  */
 public final class StreamAllocator<C> {
-    /** What to do with a new stream. */
+    /** What to do with a new stream; FULL: it can neither start nor wait. */
     public enum Placement { USE_CONNECTION, CONNECT_AND_WAIT, WAIT, FULL }
 
     /** One open connection. */
@@ -50,16 +50,16 @@
     private int waitingCount;
 
     /**
-     * @param idleTimeoutMillis after which an unused connection is closed
-     * @param silenceTimeoutMillis without a received byte, at the end of which a stream was cancelled, after which a connection
-     *        takes no new streams
+     * @param idleTimeoutMillis how long a connection without streams stays open
+     * @param silenceTimeoutMillis a connection takes no new streams once a stream on it is cancelled that was open for at least
+     *        this long and nothing was received on the connection meanwhile
      */
     public StreamAllocator(int maxConnections, int maxStreamsPerConnection, double idleTimeoutMillis, double silenceTimeoutMillis) {
         this.maxConnections = maxConnections;
         this.maxStreamsPerConnection = maxStreamsPerConnection;
         this.idleTimeoutMillis = idleTimeoutMillis;
         this.silenceTimeoutMillis = silenceTimeoutMillis;
-        // As many as all connections together could take.
+        // As many streams may wait as all connections together could take.
         maxWaiting = maxConnections * maxStreamsPerConnection;
     }
 
@@ -139,8 +139,8 @@
     }
 
     /**
-     * A stream started at {@code startedAt} was cancelled. Drains the connection if nothing was received on it for the silence
-     * timeout, which guards against a connection whose peer or network drops everything.
+     * A stream started at {@code startedAt} was cancelled. Drains the connection if the stream was open for the silence timeout
+     * and nothing was received on the connection since its start, as the peer or the network then probably drops everything.
      */
     public void onStreamCancelled(PooledConnection<C> connection, double startedAt, double now) {
         if (connection.lastReceivedAt < startedAt && now - Math.max(connection.lastReceivedAt, startedAt) >= silenceTimeoutMillis) {
--- a/gateway/src/main/java/gradereach/ledger/RecordCodec.java
+++ b/gateway/src/main/java/gradereach/ledger/RecordCodec.java
@@ -13,7 +13,7 @@
 public final class RecordCodec {
     /** Length and checksum of a frame. */
     public static final int HEADER_BYTES = 8;
-    /** Enough for an answer and its names; a longer payload is damage. */
+    /** Enough for an answer with its customer and id; a frame with a longer payload counts as damaged. */
     static final int MAX_PAYLOAD_BYTES = 32 << 20;
 
     /** Bytes that are no valid frame. */
--- a/gateway/src/main/java/gradereach/ledger/disk/AtomicTextFile.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/AtomicTextFile.java
@@ -17,7 +17,10 @@
         return Files.exists(file) ? Files.readString(file).strip() : null;
     }
 
-    /** Creates the temporary file that the next {@link #write} fills and renames. */
+    /**
+     * Creates the temporary file that the next {@link #write} fills and renames, so that its inode is known before its text is
+     * written.
+     */
     static Path createTemporary(Path folder, String name) throws IOException {
         Path temporary = folder.resolve(name + ".new");
         Files.deleteIfExists(temporary);
--- a/gateway/src/main/java/gradereach/ledger/disk/MachineUptime.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/MachineUptime.java
@@ -9,7 +9,7 @@
  * @param monotonicMillis reading of the monotonic clock
  */
 record MachineUptime(String bootId, double uptimeMillis, double monotonicMillis) {
-    /** No uptime that is certainly the machine's could be read: no duration to it is known. */
+    /** Stands for a reading that failed or may not be the machine's own uptime; {@link #since} then returns NaN. */
     static final MachineUptime UNKNOWN = new MachineUptime("", Double.NaN, Double.NaN);
     /** Tolerance between two readings, well above the resolution of an uptime, a hundredth of a second. */
     static final double READING_TOLERANCE_MILLIS = 100;
@@ -19,7 +19,7 @@
         return uptimeMillis - monotonicMillis;
     }
 
-    /** An uptime that is less than the monotonic time counts from a later moment than the boot. */
+    /** Whether the uptime counts from the boot; if it is less than the monotonic time, it counts from a later moment. */
     private boolean countsFromBoot() {
         return !bootId.isEmpty() && suspendedMillis() >= -READING_TOLERANCE_MILLIS;
     }
--- a/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
@@ -32,7 +32,8 @@
 /**
  * Talks the Open Inference Protocol (V2, HTTP/REST) to executors over HTTP/2: {@code POST /v2/models/NAME/infer};
  * the model repository extension's {@code load}, with the number of copies as a load parameter (0 is a status query), and
- * {@code unload}; {@code GET /v2/health/ready} as probe. Results go to the decision thread as events.
+ * {@code unload}; {@code GET /v2/health/ready} as probe. Executors of some kinds get inferences by gRPC instead. Results
+ * go to the decision thread as events.
  */
 public final class HttpExecutorTransport implements ExecutorTransport {
     private static final byte[] EMPTY_BODY = {};
@@ -155,20 +156,28 @@
                 && ready.getAsBoolean();
     }
 
-    /** As for a forward. */
+    /**
+     * Whether the load order may still be written: its reply is awaited, its send deadline has not passed, and its executor is
+     * as for a forward.
+     */
     private BooleanSupplier writeCondition(LoadOrder order) {
         BooleanSupplier ready = endpointStillReady(order.endpoint);
         return () -> order.isAwaited() && order.targetsCurrentProcess() && clock.getAsDouble() < order.sendDeadline()
                 && ready.getAsBoolean();
     }
 
-    /** False once an endpoint that is ready now no longer is. */
+    /**
+     * False once an endpoint that is ready now is no longer ready; always true for an endpoint that is not ready now.
+     */
     private static BooleanSupplier endpointStillReady(ExecutorEndpoint endpoint) {
         boolean wasReady = endpoint.ready();
         return () -> !wasReady || endpoint.ready();
     }
 
-    /** Loads the classes that gRPC forwards need, so that the first inferences of a process are not delayed by it. */
+    /**
+     * Runs the code of gRPC forwards {@code times} times, so that class loading does not delay the first inferences of a
+     * process.
+     */
     public static void warmUp(int times) {
         GrpcForwardSender.warmUp(times);
     }
@@ -215,8 +224,8 @@
     static final String FENCED_HEADER = "forward-fenced";
     private static final long INQUIRY_TIMEOUT_MILLIS = 2000;
     /**
-     * In place of a forward's id, which always contains a #: an inquiry about no forward, sent for the process identity that
-     * every reply contains.
+     * Stands for a forward's id in an inquiry that only asks for the process number, which every reply contains. No forward has
+     * this id, since a forward's id always contains a #.
      */
     private static final String NO_FORWARD = "none";
 
--- a/gateway/src/main/java/gradereach/message/FinalAnswer.java
+++ b/gateway/src/main/java/gradereach/message/FinalAnswer.java
@@ -5,8 +5,9 @@
 import java.time.Instant;
 
 /**
- * The final answer of an inference. Repeats of the message get the same bytes. A returned answer holds the executor's
- * answer unchanged; a shed or failed one is a problem details object (RFC 9457).
+ * The final answer of an inference. Repeats of the message get the same bytes. An {@link AnswerFormat} determines the body;
+ * the methods here create webhook answers, where a returned one holds the executor's output unchanged and a shed or failed
+ * one is a problem details object (RFC 9457).
  *
  * @param status HTTP status (RFC 9110): 200, 503 shed, 502 or 504 failed
  * @param retryAfterMillis how long the client should wait before a repeat, 0 for no advice
@@ -17,8 +18,9 @@
     public enum Kind { RETURNED, SHED, FAILED }
 
     /**
-     * The {@code webhook-id} of this answer. A message whose repeat is harmless may be sent again and get another answer, so
-     * such an answer gets an id of its own: receivers would otherwise drop the later answer as a duplicate.
+     * The {@code webhook-id} of this answer. After a shed or harmless failed answer the message may be sent again and get
+     * another answer, so the id of such an answer also depends on its body: receivers would otherwise drop the later answer
+     * as a duplicate.
      *
      * @param messageId the {@code webhook-id} of the message
      */
@@ -44,13 +46,16 @@
         return new FinalAnswer(Kind.RETURNED, 200, body.toByteArray(), 0, true);
     }
 
-    /** An inference that was not run. {@code detail} is a plain sentence without quotes. */
+    /** An inference that was not run. {@code detail} is a plain sentence for the client. */
     public static FinalAnswer shed(String id, String detail, double retryAfterMillis) {
         return new FinalAnswer(Kind.SHED, 503, problem("shed", 503, "Inference shed", id, detail, true, retryAfterMillis),
                 retryAfterMillis, true);
     }
 
-    /** A failed inference: status 504 if its time ran out, 502 if an executor ended it without a usable answer. */
+    /**
+     * A failed inference: status 502 if an executor ended it without a usable answer, 504 otherwise, such as when its time ran
+     * out.
+     */
     public static FinalAnswer failed(String id, int status, String detail, boolean repeatHarmless) {
         return new FinalAnswer(Kind.FAILED, status,
                 problem("failed", status, "Inference failed", id, detail, repeatHarmless, 0), 0, repeatHarmless);
--- a/gateway/src/main/java/gradereach/plan/KeySettings.java
+++ b/gateway/src/main/java/gradereach/plan/KeySettings.java
@@ -62,7 +62,10 @@
         return !permissions.isEmpty();
     }
 
-    /** Reads a key with the times {@code from} and {@code until} between which it is valid; null on errors. */
+    /**
+     * Reads a key and its validity period, {@code from} to {@code until}; null if the key is invalid. An invalid time is only
+     * added to the errors.
+     */
     WebhookKey readWithValidity(String path, JsonNode settings) {
         if (settings.has("inline") == settings.has("file")) {
             errors.add(path + ": exactly one of inline and file is needed");
--- a/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
@@ -49,7 +49,7 @@
     /** Executors behind the front end; each answers at once, so that they do not limit the throughput. */
     private static final int EXECUTORS = 4;
     private static final int MODELS = 16;
-    /** Connections of the gRPC load; each of the three HTTP/2 pools opens up to four. */
+    /** Connections of the gRPC load. The HTTP load has three pools, each with up to four connections. */
     private static final int GRPC_CONNECTIONS = 6;
 
     /**
@@ -235,7 +235,10 @@
         return measurement;
     }
 
-    /** @param pushTo a receiver's URL, null for no remote write; it pushes every 200 ms, so that a run of seconds has many pushes */
+    /**
+     * @param pushTo a receiver's URL, null for no remote write; the front end pushes every 200 ms, so that a run of seconds has
+     *        many pushes
+     */
     private List<String> writeFrontEndCommand(List<Integer> ports, String pushTo, String name) throws IOException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode endpointSlices = json.createObjectNode();
--- a/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
@@ -198,7 +198,7 @@
                 receivedMeanwhile[0], receivedMeanwhile[50], receivedMeanwhile[99], sum / 2));
     }
 
-    /** First parts at 500 streams a second, with or without another stream whose reader takes one part a second. */
+    /** Latencies of the first parts at 500 streams a second, with or without another stream whose reader takes one part a second. */
     private Histogram measureBesideSlowReader(String address, boolean withSlowReader) throws InterruptedException {
         FrontEndTransport.Attempt slowStream = !withSlowReader ? null : openStream(address, 0, 1_000_000, 1024, 0,
                 part -> LockSupport.parkNanos(1_000_000_000L), end -> { });
--- a/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
@@ -200,6 +200,7 @@
                     alertMonitor.stop();
                 }
             }
+            // Leaves time for the last webhooks or events of the stand-ins to reach their transcripts.
             Thread.sleep(script.path("clients").path("async").asDouble(0) > 0 ? 1500 : 200);
         } finally {
             for (String event : runningEvents.descriptions()) {
@@ -415,6 +416,7 @@
                         deployment.putObject("grpc").put("listen", "127.0.0.1:" + grpcAddresses.get(frontEnd).getPort());
                     }
                     Files.write(file, JSON.writeValueAsBytes(deployment));
+                    // Recorded before and after the kill, since the auditor takes times from both as possible times of death.
                     transcript.write("killed", "fe", "fe-" + frontEnd);
                     frontEndProcesses.get(frontEnd).destroyForcibly().waitFor();
                     transcript.write("killed", "fe", "fe-" + frontEnd);
--- a/standins/src/main/java/gradereach/standins/frames/PeerListener.java
+++ b/standins/src/main/java/gradereach/standins/frames/PeerListener.java
@@ -15,7 +15,7 @@
     private Channel listener;
 
     /**
-     * Listens on a port of its own.
+     * Listens on any free port.
      *
      * @param handlerFactory creates the handler of a connection
      */
@@ -56,7 +56,7 @@
         return connections;
     }
 
-    /** Closes the listener, so that new connections are refused. */
+    /** Closes the listener, so that new connections are refused; open connections stay open. */
     void stop() throws InterruptedException {
         listener.close().sync();
     }
--- a/standins/src/main/java/gradereach/standins/prometheus/Expression.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/Expression.java
@@ -60,7 +60,8 @@
     /**
      * Parses an expression.
      *
-     * @param lookbackMillis maximum age of a sample in instant selectors: five minutes, or less if the rules run in fast motion
+     * @param lookbackMillis maximum age of a sample in instant selectors: five minutes, or less if all durations of the rules are
+     *        scaled down
      * @throws IllegalArgumentException for unsupported syntax, with its position
      */
     public Expression(String text, long lookbackMillis) {
--- a/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
@@ -28,7 +28,10 @@
     private final Map<String, FiredAlert> fired = new LinkedHashMap<>();
     private final SampleStore store;
 
-    /** @param lookbackMillis maximum age of a sample in instant selectors: five minutes, or less if the rules run in fast motion */
+    /**
+     * @param lookbackMillis maximum age of a sample in instant selectors: five minutes, or less if all durations of the rules are
+     *        scaled down
+     */
     public RuleEvaluator(String yaml, SampleStore store, long lookbackMillis) throws IOException {
         this.store = store;
         JsonNode file = new ObjectMapper(new YAMLFactory()).readTree(yaml);
--- a/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
+++ b/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
@@ -24,7 +24,7 @@
 @Timeout(60)
 class KilledFrontEndTest {
     private static final byte[] ANSWER = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    /** By this long after an answer a client whose event loop is not blocked has sent its next request. */
+    /** A client whose event loop is not blocked sends its next request within this time after an answer. */
     private static final long NEXT_REQUEST_WITHIN_MILLIS = 100;
     private static final int MAX_ATTEMPTS = 20;
 
@@ -109,6 +109,7 @@
         }
     }
 
+    /** Whether every request so far has its answer; a missing answer is a finding. */
     private static boolean answered(RequestAuditor auditor) {
         return auditor.findings(Double.POSITIVE_INFINITY).isEmpty();
     }
