--- a/benchlink/src/main/java/gradereach/benchlink/FrameReader.java
+++ b/benchlink/src/main/java/gradereach/benchlink/FrameReader.java
@@ -12,17 +12,17 @@
 
     private final InputStream in;
     private final byte[] lengthPrefix = new byte[4];
-    private byte[] bytes = new byte[1 << 16];
-    private ByteBuffer buffer = ByteBuffer.wrap(bytes);
+    private byte[] readBytes = new byte[1 << 16];
+    private ByteBuffer buffer = ByteBuffer.wrap(readBytes);
     private long frameStart;
-    private long nextFrame;
+    private long readNextFrame;
     private int frameLength;
     private int recordEnd;
 
     /** Number of records in the current frame. */
     int recordCount;
     /** Time of the current frame, milliseconds. */
-    double clock;
+    double frameTime;
     /** Code of the current record. */
     int recordCode;
 
@@ -31,8 +31,8 @@
     }
 
     /** Reads the next frame. Returns false if the input ended. */
-    boolean nextFrame() throws IOException {
-        frameStart = nextFrame;
+    boolean readNextFrame() throws IOException {
+        frameStart = readNextFrame;
         int bytesRead = in.readNBytes(lengthPrefix, 0, 4);
         if (bytesRead == 0) {
             return false;
@@ -46,28 +46,28 @@
         }
         frameLength = (int) length;
         int remaining = frameLength - 4;
-        if (remaining <= bytes.length) {
-            bytesRead = in.readNBytes(bytes, 0, remaining);
+        if (remaining <= readBytes.length) {
+            bytesRead = in.readNBytes(readBytes, 0, remaining);
         } else {
             // Grows as bytes arrive, so that a corrupt length does not allocate its memory at once.
             byte[] larger = in.readNBytes(remaining);
             bytesRead = larger.length;
-            bytes = larger;
-            buffer = ByteBuffer.wrap(bytes);
+            readBytes = larger;
+            buffer = ByteBuffer.wrap(readBytes);
         }
         if (bytesRead < remaining) {
             throw new EOFException("input ends inside a frame at byte " + (frameStart + 4 + bytesRead));
         }
-        nextFrame = frameStart + frameLength;
+        readNextFrame = frameStart + frameLength;
         buffer.clear().limit(remaining);
         recordCount = buffer.getInt();
-        clock = buffer.getDouble();
+        frameTime = buffer.getDouble();
         recordEnd = buffer.position();
         return true;
     }
 
     /** Moves to the next record of the frame. */
-    void nextRecord() throws InvalidInputException {
+    void readNextRecord() throws InvalidInputException {
         buffer.limit(frameLength - 4).position(recordEnd);
         if (buffer.remaining() < RECORD_HEADER_BYTES) {
             throw new InvalidInputException("frame has no room for a record's header at byte " + position());
@@ -82,7 +82,7 @@
     }
 
     /** Checks that the frame has no bytes after its records. */
-    void endFrame() throws InvalidInputException {
+    void checkFrameEnd() throws InvalidInputException {
         if (recordEnd != frameLength - 4) {
             throw new InvalidInputException("frame holds " + (frameLength - 4 - recordEnd)
                     + " bytes beyond its records at byte " + (frameStart + 4 + recordEnd));
@@ -104,42 +104,42 @@
         return buffer.remaining() >= n;
     }
 
-    int u8() throws InvalidInputException {
+    int readU8() throws InvalidInputException {
         require(1);
         return buffer.get() & 0xff;
     }
 
-    int u16() throws InvalidInputException {
+    int readU16() throws InvalidInputException {
         require(2);
         return buffer.getShort() & 0xffff;
     }
 
-    long u32() throws InvalidInputException {
+    long readU32() throws InvalidInputException {
         require(4);
         return buffer.getInt() & 0xffffffffL;
     }
 
-    long u64() throws InvalidInputException {
+    long readU64() throws InvalidInputException {
         require(8);
         return buffer.getLong();
     }
 
-    double f32() throws InvalidInputException {
+    double readF32() throws InvalidInputException {
         require(4);
         return buffer.getFloat();
     }
 
-    double f64() throws InvalidInputException {
+    double readF64() throws InvalidInputException {
         require(8);
         return buffer.getDouble();
     }
 
     /** Reads an IPv4 address and a port as one number. */
-    long address() throws InvalidInputException {
-        return u32() << 16 | u16();
+    long readAddress() throws InvalidInputException {
+        return readU32() << 16 | readU16();
     }
 
-    byte[] bytes(long n) throws InvalidInputException {
+    byte[] readBytes(long n) throws InvalidInputException {
         if (n > buffer.remaining()) {
             throw new InvalidInputException("record of code " + recordCode + " is too short at byte " + position());
         }
--- a/benchlink/src/main/java/gradereach/benchlink/HostedInstance.java
+++ b/benchlink/src/main/java/gradereach/benchlink/HostedInstance.java
@@ -61,39 +61,39 @@
             case InstanceHost.ROSTER_UPDATE -> handleRosterUpdate(in);
             case InstanceHost.INFERENCE_ACCEPTED -> handleInferenceAccepted(in);
             case InstanceHost.ANSWER_STARTED -> {
-                Inference inference = inferences.get(in.u32());
-                double elapsed = in.f64();
-                in.address();
-                Forward forward = findForward(inference, in.u8());
+                Inference inference = inferences.get(in.readU32());
+                double elapsed = in.readF64();
+                in.readAddress();
+                Forward forward = findForward(inference, in.readU8());
                 if (forward != null) {
                     router.onAnswerStarted(forward, elapsed);
                 }
             }
             case InstanceHost.FORWARD_ENDED -> handleForwardEnded(in);
             case InstanceHost.INFERENCE_CANCELLED -> {
-                Inference inference = inferences.get(in.u32());
+                Inference inference = inferences.get(in.readU32());
                 if (inference != null) {
                     inference.done = true;
                     router.onInferenceCancelled(inference);
                     forgetIfEnded(inference);
                 }
             }
-            case InstanceHost.TIMER_FIRED -> router.onTimer(in.u64());
+            case InstanceHost.TIMER_FIRED -> router.onTimer(in.readU64());
             case InstanceHost.PROBE_ENDED -> {
-                Executor executor = findOrCreateExecutor(in.address());
+                Executor executor = findOrCreateExecutor(in.readAddress());
                 Outcome outcome = readOutcome(in);
-                router.onProbeEnded(executor, outcome, in.f64(), readReport(in));
+                router.onProbeEnded(executor, outcome, in.readF64(), readReport(in));
             }
             case InstanceHost.PEER_MESSAGE -> {
-                int from = in.u16();
-                router.onPeerMessage(from, in.bytes(in.u16()));
+                int from = in.readU16();
+                router.onPeerMessage(from, in.readBytes(in.readU16()));
             }
             case InstanceHost.ORDER_ENDED -> {
-                Executor executor = findOrCreateExecutor(in.address());
-                Model model = findOrCreateModel(in.u64());
+                Executor executor = findOrCreateExecutor(in.readAddress());
+                Model model = findOrCreateModel(in.readU64());
                 Outcome outcome = readOutcome(in);
-                double elapsed = in.f64();
-                router.onOrderEnded(executor, model, outcome, elapsed, in.u8());
+                double elapsed = in.readF64();
+                router.onOrderEnded(executor, model, outcome, elapsed, in.readU8());
             }
             default -> { }
         }
@@ -126,7 +126,7 @@
     }
 
     private static Outcome readOutcome(FrameReader in) throws InvalidInputException {
-        int code = in.u8();
+        int code = in.readU8();
         if (code < 1 || code >= OUTCOMES.length) {
             throw new InvalidInputException("unknown outcome " + code + " at byte " + (in.position() - 1));
         }
@@ -134,20 +134,20 @@
     }
 
     private ExecutorReport readReport(FrameReader in) throws InvalidInputException {
-        int n = in.hasRemaining(1) ? in.u8() : 0;
+        int n = in.hasRemaining(1) ? in.readU8() : 0;
         if (n == 0) {
             return null;
         }
         double[] values = new double[n];
         for (int i = 0; i < n; i++) {
-            values[i] = in.f32();
+            values[i] = in.readF32();
         }
-        return InstanceSettings.report(reportColumns, values);
+        return InstanceSettings.createReport(reportColumns, values);
     }
 
     private void handleRosterUpdate(FrameReader in) throws InvalidInputException {
-        in.u64();
-        int kindCode = in.u8();
+        in.readU64();
+        int kindCode = in.readU8();
         RosterUpdateKind kind = switch (kindCode) {
             case 1 -> RosterUpdateKind.CACHED;
             case 2 -> RosterUpdateKind.FAILED;
@@ -155,36 +155,36 @@
             case 4 -> RosterUpdateKind.CHANGES;
             default -> throw new InvalidInputException("unknown list form " + kindCode + " at byte " + (in.position() - 1));
         };
-        long count = in.u32();
+        long count = in.readU32();
         List<ExecutorListing> listings = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            double capacity = in.f32();
-            double startedAt = in.f64();
-            int stateCode = in.u8();
+            double capacity = in.readF32();
+            double startedAt = in.readF64();
+            int stateCode = in.readU8();
             ExecutorState state = stateCode == 1 ? ExecutorState.READY : stateCode == 2 ? ExecutorState.DRAINING : ExecutorState.REMOVED;
-            int location = in.u16();
-            int machineKind = in.u8();
-            int cell = in.u16();
-            listings.add(new ExecutorListing(findOrCreateExecutor(in.address()), capacity, startedAt, state, location, machineKind, cell));
+            int location = in.readU16();
+            int machineKind = in.readU8();
+            int cell = in.readU16();
+            listings.add(new ExecutorListing(findOrCreateExecutor(in.readAddress()), capacity, startedAt, state, location, machineKind, cell));
         }
         router.onRosterUpdate(kind, listings);
     }
 
     private void handleInferenceAccepted(FrameReader in) throws InvalidInputException {
-        long id = in.u32();
-        int group = in.u16();
+        long id = in.readU32();
+        int group = in.readU16();
         if (group >= groups.size()) {
             throw new InvalidInputException("unknown class " + group + " at byte " + (in.position() - 2));
         }
-        int customer = (int) in.u32();
-        Model model = findOrCreateModel(in.u64());
-        double timeLeft = in.f64();
-        double expectedWork = in.hasRemaining(8) ? in.f64() : 0;
-        double memory = in.hasRemaining(4) ? in.f32() : 0;
-        double lanes = in.hasRemaining(4) ? in.f32() : 0;
-        double loadTime = in.hasRemaining(4) ? in.f32() : 0;
-        int options = in.hasRemaining(1) ? in.u8() : 0;
-        model.memory = memory;
+        int customer = (int) in.readU32();
+        Model model = findOrCreateModel(in.readU64());
+        double timeLeft = in.readF64();
+        double expectedWork = in.hasRemaining(8) ? in.readF64() : 0;
+        double memory = in.hasRemaining(4) ? in.readF32() : 0;
+        double lanes = in.hasRemaining(4) ? in.readF32() : 0;
+        double loadTime = in.hasRemaining(4) ? in.readF32() : 0;
+        int options = in.hasRemaining(1) ? in.readU8() : 0;
+        model.memoryMegabytes = memory;
         model.lanes = Math.max(1, (int) lanes);
         model.loadTime = loadTime;
         boolean workKnown = (options & WORK_HINT_VALID) != 0;
@@ -195,13 +195,13 @@
     }
 
     private void handleForwardEnded(FrameReader in) throws InvalidInputException {
-        Inference inference = inferences.get(in.u32());
-        long loadNote = in.u32();
-        double elapsed = in.f64();
-        boolean inferenceDone = in.u8() != 0;
+        Inference inference = inferences.get(in.readU32());
+        long loadNote = in.readU32();
+        double elapsed = in.readF64();
+        boolean inferenceDone = in.readU8() != 0;
         Outcome outcome = readOutcome(in);
-        Forward forward = findForward(inference, in.u8());
-        in.address();
+        Forward forward = findForward(inference, in.readU8());
+        in.readAddress();
         if (forward == null || forward.outcome != null) {
             return;
         }
--- a/benchlink/src/main/java/gradereach/benchlink/InstanceHost.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InstanceHost.java
@@ -28,14 +28,14 @@
     private final ReplyWriter reply = new ReplyWriter();
 
     void run(FrameReader in, OutputStream out) throws IOException {
-        while (in.nextFrame()) {
+        while (in.readNextFrame()) {
             for (int i = 0; i < in.recordCount; i++) {
-                in.nextRecord();
+                in.readNextRecord();
                 if (in.recordCode <= ORDER_ENDED) {
                     handleRecord(in);
                 }
             }
-            in.endFrame();
+            in.checkFrameEnd();
             for (HostedInstance instance : instancesInBatch) {
                 instance.inBatch = false;
                 if (instances.get(instance.instanceId) == instance) {
@@ -48,13 +48,13 @@
     }
 
     private void handleRecord(FrameReader in) throws InvalidInputException {
-        int instanceId = (int) in.u32();
+        int instanceId = (int) in.readU32();
         if (in.recordCode == INSTANCE_STARTED) {
-            long seed = in.u64();
-            byte[] settings = in.bytes(in.u32());
+            long seed = in.readU64();
+            byte[] settings = in.readBytes(in.readU32());
             HostedInstance instance = new HostedInstance(instanceId, seed, settings, reply);
             instances.put(instanceId, instance);
-            addToBatch(instance, in.clock);
+            addToBatch(instance, in.frameTime);
             return;
         }
         HostedInstance instance = instances.get(instanceId);
@@ -68,7 +68,7 @@
             }
             throw new InvalidInputException("event for instance " + instanceId + ", which never began, at byte " + (in.position() - 4));
         }
-        addToBatch(instance, in.clock);
+        addToBatch(instance, in.frameTime);
         if (instance.failed) {
             return;
         }
--- a/benchlink/src/main/java/gradereach/benchlink/InstanceSettings.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InstanceSettings.java
@@ -93,7 +93,7 @@
     }
 
     /** Builds a load report from values by column name. Unknown columns are ignored, missing ones are NaN. */
-    public static ExecutorReport report(Iterable<String> names, double[] values) {
+    public static ExecutorReport createReport(Iterable<String> names, double[] values) {
         double[] byColumn = new double[8];
         Arrays.fill(byColumn, Double.NaN);
         int index = 0;
--- a/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
@@ -107,7 +107,7 @@
             public void inquire(ExecutorEndpoint endpoint, String forwardId, InquiryCallback callback) { }
 
             @Override
-            public void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback) { }
+            public void requestProcessNumber(ExecutorEndpoint endpoint, DoubleConsumer callback) { }
 
             @Override
             public void closeWhenIdle(ExecutorEndpoint endpoint) { }
--- a/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
@@ -34,7 +34,7 @@
     private final byte[] body = ("{\"type\":\"inference.requested\",\"timestamp\":\"t\",\"data\":{\"model\":\"m\",\"input\":{\"x\":["
             + "0.125,".repeat(127) + "0.125]}}}").getBytes(StandardCharsets.UTF_8);
     private final WebhookKey hmac = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
-    private final WebhookKey keyPair = WebhookKey.parse(WebhookKey.newPrivate(new SecureRandom()));
+    private final WebhookKey keyPair = WebhookKey.parse(WebhookKey.newPrivateKey(new SecureRandom()));
     private KeyRing ring;
     private String v1;
     private String v1a;
--- a/cli/src/main/java/gradereach/cli/Main.java
+++ b/cli/src/main/java/gradereach/cli/Main.java
@@ -218,7 +218,7 @@
         int make(@Parameters(paramLabel = "FILE") Path file,
                 @Option(names = "--ed25519", description = "a whsk_ key pair instead of a shared whsec_ secret") boolean pair)
                 throws IOException {
-            String key = pair ? WebhookKey.newPrivate(new SecureRandom()) : WebhookKey.newSecret(new SecureRandom());
+            String key = pair ? WebhookKey.newPrivateKey(new SecureRandom()) : WebhookKey.newSecret(new SecureRandom());
             if (Files.exists(file)) {
                 System.err.println(file + ": is there already; nothing was written");
                 return 1;
--- a/client/src/test/java/gradereach/client/GradereachClientTest.java
+++ b/client/src/test/java/gradereach/client/GradereachClientTest.java
@@ -59,7 +59,7 @@
             gateways.add(gateway);
         }
         for (Gateway gateway : gateways) {
-            while (!gateway.isReady()) {
+            while (!gateway.hasRoster()) {
                 Thread.sleep(2);
             }
         }
--- a/core/src/main/java/gradereach/ExecutorHealth.java
+++ b/core/src/main/java/gradereach/ExecutorHealth.java
@@ -26,7 +26,7 @@
         executor.answerCount.add(1, now, STATISTICS_DECAY_MILLIS);
         double limit = currentLimit(executor);
         double ratio = Math.max(0.5, Math.min(1, FULL_SLOWDOWN / slowdown(executor, now)));
-        double growth = executor.inFlight + 1 >= limit / 2 ? 0.4 : 0;
+        double growth = executor.unansweredCount + 1 >= limit / 2 ? 0.4 : 0;
         // The many concurrent answers of the fleet carry no more information than the few of one executor.
         double step = executor == fleet ? Math.min(0.2, 1 / limit) : 0.2;
         double increase = executor == fleet ? growth * Math.sqrt(limit) : growth;
@@ -35,7 +35,7 @@
 
     /** Lowers the limit well below what the executor held when it refused a forward. */
     void recordFull(Executor executor) {
-        executor.concurrencyLimit = Math.max(1, Math.min(currentLimit(executor), 0.7 * executor.inFlight));
+        executor.concurrencyLimit = Math.max(1, Math.min(currentLimit(executor), 0.7 * executor.unansweredCount));
     }
 
     /** Observed over expected answer time, counting forwards in flight as if they ended now. */
--- a/core/src/main/java/gradereach/Policy.java
+++ b/core/src/main/java/gradereach/Policy.java
@@ -58,7 +58,7 @@
         this.loadingRules = loadingRules;
         this.forwardRules = forwardRules;
         leases = new ReadinessLeases(forwardRules.drainGrace());
-        frontEndShare = new FrontEndShare(1d / Math.max(1, frontEnd.frontEnds()));
+        frontEndShare = new FrontEndShare(1d / Math.max(1, frontEnd.frontEndCount()));
         sendRules = new SendRules(coldStart, loadOrderBudget, frontEndShare, forwardRules, leases, new SlidingWindowSum(),
                 new SlidingWindowSum(), new DecayingSum(), executors, random);
         customerQuotas = new CustomerQuotas(overQuotaValue, customers.stream().mapToDouble(Customer::quotaPerSecond)
@@ -110,8 +110,8 @@
             if (listing.state() != ExecutorState.READY || !sameStart) {
                 executor.beginGeneration(now, modelsToReview);
             }
-            if (listing.replaces() != null) {
-                executor.recentWork.addAll(listing.replaces().recentWork); // that work may already have reached this process
+            if (listing.replacedExecutor() != null) {
+                executor.recentWork.addAll(listing.replacedExecutor().recentWork); // that work may already have reached this process
             }
             executor.state = listing.state();
             if (!sameStart || !assumedRestarted.contains(executor)) {
@@ -168,7 +168,7 @@
         }
         sendRules.acceptedInferences().add(1, now);
         probeCredit = Math.min(10 * PROBE_CREDIT_PER_INFERENCE, probeCredit + PROBE_CREDIT_PER_INFERENCE);
-        inference.overQuota = customerQuotas.recordArrival(inference.customer, now);
+        inference.overQuota = customerQuotas.recordArrival(inference.customerIndex, now);
         model.acceptedCount++;
         model.recentArrivals.add(1, now, RECENT_DECAY_MILLIS);
         enqueue(inference);
@@ -181,7 +181,7 @@
      * a lane.
      */
     @Override public void onAnswerStarted(Forward forward, double elapsed) {
-        forward.inference.streaming = true;
+        forward.inference.answerStarted = true;
         forward.answerStarted = true;
         addUnanswered(forward, -1);
         forward.executor.unansweredForwards.remove(forward);
@@ -480,10 +480,10 @@
     private static double maxLaneWait(Inference inference) { return inference.group.sloTime() / 2; }
 
     /** The last batch but one before the deadline. */
-    private double giveUpAt(Inference inference) { return inference.deadlineAt - 3 * frontEnd.tick(); }
+    private double giveUpAt(Inference inference) { return inference.deadlineAt - 3 * frontEnd.batchInterval(); }
 
     private void dispatchQueue(Model model) {
-        boolean rosterUnavailable = !frontEnd.probesAllowed() && leases.rosterExpiredFor(ROSTER_RECOVERY_MILLIS, now);
+        boolean rosterUnavailable = !frontEnd.probesAllowed() && leases.hasRosterExpiredFor(ROSTER_RECOVERY_MILLIS, now);
         if (cannotLoad(model) || rosterUnavailable) {
             List.copyOf(model.queue).forEach(this::reject);
             return;
@@ -528,13 +528,13 @@
 
     private void addInFlight(ModelCopies copies, int delta) {
         copies.addInFlight(delta);
-        health.fleet.inFlight += delta;
+        health.fleet.unansweredCount += delta;
     }
 
     /** In-flight limits count forwards whose answer has not started: they limit that wait. Lanes are occupied to the end. */
     private void addUnanswered(Forward forward, int delta) {
-        forward.executor.inFlight += delta;
-        health.fleet.inFlight += delta;
+        forward.executor.unansweredCount += delta;
+        health.fleet.unansweredCount += delta;
         forward.inference.model.startedAnswers -= delta;
     }
 
@@ -552,8 +552,8 @@
         boolean yields = now - blockedAt < BLOCKED_MILLIS && valueDensity(inference) < 0.7 * blockedValueDensity;
         return now >= copies.backoffUntil && sendRules.mayForward(inference, executor, expectedAnswerTime(copies.model), now)
                 && estimatedAnswerTime(copies, inference) < inference.deadlineAt - now
-                && executor.inFlight < health.concurrencyLimit(executor, now) * (yields ? 0.5 : 1)
-                && health.fleet.inFlight < Math.max(health.concurrencyLimit(health.fleet, now) * (yields ? 0.5 : 1),
+                && executor.unansweredCount < health.concurrencyLimit(executor, now) * (yields ? 0.5 : 1)
+                && health.fleet.unansweredCount < Math.max(health.concurrencyLimit(health.fleet, now) * (yields ? 0.5 : 1),
                         MIN_FLEET_LIMIT_PER_EXECUTOR * executors.size() * frontEndShare.fraction)
                 && (suspicion < 0.02 || random.nextDouble() < Math.exp(-suspicion));
     }
@@ -564,7 +564,7 @@
      * factors, would exclude an idle executor for longer than a client waits; the cost is one inference if it stalls.
      */
     private double estimatedAnswerTime(ModelCopies copies, Inference inference) {
-        boolean idle = copies.executor.inFlight == 0 && now - inference.acceptedAt >= maxLaneWait(inference);
+        boolean idle = copies.executor.unansweredCount == 0 && now - inference.acceptedAt >= maxLaneWait(inference);
         return expectedAnswerTime(copies.model) * (idle ? 1 : health.slowdown(copies.executor, now));
     }
 
@@ -653,7 +653,7 @@
         int probed = 0;
         for (ModelCopies copies : model.copies) {
             if (probed < LEASE_PROBES_PER_MODEL && copies.loadedCopies + copies.copiesOnOrder() > 0
-                    && !sendRules.maySendTo(copies.executor, now) && now >= copies.backoffUntil && renewLease(copies.executor)) {
+                    && !sendRules.maySend(copies.executor, now) && now >= copies.backoffUntil && renewLease(copies.executor)) {
                 probed++;
             }
         }
@@ -771,7 +771,7 @@
             if (!isUsable(executor) || model.copiesOn(executor).orderPending || now < model.copiesOn(executor).backoffUntil) {
                 continue;
             }
-            if (!sendRules.maySendTo(executor, now)) {
+            if (!sendRules.maySend(executor, now)) {
                 if (renewLease(executor)) {
                     timers.schedule(now + REPLY_WAIT_MILLIS, model);
                     return null;
@@ -821,7 +821,7 @@
     private double relativeLoad(Executor executor) {
         ExecutorReport report = now - executor.reportedAt < 4 * REPORT_FRESH_MILLIS ? executor.report : null;
         double load = unansweredProbeAge(executor) > REPLY_WAIT_MILLIS ? 100 // more than most executors hold
-                : report == null ? executor.inFlight : !Double.isNaN(report.inFlight()) ? report.inFlight()
+                : report == null ? executor.unansweredCount : !Double.isNaN(report.inFlight()) ? report.inFlight()
                 // The fraction of busy cores says little near 1: converted into the inferences in flight that it implies.
                 : (report.queued() > 0 ? report.queued() : 0)
                 + (report.busyFraction() > 0 ? 1 / (1.1 - Math.min(1, report.busyFraction())) : 0);
@@ -861,7 +861,7 @@
             copies.peakInFlight = copies.inFlight;
             if (copies.inFlight > 0) {
                 copies.loadedUntil = now + loadingRules.idleUnloadTime();
-            } else if (copies.lastUsedAt > copies.renewedAt && copies.model.acceptedCount > 1 && !sendRules.maySendTo(copies.executor, now)
+            } else if (copies.lastUsedAt > copies.renewedAt && copies.model.acceptedCount > 1 && !sendRules.maySend(copies.executor, now)
                     && renewLease(copies.executor)) {
                 copies.reviewScheduled = true;
                 timers.schedule(now + REPLY_WAIT_MILLIS, copies);
@@ -896,7 +896,7 @@
         inference.done = true;
         dequeue(inference);
         for (Forward forward : inference.forwards) {
-            if (forward.outcome == null && !forward.cancelled && forwardRules.cancellationAllowed() && !inference.streaming) {
+            if (forward.outcome == null && !forward.cancelled && forwardRules.cancellationAllowed() && !inference.answerStarted) {
                 forward.cancelled = true;
                 forwardsToCancel.add(forward);
             }
@@ -919,7 +919,7 @@
         for (ModelCopies copies : ordersToSend) {
             int orderCount = copies.wantedCopies == 0 ? 0 : 1;
             if (loadingRules.ordersAllowed() && !copies.orderPending && (orderCount == 0 ? sendRules.mayQuery(copies.executor)
-                    : sendRules.maySendTo(copies.executor, now) && sendRules.mayOrder(now))) {
+                    : sendRules.maySend(copies.executor, now) && sendRules.mayOrder(now))) {
                 copies.recordOrderSent(now);
                 sendRules.orders().add(orderCount, now);
                 ordersInFlight += orderCount;
@@ -939,7 +939,7 @@
                 continue;
             }
             copies.executor.leaseEndsAt = leases.leaseEnd(copies.executor);
-            Forward forward = actions.sendForward(inference, copies.executor, inference.deadlineAt - 2 * frontEnd.tick());
+            Forward forward = actions.sendForward(inference, copies.executor, inference.deadlineAt - 2 * frontEnd.batchInterval());
             forward.copies = copies;
             forward.ownInFlight = copies.inFlight - 1;
             forward.expectedAnswerTime = expectedAnswerTime(copies.model) + (copies.loadedCopies > 0 ? 0 : copies.model.loadTime);
--- a/core/src/main/java/gradereach/ReadinessLeases.java
+++ b/core/src/main/java/gradereach/ReadinessLeases.java
@@ -45,7 +45,7 @@
     }
 
     /** Whether the roster has allowed no sends for at least this time. */
-    boolean rosterExpiredFor(double span, double now) {
+    boolean hasRosterExpiredFor(double span, double now) {
         return now - rosterValidUntil - drainGrace >= span;
     }
 
--- a/core/src/main/java/gradereach/SendRules.java
+++ b/core/src/main/java/gradereach/SendRules.java
@@ -41,14 +41,14 @@
     }
 
     /** Rule 3. Uses the grace of the rule only when the roster cannot tell. */
-    boolean maySendTo(Executor executor, double now) { return leases.maySend(executor, now); }
+    boolean maySend(Executor executor, double now) { return leases.maySend(executor, now); }
 
     /** Status queries are not subject to rule 3, but there is no point in asking an executor that is shutting down. */
     boolean mayQuery(Executor executor) { return executor.state == ExecutorState.READY; }
 
     /** Rules 1 to 4. */
     boolean mayForward(Inference inference, Executor executor, double work, double now) {
-        return maySendTo(executor, now) && !inference.done && !inference.streaming && now < inference.deadlineAt
+        return maySend(executor, now) && !inference.done && !inference.answerStarted && now < inference.deadlineAt
                 && inference.forwards.size() < forwardRules.maxForwards()
                 && mayRetryOn(inference, executor, now) && fitsColdStartLimit(executor, work, now);
     }
@@ -113,8 +113,8 @@
         double budget = maxWork * (frontEndShare.fraction + Math.max(0, usualWork - frontEndShare.fraction) / 2);
         // Before a restart, this front end may just have used up its budget: half, until that work no longer counts.
         budget *= now - frontEndShare.startedAt < coldStart.overloadTime() ? 0.5 : 1;
-        if (now >= executor.drawValidUntil) {
-            executor.drawValidUntil = now + coldStart.overloadTime();
+        if (now >= executor.admissionDrawValidUntil) {
+            executor.admissionDrawValidUntil = now + coldStart.overloadTime();
             executor.admissionDraw = random.nextDouble();
         }
         return recentWork + work <= Math.max(budget, executor.admissionDraw * work < budget ? work : 0);
--- a/core/src/main/java/gradereach/api/ExecutorListing.java
+++ b/core/src/main/java/gradereach/api/ExecutorListing.java
@@ -8,10 +8,10 @@
  * @param startedAt monotonic time; 0 means long ago
  * @param location negative if unknown
  * @param cell negative if unknown
- * @param replaces the executor that had the address before; null if there is none or it was replaced earlier
+ * @param replacedExecutor the executor that had the address before; null if there is none or it was replaced earlier
  */
 public record ExecutorListing(Executor executor, double capacity, double startedAt, ExecutorState state, int location,
-        int machineKind, int cell, Executor replaces) {
+        int machineKind, int cell, Executor replacedExecutor) {
     public ExecutorListing(Executor executor, double capacity, double startedAt, ExecutorState state, int location,
             int machineKind, int cell) {
         this(executor, capacity, startedAt, state, location, machineKind, cell, null);
--- a/core/src/main/java/gradereach/api/ModelGroup.java
+++ b/core/src/main/java/gradereach/api/ModelGroup.java
@@ -9,4 +9,4 @@
  * @param lateValueFraction fraction of the value that a late answer has
  */
 public record ModelGroup(String name, RetrySafety retrySafety, DedupScope dedupScope, double dedupWindow,
-        double sloTime, double sloPerWork, double routeTimeout, double value, double lateValueFraction, boolean streaming) { }
+        double sloTime, double sloPerWork, double routeTimeout, double value, double lateValueFraction, boolean streamsAnswers) { }
--- a/core/src/main/java/gradereach/state/Executor.java
+++ b/core/src/main/java/gradereach/state/Executor.java
@@ -21,7 +21,7 @@
 
     public final List<ModelCopies> copies = new ArrayList<>();
     /** Forwards of this front end whose answer has not started, including those that are about to be sent. */
-    public int inFlight;
+    public int unansweredCount;
     public final List<Forward> unansweredForwards = new ArrayList<>();
 
     public ExecutorReport report;
@@ -57,7 +57,7 @@
     public final DecayingSum suspicion = new DecayingSum();
     /** Random number from 0 to 1 that decides whether a cold executor gets an inference, and until when it holds. */
     public double admissionDraw;
-    public double drawValidUntil = Double.NEGATIVE_INFINITY;
+    public double admissionDrawValidUntil = Double.NEGATIVE_INFINITY;
     /** Work sent recently. */
     public final SlidingWindowSum recentWork = new SlidingWindowSum();
 
--- a/core/src/main/java/gradereach/state/Inference.java
+++ b/core/src/main/java/gradereach/state/Inference.java
@@ -13,7 +13,7 @@
     public final long id;
     public final ModelGroup group;
     /** Index of its customer. */
-    public final int customer;
+    public final int customerIndex;
     public final Model model;
     public final double acceptedAt;
     /** When its client stops waiting. */
@@ -25,7 +25,7 @@
 
     public final List<Forward> forwards = new ArrayList<>(2);
     public boolean done;
-    public boolean streaming;
+    public boolean answerStarted;
     public boolean queued;
     /** Rank in the queue of its model; lower ranks are served first. */
     public int queueRank;
@@ -43,7 +43,7 @@
             double expectedWork, boolean isRetry) {
         this.id = id;
         this.group = group;
-        this.customer = customer;
+        this.customerIndex = customer;
         this.model = model;
         this.acceptedAt = acceptedAt;
         this.deadlineAt = deadlineAt;
--- a/core/src/main/java/gradereach/state/Model.java
+++ b/core/src/main/java/gradereach/state/Model.java
@@ -8,7 +8,7 @@
 /** A model that inferences have asked for, with its queue and its copies. */
 public final class Model {
     public final long id;
-    public double memory;
+    public double memoryMegabytes;
     /** Inferences that one copy runs concurrently. */
     public int lanes = 1;
     /** Usual load time, 0 if unknown. */
--- a/core/src/main/java/gradereach/state/ModelCopies.java
+++ b/core/src/main/java/gradereach/state/ModelCopies.java
@@ -40,7 +40,7 @@
     /** Changes the number of forwards in flight here, on the executor and of the model. */
     public void addInFlight(int delta) {
         inFlight += delta;
-        executor.inFlight += delta;
+        executor.unansweredCount += delta;
         model.inFlight += delta;
     }
 
--- a/core/src/test/java/gradereach/ColdFleetTest.java
+++ b/core/src/test/java/gradereach/ColdFleetTest.java
@@ -35,7 +35,7 @@
 
     private Member member(int frontEnds, double startedAt, double now) {
         PolicyHarness frontEnd = new PolicyHarness();
-        frontEnd.frontEnds = frontEnds;
+        frontEnd.frontEndCount = frontEnds;
         frontEnd.start(++seeds * 0x9e3779b97f4a7c15L, WARM_EXECUTORS, startedAt);
         Model model = new Model(7);
         model.lanes = 1000;
--- a/core/src/test/java/gradereach/PolicyHarness.java
+++ b/core/src/test/java/gradereach/PolicyHarness.java
@@ -21,7 +21,7 @@
     LoadOrderBudget loadOrderBudget = new LoadOrderBudget(0, 0, 0);
     double idleUnloadTime = 10_000;
     boolean probesAllowed;
-    int frontEnds = 1;
+    int frontEndCount = 1;
     private Policy policy;
     private double now;
     private long inferenceCount;
@@ -31,7 +31,7 @@
     }
 
     PolicyHarness start(long seed, int count, double startedAt) {
-        policy = new Policy(this, new Random(seed), new FrontEndSettings(0, frontEnds, 0, false, probesAllowed, false, 0, 0, 1),
+        policy = new Policy(this, new Random(seed), new FrontEndSettings(0, frontEndCount, 0, false, probesAllowed, false, 0, 0, 1),
                 List.of(RETRIABLE, NON_RETRIABLE, DEDUPED, DEDUPED_ANYWHERE, HIGH_VALUE), List.of(), 1,
                 new ColdStartRule(0.2, 10_000, 3, 3000), loadOrderBudget,
                 new LoadingRules(true, true, idleUnloadTime, 10_000, 0.1, List.of(1000.0)),
@@ -161,7 +161,7 @@
         return actions.subList(mark, actions.size());
     }
 
-    long count(String prefix) {
+    long countActions(String prefix) {
         return actions.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
--- a/core/src/test/java/gradereach/PolicyTest.java
+++ b/core/src/test/java/gradereach/PolicyTest.java
@@ -66,14 +66,14 @@
         PolicyHarness frontEnd = new PolicyHarness().start(1, 3, 0);
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model);
         frontEnd.answerOrder(2002, model, 0, 0, 0);
-        assertEquals(1, frontEnd.count("hold 1 on"));
-        assertEquals(0, frontEnd.count("forward"));
+        assertEquals(1, frontEnd.countActions("hold 1 on"));
+        assertEquals(0, frontEnd.countActions("forward"));
         for (Executor executor : frontEnd.executors) {
             if (model.copiesOn(executor).orderedCopies > 0) {
                 frontEnd.answerOrder(2500, executor, model, 1);
             }
         }
-        assertEquals(1, frontEnd.count("forward"));
+        assertEquals(1, frontEnd.countActions("forward"));
     }
 
     /** Guards against ordering an unknown model on all executors one after the other, or queueing it to the deadline. */
@@ -82,13 +82,13 @@
         PolicyHarness frontEnd = new PolicyHarness().start(1, 20, 0);
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model);
         failOrdersUntil(frontEnd, 2400);
-        assertEquals(3, frontEnd.count("hold"));
+        assertEquals(3, frontEnd.countActions("hold"));
         assertEquals(List.of("shed 1"), frontEnd.actions.stream().filter(line -> line.startsWith("shed")).toList());
         frontEnd.accept(2500, PolicyHarness.RETRIABLE, model);
-        assertEquals(1, frontEnd.count("shed 2"));
+        assertEquals(1, frontEnd.countActions("shed 2"));
         frontEnd.accept(8000, PolicyHarness.RETRIABLE, model);
         failOrdersUntil(frontEnd, 8400);
-        assertEquals(4, frontEnd.count("hold"));
+        assertEquals(4, frontEnd.countActions("hold"));
     }
 
     /** Answers status queries with no loaded copies, and fails every order. */
@@ -111,7 +111,7 @@
     void newFrontEndUsesItsShareOfTheInitialFleetLimit(int executors, int frontEnds, int forwards) {
         model.lanes = 8;
         PolicyHarness frontEnd = new PolicyHarness();
-        frontEnd.frontEnds = frontEnds;
+        frontEnd.frontEndCount = frontEnds;
         frontEnd.start(1, executors, 0);
         Model[] models = new Model[60];
         java.util.Arrays.fill(models, model);
@@ -170,7 +170,7 @@
         frontEnd.accept(7200, PolicyHarness.RETRIABLE, model);
         assertTrue(model.queue.isEmpty());
         frontEnd.answerOrder(7201, model, 1, 0, 0);
-        assertTrue(frontEnd.count("hold") >= 1);
+        assertTrue(frontEnd.countActions("hold") >= 1);
     }
 
     @Test
@@ -208,7 +208,7 @@
         assertEquals(retried ? 2 : 1, inference.forwards.size());
         if (!retried) {
             frontEnd.advanceTo(4200);
-            assertEquals(1, frontEnd.count(answer + " " + inference.id));
+            assertEquals(1, frontEnd.countActions(answer + " " + inference.id));
         }
     }
 
@@ -233,8 +233,8 @@
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model);
         frontEnd.accept(2000, PolicyHarness.NON_RETRIABLE, new Model(8));
         frontEnd.advanceTo(4000);
-        assertEquals(2, frontEnd.count("shed"));
-        assertEquals(0, frontEnd.count("forward"));
+        assertEquals(2, frontEnd.countActions("shed"));
+        assertEquals(0, frontEnd.countActions("forward"));
     }
 
     @Test
@@ -258,7 +258,7 @@
             Model model = new Model(7);
             model.lanes = 100;
             PolicyHarness frontEnd = new PolicyHarness();
-            frontEnd.frontEnds = frontEnds;
+            frontEnd.frontEndCount = frontEnds;
             frontEnd.start(i * 0x9e3779b97f4a7c15L, 1, 1999).accept(2000, PolicyHarness.RETRIABLE, model);
             frontEnd.answerOrder(2001, model, 16);
             for (int n = 0; n < 5; n++) {
@@ -275,7 +275,7 @@
     @CsvSource({"0, 0, 0", "0.25, 1, 4", "1, 5, 13"})
     void coldExecutorGetsTheShareOfThisFrontEnd(double fraction, int atLeast, int atMost) {
         PolicyHarness frontEnd = new PolicyHarness();
-        frontEnd.frontEnds = 40;
+        frontEnd.frontEndCount = 40;
         frontEnd.start(1, 1, 1999);
         model.lanes = 100;
         frontEnd.changeShare(1999.5, fraction);
@@ -298,7 +298,7 @@
             frontEnd.answerOrder(2001 + 10 * i, other, 0, 0, 0, 0);
         }
         frontEnd.advanceTo(2500);
-        assertTrue(frontEnd.count("hold") >= 3 && frontEnd.count("hold") <= 5, () -> "" + frontEnd.count("hold"));
+        assertTrue(frontEnd.countActions("hold") >= 3 && frontEnd.countActions("hold") <= 5, () -> "" + frontEnd.countActions("hold"));
     }
 
     @Test
@@ -331,12 +331,12 @@
         frontEnd.startAnswer(2050, forward);
         frontEnd.advanceTo(12_000);
         assertEquals(List.of(), forward.executor.unansweredForwards);
-        assertEquals(List.of(0, 1), List.of(forward.executor.inFlight, forward.copies.inFlight));
+        assertEquals(List.of(0, 1), List.of(forward.executor.unansweredCount, forward.copies.inFlight));
         assertEquals(1, frontEnd.forwards.size());
         frontEnd.cancelInference(12_000, inference);
-        assertEquals(0, frontEnd.count("cancel") + frontEnd.count("shed") + frontEnd.count("fail"));
+        assertEquals(0, frontEnd.countActions("cancel") + frontEnd.countActions("shed") + frontEnd.countActions("fail"));
         frontEnd.endForward(12_001, forward, Outcome.CANCELLED);
-        assertEquals(List.of(0, 0), List.of(forward.executor.inFlight, forward.copies.inFlight));
+        assertEquals(List.of(0, 0), List.of(forward.executor.unansweredCount, forward.copies.inFlight));
         Inference next = frontEnd.accept(12_002, PolicyHarness.RETRIABLE, model);
         frontEnd.answerOrder(12_003, model, 1);
         assertEquals(1, next.forwards.size(), "its executor is held to be slow");
@@ -459,19 +459,19 @@
         frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
         frontEnd.endForward(2150, frontEnd.forwards.get(1), Outcome.RETURNED);
         frontEnd.advanceTo(2200);
-        long before = frontEnd.count("hold");
+        long before = frontEnd.countActions("hold");
         frontEnd.updateRoster(2201, frontEnd.executors.get(0), ExecutorState.DRAINING);
         frontEnd.advanceTo(2300);
-        assertEquals(before + 1, frontEnd.count("hold"));
+        assertEquals(before + 1, frontEnd.countActions("hold"));
     }
 
     /** Two executors with loaded copies, both probed for one inference. Returns the busiest first. */
     private List<Executor> startWithBothProbed(PolicyHarness frontEnd) {
         frontEnd.probesAllowed = true;
         reportCopies(frontEnd.start(1, 2, 0), model, 1, 1);
-        assertEquals(0, frontEnd.count("probe"));
+        assertEquals(0, frontEnd.countActions("probe"));
         frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
-        assertEquals(2, frontEnd.count("probe"));
+        assertEquals(2, frontEnd.countActions("probe"));
         assertEquals(1, frontEnd.forwards.size());
         Executor busiest = frontEnd.forwards.get(0).executor;
         return List.of(busiest, frontEnd.executors.get(busiest.id == 1 ? 1 : 0));
@@ -512,7 +512,7 @@
         frontEnd.endProbe(4002, nearest, nearestLoad);
         frontEnd.endProbe(4003, next, nextLoad);
         frontEnd.advanceTo(4020);
-        assertEquals(1, frontEnd.count("hold 1 on " + (selected == 0 ? nearest : next).id), frontEnd.actions::toString);
+        assertEquals(1, frontEnd.countActions("hold 1 on " + (selected == 0 ? nearest : next).id), frontEnd.actions::toString);
     }
 
     @Test
@@ -527,7 +527,7 @@
         // Both models need a copy in the same batch, and have the same first executor in rendezvous order.
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model, sameIdModel);
         assertEquals(1, frontEnd.actions.size(), frontEnd.actions::toString);
-        assertEquals(1, frontEnd.count("probe"));
+        assertEquals(1, frontEnd.countActions("probe"));
     }
 
     @Test
@@ -535,7 +535,7 @@
         PolicyHarness frontEnd = startWithCopies(1, 0, 0);
         frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
         frontEnd.endForward(2150, frontEnd.forwards.get(1), Outcome.RETURNED, 3);
-        assertEquals(1, frontEnd.count("hold"), frontEnd.actions::toString);
+        assertEquals(1, frontEnd.countActions("hold"), frontEnd.actions::toString);
         // No forward of our own is in flight there, so there is no waiting for lanes that become free unnoticed.
         frontEnd.accept(3500, PolicyHarness.RETRIABLE, model);
         assertEquals(3, frontEnd.forwards.size());
@@ -547,7 +547,7 @@
     void manyFrontEndsReduceLoadOnASlowFleet(double answerTime, boolean reduced) {
         model.lanes = 100;
         PolicyHarness frontEnd = new PolicyHarness();
-        frontEnd.frontEnds = 200;
+        frontEnd.frontEndCount = 200;
         frontEnd.start(1, 8, 0).accept(2000, PolicyHarness.RETRIABLE, model);
         frontEnd.answerOrder(2001, model, 9, 9, 9, 9, 9, 9, 9, 9);
         for (int i = 0; i < 40; i++) {
--- a/core/src/test/java/gradereach/RosterOutageTest.java
+++ b/core/src/test/java/gradereach/RosterOutageTest.java
@@ -48,8 +48,8 @@
     void noProbesWhileRosterIsValid() {
         start(1);
         frontEnd.accept(ROSTER_EXPIRES_AT - 1, PolicyHarness.RETRIABLE, model);
-        assertEquals(2, frontEnd.count("forward"));
-        assertEquals(0, frontEnd.count("probe"));
+        assertEquals(2, frontEnd.countActions("forward"));
+        assertEquals(0, frontEnd.countActions("probe"));
     }
 
     @Test
@@ -58,10 +58,10 @@
         assertTrue(frontEnd.maySend(executor(1), LEASES_EXPIRE_AT - 50));
         assertFalse(frontEnd.maySend(executor(1), LEASES_EXPIRE_AT));
         frontEnd.accept(LEASES_EXPIRE_AT, PolicyHarness.RETRIABLE, model);
-        assertEquals(1, frontEnd.count("forward"));
-        assertEquals(1, frontEnd.count("probe 1"));
+        assertEquals(1, frontEnd.countActions("forward"));
+        assertEquals(1, frontEnd.countActions("probe 1"));
         frontEnd.endProbe(LEASES_EXPIRE_AT + 3, executor(1), Outcome.RETURNED);
-        assertEquals(2, frontEnd.count("forward"));
+        assertEquals(2, frontEnd.countActions("forward"));
         assertTrue(frontEnd.maySend(executor(1), LEASES_EXPIRE_AT + PolicyHarness.DRAIN_GRACE - 50));
         // The lease counts from the sending of the probe, not from its answer.
         assertFalse(frontEnd.maySend(executor(1), LEASES_EXPIRE_AT + PolicyHarness.DRAIN_GRACE));
@@ -80,18 +80,18 @@
     void drainingExecutorGetsNothingAndIsProbedAgainLater() {
         start(2);
         frontEnd.accept(LEASES_EXPIRE_AT, PolicyHarness.RETRIABLE, model);
-        assertEquals(2, frontEnd.count("probe"));
+        assertEquals(2, frontEnd.countActions("probe"));
         frontEnd.endProbe(LEASES_EXPIRE_AT + 1, executor(1), Outcome.ERROR);
         frontEnd.endProbe(LEASES_EXPIRE_AT + 2, executor(2), Outcome.RETURNED);
-        assertEquals(2, frontEnd.count("forward"));
+        assertEquals(2, frontEnd.countActions("forward"));
         assertEquals(executor(2), lastForward().executor);
         for (double time = LEASES_EXPIRE_AT + 10; time < LEASES_EXPIRE_AT + 990; time += 10) {
             frontEnd.accept(time, PolicyHarness.RETRIABLE, model);
         }
-        assertEquals(1, frontEnd.count("probe 1"));
+        assertEquals(1, frontEnd.countActions("probe 1"));
         frontEnd.accept(LEASES_EXPIRE_AT + 1010, PolicyHarness.RETRIABLE, model);
         frontEnd.advanceTo(LEASES_EXPIRE_AT + 1100);
-        assertEquals(2, frontEnd.count("probe 1"));
+        assertEquals(2, frontEnd.countActions("probe 1"));
         assertEquals(0, frontEnd.forwards.stream().skip(1).filter(forward -> forward.executor == executor(1)).count());
     }
 
@@ -123,10 +123,10 @@
         frontEnd.accept(LEASES_EXPIRE_AT, PolicyHarness.RETRIABLE, other);
         frontEnd.executors.forEach(executor -> frontEnd.answerOrder(LEASES_EXPIRE_AT + 1, executor, other, 0));
         frontEnd.advanceTo(LEASES_EXPIRE_AT + 200);
-        assertEquals(0, frontEnd.count("hold"));
+        assertEquals(0, frontEnd.countActions("hold"));
         frontEnd.executors.forEach(executor -> frontEnd.endProbe(LEASES_EXPIRE_AT + 201, executor, Outcome.RETURNED));
         frontEnd.advanceTo(LEASES_EXPIRE_AT + 400);
-        assertEquals(1, frontEnd.count("hold"));
+        assertEquals(1, frontEnd.countActions("hold"));
     }
 
     /** After a reset, an executor that answers again may be a new process, which is cold and has nothing loaded. */
@@ -139,7 +139,7 @@
         frontEnd.endForward(LEASES_EXPIRE_AT + 2, lastForward(), end);
         frontEnd.advanceTo(LEASES_EXPIRE_AT + 600);
         frontEnd.accept(LEASES_EXPIRE_AT + 1000, PolicyHarness.RETRIABLE, model);
-        assertEquals(2, frontEnd.count("probe 1"));
+        assertEquals(2, frontEnd.countActions("probe 1"));
         frontEnd.endProbe(LEASES_EXPIRE_AT + 1001, executor(1), Outcome.RETURNED);
         assertEquals(LEASES_EXPIRE_AT + 1001, executor(1).startedAt);
         assertEquals(0, model.copiesOn(executor(1)).loadedCopies);
@@ -155,7 +155,7 @@
         frontEnd.accept(LEASES_EXPIRE_AT, PolicyHarness.RETRIABLE, model);
         frontEnd.endProbe(LEASES_EXPIRE_AT + 1, executor(1), Outcome.ERROR);
         frontEnd.accept(LEASES_EXPIRE_AT + 1100, PolicyHarness.RETRIABLE, model);
-        assertEquals(2, frontEnd.count("probe 1"));
+        assertEquals(2, frontEnd.countActions("probe 1"));
         frontEnd.endProbe(LEASES_EXPIRE_AT + 1101, executor(1), Outcome.RETURNED);
         assertEquals(LEASES_EXPIRE_AT + 1101, executor(1).startedAt);
         assertEquals(0, model.copiesOn(executor(1)).loadedCopies);
@@ -208,12 +208,12 @@
         withoutProbes.setRosterValidity(2060, CONFIRMED_AT, ROSTER_EXPIRES_AT);
         withoutProbes.accept(LEASES_EXPIRE_AT + 10, PolicyHarness.RETRIABLE, model);
         withoutProbes.advanceTo(LEASES_EXPIRE_AT + 990);
-        assertEquals(0, withoutProbes.count("shed"));
+        assertEquals(0, withoutProbes.countActions("shed"));
         withoutProbes.advanceTo(LEASES_EXPIRE_AT + 1050);
-        assertEquals(1, withoutProbes.count("shed"));
+        assertEquals(1, withoutProbes.countActions("shed"));
         withoutProbes.accept(LEASES_EXPIRE_AT + 1100, PolicyHarness.RETRIABLE, model);
-        assertEquals(2, withoutProbes.count("shed"));
-        assertEquals(0, withoutProbes.count("forward"));
+        assertEquals(2, withoutProbes.countActions("shed"));
+        assertEquals(0, withoutProbes.countActions("forward"));
     }
 
     @Test
@@ -222,7 +222,7 @@
         frontEnd.accept(LEASES_EXPIRE_AT, PolicyHarness.RETRIABLE, model);
         frontEnd.endProbe(LEASES_EXPIRE_AT + 1, executor(1), Outcome.ERROR);
         frontEnd.setRosterValidity(LEASES_EXPIRE_AT + 100, LEASES_EXPIRE_AT + 100, LEASES_EXPIRE_AT + 4100);
-        assertEquals(2, frontEnd.count("forward"));
+        assertEquals(2, frontEnd.countActions("forward"));
         frontEnd.updateRoster(LEASES_EXPIRE_AT + 200, executor(1), ExecutorState.DRAINING);
         assertFalse(frontEnd.maySend(executor(1), LEASES_EXPIRE_AT + 201));
     }
--- a/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
+++ b/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
@@ -20,10 +20,10 @@
     /**
      * A request to one replica.
      *
-     * @param release whether the claim is released rather than made
+     * @param isRelease whether the claim is released rather than made
      * @param round number of the round
      */
-    public record ReplicaRequest(String replica, boolean release, MessageIdentity message, long round) { }
+    public record ReplicaRequest(String replica, boolean isRelease, MessageIdentity message, long round) { }
 
     /** One claim in progress. */
     public final class Round {
--- a/gateway/src/main/java/gradereach/claims/PeerClaims.java
+++ b/gateway/src/main/java/gradereach/claims/PeerClaims.java
@@ -183,18 +183,18 @@
     private void send(List<ReplicaRequest> requests, Round round, ClaimCallback callback) {
         for (ReplicaRequest request : requests) {
             if (request.replica().equals(ownName)) {
-                handleAsReplica(request.release(), request.message(), new Claimant(claimant, ledger.position()), request.round(),
+                handleAsReplica(request.isRelease(), request.message(), new Claimant(claimant, ledger.position()), request.round(),
                         reply -> decisionThread.accept(
                                 inferences -> handleReply(round, callback, ownName, reply.granted(), reply.holder())));
                 continue;
             }
-            ObjectNode body = JSON.createObjectNode().put("claimant", claimant).put("release", request.release())
+            ObjectNode body = JSON.createObjectNode().put("claimant", claimant).put("release", request.isRelease())
                     .put("customer", request.message().customer()).put("id", request.message().id()).put("round", request.round())
                     .put("digest_high", request.message().digestHigh()).put("digest_low", request.message().digestLow())
                     .put(SIGNED_AT, request.message().signedAt()).put(POSITION, ledger.position());
             digests.forEach(body.putArray("lists")::add);
             post(request.replica(), PeerServer.CLAIMS_PATH, body, (result, status, headers, replyBody) -> {
-                if (request.release()) {
+                if (request.isRelease()) {
                     return;
                 }
                 boolean replicaGranted = result == ExchangeResult.ANSWERED && status == 200;
@@ -316,7 +316,7 @@
         }
         long latestSignedAt = unixMillis.getAsLong() / 1000 + LedgerRecord.SIGNED_TIMESTAMP_TOLERANCE_SECONDS;
         ClaimReply claimReply = claimTable.claim(message, requester.name, round, now, latestSignedAt);
-        storedClaims.inUse(claimTable.size());
+        storedClaims.setInUse(claimTable.size());
         if (!claimReply.granted()) {
             refused.increment();
             reply.accept(claimReply);
--- a/gateway/src/main/java/gradereach/counts/Counts.java
+++ b/gateway/src/main/java/gradereach/counts/Counts.java
@@ -43,7 +43,7 @@
         }
 
         /** Sets the amount in use, for a resource that a single thread counts itself. */
-        public void inUse(long amount) {
+        public void setInUse(long amount) {
             inUse.lazySet(amount);
         }
 
--- a/gateway/src/main/java/gradereach/delivery/DeliveryScheduler.java
+++ b/gateway/src/main/java/gradereach/delivery/DeliveryScheduler.java
@@ -51,7 +51,7 @@
         public final String url;
         private final ArrayDeque<Delivery> queued = new ArrayDeque<>();
         private int inFlight;
-        private boolean disabled;
+        private boolean isDisabled;
         private double notBefore;
 
         public Endpoint(int customer, String url) {
@@ -60,8 +60,8 @@
         }
 
         /** Whether the endpoint has answered 410 and gets no further deliveries. */
-        public boolean disabled() {
-            return disabled;
+        public boolean isDisabled() {
+            return isDisabled;
         }
     }
 
@@ -104,7 +104,7 @@
         List<Delivery> due = new ArrayList<>();
         while (!scheduled.isEmpty() && scheduled.peek().dueAt <= now) {
             Delivery next = scheduled.poll();
-            if (next.endpoint.disabled) {
+            if (next.endpoint.isDisabled) {
                 openCount--;
             } else if (now < next.endpoint.notBefore) {
                 schedule(next, next.endpoint.notBefore);
@@ -137,7 +137,7 @@
         if (status >= 200 && status < 300) {
             result = AttemptResult.DELIVERED;
         } else if (status == 410) {
-            endpoint.disabled = true;
+            endpoint.isDisabled = true;
             result = AttemptResult.ENDPOINT_DISABLED;
         } else if (delivery.attempts > RETRY_DELAYS_SECONDS.length) {
             result = AttemptResult.GIVEN_UP;
--- a/gateway/src/main/java/gradereach/delivery/Outbox.java
+++ b/gateway/src/main/java/gradereach/delivery/Outbox.java
@@ -87,7 +87,7 @@
     /** Whether the customer has an endpoint that still takes deliveries. */
     public boolean hasEndpoint(int customer) {
         Endpoint endpoint = endpoints.get(customer);
-        return endpoint != null && !endpoint.disabled();
+        return endpoint != null && !endpoint.isDisabled();
     }
 
     /**
@@ -238,7 +238,7 @@
             capacity.release(1);
         }
         if (ledger != Ledger.NONE) {
-            String id = FinalAnswer.inferenceId(delivery.webhookId);
+            String id = FinalAnswer.messageIdFromWebhookId(delivery.webhookId);
             ledger.append(new LedgerRecord.DeliveryAttempted(customerNames.get(delivery.endpoint.customer), id,
                     ledgerNow(), delivery.promisedAt, delivery.attempts(), result != AttemptResult.RETRY), durable -> { });
         }
--- a/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
+++ b/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
@@ -184,8 +184,8 @@
     /** @param replaces the executor whose address this one has taken over, null for none */
     ExecutorListing listing(ExecutorEndpoint endpoint, Executor replaces) {
         RosterEntry entry = endpoint.rosterEntry;
-        return new ExecutorListing(endpoint.executor, entry.size(), endpoint.startedAt(wallClock), entry.state(), entry.location(),
-                entry.kind(), entry.cell(), replaces);
+        return new ExecutorListing(endpoint.executor, entry.capacity(), endpoint.startedAt(wallClock), entry.state(), entry.location(),
+                entry.machineKind(), entry.cell(), replaces);
     }
 
     /**
--- a/gateway/src/main/java/gradereach/desk/ExecutorEndpoint.java
+++ b/gateway/src/main/java/gradereach/desk/ExecutorEndpoint.java
@@ -37,12 +37,12 @@
     }
 
     /** The executor kind given by the roster, 0 where it gives none. */
-    public int kind() {
-        return rosterEntry == null ? 0 : rosterEntry.kind();
+    public int machineKind() {
+        return rosterEntry == null ? 0 : rosterEntry.machineKind();
     }
 
     /** Whether the roster lists it as accepting inferences and load orders. Any thread. */
-    public boolean ready() {
+    public boolean isReady() {
         return rosterEntry != null && rosterEntry.state() == ExecutorState.READY;
     }
 
--- a/gateway/src/main/java/gradereach/desk/ExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/desk/ExecutorTransport.java
@@ -36,7 +36,7 @@
     void inquire(ExecutorEndpoint endpoint, String forwardId, InquiryCallback callback);
 
     /** Asks an executor for its process number, NaN where it reports none; the callback runs on the decision thread. */
-    void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback);
+    void requestProcessNumber(ExecutorEndpoint endpoint, DoubleConsumer callback);
 
     /** Closes idle connections at once, and the others when they become idle. */
     void closeWhenIdle(ExecutorEndpoint endpoint);
--- a/gateway/src/main/java/gradereach/desk/InFlightForward.java
+++ b/gateway/src/main/java/gradereach/desk/InFlightForward.java
@@ -12,7 +12,7 @@
     private final double leaseEndsAt;
     /** The start time of the target process, as listed in the roster when this was created. */
     private final double targetProcessStart;
-    long timer;
+    long timerId;
     boolean ended;
     /** Handed to the transport; false while its intent is not yet durable. */
     boolean sent;
@@ -23,7 +23,7 @@
     boolean answerStarted;
     public final ExecutorEndpoint endpoint;
     /** The transport's handle of the request, guarded by the transport. */
-    public Object stream;
+    public Object requestHandle;
     /** Set by the decision thread when it no longer waits for the end; the transport need not send it any more. */
     public volatile boolean cancelled;
 
@@ -82,7 +82,7 @@
 
     /** Whether the answer can be streamed: the model group streams, and an observer accepts it. */
     public boolean acceptsStreaming() {
-        return inferenceState.model.group().streaming()
+        return inferenceState.model.group().streamsAnswers()
                 && inferenceState.entry.observers.stream().anyMatch(AnswerObserver::acceptsStreaming);
     }
 
--- a/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
@@ -136,7 +136,7 @@
     private double now;
     private long lastInferenceId;
     /** This front end's share of the shared budgets, 0 to 1; NaN until it was set. */
-    private double share = Double.NaN;
+    private double setShare = Double.NaN;
     private double shareUntil;
     private double rosterConfirmedAt = Double.POSITIVE_INFINITY;
     private double rosterValidUntil = Double.POSITIVE_INFINITY;
@@ -238,9 +238,9 @@
     /** Ends the event batch: the router decides and acts. */
     public void endBatch() {
         callRouter("settle", router::endBatch);
-        inferenceLimit.inUse(inferences.size());
-        messageLimit.inUse(messageStore.size());
-        modelLimit.inUse(models.size());
+        inferenceLimit.setInUse(inferences.size());
+        messageLimit.setInUse(messageStore.size());
+        modelLimit.setInUse(models.size());
     }
 
     /** Whether the router has to be told of deferred events: the next event batch must start at once. */
@@ -286,7 +286,7 @@
         this.ledgerDamagedUntil = damagedUntil;
         new LedgerRecovery(ledger, messageStore, answerFormat, inquiries, promisedAnswers, customerNames, groups)
                 .recover(ledgerState, at, retention);
-        messageLimit.inUse(messageStore.size());
+        messageLimit.setInUse(messageStore.size());
     }
 
     // ---- messages ----------------------------------------------------------------------------------------
@@ -500,7 +500,7 @@
         entry.inferenceCount++;
         entry.observers.add(message.observer());
         inferences.put(inference.id, state);
-        state.timer = timers.schedule(clientDeadline, state);
+        state.timerId = timers.schedule(clientDeadline, state);
         inferencesAccepted.increment();
         message.observer().onAccepted(state);
         callRouter("taken", () -> router.onInferenceAccepted(inference));
@@ -515,7 +515,7 @@
     private Model modelOf(ModelCatalog.Entry entry) {
         return models.computeIfAbsent(entry.name(), name -> {
             Model model = new Model(entry.id());
-            model.memory = entry.memoryMegabytes();
+            model.memoryMegabytes = entry.memoryMegabytes();
             model.lanes = Math.max(1, entry.lanes());
             model.loadTime = entry.loadMillis();
             modelNames.put(model, entry.name());
@@ -569,8 +569,8 @@
         inFlight.answerStarted = true;
         state.answerStream = stream;
         state.answerStartedAt = now;
-        timers.cancel(inFlight.timer, inFlight);
-        timers.cancel(state.timer, state);
+        timers.cancel(inFlight.timerId, inFlight);
+        timers.cancel(state.timerId, state);
         streamsStarted.increment();
         state.streamReader = state.entry.observers.stream().filter(AnswerObserver::acceptsStreaming).findFirst().orElse(null);
         if (state.streamReader == null) {
@@ -595,7 +595,7 @@
             return;
         }
         inFlight.ended = true;
-        timers.cancel(inFlight.timer, inFlight);
+        timers.cancel(inFlight.timerId, inFlight);
         InferenceState state = inFlight.inferenceState;
         Inference inference = state.inference;
         Forward forward = inFlight.forward;
@@ -627,14 +627,14 @@
     }
 
     /** Sets this front end's share of the shared budgets, 0 to 1, until {@code until}; the share is 0 after that. */
-    public void share(double fraction, double until) {
-        share = fraction;
+    public void setShare(double fraction, double until) {
+        setShare = fraction;
         shareUntil = until;
         callRouter("share", () -> router.onShareChanged(fraction));
         if (until < Double.POSITIVE_INFINITY) {
             timers.schedule(until, (Runnable) () -> {
                 if (shareUntil == until) {
-                    share(0, Double.POSITIVE_INFINITY);
+                    setShare(0, Double.POSITIVE_INFINITY);
                 }
             });
         }
@@ -646,7 +646,7 @@
             return;
         }
         order.ended = true;
-        timers.cancel(order.timer, order);
+        timers.cancel(order.timerId, order);
         if (order.copies > 0) {
             orderOutcomes[outcome.ordinal()].increment();
             orderMillis.add((long) (now - order.sentAt));
@@ -667,7 +667,7 @@
             return;
         }
         probe.markEnded();
-        timers.cancel(probe.timer, probe);
+        timers.cancel(probe.timerId, probe);
         probeOutcomes[outcome.ordinal()].increment();
         resetIdentityIfBroken(probe.endpoint, outcome);
         if (probe.routerGeneration == routerGeneration) {
@@ -735,7 +735,7 @@
     public void onRosterUpdate(RosterUpdateKind kind, List<RosterEntry> entries) {
         List<ExecutorListing> listings = endpoints.update(kind, entries);
         for (ExecutorListing listing : listings) {
-            if (deferredExecutors.contains(listing.replaces())) {
+            if (deferredExecutors.contains(listing.replacedExecutor())) {
                 deferredExecutors.add(listing.executor());
             }
         }
@@ -757,7 +757,7 @@
 
     /** Whether forwards and load orders may be written to an executor now; the transport checks this before each write. */
     public boolean maySendTo(ExecutorEndpoint endpoint, double at) {
-        return endpoint.ready() && router.maySend(endpoint.executor, at);
+        return endpoint.isReady() && router.maySend(endpoint.executor, at);
     }
 
     /** An idle connection to an executor was reset. */
@@ -810,7 +810,7 @@
         InFlightForward inFlight = new InFlightForward(state, forward, endpoints.endpointOf(executor),
                 Math.min(deadline, inference.deadlineAt), executor.leaseEndsAt);
         state.forwards.add(inFlight);
-        inFlight.timer = timers.schedule(inFlight.deadline, inFlight);
+        inFlight.timerId = timers.schedule(inFlight.deadline, inFlight);
         forwardsSent.increment();
         if (ledger == Ledger.NONE || !restrictsRepeats(inference.group)) {
             sendForward(inFlight);
@@ -831,14 +831,14 @@
         MessageStore.Entry entry = state.entry;
         inFlight.intentRecorded = true;
         inFlight.recipient = inFlight.endpoint.asRecipient();
-        inquiries.requestProcessId(inFlight.endpoint); // for later forwards, where it is not known yet
+        inquiries.requestProcessNumberIfUnknown(inFlight.endpoint); // for later forwards, where it is not known yet
         ledger.append(new LedgerRecord.ForwardIntended(customerNames.get(entry.customer), entry.id, ledger.time().fromMonotonic(now),
                 entry.digestHigh, entry.digestLow, entry.group.name(), state.model.name(), inFlight.recipient,
                 inFlight.forwardId(), entry.signedAt), durable -> {
                     if (inFlight.ended) {
                         return;
                     }
-                    if (durable && !state.inference.done && inFlight.endpoint.ready() && inFlight.targetsCurrentProcess()) {
+                    if (durable && !state.inference.done && inFlight.endpoint.isReady() && inFlight.targetsCurrentProcess()) {
                         sendForward(inFlight);
                     } else {
                         onForwardEnded(inFlight, Outcome.NEVER_SENT, LoadStatus.UNKNOWN, -1, null, null);
@@ -874,7 +874,7 @@
         }
         inference.done = true;
         boolean earlierMayHaveRun = !Double.isNaN(state.entry.mayHaveRunSince) && inference.group.retrySafety() != RetrySafety.RETRIABLE;
-        if (earlierMayHaveRun || state.dedupWindowClosed(now)) {
+        if (earlierMayHaveRun || state.isDedupWindowClosed(now)) {
             // The answer must not say that a repeat is harmless.
             finishInference(state, failureAnswer(state));
         } else {
@@ -957,7 +957,7 @@
      */
     private void closeInference(InferenceState state, FinalAnswer answer) {
         MessageStore.Entry entry = state.entry;
-        timers.cancel(state.timer, state);
+        timers.cancel(state.timerId, state);
         noteMayHaveRun(state);
         entry.observers.clear();
         if (state.streamTooLongToRecord && !restrictsRepeats(entry.group)) {
@@ -992,11 +992,11 @@
     @Override
     public void sendOrder(Executor executor, Model model, int copies) {
         ExecutorEndpoint endpoint = endpoints.endpointOf(executor);
-        inquiries.requestProcessId(endpoint);
+        inquiries.requestProcessNumberIfUnknown(endpoint);
         String modelName = modelNames.get(model);
         LoadOrder order = new LoadOrder(endpoint, modelName, model, copies, routerGeneration, now, loading.orderTimeout(),
                 executor.leaseEndsAt);
-        order.timer = timers.schedule(now + loading.orderTimeout(), order);
+        order.timerId = timers.schedule(now + loading.orderTimeout(), order);
         (copies > 0 ? ordersSent : statusQueriesSent).increment();
         transport.sendLoadOrder(order);
     }
@@ -1009,7 +1009,7 @@
     @Override
     public void sendProbe(Executor executor) {
         Probe probe = new Probe(endpoints.endpointOf(executor), routerGeneration, now);
-        probe.timer = timers.schedule(now + PROBE_TIMEOUT, probe);
+        probe.timerId = timers.schedule(now + PROBE_TIMEOUT, probe);
         probesSent.increment();
         transport.sendProbe(probe);
     }
@@ -1077,8 +1077,8 @@
         modelCleanupQueue.clear();
         router = routerFactory.apply(this);
         router.beginBatch(now);
-        if (!Double.isNaN(share)) {
-            router.onShareChanged(share);
+        if (!Double.isNaN(setShare)) {
+            router.onShareChanged(setShare);
         }
         router.onRosterValidity(rosterConfirmedAt, rosterValidUntil);
         List<ExecutorListing> listings = new ArrayList<>();
@@ -1120,13 +1120,13 @@
         inference.done = true;
         boolean harmless = !inference.mayHaveRun() || inference.group.retrySafety() == RetrySafety.RETRIABLE
                 || inference.group.retrySafety() == RetrySafety.DEDUPED && inference.group.dedupScope() == DedupScope.ALL
-                        && !state.dedupWindowClosed(now);
+                        && !state.isDedupWindowClosed(now);
         for (InFlightForward inFlight : state.forwards) {
             if (!inFlight.ended) {
                 inFlight.cancelled = true;
                 transport.cancel(inFlight);
                 inFlight.ended = true;
-                timers.cancel(inFlight.timer, inFlight);
+                timers.cancel(inFlight.timerId, inFlight);
                 inFlight.forward.outcome = inFlight.sent ? Outcome.CANCELLED : Outcome.NEVER_SENT;
             }
         }
--- a/gateway/src/main/java/gradereach/desk/InferenceState.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceState.java
@@ -25,7 +25,7 @@
     /** An answer by webhook was promised for this inference: it is sent once, however many requests asked for it. */
     public boolean answerPromised;
     final List<InFlightForward> forwards = new ArrayList<>(2);
-    long timer;
+    long timerId;
     /** The streamed answer; null until it has started. */
     AnswerStream<?> answerStream;
     double answerStartedAt = Double.NaN;
@@ -65,7 +65,7 @@
     }
 
     /** Whether it may have run, and the dedup window is closed by the time a client's repeat can arrive. */
-    boolean dedupWindowClosed(double now) {
+    boolean isDedupWindowClosed(double now) {
         double repeatedAt = now + MessageStore.CLIENT_REPEAT_DELAY;
         return inference.group.retrySafety() == RetrySafety.DEDUPED && repeatedAt >= mayHaveRunSince() + inference.group.dedupWindow();
     }
@@ -105,7 +105,7 @@
     }
 
     /** Whether it exceeded its customer's quota when it was accepted. */
-    public boolean overQuota() {
+    public boolean isOverQuota() {
         return inference.overQuota;
     }
 
@@ -149,7 +149,7 @@
     }
 
     /** When the first byte of its message was received, monotonic time. */
-    public double acceptedAt() {
+    public double receivedAt() {
         return inference.acceptedAt;
     }
 
--- a/gateway/src/main/java/gradereach/desk/LedgerRecovery.java
+++ b/gateway/src/main/java/gradereach/desk/LedgerRecovery.java
@@ -103,8 +103,8 @@
 
     /** Monotonic time; minus infinity where no clock can date it, NaN where nothing may have run. */
     private double mayHaveRunSince(LedgerState.Message message) {
-        double since = ledger.time().toMonotonic(message.uncertainSince());
-        boolean ageUnknown = Double.isNaN(since) && !Double.isNaN(message.uncertainSince());
+        double since = ledger.time().toMonotonic(message.mayHaveRunSince());
+        boolean ageUnknown = Double.isNaN(since) && !Double.isNaN(message.mayHaveRunSince());
         return ageUnknown ? Double.NEGATIVE_INFINITY : since;
     }
 
--- a/gateway/src/main/java/gradereach/desk/LoadOrder.java
+++ b/gateway/src/main/java/gradereach/desk/LoadOrder.java
@@ -17,7 +17,7 @@
     private final double leaseEndsAt;
     /** The start time of the target process, as listed in the roster when this was created. */
     private final double targetProcessStart;
-    long timer;
+    long timerId;
     volatile boolean ended;
 
     /** @param leaseEndsAt when its executor's lease ends, as known at the time of the decision; monotonic time */
--- a/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
+++ b/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
@@ -70,12 +70,12 @@
     }
 
     /** Asks an executor for its process number, where an inquiry may need it later and it is not known. */
-    void requestProcessId(ExecutorEndpoint endpoint) {
+    void requestProcessNumberIfUnknown(ExecutorEndpoint endpoint) {
         double now = dependencies.clock.getAsDouble();
         if (!scheduler.isEnabled() || dependencies.ledger == Ledger.NONE || !endpoint.processIdentity.isQueryDue(now)) {
             return;
         }
-        dependencies.transport.requestProcessId(endpoint, endpoint.processIdentity.beginQuery(now));
+        dependencies.transport.requestProcessNumber(endpoint, endpoint.processIdentity.beginQuery(now));
     }
 
     /**
@@ -102,7 +102,7 @@
     }
 
     private void scheduleTimer() {
-        openInquiries.inUse(scheduler.openCount());
+        openInquiries.setInUse(scheduler.openCount());
         double nextDueAt = scheduler.nextDueAt();
         if (nextDueAt < timerAt) {
             timerAt = nextDueAt;
--- a/gateway/src/main/java/gradereach/desk/Probe.java
+++ b/gateway/src/main/java/gradereach/desk/Probe.java
@@ -10,7 +10,7 @@
     /** Generation of the router that decided this; a router that replaced it gets no result of it. */
     final int routerGeneration;
     final double sentAt;
-    long timer;
+    long timerId;
     private volatile boolean ended;
 
     /** @param sentAt monotonic time */
--- a/gateway/src/main/java/gradereach/desk/RosterEntry.java
+++ b/gateway/src/main/java/gradereach/desk/RosterEntry.java
@@ -11,8 +11,8 @@
  * @param location index among the deployment's locations, -1 for unknown
  * @param cell executors of one cell share their deduplication state; -1 for unknown
  */
-public record RosterEntry(String instance, String address, double size, double startedAt, ExecutorState state,
-        int location, int kind, int cell) {
+public record RosterEntry(String instance, String address, double capacity, double startedAt, ExecutorState state,
+        int location, int machineKind, int cell) {
     public RosterEntry(String address, double size, double startedAt, ExecutorState state, int location, int kind,
             int cell) {
         this(address, address, size, startedAt, state, location, kind, cell);
@@ -20,6 +20,6 @@
 
     /** The same executor as removed. */
     public RosterEntry asRemoved() {
-        return new RosterEntry(instance, address, size, startedAt, ExecutorState.REMOVED, location, kind, cell);
+        return new RosterEntry(instance, address, capacity, startedAt, ExecutorState.REMOVED, location, machineKind, cell);
     }
 }
--- a/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
+++ b/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
@@ -158,7 +158,7 @@
         WaitingConnection client = waitingClient;
         waitingClient = null;
         if (client != null) {
-            client.cancel();
+            client.onDisconnected();
         }
         ctx.fireChannelInactive();
     }
@@ -173,16 +173,16 @@
     }
 
     private void reject(ChannelHandlerContext ctx, int status, String errorCode, String detail, boolean keepAlive) {
-        intake.countRefusal(errorCode);
-        FullHttpResponse response = response(status, FinalAnswer.refusal(status, errorCode, detail),
+        intake.countRejectedMessage(errorCode);
+        FullHttpResponse response = response(status, FinalAnswer.rejectionBody(status, errorCode, detail),
                 "application/problem+json");
         send(ctx, response, keepAlive);
     }
 
     /** Rejects a message that was not received completely: its client may still be sending, so no further message is read. */
     private void rejectAndClose(ChannelHandlerContext ctx, int status, String errorCode, String detail) {
-        intake.countRefusal(errorCode);
-        FullHttpResponse response = response(status, FinalAnswer.refusal(status, errorCode, detail), "application/problem+json");
+        intake.countRejectedMessage(errorCode);
+        FullHttpResponse response = response(status, FinalAnswer.rejectionBody(status, errorCode, detail), "application/problem+json");
         timeoutHandler.recordAnswer();
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
         timeoutHandler.stop();
@@ -204,7 +204,7 @@
     }
 
     private void send(ChannelHandlerContext ctx, FullHttpResponse response, boolean keepAlive) {
-        boolean keepOpen = keepAlive && (!intake.stopping() || hasQueuedMessage(ctx));
+        boolean keepOpen = keepAlive && (!intake.isStopping() || hasQueuedMessage(ctx));
         timeoutHandler.recordAnswer();
         if (!keepOpen) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
@@ -213,7 +213,7 @@
         UnaryCall call = new UnaryCall(responseObserver);
         responseObserver.setOnCancelHandler(() -> {
             call.closeOnce();
-            call.cancel();
+            call.onDisconnected();
         });
         Metadata headers = GrpcConnection.HEADERS.get();
         try {
@@ -275,7 +275,7 @@
 
         private void writeAnswer(FinalAnswer answer) {
             if (answer.kind() != FinalAnswer.Kind.RETURNED) {
-                responseObserver.onError(GrpcStatuses.toException(answer, intake.stopping()));
+                responseObserver.onError(GrpcStatuses.toException(answer, intake.isStopping()));
                 return;
             }
             try {
@@ -288,7 +288,7 @@
 
         @Override
         public void onRejected(int httpStatus, String errorCode, String detail) {
-            intake.countRefusal(errorCode);
+            intake.countRejectedMessage(errorCode);
             eventLoop.execute(() -> {
                 if (closeOnce()) {
                     responseObserver.onError(GrpcStatuses.rejection(httpStatus, errorCode, detail).asRuntimeException());
--- a/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
+++ b/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
@@ -80,7 +80,7 @@
         responseObserver.setOnCancelHandler(this::cancelInferences);
         responseObserver.setOnReadyHandler(this::flush);
         responseObserver.request(MAX_OPEN_INFERENCES);
-        if (intake.stopping()) {
+        if (intake.isStopping()) {
             drain();
         }
     }
@@ -139,7 +139,7 @@
             }
             open = close();
         }
-        open.forEach(WaitingClient::cancel);
+        open.forEach(WaitingClient::onDisconnected);
     }
 
     /** Closes the call and returns the inferences that were open. */
@@ -261,7 +261,7 @@
         service.stalledReaders.recordRejection();
         Set<StreamedInference> open = close();
         resetStream.run();
-        open.forEach(WaitingClient::cancel);
+        open.forEach(WaitingClient::onDisconnected);
     }
 
     /** One inference of the call. */
@@ -325,7 +325,7 @@
 
         private void sendAnswer(FinalAnswer answer) {
             if (answer.kind() != FinalAnswer.Kind.RETURNED) {
-                sendError(GrpcStatuses.toException(answer, intake.stopping()));
+                sendError(GrpcStatuses.toException(answer, intake.isStopping()));
                 return;
             }
             try {
@@ -354,7 +354,7 @@
 
         @Override
         public void onRejected(int httpStatus, String errorCode, String detail) {
-            intake.countRefusal(errorCode);
+            intake.countRejectedMessage(errorCode);
             sendError(GrpcStatuses.rejection(httpStatus, errorCode, detail).asRuntimeException());
         }
 
--- a/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
+++ b/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
@@ -154,7 +154,7 @@
                 }
                 if (connection != null) {
                     allocator.onStreamCancelled(connection, startedAt, clock.getAsDouble());
-                    if (connection.draining()) {
+                    if (connection.isDraining()) {
                         metrics.goneSilent.increment();
                     }
                 }
@@ -390,7 +390,7 @@
     }
 
     private void closeIfDrained(PooledConnection<Channel> connection) {
-        if (connection.draining() && connection.activeStreams() == 0) {
+        if (connection.isDraining() && connection.activeStreams() == 0) {
             connection.handle.close();
         }
     }
--- a/gateway/src/main/java/gradereach/http2/StreamAllocator.java
+++ b/gateway/src/main/java/gradereach/http2/StreamAllocator.java
@@ -20,7 +20,7 @@
         public final C handle;
         private int activeStreams;
         private int maxStreams;
-        private boolean draining;
+        private boolean isDraining;
         private double lastReceivedAt;
         private double idleSince;
 
@@ -35,8 +35,8 @@
             return activeStreams;
         }
 
-        public boolean draining() {
-            return draining;
+        public boolean isDraining() {
+            return isDraining;
         }
     }
 
@@ -67,7 +67,7 @@
     public PooledConnection<C> busiestAvailable() {
         PooledConnection<C> best = null;
         for (PooledConnection<C> connection : connections) {
-            if (!connection.draining && connection.activeStreams < connection.maxStreams
+            if (!connection.isDraining && connection.activeStreams < connection.maxStreams
                     && (best == null || connection.activeStreams > best.activeStreams)) {
                 best = connection;
             }
@@ -85,7 +85,7 @@
         }
         int usable = connectingCount;
         for (PooledConnection<C> connection : connections) {
-            usable += connection.draining ? 0 : 1;
+            usable += connection.isDraining ? 0 : 1;
         }
         boolean opensConnection = usable < maxConnections && waitingCount >= connectingCount * maxStreamsPerConnection;
         if (!opensConnection && connectingCount == 0) {
@@ -135,7 +135,7 @@
 
     /** The connection takes no new streams: it received GOAWAY or is being closed. */
     public void startDraining(PooledConnection<C> connection) {
-        connection.draining = true;
+        connection.isDraining = true;
     }
 
     /**
@@ -144,18 +144,18 @@
      */
     public void onStreamCancelled(PooledConnection<C> connection, double startedAt, double now) {
         if (connection.lastReceivedAt < startedAt && now - Math.max(connection.lastReceivedAt, startedAt) >= silenceTimeoutMillis) {
-            connection.draining = true;
+            connection.isDraining = true;
         }
     }
 
     public void onConnectionClosed(PooledConnection<C> connection) {
-        connection.draining = true;
+        connection.isDraining = true;
         connections.remove(connection);
     }
 
     /** Whether the connection can be closed now: it has no streams and is draining or was idle for the idle timeout. */
     public boolean shouldClose(PooledConnection<C> connection, double now) {
-        return connection.activeStreams == 0 && (connection.draining || now - connection.idleSince >= idleTimeoutMillis);
+        return connection.activeStreams == 0 && (connection.isDraining || now - connection.idleSince >= idleTimeoutMillis);
     }
 
     public List<PooledConnection<C>> connections() {
--- a/gateway/src/main/java/gradereach/intake/Intake.java
+++ b/gateway/src/main/java/gradereach/intake/Intake.java
@@ -45,7 +45,7 @@
     private final InputFormats inputFormats;
     private final LongAdder messageCount;
     private final Counts counts;
-    private volatile boolean stopping;
+    private volatile boolean isStopping;
 
     /**
      * @param answerKeys keys that answers to a customer are signed with, by customer index
@@ -116,13 +116,13 @@
      * Hands a message to the decision thread. Returns false if it was shed instead, in which case the client has been answered.
      */
     public boolean admit(IncomingMessage message, WaitingClient client) {
-        if (stopping) {
+        if (isStopping) {
             client.onFinalAnswer(FinalAnswer.shed(message.id(), "this front end is stopping", shedRetryAfterMillis));
             return false;
         }
         boolean admitted = decisionLoop.offer(coordinator -> {
             coordinator.onMessage(message);
-            client.notifyIfCancelled(coordinator);
+            client.notifyIfDisconnected(coordinator);
         });
         if (!admitted) {
             client.onFinalAnswer(FinalAnswer.shed(message.id(), "too many messages wait at the door", shedRetryAfterMillis));
@@ -137,7 +137,7 @@
     }
 
     /** Counts a rejected message by the error code that its client gets. */
-    public void countRefusal(String errorCode) {
+    public void countRejectedMessage(String errorCode) {
         counts.counter("refused_" + errorCode.replace('-', '_')).increment();
     }
 
@@ -171,10 +171,10 @@
 
     /** Stops accepting messages. Those already accepted are still answered. */
     public void stop() {
-        stopping = true;
+        isStopping = true;
     }
 
-    public boolean stopping() {
-        return stopping;
+    public boolean isStopping() {
+        return isStopping;
     }
 }
--- a/gateway/src/main/java/gradereach/intake/WaitingClient.java
+++ b/gateway/src/main/java/gradereach/intake/WaitingClient.java
@@ -29,15 +29,15 @@
     }
 
     /** The client has disconnected or cancelled its request. Thread-safe. */
-    public final void cancel() {
+    public final void onDisconnected() {
         intake.submit(coordinator -> {
             disconnected = true;
-            notifyIfCancelled(coordinator);
+            notifyIfDisconnected(coordinator);
         });
     }
 
     /** Disconnecting and being accepted may happen in either order: whichever is second notifies the coordinator. */
-    final void notifyIfCancelled(InferenceCoordinator coordinator) {
+    final void notifyIfDisconnected(InferenceCoordinator coordinator) {
         if (disconnected && inference != null) {
             coordinator.onClientDisconnected(inference, this);
         }
--- a/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
+++ b/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
@@ -27,11 +27,11 @@
 
     private final double retention;
     private final int maxOpenMessages;
-    private final Map<Key, OpenMessage> openMessages = new LinkedHashMap<>();
+    private final Map<Key, OpenMessage> openMessageCount = new LinkedHashMap<>();
     private final TreeMap<Long, Double> latestTimestamps = new TreeMap<>();
     private final Map<Long, Long> latestSignedAt = new HashMap<>();
     private final Map<Long, Long> latestClaimSignedAt = new HashMap<>();
-    private long discardedOpenMessages;
+    private long discardedOpenMessageCount;
 
     /**
      * @param retention milliseconds for which messages are remembered
@@ -43,7 +43,7 @@
     }
 
     /** Takes note of a record that was written to a segment. */
-    public void recordWritten(LedgerRecord record, long segment) {
+    public void onRecordWritten(LedgerRecord record, long segment) {
         latestTimestamps.merge(segment, record.timestamp(), Math::max);
         if (record instanceof LedgerRecord.ForwardIntended intended) {
             latestSignedAt.merge(segment, intended.signedAt(), Math::max);
@@ -53,7 +53,7 @@
             return; // claims have the same retention as messages and are never rewritten
         }
         Key key = new Key(record.customer(), record.id());
-        OpenMessage message = openMessages.computeIfAbsent(key, k -> {
+        OpenMessage message = openMessageCount.computeIfAbsent(key, k -> {
             OpenMessage opened = new OpenMessage();
             opened.segment = segment;
             return opened;
@@ -76,10 +76,10 @@
             message.records.add(record);
         }
         if (message.ended && message.promisedAt <= message.deliveredPromiseAt) {
-            openMessages.remove(key);
-        } else if (openMessages.size() > maxOpenMessages) {
-            openMessages.remove(openMessages.keySet().iterator().next());
-            discardedOpenMessages++;
+            openMessageCount.remove(key);
+        } else if (openMessageCount.size() > maxOpenMessages) {
+            openMessageCount.remove(openMessageCount.keySet().iterator().next());
+            discardedOpenMessageCount++;
         }
     }
 
@@ -102,7 +102,7 @@
     /** The records that must be rewritten to the current segment before that segment is removed. */
     public List<LedgerRecord> recordsToRewrite(long segment, long current) {
         List<LedgerRecord> records = new ArrayList<>();
-        for (OpenMessage message : openMessages.values()) {
+        for (OpenMessage message : openMessageCount.values()) {
             if (message.segment <= segment) {
                 message.segment = current;
                 records.addAll(message.records);
@@ -122,19 +122,19 @@
     }
 
     /** Takes note that a segment was removed. */
-    public void segmentRemoved(long segment) {
+    public void onSegmentRemoved(long segment) {
         latestClaimSignedAt.remove(segment);
         latestTimestamps.remove(segment);
         latestSignedAt.remove(segment);
     }
 
     /** The number of messages whose outcome is unknown or whose delivery is pending. */
-    public int openMessages() {
-        return openMessages.size();
+    public int openMessageCount() {
+        return openMessageCount.size();
     }
 
     /** How many open messages were discarded because there were too many. */
-    public long discardedOpenMessages() {
-        return discardedOpenMessages;
+    public long discardedOpenMessageCount() {
+        return discardedOpenMessageCount;
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/LedgerState.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerState.java
@@ -40,7 +40,7 @@
         String model = "";
         double firstRecordedAt = Double.NaN;
         double lastRecordedAt;
-        double uncertainSince = Double.NaN;
+        double mayHaveRunSince = Double.NaN;
         long signedAt = Long.MIN_VALUE;
         FinalAnswer answer;
         double promisedAt = Double.NEGATIVE_INFINITY;
@@ -89,8 +89,8 @@
         }
 
         /** The timestamp of the first intent that was not proven not to have run; NaN for none. */
-        public double uncertainSince() {
-            return uncertainSince;
+        public double mayHaveRunSince() {
+            return mayHaveRunSince;
         }
 
         /** Its signed timestamp in Unix seconds; Long.MIN_VALUE without a forward's intent. */
@@ -192,7 +192,7 @@
             message.group = r.group();
             message.model = r.model();
             message.signedAt = Math.max(message.signedAt, r.signedAt());
-            message.uncertainSince = Double.isNaN(message.uncertainSince) ? r.timestamp() : message.uncertainSince;
+            message.mayHaveRunSince = Double.isNaN(message.mayHaveRunSince) ? r.timestamp() : message.mayHaveRunSince;
             UnresolvedForward forward = new UnresolvedForward(r.recipient(), r.forwardId(), r.timestamp());
             // Forward ids are reused after a restart, so the id alone does not identify a forward.
             if (!message.unresolvedForwards.contains(forward)) {
@@ -200,7 +200,7 @@
             }
         } else if (record instanceof LedgerRecord.ProvenNotRun) {
             message.state = MessageState.PROVEN_NOT_RUN;
-            message.uncertainSince = Double.NaN;
+            message.mayHaveRunSince = Double.NaN;
             message.unresolvedForwards.clear();
             message.answer = null;
         } else if (record instanceof LedgerRecord.Answered r) {
--- a/gateway/src/main/java/gradereach/ledger/LedgerTime.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerTime.java
@@ -10,7 +10,7 @@
     double now();
 
     /** From when on durations are known: an earlier record may be of any age. */
-    default double knownSince() {
+    default double durationsKnownSince() {
         return Double.NEGATIVE_INFINITY;
     }
 
--- a/gateway/src/main/java/gradereach/ledger/SegmentScanner.java
+++ b/gateway/src/main/java/gradereach/ledger/SegmentScanner.java
@@ -14,13 +14,13 @@
     /**
      * A range of bytes that held no valid record.
      *
-     * @param from first byte
-     * @param to first byte after it
+     * @param startOffset first byte
+     * @param endOffset first byte after it
      */
-    public record Damage(String segment, long from, long to, String reason) {
+    public record Damage(String segment, long startOffset, long endOffset, String reason) {
         @Override
         public String toString() {
-            return segment + ": bytes " + from + " to " + to + ": " + reason;
+            return segment + ": bytes " + startOffset + " to " + endOffset + ": " + reason;
         }
     }
 
--- a/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
@@ -185,7 +185,7 @@
                 handleFailure("write", e);
             }
         }
-        queuedRecords.inUse(queue.size());
+        queuedRecords.setInUse(queue.size());
         List<Pending> committed = List.copyOf(batch);
         boolean allDurable = durable;
         double elapsedMillis = (System.nanoTime() - startedAt) / 1e6;
@@ -218,9 +218,9 @@
         records.add(batchRecords.size());
         commits.increment();
         for (LedgerRecord record : batchRecords) {
-            compactionPlanner.recordWritten(record, currentSegment);
+            compactionPlanner.onRecordWritten(record, currentSegment);
         }
-        openMessages.inUse(compactionPlanner.openMessages());
+        openMessages.setInUse(compactionPlanner.openMessageCount());
     }
 
     private void flush() throws IOException {
@@ -321,7 +321,7 @@
     /** Removes segments that are older than the retention, after their open messages were rewritten. */
     private void compact() throws IOException {
         double now = time.now();
-        if (now - compactionPlanner.retention() < time.knownSince()) {
+        if (now - compactionPlanner.retention() < time.durationsKnownSince()) {
             return; // the age of the segments that were found at the start is not known yet
         }
         for (long oldest; (oldest = compactionPlanner.oldestRemovableSegment(now, currentSegment)) >= 0;) {
@@ -332,7 +332,7 @@
             folder.raiseForgottenUpTo(compactionPlanner.latestSignedAt(oldest));
             folder.raiseClaimsForgottenUpTo(compactionPlanner.latestClaimSignedAt(oldest));
             Files.deleteIfExists(folder.segmentPath(oldest));
-            compactionPlanner.segmentRemoved(oldest);
+            compactionPlanner.onSegmentRemoved(oldest);
             compactedSegments.increment();
         }
     }
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
@@ -65,7 +65,7 @@
     public void resume(Path folder, double latestTimestamp) {
         MachineUptime uptime = uptimes.get();
         Anchor anchor = read(folder);
-        double elapsed = anchor == null ? Double.NaN : uptime.since(anchor.uptime);
+        double elapsed = anchor == null ? Double.NaN : uptime.millisSince(anchor.uptime);
         // A time before the latest record means that the uptime counts from another boot.
         if (Double.isNaN(elapsed) || anchor.ledgerTime + elapsed < latestTimestamp - MachineUptime.READING_TOLERANCE_MILLIS) {
             double ledgerTime = Math.max(wallClock.getAsDouble(), latestTimestamp + 1);
@@ -84,7 +84,7 @@
      */
     public static double retentionCutoff(Path folder, double retention) {
         Anchor anchor = read(folder);
-        double elapsed = anchor == null ? Double.NaN : MachineUptimeReader.readMachine().since(anchor.uptime);
+        double elapsed = anchor == null ? Double.NaN : MachineUptimeReader.readMachine().millisSince(anchor.uptime);
         boolean known = !Double.isNaN(elapsed) && anchor.ledgerTime + elapsed - retention >= anchor.knownSince;
         return known ? anchor.ledgerTime + elapsed - retention : Double.NEGATIVE_INFINITY;
     }
@@ -92,7 +92,7 @@
     /** The ledger time now of a ledger that is not open; NaN if it is not known. */
     static double now(Path folder) {
         Anchor anchor = read(folder);
-        return anchor == null ? Double.NaN : anchor.ledgerTime + MachineUptimeReader.readMachine().since(anchor.uptime);
+        return anchor == null ? Double.NaN : anchor.ledgerTime + MachineUptimeReader.readMachine().millisSince(anchor.uptime);
     }
 
     private static Anchor read(Path folder) {
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public double knownSince() {
+    public double durationsKnownSince() {
         return reference.knownSince;
     }
 
--- a/gateway/src/main/java/gradereach/ledger/disk/MachineUptime.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/MachineUptime.java
@@ -9,7 +9,7 @@
  * @param monotonicMillis reading of the monotonic clock
  */
 record MachineUptime(String bootId, double uptimeMillis, double monotonicMillis) {
-    /** Stands for a reading that failed or may not be the machine's own uptime; {@link #since} then returns NaN. */
+    /** Stands for a reading that failed or may not be the machine's own uptime; {@link #millisSince} then returns NaN. */
     static final MachineUptime UNKNOWN = new MachineUptime("", Double.NaN, Double.NaN);
     /** Tolerance between two readings, well above the resolution of an uptime, a hundredth of a second. */
     static final double READING_TOLERANCE_MILLIS = 100;
@@ -25,7 +25,7 @@
     }
 
     /** Milliseconds from the other reading to this one; NaN if the two cannot be compared. */
-    double since(MachineUptime other) {
+    double millisSince(MachineUptime other) {
         boolean sameBoot = countsFromBoot() && other.countsFromBoot() && bootId.equals(other.bootId);
         // Suspended time only grows; if it shrank, one of the two uptimes counts from something other than this boot.
         boolean consistent = suspendedMillis() >= other.suspendedMillis() - READING_TOLERANCE_MILLIS;
--- a/gateway/src/main/java/gradereach/link/ExchangeOutcomes.java
+++ b/gateway/src/main/java/gradereach/link/ExchangeOutcomes.java
@@ -14,7 +14,7 @@
     private ExchangeOutcomes() { }
 
     /** Outcome of a forward by HTTP/REST. {@code begun} is the {@link #INFERENCE_BEGUN_HEADER}, or null if it is missing. */
-    public static Outcome ofForward(ExchangeResult result, int status, CharSequence begun) {
+    public static Outcome forwardOutcome(ExchangeResult result, int status, CharSequence begun) {
         return switch (result) {
             case ANSWERED -> answered(status, begun != null && "no".contentEquals(begun));
             case NOT_CONNECTED -> Outcome.CONNECT_FAILED;
@@ -44,9 +44,9 @@
      * a status, as when a connection breaks. Intermediaries set gRPC statuses too, so none proves anything without
      * {@link #INFERENCE_BEGUN_HEADER}.
      */
-    public static Outcome ofGrpcForward(ExchangeResult result, CharSequence grpcStatus, CharSequence begun) {
+    public static Outcome grpcForwardOutcome(ExchangeResult result, CharSequence grpcStatus, CharSequence begun) {
         if (result != ExchangeResult.ANSWERED) {
-            return ofForward(result, 0, null);
+            return forwardOutcome(result, 0, null);
         }
         if (grpcStatus == null) {
             return Outcome.RESET;
@@ -61,11 +61,11 @@
     }
 
     /** Outcome of a load order or a probe. The executor's status is enough here; no {@link #INFERENCE_BEGUN_HEADER} is required. */
-    public static Outcome ofLoadOrderOrProbe(ExchangeResult result, int status) {
+    public static Outcome loadOrderOrProbeOutcome(ExchangeResult result, int status) {
         return switch (result) {
             case ANSWERED -> status >= 200 && status < 300 ? Outcome.RETURNED
                     : status == 429 || status == 503 ? Outcome.FULL : Outcome.ERROR;
-            default -> ofForward(result, status, null);
+            default -> forwardOutcome(result, status, null);
         };
     }
 }
--- a/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
+++ b/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
@@ -63,7 +63,7 @@
             for (int i = 0; i < times; i++) {
                 GrpcFraming.frame(InferenceJsonConverter.requestBytesFromJson(json, "any"));
                 GrpcFraming.decodeResponse(GrpcFraming.frame(answer));
-                ExchangeOutcomes.ofGrpcForward(ExchangeListener.ExchangeResult.ANSWERED, "0", null);
+                ExchangeOutcomes.grpcForwardOutcome(ExchangeListener.ExchangeResult.ANSWERED, "0", null);
             }
         } catch (IOException | InvalidMessageException e) {
             throw new IllegalStateException(e);
@@ -77,7 +77,7 @@
                     || result == ExchangeListener.ExchangeResult.NOT_WRITTEN && forward.cancelled) {
                 return; // the coordinator cancelled it and expects no event
             }
-            Outcome outcome = ExchangeOutcomes.ofGrpcForward(result, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER),
+            Outcome outcome = ExchangeOutcomes.grpcForwardOutcome(result, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER),
                     ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
             byte[] output = null;
             if (outcome == Outcome.RETURNED) {
@@ -96,7 +96,7 @@
             eventSink.accept(coordinator ->
                     coordinator.onForwardEnded(forward, finalOutcome, loadStatus, concurrency, report, finalOutput));
         };
-        forward.stream = pool.send(writeCondition, "POST", UNARY_PATH, GrpcFraming.frame(forward.input().protobuf()), listener,
+        forward.requestHandle = pool.send(writeCondition, "POST", UNARY_PATH, GrpcFraming.frame(forward.input().protobuf()), listener,
                 "content-type", "application/grpc", "te", "trailers", "x-request-id", forward.forwardId(), "idempotency-key",
                 forward.dedupKey(), "user-agent", userAgent);
     }
@@ -125,7 +125,7 @@
             request = pool.send(writeCondition, "POST", STREAMING_PATH, GrpcFraming.frame(forward.input().protobuf()), this,
                     "content-type", "application/grpc", "te", "trailers", "x-request-id", forward.forwardId(), "idempotency-key",
                     forward.dedupKey(), "user-agent", userAgent);
-            forward.stream = request;
+            forward.requestHandle = request;
         }
 
         @Override
@@ -158,11 +158,11 @@
             if (result == ExchangeResult.GIVEN_UP || result == ExchangeResult.NOT_WRITTEN && forward.cancelled) {
                 return; // the coordinator cancelled it and expects no event
             }
-            Outcome outcome = ExchangeOutcomes.ofGrpcForward(result, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER),
+            Outcome outcome = ExchangeOutcomes.grpcForwardOutcome(result, ResponseHeaders.header(headers, GrpcFraming.STATUS_TRAILER),
                     ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
             // An answer that has started proves that the forward ran, whatever its status claims.
             boolean contradictory = started && outcome.provesNotRun;
-            boolean truncated = outcome == Outcome.RETURNED && (!started || errorReceived || !decoder.atMessageBoundary());
+            boolean truncated = outcome == Outcome.RETURNED && (!started || errorReceived || !decoder.isAtMessageBoundary());
             byte[] output = null;
             if (truncated || contradictory) {
                 unreadableAnswers.add(truncated && !errorReceived ? 1 : 0);
--- a/gateway/src/main/java/gradereach/link/GrpcFraming.java
+++ b/gateway/src/main/java/gradereach/link/GrpcFraming.java
@@ -62,7 +62,7 @@
         }
 
         /** Whether all bytes so far belong to complete messages. */
-        boolean atMessageBoundary() {
+        boolean isAtMessageBoundary() {
             return headerBytesRead == 0;
         }
     }
--- a/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
@@ -116,7 +116,7 @@
 
     @Override
     public void forward(InFlightForward forward) {
-        if (grpcKinds.contains(forward.endpoint.kind())) {
+        if (grpcKinds.contains(forward.endpoint.machineKind())) {
             if (forward.acceptsStreaming()) {
                 grpcSender.sendStreaming(streamingPool(forward.endpoint), forward, writeCondition(forward));
             } else {
@@ -125,7 +125,7 @@
             return;
         }
         ExchangeListener listener = (result, status, headers, body) -> {
-            Outcome outcome = ExchangeOutcomes.ofForward(result, status,
+            Outcome outcome = ExchangeOutcomes.forwardOutcome(result, status,
                     ResponseHeaders.header(headers, ExchangeOutcomes.INFERENCE_BEGUN_HEADER));
             if (result == ExchangeListener.ExchangeResult.GIVEN_UP
                     || result == ExchangeListener.ExchangeResult.NOT_WRITTEN && forward.cancelled) {
@@ -136,7 +136,7 @@
             ExecutorReport report = responseHeaders.loadReport(headers);
             eventSink.accept(coordinator -> coordinator.onForwardEnded(forward, outcome, loadStatus, concurrency, report, body));
         };
-        forward.stream = unaryPool(forward.endpoint).send(writeCondition(forward), "POST",
+        forward.requestHandle = unaryPool(forward.endpoint).send(writeCondition(forward), "POST",
                 inferPaths.computeIfAbsent(forward.modelName(), model -> "/v2/models/" + urlEncode(model) + "/infer"),
                 forward.input().json(), listener, "content-type", "application/json", "x-request-id", forward.forwardId(),
                 "idempotency-key", forward.dedupKey(), "user-agent", userAgent);
@@ -170,8 +170,8 @@
      * False once an endpoint that is ready now is no longer ready; always true for an endpoint that is not ready now.
      */
     private static BooleanSupplier endpointStillReady(ExecutorEndpoint endpoint) {
-        boolean wasReady = endpoint.ready();
-        return () -> !wasReady || endpoint.ready();
+        boolean wasReady = endpoint.isReady();
+        return () -> !wasReady || endpoint.isReady();
     }
 
     /**
@@ -186,7 +186,7 @@
 
     @Override
     public void cancel(InFlightForward forward) {
-        if (forward.stream instanceof Http2ConnectionPool.Request request) {
+        if (forward.requestHandle instanceof Http2ConnectionPool.Request request) {
             request.cancel();
         }
     }
@@ -196,7 +196,7 @@
         String path = "/v2/repository/models/" + urlEncode(order.modelName) + "/load";
         byte[] body = ("{\"parameters\":{\"copies\":" + order.copies + "}}").getBytes(StandardCharsets.UTF_8);
         unaryPool(order.endpoint).send(writeCondition(order), "POST", path, body, (result, status, headers, content) -> {
-            Outcome outcome = ExchangeOutcomes.ofLoadOrderOrProbe(result, status);
+            Outcome outcome = ExchangeOutcomes.loadOrderOrProbeOutcome(result, status);
             int loadedCopies = ResponseHeaders.parseInt(ResponseHeaders.header(headers, ResponseHeaders.COPIES_HEADER), 0);
             eventSink.accept(coordinator -> coordinator.onLoadOrderEnded(order, outcome, loadedCopies));
         }, "content-type", "application/json", "user-agent", userAgent);
@@ -212,7 +212,7 @@
     @Override
     public void sendProbe(Probe probe) {
         unaryPool(probe.endpoint).send(probe::isAwaited, "GET", "/v2/health/ready", EMPTY_BODY, (result, status, headers, body) -> {
-            Outcome outcome = ExchangeOutcomes.ofLoadOrderOrProbe(result, status);
+            Outcome outcome = ExchangeOutcomes.loadOrderOrProbeOutcome(result, status);
             ExecutorReport report = responseHeaders.loadReport(headers);
             eventSink.accept(coordinator -> coordinator.onProbeEnded(probe, outcome, report));
         }, "user-agent", userAgent);
@@ -256,7 +256,7 @@
     }
 
     @Override
-    public void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback) {
+    public void requestProcessNumber(ExecutorEndpoint endpoint, DoubleConsumer callback) {
         inquire(endpoint, NO_FORWARD, (reply, processIdentity, body) -> callback.accept(processIdentity));
     }
 
--- a/gateway/src/main/java/gradereach/loop/DecisionLoop.java
+++ b/gateway/src/main/java/gradereach/loop/DecisionLoop.java
@@ -185,7 +185,7 @@
         runGuarded(coordinator::endBatch);
         batches.increment();
         eventsHandled.add(count);
-        messageQueueLimit.inUse(messageQueue.size());
+        messageQueueLimit.setInUse(messageQueue.size());
         double end = clock.now();
         if (end - now > SLOW_BATCH_MILLIS) {
             slowBatches.increment();
--- a/gateway/src/main/java/gradereach/members/DatagramCipher.java
+++ b/gateway/src/main/java/gradereach/members/DatagramCipher.java
@@ -39,7 +39,7 @@
     }
 
     /** Encrypts a message as a datagram. */
-    byte[] seal(byte[] message) {
+    byte[] encrypt(byte[] message) {
         byte[] nonce = new byte[NONCE_BYTES];
         random.nextBytes(nonce);
         try {
@@ -54,7 +54,7 @@
     }
 
     /** Decrypts a datagram; null if it is incomplete or not from a member of this cluster. */
-    byte[] open(byte[] datagram) {
+    byte[] decrypt(byte[] datagram) {
         if (datagram.length < 1 + NONCE_BYTES + TAG_BITS / 8 || datagram[0] != VERSION) {
             return null;
         }
--- a/gateway/src/main/java/gradereach/members/Membership.java
+++ b/gateway/src/main/java/gradereach/members/Membership.java
@@ -39,12 +39,12 @@
      *
      * @param name name of this front end
      * @param secrets keys of the cluster; the first one encrypts
-     * @param grantors addresses of all grantors, this front end's included, in the same order on every front end
-     * @param seats seats into which shared budgets are divided
+     * @param grantorAddresses addresses of all grantors, this front end's included, in the same order on every front end
+     * @param seatCount seats into which shared budgets are divided
      * @param leaseMillis lease of a seat
      */
-    public record Config(String name, InetSocketAddress listenAddress, String cluster, List<byte[]> secrets, List<String> grantors,
-            int seats, double leaseMillis) { }
+    public record Config(String name, InetSocketAddress listenAddress, String cluster, List<byte[]> secrets, List<String> grantorAddresses,
+            int seatCount, double leaseMillis) { }
 
     /** Notified of this front end's share of the budgets that front ends share. */
     public interface ShareListener {
@@ -54,7 +54,7 @@
          * @param share fraction of the shared budgets that this front end may spend, 0 to 1
          * @param until when the share ends at the latest unless it is renewed, by the clock given to the constructor
          */
-        void shareChanged(double share, double until);
+        void onShareChanged(double share, double until);
     }
 
     /**
@@ -129,20 +129,20 @@
             }
 
             @Override
-            public void memberChanged(Member member) {
+            public void onMemberChanged(Member member) {
                 LOG.atInfo().addKeyValue("member", member.name()).addKeyValue("state", member.state())
                         .addKeyValue("incarnation", member.incarnation()).log("member");
             }
         });
-        grantor = new SeatGrantor(config.seats, config.leaseMillis, now);
+        grantor = new SeatGrantor(config.seatCount, config.leaseMillis, now);
         // Each run is a holder of its own: the seats of the run before stay with that one until their leases expire.
         String holderName = SeatHolder.uniqueName(config.name, new SecureRandom());
-        holder = new SeatHolder(holderName, config.seats, config.grantors.size(), config.leaseMillis, random);
+        holder = new SeatHolder(holderName, config.seatCount, config.grantorAddresses.size(), config.leaseMillis, random);
         unauthenticated = counts.counter("members_strangers");
         sent = counts.counter("members_datagrams_sent");
         unreadable = counts.counter("members_datagrams_unreadable");
         presentCount = counts.limit("members_present", Long.MAX_VALUE);
-        heldSeats = counts.limit("members_seats_held", config.seats);
+        heldSeats = counts.limit("members_seats_held", config.seatCount);
         thread.setDaemon(true);
     }
 
@@ -169,9 +169,9 @@
             for (Runnable event; (event = events.poll()) != null;) {
                 event.run();
             }
-            if (now >= joinAt && swim.presentCount() < config.grantors.size()) {
+            if (now >= joinAt && swim.presentCount() < config.grantorAddresses.size()) {
                 // Absent grantors are contacted again from time to time: SWIM does not ping dead members.
-                swim.join(config.grantors);
+                swim.join(config.grantorAddresses);
                 joinAt = now + 2000 + 1000 * random.nextDouble();
             }
             swim.tick(now);
@@ -208,7 +208,7 @@
         SeatHolder.Request request = holder.startRound(trafficShare, now);
         MembershipCodec.SeatRequest seatRequest = new MembershipCodec.SeatRequest(holder.name(), address, request.round(), ownRate,
                 request.wanted(), request.released());
-        for (String grantorAddress : config.grantors) {
+        for (String grantorAddress : config.grantorAddresses) {
             if (grantorAddress.equals(address)) {
                 handleResponse(handleRequest(seatRequest, now));
             } else {
@@ -220,15 +220,15 @@
     }
 
     private MembershipCodec.SeatResponse handleRequest(MembershipCodec.SeatRequest request, double now) {
-        traffic.put(request.from(), new Traffic(request.rate(), now));
+        traffic.put(request.holderName(), new Traffic(request.rate(), now));
         traffic.values().removeIf(last -> now - last.reportedAt > 2 * config.leaseMillis);
-        SeatGrantor.Grant grant = grantor.handleRequest(request.from(), request.round(), request.wanted(), request.released(), now);
+        SeatGrantor.Grant grant = grantor.handleRequest(request.holderName(), request.round(), request.wanted(), request.released(), now);
         return grant == null ? null : new MembershipCodec.SeatResponse(address, request.round(),
                 traffic.values().stream().mapToDouble(Traffic::rate).sum(), traffic.size(), grant.granted(), grant.available());
     }
 
     private void handleResponse(MembershipCodec.SeatResponse response) {
-        int grantorIndex = response == null ? -1 : config.grantors.indexOf(response.from());
+        int grantorIndex = response == null ? -1 : config.grantorAddresses.indexOf(response.grantorAddress());
         if (grantorIndex >= 0) {
             totalRate = Math.max(totalRate, response.totalRate());
             holderCount = Math.max(holderCount, response.holderCount());
@@ -243,15 +243,15 @@
         if (share != notifiedShare || until != notifiedUntil) {
             notifiedShare = share;
             notifiedUntil = until;
-            shareListener.shareChanged(share, until);
+            shareListener.onShareChanged(share, until);
         }
-        presentCount.inUse(swim.presentCount());
-        heldSeats.inUse(Math.round(share * config.seats));
+        presentCount.setInUse(swim.presentCount());
+        heldSeats.setInUse(Math.round(share * config.seatCount));
         view = new View(swim.self(), swim.members(), swim.presentCount(), share, swim.healthScore());
     }
 
     private void handleDatagram(byte[] datagram, double now) {
-        byte[] message = cipher.open(datagram);
+        byte[] message = cipher.decrypt(datagram);
         if (message == null) {
             unauthenticated.increment();
             if (now - unauthenticatedLoggedAt > UNAUTHENTICATED_LOG_INTERVAL_MILLIS) {
@@ -267,7 +267,7 @@
             } else if (decoded instanceof MembershipCodec.SeatRequest request) {
                 MembershipCodec.SeatResponse response = handleRequest(request, now);
                 if (response != null) {
-                    send(request.fromAddress(), response);
+                    send(request.holderAddress(), response);
                 }
             } else if (decoded instanceof MembershipCodec.SeatResponse response) {
                 handleResponse(response);
@@ -278,7 +278,7 @@
     }
 
     private void send(String destination, Object message) {
-        byte[] datagram = cipher.seal(MembershipCodec.encode(message));
+        byte[] datagram = cipher.encrypt(MembershipCodec.encode(message));
         int colon = destination.lastIndexOf(':');
         try {
             socket.send(new DatagramPacket(datagram, datagram.length,
--- a/gateway/src/main/java/gradereach/members/MembershipCodec.java
+++ b/gateway/src/main/java/gradereach/members/MembershipCodec.java
@@ -18,7 +18,7 @@
      *
      * @param rate its traffic in inferences a second
      */
-    record SeatRequest(String from, String fromAddress, long round, double rate, BitSet wanted, BitSet released) { }
+    record SeatRequest(String holderName, String holderAddress, long round, double rate, BitSet wanted, BitSet released) { }
 
     /**
      * A grantor's response.
@@ -26,7 +26,7 @@
      * @param totalRate sum of the rates of all holders with recent requests
      * @param holderCount number of these holders
      */
-    record SeatResponse(String from, long round, double totalRate, int holderCount, BitSet granted, BitSet available) { }
+    record SeatResponse(String grantorAddress, long round, double totalRate, int holderCount, BitSet granted, BitSet available) { }
 
     private MembershipCodec() { }
 
@@ -38,7 +38,7 @@
             if (message instanceof Message.Ping m) {
                 out.writeByte(1);
                 writeHeader(out, m);
-                out.writeUTF(m.fromAddress());
+                out.writeUTF(m.senderAddress());
                 out.writeLong(m.sequenceNumber());
             } else if (message instanceof Message.Ack m) {
                 out.writeByte(2);
@@ -47,26 +47,26 @@
             } else if (message instanceof Message.PingRequest m) {
                 out.writeByte(3);
                 writeHeader(out, m);
-                out.writeUTF(m.fromAddress());
+                out.writeUTF(m.senderAddress());
                 out.writeLong(m.sequenceNumber());
                 out.writeUTF(m.target());
                 out.writeUTF(m.targetAddress());
             } else if (message instanceof Message.Sync m) {
                 out.writeByte(4);
                 writeHeader(out, m);
-                out.writeUTF(m.fromAddress());
+                out.writeUTF(m.senderAddress());
                 out.writeBoolean(m.replyRequested());
             } else if (message instanceof SeatRequest m) {
                 out.writeByte(5);
-                out.writeUTF(m.from);
-                out.writeUTF(m.fromAddress);
+                out.writeUTF(m.holderName);
+                out.writeUTF(m.holderAddress);
                 out.writeLong(m.round);
                 out.writeDouble(m.rate);
                 writeBits(out, m.wanted);
                 writeBits(out, m.released);
             } else if (message instanceof SeatResponse m) {
                 out.writeByte(6);
-                out.writeUTF(m.from);
+                out.writeUTF(m.grantorAddress);
                 out.writeLong(m.round);
                 out.writeDouble(m.totalRate);
                 out.writeInt(m.holderCount);
@@ -82,7 +82,7 @@
     }
 
     private static void writeHeader(DataOutputStream out, Message message) throws IOException {
-        out.writeUTF(message.from());
+        out.writeUTF(message.senderName());
         out.writeShort(message.gossip().size());
         for (Member update : message.gossip()) {
             out.writeUTF(update.name());
--- a/gateway/src/main/java/gradereach/message/FinalAnswer.java
+++ b/gateway/src/main/java/gradereach/message/FinalAnswer.java
@@ -30,7 +30,7 @@
     }
 
     /** The id of the message, given the {@code webhook-id} of its answer. */
-    public static String inferenceId(String answerId) {
+    public static String messageIdFromWebhookId(String answerId) {
         return answerId.replaceFirst("\\.(answer|(shed|failed)-[0-9a-f]{1,8})$", "");
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** The body that rejects a message before it became an inference. */
-    public static byte[] refusal(int status, String errorCode, String detail) {
+    public static byte[] rejectionBody(int status, String errorCode, String detail) {
         return problem(errorCode, status, "Message refused", null, detail, false, 0);
     }
 
--- a/gateway/src/main/java/gradereach/plan/Deployment.java
+++ b/gateway/src/main/java/gradereach/plan/Deployment.java
@@ -113,7 +113,7 @@
     }
 
     /** Returns the kinds of executors, as numbered by the roster, that accept inferences over gRPC. */
-    public Set<Integer> grpcMachineKinds() {
+    public Set<Integer> grpcExecutorKinds() {
         Set<Integer> kinds = new HashSet<>();
         tree.path("executors").path("grpc_kinds").forEach(kind -> kinds.add(kind.asInt()));
         return kinds;
--- a/gateway/src/main/java/gradereach/plan/KeySettings.java
+++ b/gateway/src/main/java/gradereach/plan/KeySettings.java
@@ -77,7 +77,7 @@
         if (until <= from) {
             errors.add(path + "/until: not after /from");
         }
-        return key == null ? null : key.validBetween(from, until);
+        return key == null ? null : key.withValidityPeriod(from, until);
     }
 
     private long epochSecond(String path, String text, long defaultValue) {
--- a/gateway/src/main/java/gradereach/serve/Gateway.java
+++ b/gateway/src/main/java/gradereach/serve/Gateway.java
@@ -131,7 +131,7 @@
                     (int) deployment.limitSetting("ids", 5_000_000), new SecureRandom().nextLong());
             return new InferenceCoordinator(deployment.name(),
                     actions -> createRouter(actions, new Random(seedGenerator.nextLong()), faults.routerActions()),
-                    faults.executorTransport().apply(new HttpExecutorTransport(deployment.name(), deployment.grpcMachineKinds(),
+                    faults.executorTransport().apply(new HttpExecutorTransport(deployment.name(), deployment.grpcExecutorKinds(),
                             workers, NioSocketChannel.class, poolLimits, streamingPoolLimits, answerStreamLimits, counts,
                             clock::now, this::submit)),
                     timers, new MetricsRecorder(new InferenceLog(customerNames), serviceMetrics, deployment.groups(),
@@ -150,7 +150,7 @@
                 System::currentTimeMillis, counts);
         intake = new Intake(new KeyRing(deployment.customerKeys()), deployment.answerKeys(), deployment.modelCatalog(),
                 decisionLoop, clock::now, stallDetector, System::currentTimeMillis, deployment.forwardRules().maxRetryAfter(),
-                new Intake.InputFormats(true, !deployment.grpcMachineKinds().isEmpty()), counts);
+                new Intake.InputFormats(true, !deployment.grpcExecutorKinds().isEmpty()), counts);
         webhookServer = new WebhookServer(intake, outbox,
                 new WebhookServer.Limits((int) deployment.limitSetting("connections", 20_000),
                         (int) deployment.limitSetting("head_bytes", 16_384), (int) deployment.limitSetting("body_bytes", 1 << 20),
@@ -208,7 +208,7 @@
     /** Warms up, then starts to listen. Returns the address of the webhook server. */
     public InetSocketAddress start() throws IOException, InterruptedException {
         WarmUp.run(deployment.grpcListenAddress() != null);
-        if (!deployment.grpcMachineKinds().isEmpty()) {
+        if (!deployment.grpcExecutorKinds().isEmpty()) {
             HttpExecutorTransport.warmUp(1000);
         }
         return listen();
@@ -234,9 +234,9 @@
         }
         if (deployment.membership() != null) {
             membership = new Membership(deployment.membership(), membershipRandom, clock::now, () -> counts.value("inferences_taken"),
-                    (fraction, validUntil) -> submit(coordinator -> coordinator.share(fraction, validUntil)), counts);
+                    (fraction, validUntil) -> submit(coordinator -> coordinator.setShare(fraction, validUntil)), counts);
             // Until this front end holds seats, its share is 0.
-            submit(coordinator -> coordinator.share(0, Double.POSITIVE_INFINITY));
+            submit(coordinator -> coordinator.setShare(0, Double.POSITIVE_INFINITY));
             membership.start();
         }
         rosterWatch.start();
@@ -245,7 +245,7 @@
         }
         if (deployment.adminAddress() != null) {
             adminServer = new AdminServer(deployment.adminAddress(), counts, () -> decisionLoop.fatalError() == null,
-                    this::acceptsInferences, this::members);
+                    this::acceptsInferences, this::membershipView);
         }
         LOG.atInfo().addKeyValue("front", webhookAddress).addKeyValue("grpc", boundGrpcAddress)
                 .addKeyValue("admin", adminServer == null ? "none" : adminServer.address()).log("front end is listening");
@@ -281,7 +281,7 @@
         state.markClaimsForgottenUpTo(folder.claimsForgottenUpTo());
         LedgerFolder.ReadResult result = LedgerFolder.read(deployment.ledgerFolder(), true, (record, segment) -> {
             state.apply(record);
-            compactionPlanner.recordWritten(record, segment);
+            compactionPlanner.onRecordWritten(record, segment);
         });
         result.damage().forEach(damage -> LOG.error("ledger damaged: {}", damage));
         state.anomalies().forEach(anomaly -> LOG.error("ledger: {}", anomaly));
@@ -313,7 +313,7 @@
     }
 
     /** Returns the current membership, null if shares are fixed. */
-    public Membership.View members() {
+    public Membership.View membershipView() {
         return membership == null ? null : membership.view();
     }
 
@@ -328,7 +328,7 @@
     }
 
     /** Returns whether a roster has been received. */
-    public boolean isReady() {
+    public boolean hasRoster() {
         return rosterReceived;
     }
 
--- a/gateway/src/main/java/gradereach/serve/InferenceLog.java
+++ b/gateway/src/main/java/gradereach/serve/InferenceLog.java
@@ -30,9 +30,9 @@
                 .addKeyValue("model", inference.modelName()).addKeyValue("forwards", inference.forwardCount())
                 .addKeyValue("executor", inference.lastExecutorAddress())
                 .addKeyValue("outcome", answer == null ? "left" : answer.kind().name().toLowerCase())
-                .addKeyValue("held_ms", round(Double.isNaN(firstForwardAt) ? now - inference.acceptedAt()
-                        : firstForwardAt - inference.acceptedAt()))
-                .addKeyValue("took_ms", round(now - inference.acceptedAt())).log("inference");
+                .addKeyValue("held_ms", round(Double.isNaN(firstForwardAt) ? now - inference.receivedAt()
+                        : firstForwardAt - inference.receivedAt()))
+                .addKeyValue("took_ms", round(now - inference.receivedAt())).log("inference");
     }
 
     /** Rounds to hundredths of a millisecond. */
--- a/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
+++ b/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
@@ -45,14 +45,14 @@
             case SHED -> ServiceMetrics.EndReason.SHED;
             case FAILED -> ServiceMetrics.EndReason.FAILED;
         };
-        double value = group.value() * (inference.overQuota() ? overQuotaValue : 1);
+        double value = group.value() * (inference.isOverQuota() ? overQuotaValue : 1);
         // A streamed answer is in time if it started in time.
-        double elapsed = (Double.isNaN(inference.answerStartedAt()) ? now : inference.answerStartedAt()) - inference.acceptedAt();
+        double elapsed = (Double.isNaN(inference.answerStartedAt()) ? now : inference.answerStartedAt()) - inference.receivedAt();
         boolean inSlo = elapsed <= group.sloTime();
         double returnedValue = endReason != ServiceMetrics.EndReason.RETURNED ? 0 : inSlo ? value : value * group.lateValueFraction();
         metrics.recordInference(groupIndexes.get(group), customers.get(inference.customer()), customerHashes[inference.customer()],
                 inference.modelName(), mixBits(inference.modelId()), endReason, value, returnedValue, inSlo, elapsed,
-                inference.firstForwardSentAt() - inference.acceptedAt(), inference.forwardCount());
+                inference.firstForwardSentAt() - inference.receivedAt(), inference.forwardCount());
     }
 
     @Override
--- a/gateway/src/test/java/gradereach/delivery/DeliverySchedulerTest.java
+++ b/gateway/src/test/java/gradereach/delivery/DeliverySchedulerTest.java
@@ -77,6 +77,6 @@
         scheduler.recordAttempt(takeOnlyDue(0), 410, 0, 1);
         assertTrue(scheduler.takeDue(10).isEmpty());
         assertEquals(0, scheduler.openCount());
-        assertTrue(firstEndpoint.disabled());
+        assertTrue(firstEndpoint.isDisabled());
     }
 }
--- a/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
+++ b/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
@@ -230,7 +230,7 @@
             steps.add(() -> {
                 replies.remove(reply);
                 FrontEnd receiver = reply.request.sender;
-                if (receiver.harness != null && receiver.incarnation == reply.request.incarnation && !reply.request.message.release()) {
+                if (receiver.harness != null && receiver.incarnation == reply.request.incarnation && !reply.request.message.isRelease()) {
                     receiver.onReply(reply.request, reply.granted, reply.holder);
                 }
             });
@@ -298,7 +298,7 @@
             return;
         }
         ReplicaRequest message = request.message;
-        if (message.release()) {
+        if (message.isRelease()) {
             replica.claimTable.release(message.message().customer(), message.message().id(), request.sender.name, message.round());
             return;
         }
--- a/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
+++ b/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
@@ -315,7 +315,7 @@
     double processNumber;
 
     @Override
-    public void requestProcessId(ExecutorEndpoint endpoint, DoubleConsumer callback) {
+    public void requestProcessNumber(ExecutorEndpoint endpoint, DoubleConsumer callback) {
         schedule(now, (Runnable) () -> callback.accept(processNumber));
     }
 
--- a/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
+++ b/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
@@ -141,7 +141,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {0, 50, 300})
     void commitMarginShortensTheForwardDeadline(double margin) {
-        ledger.margin = margin;
+        ledger.commitMarginMillis = margin;
         CoordinatorHarness harness = start(1_000_000);
         double sentAt = harness.now;
         Client client = harness.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -107,8 +107,8 @@
         harness.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
         InFlightForward after = harness.awaitForward();
         assertEquals(List.of("10.0.0.1:80", "10.0.0.9:80"), List.of(before.endpoint.address, after.endpoint.address));
-        assertFalse(before.endpoint.ready());
-        assertEquals(1, harness.coordinator.endpoints().stream().filter(ExecutorEndpoint::ready).count());
+        assertFalse(before.endpoint.isReady());
+        assertEquals(1, harness.coordinator.endpoints().stream().filter(ExecutorEndpoint::isReady).count());
         harness.endForward(before, Outcome.RETURNED);
         harness.endForward(after, Outcome.RETURNED);
         assertEquals(0, harness.coordinator.openInferenceCount());
@@ -516,9 +516,9 @@
                     return called.invoke(real, args);
                 });
         CoordinatorHarness shared = harness(real -> recording.apply(failingOnCall(real, "onInferenceAccepted", 2)));
-        shared.runBatch(shared.now, () -> shared.coordinator.share(0.25, shared.now + 500));
+        shared.runBatch(shared.now, () -> shared.coordinator.setShare(0.25, shared.now + 500));
         shared.advanceTo(shared.now + 400);
-        shared.runBatch(shared.now, () -> shared.coordinator.share(0.5, shared.now + 500));
+        shared.runBatch(shared.now, () -> shared.coordinator.setShare(0.5, shared.now + 500));
         shared.advanceTo(shared.now + 300);
         shared.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
         shared.sendMessage("b", CoordinatorHarness.RETRIABLE, 1);
--- a/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
+++ b/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
@@ -13,7 +13,7 @@
     final List<LedgerRecord> durable = new ArrayList<>();
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
     boolean writable = true;
-    double margin;
+    double commitMarginMillis;
     /** An injected bug: reports records as durable that are not. */
     boolean acknowledgesEarly;
 
@@ -24,7 +24,7 @@
 
     @Override
     public double commitMargin() {
-        return margin;
+        return commitMarginMillis;
     }
 
     @Override
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
@@ -85,7 +85,7 @@
         deployment.putObject("limits").put("body_bytes", 1 << 16).put("streams", 600);
         gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
         webhookAddress = gateway.listen();
-        waitUntil(gateway::isReady);
+        waitUntil(gateway::hasRoster);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry()
                 .build();
     }
--- a/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
@@ -65,7 +65,7 @@
         deployment.withObject("/grpc").put("stalled_ms", stalledReaderTimeoutMillis);
         gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
         gateway.listen();
-        waitUntil(gateway::isReady);
+        waitUntil(gateway::hasRoster);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", gateway.grpcAddress().getPort()).usePlaintext().disableRetry()
                 .flowControlWindow(4096).build();
     }
--- a/gateway/src/test/java/gradereach/http2/StreamAllocatorTest.java
+++ b/gateway/src/test/java/gradereach/http2/StreamAllocatorTest.java
@@ -69,11 +69,11 @@
         PooledConnection<String> a = openConnection("a", 0);
         allocator.onReceived(a, 100);
         allocator.onStreamCancelled(a, 50, 700);
-        assertFalse(a.draining());
+        assertFalse(a.isDraining());
         allocator.onStreamCancelled(a, 200, 600);
-        assertFalse(a.draining());
+        assertFalse(a.isDraining());
         allocator.onStreamCancelled(a, 200, 701);
-        assertTrue(a.draining());
+        assertTrue(a.isDraining());
     }
 
     /** After any sequence of events the limits hold and the counters match the streams. */
@@ -125,7 +125,7 @@
                 streams.add(allocator.busiestAvailable());
                 allocator.onStreamStarted(streams.get(streams.size() - 1));
             }
-            long usable = allocator.connections().stream().filter(s -> !s.draining()).count() + allocator.connectingCount();
+            long usable = allocator.connections().stream().filter(s -> !s.isDraining()).count() + allocator.connectingCount();
             assertTrue(usable <= 2, "at step " + step);
             assertTrue(allocator.connections().stream().allMatch(s -> s.activeStreams() <= 3));
             assertEquals(streams.size(), allocator.connections().stream().mapToInt(PooledConnection::activeStreams).sum());
--- a/gateway/src/test/java/gradereach/ledger/LedgerTest.java
+++ b/gateway/src/test/java/gradereach/ledger/LedgerTest.java
@@ -154,17 +154,17 @@
                             : FinalAnswer.failed(id, 504, "w", false));
                 };
                 segments.get(segment).add(record);
-                planner.recordWritten(record, segment);
+                planner.onRecordWritten(record, segment);
                 all.apply(record);
             }
             for (long oldest; (oldest = planner.oldestRemovableSegment(now, segment)) >= 0; removed++) {
                 List<LedgerRecord> rewritten = planner.recordsToRewrite(oldest, segment);
                 segments.get(segment).addAll(rewritten);
                 for (LedgerRecord record : rewritten) {
-                    planner.recordWritten(record, segment);
+                    planner.onRecordWritten(record, segment);
                 }
                 segments.get((int) oldest).clear();
-                planner.segmentRemoved(oldest);
+                planner.onSegmentRemoved(oldest);
             }
         }
         assertTrue(removed > 20, removed + " segments were removed");
@@ -240,7 +240,7 @@
         CompactionPlanner planner = new CompactionPlanner(600_000, 1000);
         LedgerFolder.ReadResult readResult = LedgerFolder.read(folder, true, (r, s) -> {
             state.apply(r);
-            planner.recordWritten(r, s);
+            planner.onRecordWritten(r, s);
         });
         assertEquals(List.of(), readResult.damage());
         DiskLedger ledger = new DiskLedger(disk, new DiskLedger.Limits(segmentBytes, 100, 1024), planner, () -> 1000,
@@ -417,9 +417,9 @@
                 if (message.lastRecordedAt() >= 500_000 || message.hasUnknownOutcome() || message.isDeliveryPending()) {
                     neededMessages++;
                     assertEquals(message.state() + " " + message.unresolvedForwards() + message.isDeliveryPending()
-                                    + message.deliveryAttempts() + message.uncertainSince(),
+                                    + message.deliveryAttempts() + message.mayHaveRunSince(),
                             kept.state() + " " + kept.unresolvedForwards() + kept.isDeliveryPending()
-                                    + kept.deliveryAttempts() + kept.uncertainSince());
+                                    + kept.deliveryAttempts() + kept.mayHaveRunSince());
                 } else if (round == 0) {
                     assertNull(kept);
                 }
--- a/gateway/src/test/java/gradereach/ledger/disk/ContainerUptimeTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/ContainerUptimeTest.java
@@ -113,7 +113,7 @@
     @Test
     void uptimeOfThisMachineDoesNotGoBack() {
         MachineUptime first = MachineUptimeReader.readMachine();
-        double since = MachineUptimeReader.readMachine().since(first);
+        double since = MachineUptimeReader.readMachine().millisSince(first);
         assertTrue(since >= 0 || first.equals(MachineUptime.UNKNOWN), "since " + first + ": " + since);
     }
 }
--- a/gateway/src/test/java/gradereach/link/ExchangeOutcomesTest.java
+++ b/gateway/src/test/java/gradereach/link/ExchangeOutcomesTest.java
@@ -24,7 +24,7 @@
         "TOO_LONG, 0, null, ERROR, false", "GIVEN_UP, 0, null, CANCELLED, false",
     }, nullValues = "null")
     void mapsForwardResultToOutcome(ExchangeResult result, int status, String begun, Outcome outcome, boolean neverRan) {
-        assertEquals(outcome, ExchangeOutcomes.ofForward(result, status, begun));
+        assertEquals(outcome, ExchangeOutcomes.forwardOutcome(result, status, begun));
         assertEquals(neverRan, outcome.provesNotRun);
     }
 
@@ -32,7 +32,7 @@
     @CsvSource({"ANSWERED, 200, RETURNED", "ANSWERED, 503, FULL", "ANSWERED, 500, ERROR", "ANSWERED, 404, ERROR",
         "NOT_CONNECTED, 0, CONNECT_FAILED", "LOST, 0, RESET"})
     void loadOrderOutcomeNeedsNoBegunHeader(ExchangeResult result, int status, Outcome outcome) {
-        assertEquals(outcome, ExchangeOutcomes.ofLoadOrderOrProbe(result, status));
+        assertEquals(outcome, ExchangeOutcomes.loadOrderOrProbeOutcome(result, status));
     }
 
     @Test
--- a/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
+++ b/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
@@ -49,7 +49,7 @@
         "RESET, , , RESET", "LOST, , , RESET", "NOT_CONNECTED, , , CONNECT_FAILED", "NO_STREAM, , , FULL", "TOO_LONG, , , ERROR",
     })
     void mapsGrpcResultToOutcome(ExchangeResult result, String status, String begun, Outcome outcome) {
-        assertEquals(outcome, ExchangeOutcomes.ofGrpcForward(result, status, begun));
+        assertEquals(outcome, ExchangeOutcomes.grpcForwardOutcome(result, status, begun));
     }
 
     @ParameterizedTest
@@ -67,7 +67,7 @@
         Map<String, String> firstStatuses = new HashMap<>();
         try (Gateway gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE)) {
             String url = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
-            while (!gateway.isReady()) {
+            while (!gateway.hasRoster()) {
                 Thread.sleep(2);
             }
             JsonNode answer = JSON.readTree(sendInference(url, "plain", "book-1").body());
--- a/gateway/src/test/java/gradereach/members/MembershipTest.java
+++ b/gateway/src/test/java/gradereach/members/MembershipTest.java
@@ -116,11 +116,11 @@
         List<TestFrontEnd> frontEnds = startFrontEnds(2);
         try (DatagramSocket stranger = new DatagramSocket()) {
             int port = Integer.parseInt(frontEnds.get(0).membership.address().split(":")[1]);
-            for (byte[] datagram : List.of(new byte[0], new byte[100], new DatagramCipher("other", List.of(KEY)).seal(new byte[] {1}),
-                    new DatagramCipher("c", List.of(OTHER)).seal(new byte[] {1}))) {
+            for (byte[] datagram : List.of(new byte[0], new byte[100], new DatagramCipher("other", List.of(KEY)).encrypt(new byte[] {1}),
+                    new DatagramCipher("c", List.of(OTHER)).encrypt(new byte[] {1}))) {
                 stranger.send(new DatagramPacket(datagram, datagram.length, InetAddress.getLoopbackAddress(), port));
             }
-            byte[] undecodable = new DatagramCipher("c", List.of(KEY)).seal(new byte[] {99, 0, 0});
+            byte[] undecodable = new DatagramCipher("c", List.of(KEY)).encrypt(new byte[] {99, 0, 0});
             stranger.send(new DatagramPacket(undecodable, undecodable.length, InetAddress.getLoopbackAddress(), port));
             until(() -> frontEnds.get(0).counts.value("members_strangers") == 4
                     && frontEnds.get(0).counts.value("members_datagrams_unreadable") == 1);
@@ -134,7 +134,7 @@
     @CsvSource({"0, true", "1, false", "5, false", "20, false", "last, false", "cut, false", "rotated, true", "other-cluster, false"})
     void onlyCompleteDatagramsOfTheClusterAreDecrypted(String change, boolean decrypted) {
         byte[] message = {7, 8, 9};
-        byte[] sealed = new DatagramCipher(change.equals("other-cluster") ? "d" : "c", List.of(KEY)).seal(message);
+        byte[] sealed = new DatagramCipher(change.equals("other-cluster") ? "d" : "c", List.of(KEY)).encrypt(message);
         byte[] sent = switch (change) {
             case "cut" -> Arrays.copyOf(sealed, sealed.length - 1);
             case "0", "rotated", "other-cluster" -> sealed;
@@ -143,7 +143,7 @@
                 yield sealed;
             }
         };
-        byte[] decryptedMessage = new DatagramCipher("c", change.equals("rotated") ? List.of(OTHER, KEY) : List.of(KEY)).open(sent);
+        byte[] decryptedMessage = new DatagramCipher("c", change.equals("rotated") ? List.of(OTHER, KEY) : List.of(KEY)).decrypt(sent);
         if (decrypted) {
             assertArrayEquals(message, decryptedMessage);
         } else {
--- a/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
+++ b/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
@@ -57,7 +57,7 @@
         FinalAnswer other = kind.equals("shed") ? FinalAnswer.shed("m", "two", 0) : FinalAnswer.failed("m", 504, "two", repeatHarmless);
         assertEquals(expectedIdPrefix, one.webhookId("m").substring(0, expectedIdPrefix.length()));
         assertEquals(repeatHarmless, !one.webhookId("m").equals(other.webhookId("m")));
-        assertEquals("m", FinalAnswer.inferenceId(one.webhookId("m")));
+        assertEquals("m", FinalAnswer.messageIdFromWebhookId(one.webhookId("m")));
     }
 
     @Test
--- a/gateway/src/test/java/gradereach/plan/DeploymentTest.java
+++ b/gateway/src/test/java/gradereach/plan/DeploymentTest.java
@@ -38,7 +38,7 @@
         Files.writeString(folder.resolve("fe.json"), validDeployment().toString());
         Deployment deployment = Deployment.read(folder.resolve("fe.json"));
         assertEquals(folder.resolve("r.json"), deployment.rosterFile());
-        assertEquals(2, deployment.frontEndSettings().frontEnds());
+        assertEquals(2, deployment.frontEndSettings().frontEndCount());
         assertEquals(3, deployment.modelCatalog().find("m1").lanes());
         assertEquals(1, deployment.modelCatalog().find("m2").lanes());
         assertEquals(null, deployment.modelCatalog().find("x"));
@@ -106,7 +106,7 @@
     @Test
     void customersWithOnlyPublicKeysRequireAnAnswersKey() throws Exception {
         ObjectNode deployment = validDeployment();
-        String pair = WebhookKey.newPrivate(new SecureRandom());
+        String pair = WebhookKey.newPrivateKey(new SecureRandom());
         ((ObjectNode) deployment.at("/customers/0")).putArray("keys").addObject().put("inline", WebhookKey.parse(pair).publicKeyText());
         assertTrue(assertThrows(InvalidDeploymentException.class, () -> Deployment.of(deployment, folder)).getMessage()
                 .contains("/answers_key"));
--- a/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
@@ -56,7 +56,7 @@
         fleet = new SmallFleet(folder, 2);
         gateway = new Gateway(Deployment.of(fleet.createDeployment("fe", secret), folder), FaultInjection.NONE);
         address = gateway.listen();
-        while (!gateway.isReady()) {
+        while (!gateway.hasRoster()) {
             Thread.onSpinWait();
         }
     }
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -60,7 +60,7 @@
                 .put("body_bytes", 4096);
         gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
         address = gateway.listen();
-        waitUntil(gateway::isReady);
+        waitUntil(gateway::hasRoster);
     }
 
     @AfterEach
--- a/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
+++ b/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
@@ -60,7 +60,7 @@
                     .put("first_pause_ms", 5).put("longest_pause_ms", 50).putObject("labels").put("hall", "halle-a");
             Gateway gateway = new Gateway(Deployment.of(deployment, folder), FaultInjection.NONE);
             String url = "http://127.0.0.1:" + gateway.listen().getPort() + "/v1/inferences";
-            waitUntil(gateway::isReady);
+            waitUntil(gateway::hasRoster);
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, infer(url, "m" + i, i % 2 == 0 ? "look-1" : "book-1", 8000));
             }
--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -48,7 +48,7 @@
         void send(String address, Message message);
 
         /** The known state or address of a member has changed. */
-        void memberChanged(Member member);
+        void onMemberChanged(Member member);
     }
 
     /** Updates of some 60 bytes each, so that a message fits a packet of 1,400 bytes. */
@@ -304,7 +304,7 @@
             applyUpdate(update, now);
         }
         if (message instanceof Ping ping) {
-            environment.send(ping.fromAddress(), new Ack(self.name(), ping.sequenceNumber(), nextGossip(mustRefute ? self : null)));
+            environment.send(ping.senderAddress(), new Ack(self.name(), ping.sequenceNumber(), nextGossip(mustRefute ? self : null)));
         } else if (message instanceof Ack ack) {
             PendingPing pending = pendingPings.get(ack.sequenceNumber());
             if (pending != null && !pending.acknowledged) {
@@ -316,12 +316,12 @@
         } else if (message instanceof PingRequest request) {
             Member target = new Member(request.target(), request.targetAddress(), 0, State.ALIVE);
             PendingPing pending = new PendingPing(++lastSequenceNumber, target, Double.POSITIVE_INFINITY, now + timing.ackTimeout * 2,
-                    request.fromAddress(), request.sequenceNumber());
+                    request.senderAddress(), request.sequenceNumber());
             pendingPings.put(pending.sequenceNumber, pending);
             pingsByExpiry.add(pending);
             environment.send(request.targetAddress(), new Ping(self.name(), self.address(), pending.sequenceNumber, nextGossip(null)));
         } else if (message instanceof Sync sync && sync.replyRequested()) {
-            environment.send(sync.fromAddress(), new Sync(self.name(), self.address(), false, allMembers()));
+            environment.send(sync.senderAddress(), new Sync(self.name(), self.address(), false, allMembers()));
         }
     }
 
@@ -390,7 +390,7 @@
         peer.deadline = state == State.SUSPECT ? now + suspicionTimeout(0)
                 : state == State.ALIVE ? Double.POSITIVE_INFINITY : now + timing.deadRetention;
         gossipQueue.add(peer.member);
-        environment.memberChanged(peer.member);
+        environment.onMemberChanged(peer.member);
     }
 
     // ---- members --------------------------------------------------------------------------------------------
--- a/membership/src/test/java/gradereach/membership/SwimTest.java
+++ b/membership/src/test/java/gradereach/membership/SwimTest.java
@@ -57,7 +57,7 @@
                 }
 
                 @Override
-                public void memberChanged(Member member) {
+                public void onMemberChanged(Member member) {
                     Member previous = view.put(member.name(), member);
                     assertTrue(previous == null || member.overrides(previous),
                             "an update without precedence was applied: " + previous + " then " + member);
--- a/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
@@ -72,8 +72,8 @@
 
     /** Prints the alerts that fired and totals of the pushed metrics. */
     public synchronized void print(PrintStream out) {
-        out.println("alerts (a minute of the rules is a second here): " + (rules.fired().isEmpty() ? "none" : ""));
-        for (RuleEvaluator.FiredAlert fired : rules.fired()) {
+        out.println("alerts (a minute of the rules is a second here): " + (rules.firedAlerts().isEmpty() ? "none" : ""));
+        for (RuleEvaluator.FiredAlert fired : rules.firedAlerts()) {
             ScriptEvent last = null;
             for (ScriptEvent event : events) {
                 last = event.timeMillis <= fired.firedAt() ? event : last;
--- a/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
@@ -24,10 +24,10 @@
      * Parameters of the rules.
      *
      * @param loadOrderWindowMillis 0 where there is no load order budget
-     * @param sharedMemory whether front ends know of each other's messages and keep them over a restart
+     * @param sharesMessages whether front ends know of each other's messages and keep them over a restart
      */
     public record RuleParameters(double answerSlackMillis, double drainGraceMillis, double freeLoadOrders,
-            double loadOrdersPerRequest, double loadOrderWindowMillis, double dedupWindowMillis, boolean sharedMemory) { }
+            double loadOrdersPerRequest, double loadOrderWindowMillis, double dedupWindowMillis, boolean sharesMessages) { }
 
     /** The result of one rule; each entry of {@code violations} begins with the id that shows the violation. */
     public record RuleResult(int rule, String name, boolean passed, long checked, List<String> violations) {
@@ -226,7 +226,7 @@
                     case "accepted" -> {
                         Double delivered = webhookTimes.get(request.message.substring(request.message.indexOf('/') + 1) + ".answer");
                         // With a ledger, an accepted inference survives a restart; only its delivery may be late.
-                        boolean excused = killed && !(parameters.sharedMemory && delivered == null
+                        boolean excused = killed && !(parameters.sharesMessages && delivered == null
                                 && lastEventTime > deadline + DELIVERY_AFTER_RESTART_MILLIS);
                         violation = excused || lastEventTime < deadline + WEBHOOK_DELIVERY_MILLIS ? null : delivered == null ? "no webhook"
                                 : delivered > deadline + WEBHOOK_DELIVERY_MILLIS && !killed ? "late webhook" : null;
@@ -325,7 +325,7 @@
         }
         requestsByMessage.forEach((message, attempts) -> {
             boolean notRetriable = !"retriable".equals(repeatByGroup.get(attempts.get(0).group));
-            boolean sharedAnswer = parameters.sharedMemory && notRetriable;
+            boolean sharedAnswer = parameters.sharesMessages && notRetriable;
             boolean returned = attempts.stream().anyMatch(request -> outcomes.containsKey(message + "@" + request.attempt)
                     && outcomes.get(message + "@" + request.attempt).outcome.equals("returned"));
             if (returned && notRetriable && !executions.containsKey(message)) {
--- a/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
@@ -13,7 +13,7 @@
      * @param budgetMillis milliseconds that the client waits
      * @param workMillis milliseconds that the executor takes
      */
-    static byte[] webhook(String model, double budgetMillis, double workMillis) {
+    static byte[] webhookBody(String model, double budgetMillis, double workMillis) {
         return ("{\"type\":\"inference.requested\",\"timestamp\":\"" + Instant.now() + "\",\"data\":{\"model\":\""
                 + model + "\",\"budget_ms\":" + Math.round(budgetMillis) + ",\"input\":{\"inputs\":[],\"parameters\":{\"work_ms\":"
                 + workMillis + "}}}}").getBytes(StandardCharsets.UTF_8);
@@ -23,7 +23,7 @@
      * @param budgetMillis milliseconds that the client waits
      * @param workMillis milliseconds that the executor takes
      */
-    static ModelInferRequest grpc(String model, double budgetMillis, double workMillis) {
+    static ModelInferRequest grpcRequest(String model, double budgetMillis, double workMillis) {
         return ModelInferRequest.newBuilder().setModelName(model).putParameters("work_ms", doubleParameter(workMillis))
                 .putParameters("gradereach-budget-ms", doubleParameter(budgetMillis)).build();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
@@ -51,7 +51,7 @@
     private static final double FINAL_ANSWERS_TIMEOUT_MILLIS = 15_000;
 
     private final Transcript transcript;
-    private final Transcript warmUpTranscript = Transcript.discarded();
+    private final Transcript warmUpTranscript = Transcript.discarding();
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final Http2ConnectionPool[] frontEndPools;
     /** Addresses of the gRPC listeners; empty where there are none. */
@@ -124,11 +124,11 @@
         InferenceKind unknown = new InferenceKind("warm-up", "non-retriable", streamed, WARM_UP_BUDGET_MILLIS, 0, new String[] {"warm-up"},
                 new double[] {1}, 1);
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
-            byte[] body = InferenceMessages.webhook(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
+            byte[] body = InferenceMessages.webhookBody(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
             ScriptedRequest request = new ScriptedRequest(customers.get(i % customers.size()), unknown, "warm-up-" + i, body,
                     WARM_UP_BUDGET_MILLIS, frontEnd, warmUpTranscript);
             request.grpc = grpc;
-            request.grpcMessage = InferenceMessages.grpc(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
+            request.grpcMessage = InferenceMessages.grpcRequest(unknown.models[0], WARM_UP_BUDGET_MILLIS, 1);
             request.send(0);
         }
         awaitAnswers(WARM_UP_TIMEOUT_MILLIS);
@@ -214,7 +214,7 @@
         }
         double workMillis = kind.workMillis * (0.5 + random.nextDouble());
         double budgetMillis = kind.timeoutMillis * (0.5 + 0.5 * random.nextDouble());
-        byte[] body = InferenceMessages.webhook(kind.models[model], budgetMillis, workMillis);
+        byte[] body = InferenceMessages.webhookBody(kind.models[model], budgetMillis, workMillis);
         ScriptedRequest request = new ScriptedRequest(customer, kind, "m-" + runId + "-" + requestCount, body, Math.round(budgetMillis),
                 requestCount++ % frontEndPools.length, transcript);
         double choice = random.nextDouble();
@@ -229,7 +229,7 @@
         request.grpc = !request.forged && !request.async && !grpcAddresses.isEmpty()
                 && random.nextDouble() < clientSettings.path("grpc").asDouble(0);
         if (request.grpc) {
-            request.grpcMessage = InferenceMessages.grpc(kind.models[model], Math.round(budgetMillis), workMillis);
+            request.grpcMessage = InferenceMessages.grpcRequest(kind.models[model], Math.round(budgetMillis), workMillis);
         }
         request.send(0);
         for (int i = 1; i < clientSettings.path("copies").asInt(1); i++) {
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/ExecutorFaults.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/ExecutorFaults.java
@@ -54,7 +54,7 @@
     }
 
     /** Requests that reached a process without the model, as a front end took it for loaded, by how the takeover was announced. */
-    Map<String, Integer> misses() {
+    Map<String, Integer> missesByAnnouncement() {
         Map<String, Integer> misses = new TreeMap<>();
         startedEmpty.forEach((executor, announcement) -> misses.merge(announcement.name(), executor.missCount(), Integer::sum));
         return misses;
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndProcess.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndChildProcess.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeoutException;
 
 /** A front end as a child process that is controlled by signals. */
-public final class FrontEndProcess implements AutoCloseable {
+public final class FrontEndChildProcess implements AutoCloseable {
     private static final int READY_SECONDS = 30;
     private static final String LISTENING = "listening /";
 
@@ -48,7 +48,7 @@
      * @param config the configuration file, written with {@code json}
      * @param shim makes the system calls of the process fail as given by {@code faults}
      */
-    public FrontEndProcess(ChildProcesses processes, List<String> command, Path config, String json, FaultShim shim,
+    public FrontEndChildProcess(ChildProcesses processes, List<String> command, Path config, String json, FaultShim shim,
             List<SystemFault> faults, long seed) throws IOException, InterruptedException, NotReadyException {
         this.configFile = Files.writeString(config, json);
         faultCountsFile = Path.of(config + ".faults");
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
@@ -129,9 +129,9 @@
         }
         double successRate = auditor.successRate(time -> time >= from && time < stoppedAt && !inOutage(time));
         List<RequestAuditor.Finding> findings = auditor.findings(stoppedAt);
-        return new SoakReport(auditor.requests(), successRate, auditor.successRate(this::inOutage), findings, auditor.inconclusive(),
+        return new SoakReport(auditor.requestCount(), successRate, auditor.successRate(this::inOutage), findings, auditor.inconclusiveFindings(),
                 auditor.allowanceCounts(), List.copyOf(crashes), new TreeMap<>(faultCounts), systemFaults(), loops.longestLagMillis(),
-                auditor.coldStartCheck.highestLoadRatio(), executorFaults.misses(), List.copyOf(history));
+                auditor.coldStartCheck.highestLoadRatio(), executorFaults.missesByAnnouncement(), List.copyOf(history));
     }
 
     private boolean inOutage(double time) {
@@ -162,7 +162,7 @@
         Map<SoakFault, List<SystemFault>> faults = new LinkedHashMap<>();
         for (SoakFault fault : SoakFault.values()) {
             boolean selected = ownRandom.nextBoolean();
-            List<SystemFault> drawnFaults = fault.systemFaults(new Random(ownRandom.nextLong()));
+            List<SystemFault> drawnFaults = fault.drawSystemFaults(new Random(ownRandom.nextLong()));
             if (selected && plan.faults().contains(fault) && !drawnFaults.isEmpty()) {
                 faults.put(fault, drawnFaults);
             }
@@ -173,11 +173,11 @@
     private void startFrontEnd(StartParameters parameters) throws IOException, InterruptedException {
         String name = "n" + parameters.number;
         List<SystemFault> faults = parameters.faults.values().stream().flatMap(List::stream).toList();
-        FrontEndProcess process;
+        FrontEndChildProcess process;
         try {
-            process = new FrontEndProcess(processes, plan.frontEndCommand(), folder.resolve(name + ".json"),
+            process = new FrontEndChildProcess(processes, plan.frontEndCommand(), folder.resolve(name + ".json"),
                     renderConfig(name, 0), shim, faults, parameters.seed);
-        } catch (FrontEndProcess.NotReadyException e) {
+        } catch (FrontEndChildProcess.NotReadyException e) {
             crashes.add(name + " under " + parameters.faults + ": " + e.getMessage());
             return;
         }
@@ -197,7 +197,7 @@
         try (InputStream template = Soak.class.getResourceAsStream("front-end.json.template")) {
             return new String(template.readAllBytes(), StandardCharsets.UTF_8).replace("@NAME@", name)
                     .replace("@CHANGELOG@", changelog.addresses.get(changelogIndex))
-                    .replace("@KNOWN@", changelog.readableEvents());
+                    .replace("@KNOWN@", changelog.readableEventsJson());
         }
     }
 
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFault.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFault.java
@@ -59,7 +59,7 @@
     private static final Errno[] TRANSFER_ERRORS = {Errno.ETIMEDOUT, Errno.EHOSTUNREACH};
 
     /** Draws the system call faults of one process run; empty where this fault is injected in another way. */
-    List<SystemFault> systemFaults(Random random) {
+    List<SystemFault> drawSystemFaults(Random random) {
         long from = random.nextInt(MAX_START_MILLIS);
         long burst = from + 500 + random.nextInt(MAX_BURST_MILLIS);
         return switch (this) {
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFrontEnd.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFrontEnd.java
@@ -10,7 +10,7 @@
  *
  * @param faults system call faults by kind, in the order in which the process was given them
  */
-record SoakFrontEnd(FrontEndProcess process, List<RequestClient> clients, Map<SoakFault, List<SystemFault>> faults) {
+record SoakFrontEnd(FrontEndChildProcess process, List<RequestClient> clients, Map<SoakFault, List<SystemFault>> faults) {
     /** All system call faults, in the order in which the process was given them. */
     List<SystemFault> allFaults() {
         return faults.values().stream().flatMap(List::stream).toList();
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
@@ -14,7 +14,7 @@
  * @param successRate share of successful answers among the requests sent while the change log was available
  * @param outageSuccessRate the same for the requests sent while it was not; NaN without an outage
  * @param violations of the rules, as the peers observed them
- * @param inconclusive possible violations that cannot be decided, as the peers were late when they recorded the times
+ * @param inconclusiveFindings possible violations that cannot be decided, as the peers were late when they recorded the times
  * @param excused what looked like a violation and was none, by the recorded system calls
  * @param crashes front ends that did not start, or exited without being told to
  * @param faultCounts how often each fault took effect; each failed system call counts
@@ -24,7 +24,7 @@
  * @param misses requests that reached a new process for a model it had not loaded, by how the takeover was announced
  * @param history when executors drained, were taken over or answered late, and when the change log was unavailable
  */
-public record SoakReport(int requests, double successRate, double outageSuccessRate, List<Finding> violations, List<Finding> inconclusive,
+public record SoakReport(int requests, double successRate, double outageSuccessRate, List<Finding> violations, List<Finding> inconclusiveFindings,
         Map<Allowance, Integer> excused, List<String> crashes, Map<SoakFault, Long> faultCounts, Map<String, String> systemFaults,
         double peerLagMillis, double coldStartLoad, Map<String, Integer> misses, List<String> history) {
     private static final int MAX_SHOWN_PER_KIND = 5;
@@ -36,7 +36,7 @@
 
     /** Whether the soak shows a violation or a crash, or nothing kept one from being seen. */
     public boolean conclusive() {
-        return inconclusive.isEmpty() || !violations.isEmpty() || !crashes.isEmpty();
+        return inconclusiveFindings.isEmpty() || !violations.isEmpty() || !crashes.isEmpty();
     }
 
     /** A summary line, then a line for each crash and for the first violations of each kind. */
@@ -45,13 +45,13 @@
         StringBuilder text = new StringBuilder(("%d requests, served %.3f, in outages %.3f, %d breaches %s, %d undecided, allowed %s, "
                 + "%d crashes, cold load %.2f, misses %s, peers late by %.0f ms; played %s").formatted(
                 requests, successRate, outageSuccessRate, violations.size(), violations.stream().collect(Collectors.groupingBy(
-                        Finding::violation, TreeMap::new, Collectors.counting())), inconclusive.size(), excused, crashes.size(),
+                        Finding::violation, TreeMap::new, Collectors.counting())), inconclusiveFindings.size(), excused, crashes.size(),
                 coldStartLoad, misses, peerLagMillis, faultCounts));
         crashes.forEach(crash -> text.append("\n  crash: ").append(crash));
         violations.stream().collect(Collectors.groupingBy(Finding::violation, TreeMap::new, Collectors.toList()))
                 .forEach((violation, findings) -> findings.stream().limit(MAX_SHOWN_PER_KIND)
                         .forEach(finding -> text.append("\n  ").append(violation).append(' ').append(finding.description())));
-        inconclusive.stream().limit(MAX_SHOWN_PER_KIND).forEach(finding -> text.append("\n  not decided, the peers were late: ")
+        inconclusiveFindings.stream().limit(MAX_SHOWN_PER_KIND).forEach(finding -> text.append("\n  not decided, the peers were late: ")
                 .append(finding.violation()).append(' ').append(finding.description()));
         if (!passed()) {
             history.forEach(event -> text.append("\n  at ").append(event));
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndProcessTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndChildProcessTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 @Timeout(60)
-class FrontEndProcessTest {
+class FrontEndChildProcessTest {
     @TempDir
     private Path folder;
 
@@ -28,7 +28,7 @@
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
         Thread starter = new Thread(() -> {
             try {
-                new FrontEndProcess(processes, List.of("sh", "-c", "echo $$ > " + starting + ".tmp; mv " + starting + ".tmp " + starting
+                new FrontEndChildProcess(processes, List.of("sh", "-c", "echo $$ > " + starting + ".tmp; mv " + starting + ".tmp " + starting
                         + "; exec sleep 60"), folder.resolve("config.json"), "{}", shim, List.of(), 1);
                 ended.complete(null);
             } catch (Exception e) {
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
@@ -46,7 +46,7 @@
     private String config(ChangelogServer changelog) throws IOException {
         try (InputStream template = Soak.class.getResourceAsStream("front-end.json.template")) {
             return new String(template.readAllBytes(), StandardCharsets.UTF_8).replace("@NAME@", "n0")
-                    .replace("@CHANGELOG@", changelog.addresses.get(0)).replace("@KNOWN@", changelog.readableEvents());
+                    .replace("@CHANGELOG@", changelog.addresses.get(0)).replace("@KNOWN@", changelog.readableEventsJson());
         }
     }
 
@@ -70,7 +70,7 @@
             RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE_MILLIS, loops.lagIntervals());
             ChangelogServer changelog = new ChangelogServer(loops);
             List<FrameExecutor> executors = executors(loops, auditor, changelog);
-            FrontEndProcess frontEnd = new FrontEndProcess(processes, SoakTest.frontEndCommand(), folder.resolve("n0.json"),
+            FrontEndChildProcess frontEnd = new FrontEndChildProcess(processes, SoakTest.frontEndCommand(), folder.resolve("n0.json"),
                     config(changelog),
                     FaultShim.compile(folder), List.of(), 1);
             List<RequestClient> clients = new ArrayList<>();
--- a/signing/src/main/java/gradereach/webhook/WebhookKey.java
+++ b/signing/src/main/java/gradereach/webhook/WebhookKey.java
@@ -42,7 +42,7 @@
     }
 
     /** This key with a validity period in Unix seconds, the end excluded; old and new keys overlap during a rotation. */
-    public WebhookKey validBetween(long fromSecond, long untilSecond) {
+    public WebhookKey withValidityPeriod(long fromSecond, long untilSecond) {
         return new WebhookKey(secret, seed, publicKey, fromSecond, untilSecond);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Generates a {@code whsk_} key: seed and public key. */
-    public static String newPrivate(SecureRandom random) {
+    public static String newPrivateKey(SecureRandom random) {
         byte[] seed = new byte[32];
         random.nextBytes(seed);
         byte[] raw = Arrays.copyOf(seed, 64);
--- a/signing/src/test/java/gradereach/webhook/KeyRingTest.java
+++ b/signing/src/test/java/gradereach/webhook/KeyRingTest.java
@@ -20,7 +20,7 @@
     private static final long NOW = 1614265330;
     private final WebhookKey secret = WebhookKey.parse("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
     private final WebhookKey olderSecret = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
-    private final WebhookKey keyPair = WebhookKey.parse(WebhookKey.newPrivate(new SecureRandom()));
+    private final WebhookKey keyPair = WebhookKey.parse(WebhookKey.newPrivateKey(new SecureRandom()));
     private final WebhookKey publicKey = WebhookKey.parse(keyPair.publicKeyText());
     private final KeyRing ring = new KeyRing(List.of(List.of(olderSecret, secret), List.of(publicKey)));
 
@@ -86,7 +86,7 @@
     @ParameterizedTest
     @CsvSource({"49, true, false, 1", "50, true, true, 2", "99, true, true, 2", "100, false, true, 1"})
     void keyRotationHasNoGap(long now, boolean oldKeyValid, boolean newKeyValid, int signatures) {
-        List<WebhookKey> keys = List.of(olderSecret.validBetween(Long.MIN_VALUE, 100), secret.validBetween(50, Long.MAX_VALUE));
+        List<WebhookKey> keys = List.of(olderSecret.withValidityPeriod(Long.MIN_VALUE, 100), secret.withValidityPeriod(50, Long.MAX_VALUE));
         KeyRing rotating = new KeyRing(List.of(keys));
         String timestamp = Long.toString(now);
         assertEquals(oldKeyValid,
--- a/standins/src/main/java/gradereach/standins/SimulatedMachine.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedMachine.java
@@ -314,7 +314,7 @@
     }
 
     /** Unloads the idle copies of a fraction of the models, like a new release of these models. */
-    void flush(double fraction) {
+    void unloadIdleFraction(double fraction) {
         int n = 0;
         for (HostedModel hosted : hostedModels.values()) {
             if (n++ < hostedModels.size() * fraction) {
--- a/standins/src/main/java/gradereach/standins/StandInFleet.java
+++ b/standins/src/main/java/gradereach/standins/StandInFleet.java
@@ -171,7 +171,7 @@
                 modelStore.slowdown = size;
                 schedule(durationMillis, () -> modelStore.slowdown = 1);
             }
-            case "flush" -> affected.forEach(executor -> executor.runOnMachine(m -> m.flush(fault.path("models").asDouble(1))));
+            case "flush" -> affected.forEach(executor -> executor.runOnMachine(m -> m.unloadIdleFraction(fault.path("models").asDouble(1))));
             case "slow" -> {
                 affected.forEach(executor -> executor.runOnMachine(m -> m.slowdown = size));
                 schedule(durationMillis, () -> affected.forEach(executor -> executor.runOnMachine(m -> m.slowdown = 1)));
--- a/standins/src/main/java/gradereach/standins/StreamedAnswer.java
+++ b/standins/src/main/java/gradereach/standins/StreamedAnswer.java
@@ -20,7 +20,7 @@
 /** Sends a streamed answer part by part at a fixed interval, waiting while the channel is not writable. */
 final class StreamedAnswer {
     /** The executor process that gives the answer; {@code isAlive} is false once the process was killed. */
-    record AnswerSource(String address, String forward, SimulatedMachine machine, BooleanSupplier isAlive) { }
+    record AnswerSource(String address, String forwardId, SimulatedMachine machine, BooleanSupplier isAlive) { }
 
     private final ModelInferRequest request;
     private final int partCount;
@@ -53,7 +53,7 @@
         ctx.writeAndFlush(responseHead);
         if ("head".equals(faults.resetPoint)) {
             finished = true;
-            reset(ctx, transcript, source.address(), source.forward());
+            reset(ctx, transcript, source.address(), source.forwardId());
             return;
         }
         sendNextPart(ctx);
@@ -68,7 +68,7 @@
             DefaultLastHttpContent end = new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER);
             end.trailingHeaders().set("grpc-status", "status".equals(faults.resetPoint) ? 13 : 0)
                     .set("endpoint-load-metrics", source.machine().loadReport());
-            transcript.write("stream-ended", "ex", source.address(), "fwd", source.forward(), "parts", partsSent);
+            transcript.write("stream-ended", "ex", source.address(), "fwd", source.forwardId(), "parts", partsSent);
             ctx.writeAndFlush(end);
             return;
         }
@@ -81,7 +81,7 @@
         if ("part".equals(faults.resetPoint) && partsSent > 0) {
             finished = true;
             ctx.writeAndFlush(new DefaultHttpContent(framedMessage.slice(0, 5 + message.length / 2)));
-            reset(ctx, transcript, source.address(), source.forward());
+            reset(ctx, transcript, source.address(), source.forwardId());
             return;
         }
         partsSent++;
@@ -112,7 +112,7 @@
     void connectionClosed() {
         if (source != null && !finished) {
             finished = true;
-            transcript.write("stream-left", "ex", source.address(), "fwd", source.forward(), "parts", partsSent);
+            transcript.write("stream-left", "ex", source.address(), "fwd", source.forwardId(), "parts", partsSent);
         }
     }
 
--- a/standins/src/main/java/gradereach/standins/Transcript.java
+++ b/standins/src/main/java/gradereach/standins/Transcript.java
@@ -34,7 +34,7 @@
     }
 
     /** A transcript that discards all events, for the time before a rehearsal day starts. */
-    public static Transcript discarded() {
+    public static Transcript discarding() {
         try {
             return new Transcript(Writer.nullWriter());
         } catch (IOException e) {
--- a/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
+++ b/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
@@ -102,7 +102,7 @@
     }
 
     /** All well-formed events so far, in the form of the front end configuration. */
-    public synchronized String readableEvents() {
+    public synchronized String readableEventsJson() {
         return "{\"seq\":" + events.size() + ",\"results\":[" + String.join(",", readableEventList) + "]}";
     }
 
--- a/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
+++ b/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
@@ -94,7 +94,7 @@
     }
 
     /** The first overload of each process for which front ends are to blame. */
-    synchronized List<Overload> overloads(Map<Object, FrontEndConnectionLog> connectionLogs) {
+    synchronized List<Overload> findOverloads(Map<Object, FrontEndConnectionLog> connectionLogs) {
         List<Overload> overloads = new ArrayList<>();
         allStarts.forEach(start -> addFirstOverload(start.getKey(), start.getValue(), connectionLogs, overloads));
         return overloads;
@@ -127,7 +127,7 @@
         }
     }
 
-    /** The highest load of a cold process, as a fraction of its limit; set by {@link #overloads}. */
+    /** The highest load of a cold process, as a fraction of its limit; set by {@link #findOverloads}. */
     public synchronized double highestLoadRatio() {
         return highestLoadRatio;
     }
--- a/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
@@ -165,12 +165,12 @@
         auditor.attemptReceived(processName, requestId, arrivedAt, command.numberField("patience", 0), sender);
         auditor.countForColdStart(processName, arrivedAt, loops.now(), sender);
         if (loops.now() > drainingSince + REJECT_AFTER_DRAIN_MILLIS) {
-            channel.writeAndFlush(Frames.of(Frames.FULL, command.id(), ""));
+            channel.writeAndFlush(Frames.encodeWithoutBody(Frames.FULL, command.id(), ""));
             return;
         }
         if (!isLoadedOrLoading(command.textField("asset"))) {
             missCount.incrementAndGet();
-            channel.writeAndFlush(Frames.of(Frames.MISSING, command.id(), ""));
+            channel.writeAndFlush(Frames.encodeWithoutBody(Frames.MISSING, command.id(), ""));
             return;
         }
         auditor.attemptAccepted(processName, requestId);
@@ -236,7 +236,7 @@
 
     private void sendAnswer(Channel channel, Frames.Command command, boolean corrupted, boolean duplicated) {
         String body = instanceId + " made " + new String(command.body(), StandardCharsets.US_ASCII);
-        byte[] frame = Frames.encode(Frames.RETURNED, command.id(), "n2=ready", body.getBytes(StandardCharsets.US_ASCII));
+        byte[] frame = Frames.encode(Frames.OK, command.id(), "n2=ready", body.getBytes(StandardCharsets.US_ASCII));
         if (corrupted) {
             frame[frame.length - 5] ^= 1;
         }
@@ -311,21 +311,21 @@
         private void handleProbe(Channel channel, Frames.Command command) {
             boolean draining = isDraining();
             ProbeHistory.Probe probe = auditor.probeHistory.recordProbe(processName, sender, loops.now(), draining ? "draining" : "ready");
-            sendProbeAnswer(channel, draining ? Frames.of(Frames.DRAINING, command.id(), "")
-                    : Frames.of(Frames.READY, command.id(), "l=q:0;rif:1"), probe);
+            sendProbeAnswer(channel, draining ? Frames.encodeWithoutBody(Frames.NOT_READY, command.id(), "")
+                    : Frames.encodeWithoutBody(Frames.READY, command.id(), "l=q:0;rif:1"), probe);
         }
 
         private void handleLoadOrder(Channel channel, Frames.Command command) {
             String function = command.textField("asset");
             if (command.numberField("n", 0) == 0) {
                 boolean loaded = isLoadedOrLoading(function) && millisUntilReady(function) == 0;
-                sendProbeAnswer(channel, Frames.of(Frames.RETURNED, command.id(), loaded ? "n=1" : "n=0"),
+                sendProbeAnswer(channel, Frames.encodeWithoutBody(Frames.OK, command.id(), loaded ? "n=1" : "n=0"),
                         auditor.probeHistory.recordProbe(processName, sender, loops.now(), loaded ? "copies" : "no copy"));
                 return;
             }
             auditor.loadOrderReceived(processName, arrivedAt(), sender);
             load(function);
-            ByteBuf readyAnswer = Frames.of(Frames.RETURNED, command.id(), "n=1");
+            ByteBuf readyAnswer = Frames.encodeWithoutBody(Frames.OK, command.id(), "n=1");
             long delayMillis = millisUntilReady(function);
             if (delayMillis == 0) {
                 channel.writeAndFlush(readyAnswer);
--- a/standins/src/main/java/gradereach/standins/frames/Frames.java
+++ b/standins/src/main/java/gradereach/standins/frames/Frames.java
@@ -15,11 +15,11 @@
     static final int REPORT = 68;
     static final int HOLD = 69;
     static final int UNLOAD = 71;
-    static final int RETURNED = 97;
+    static final int OK = 97;
     static final int MISSING = 99;
     static final int FULL = 100;
     static final int READY = 103;
-    static final int DRAINING = 104;
+    static final int NOT_READY = 104;
 
     private static final int MAGIC = 108;
     private static final int HEADER_BYTES = 16;
@@ -68,7 +68,7 @@
         return command;
     }
 
-    static ByteBuf of(int code, long id, String fields) {
+    static ByteBuf encodeWithoutBody(int code, long id, String fields) {
         return Unpooled.wrappedBuffer(encode(code, id, fields, new byte[0]));
     }
 
--- a/standins/src/main/java/gradereach/standins/frames/FrontEndConnectionLog.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrontEndConnectionLog.java
@@ -50,7 +50,7 @@
      * Whether the front end closed the connection without having read any of the request, and no later than shortly after the
      * request was written.
      */
-    boolean crossedClose(UnansweredRequest request) {
+    boolean isCrossedClose(UnansweredRequest request) {
         Optional<ConnectionEvent> accepted = latestEvent(event -> event.kind() == Kind.ACCEPTED
                 && event.remotePort() == request.clientPort && timeMillis(event) <= request.connectionEndedAt);
         if (accepted.isEmpty()) {
--- a/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
@@ -125,7 +125,7 @@
     }
 
     private final double drainGraceMillis;
-    private final Map<String, Request> requests = new LinkedHashMap<>();
+    private final Map<String, Request> requestCount = new LinkedHashMap<>();
     private final StallIntervals stallIntervals = new StallIntervals();
     private final Map<String, Drain> drainingExecutors = new HashMap<>();
     private final List<LateSend> lateSends = new ArrayList<>();
@@ -136,7 +136,7 @@
     private final Map<Allowance, Integer> allowanceCounts = new EnumMap<>(Allowance.class);
     private final List<Finding> findings = new ArrayList<>();
     private final List<DatedFinding> longDeadlines = new ArrayList<>();
-    private final List<Finding> inconclusive = new ArrayList<>();
+    private final List<Finding> inconclusiveFindings = new ArrayList<>();
     private final LagIntervals lagIntervals;
     /** Checks rule 4; whoever starts executor processes has to report the starts to it. */
     public final ColdStartCheck coldStartCheck;
@@ -161,8 +161,8 @@
     }
 
     /** Number of requests sent so far. */
-    public synchronized int requests() {
-        return requests.size();
+    public synchronized int requestCount() {
+        return requestCount.size();
     }
 
     /**
@@ -173,12 +173,12 @@
     public synchronized void requestSent(String id, Object frontEnd, double at, double budgetMillis, boolean repeatable) {
         Request request = new Request(frontEnd, at, budgetMillis, repeatable);
         request.excused = hasExited(frontEnd, at);
-        requests.put(id, request);
+        requestCount.put(id, request);
     }
 
     /** Records that a front end process was killed: the requests that it had not answered by then need no answer. */
     public synchronized void frontEndKilled(Object frontEnd, double at) {
-        for (Request request : requests.values()) {
+        for (Request request : requestCount.values()) {
             if (request.frontEnd.equals(frontEnd) && request.sentAt <= at && request.answeredAt > at) {
                 request.excused = true;
             }
@@ -210,7 +210,7 @@
 
     /** Records that the client closed the connection before the answer. */
     public synchronized void requestCancelled(String id, double at) {
-        requests.get(id).cancelledAt = at;
+        requestCount.get(id).cancelledAt = at;
     }
 
     /**
@@ -220,7 +220,7 @@
      * @param bytesWrittenBefore bytes that the client had written on this connection before the request
      */
     public synchronized void connectionEnded(String id, double at, int clientPort, long bytesWrittenBefore) {
-        Request request = requests.get(id);
+        Request request = requestCount.get(id);
         request.connectionEndedAt = at;
         request.unansweredRequest = new FrontEndConnectionLog.UnansweredRequest(clientPort, bytesWrittenBefore, request.sentAt, at);
     }
@@ -234,13 +234,13 @@
      * Apparent violations whose time was read by a thread that ran late, so that the event may have been in time. Filled by
      * {@link #findings(double)}.
      */
-    public synchronized List<Finding> inconclusive() {
-        return List.copyOf(inconclusive);
+    public synchronized List<Finding> inconclusiveFindings() {
+        return List.copyOf(inconclusiveFindings);
     }
 
     /** Adds a violation, or an inconclusive finding where the event may have happened within its limit. */
     private void addFinding(List<Finding> violations, DatedFinding dated) {
-        (lagIntervals.earliestArrival(dated.observedAt) > dated.limit ? violations : inconclusive).add(dated.finding);
+        (lagIntervals.earliestArrival(dated.observedAt) > dated.limit ? violations : inconclusiveFindings).add(dated.finding);
     }
 
     /** How often each allowance was made in the last call of {@link #findings(double)}. */
@@ -250,12 +250,12 @@
 
     /** The request needs no answer: its front end was killed, or closed the connection while the request was on its way. */
     public synchronized void excuse(String id) {
-        requests.get(id).excused = true;
+        requestCount.get(id).excused = true;
     }
 
     /** Records that the client received a complete answer. */
     public synchronized void answerReceived(String id, int status, String body, double at) {
-        Request request = requests.get(id);
+        Request request = requestCount.get(id);
         if (request.answeredAt < Double.POSITIVE_INFINITY) {
             findings.add(new Finding(Violation.SECOND_ANSWER, id));
         }
@@ -268,7 +268,7 @@
 
     /** Records the body with which an executor answered the request. */
     public synchronized void executorAnswered(String id, String body) {
-        Request request = requests.get(id);
+        Request request = requestCount.get(id);
         if (request != null) {
             request.executorAnswers.add(body);
         }
@@ -285,7 +285,7 @@
 
     /** Records that a request arrived completely on a connection of {@code sender}. */
     synchronized void attemptReceived(String executor, String id, double at, double timeoutMillis, Sender sender) {
-        Request request = requests.get(id);
+        Request request = requestCount.get(id);
         if (request == null) {
             findings.add(new Finding(Violation.UNKNOWN_REQUEST, id + " on " + executor));
             return;
@@ -308,7 +308,7 @@
 
     /** Records that an executor did not reject the request: it runs, or may have run. */
     public synchronized void attemptAccepted(String executor, String id) {
-        Request request = requests.get(id);
+        Request request = requestCount.get(id);
         if (request != null && ++request.acceptedAttempts > 1 && !request.repeatable) {
             findings.add(new Finding(Violation.DUPLICATE, id + ": taken " + request.acceptedAttempts + " times, last by " + executor));
         }
@@ -366,7 +366,7 @@
 
     /** Fraction of the requests sent at matching times that were answered with success; NaN if there were none. */
     public synchronized double successRate(DoublePredicate sentAt) {
-        return requests.values().stream().filter(request -> sentAt.test(request.sentAt))
+        return requestCount.values().stream().filter(request -> sentAt.test(request.sentAt))
                 .mapToInt(request -> request.succeeded ? 1 : 0).average().orElse(Double.NaN);
     }
 
@@ -386,7 +386,7 @@
     private boolean crossedClose(Request request) {
         FrontEndConnectionLog connectionLog = connectionLogs.get(request.frontEnd);
         boolean crossed = connectionLog != null && request.unansweredRequest != null
-                && connectionLog.crossedClose(request.unansweredRequest);
+                && connectionLog.isCrossedClose(request.unansweredRequest);
         return crossed && countAllowance(Allowance.CROSSED_CLOSE);
     }
 
@@ -403,7 +403,7 @@
     public synchronized List<Finding> findings(double before) {
         List<Finding> all = new ArrayList<>(findings);
         allowanceCounts.clear();
-        inconclusive.clear();
+        inconclusiveFindings.clear();
         longDeadlines.forEach(dated -> addFinding(all, dated));
         lateAttempts.forEach(late -> addFinding(all, new DatedFinding(
                 new Finding(Violation.LATE_ATTEMPT, late.description + describeWriteStall(late)), late.receivedAt, late.limit)));
@@ -412,11 +412,11 @@
                         + Math.round(send.receivedAt - send.drain.announcedAt) + " ms after"
                         + probeHistory.describe(send.executor, send.sender, send.receivedAt)),
                 send.receivedAt, send.drain.announcedAt + drainGraceMillis + SOCKET_SLACK_MILLIS)));
-        coldStartCheck.overloads(connectionLogs).forEach(overload -> (overload.conclusive() ? all : inconclusive).add(
+        coldStartCheck.findOverloads(connectionLogs).forEach(overload -> (overload.conclusive() ? all : inconclusiveFindings).add(
                 new Finding(Violation.COLD_FALL, overload.description())));
-        requests.forEach((id, request) -> {
+        requestCount.forEach((id, request) -> {
             double latest = request.sentAt + request.budgetMillis + ANSWER_SLACK_MILLIS + SOCKET_SLACK_MILLIS;
-            if (request.sentAt < before && !request.excused && !stallIntervals.coversOrJustEnded(request.frontEnd, latest)
+            if (request.sentAt < before && !request.excused && !stallIntervals.isStalledOrRecovering(request.frontEnd, latest)
                     && Math.min(request.cancelledAt, request.answeredAt) > latest && !crossedClose(request)) {
                 Finding finding = new Finding(Violation.NO_ANSWER, id + ": asked at " + Math.round(request.sentAt) + ", "
                         + (request.answeredAt < Double.POSITIVE_INFINITY
--- a/standins/src/main/java/gradereach/standins/frames/StallIntervals.java
+++ b/standins/src/main/java/gradereach/standins/frames/StallIntervals.java
@@ -18,7 +18,7 @@
     }
 
     /** Whether the front end was stalled at {@code latest} or shortly before. */
-    boolean coversOrJustEnded(Object frontEnd, double latest) {
+    boolean isStalledOrRecovering(Object frontEnd, double latest) {
         return stalls.stream().anyMatch(stall -> stall.frontEnd.equals(frontEnd)
                 && stall.from <= latest && latest <= stall.to + RECOVERY_MILLIS);
     }
--- a/standins/src/main/java/gradereach/standins/prometheus/Expression.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/Expression.java
@@ -251,7 +251,7 @@
         Map<Map<String, String>, Double> values = new LinkedHashMap<>();
         range.samples(store, now, lookbackMillis).forEach((labels, samples) -> {
             SampleStore.Sample last = samples.get(samples.size() - 1);
-            if (!last.stale()) {
+            if (!last.isStale()) {
                 values.put(withoutName(labels), last.value());
             }
         });
@@ -298,7 +298,7 @@
         return (store, now) -> {
             Map<Map<String, String>, Double> values = new LinkedHashMap<>();
             range.samples(store, now, range.rangeMillis).forEach((labels, allSamples) -> {
-                List<SampleStore.Sample> samples = allSamples.stream().filter(s -> !s.stale()).toList();
+                List<SampleStore.Sample> samples = allSamples.stream().filter(s -> !s.isStale()).toList();
                 if (samples.size() < 2) {
                     return;
                 }
--- a/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
@@ -25,7 +25,7 @@
     private final List<Rule> rules = new ArrayList<>();
     private final long intervalMillis;
     private final Map<String, Map<Map<String, String>, Long>> pendingSince = new HashMap<>();
-    private final Map<String, FiredAlert> fired = new LinkedHashMap<>();
+    private final Map<String, FiredAlert> firedAlerts = new LinkedHashMap<>();
     private final SampleStore store;
 
     /**
@@ -69,14 +69,14 @@
             result.keySet().forEach(labels -> {
                 long pendingFrom = pending.computeIfAbsent(labels, l -> now);
                 if (now - pendingFrom >= rule.forMillis) {
-                    fired.putIfAbsent(rule.alert + labels, new FiredAlert(rule.alert, labels, now));
+                    firedAlerts.putIfAbsent(rule.alert + labels, new FiredAlert(rule.alert, labels, now));
                 }
             });
         }
     }
 
     /** All alerts that fired so far, in the order of their first firing. */
-    public List<FiredAlert> fired() {
-        return List.copyOf(fired.values());
+    public List<FiredAlert> firedAlerts() {
+        return List.copyOf(firedAlerts.values());
     }
 }
