--- a/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
@@ -9,12 +9,12 @@
 /** Stores time series by label set, with the samples of each series in time order. */
 public final class SampleStore {
     /** Bit pattern of the stale marker, which ends a series. */
-    static final long STALE = 0x7ff0000000000002L;
+    static final long STALE_MARKER_BITS = 0x7ff0000000000002L;
 
     /** One sample, with its Unix time in milliseconds. */
     record Sample(long timestamp, double value) {
-        boolean stale() {
-            return Double.doubleToRawLongBits(value) == STALE;
+        boolean isStale() {
+            return Double.doubleToRawLongBits(value) == STALE_MARKER_BITS;
         }
     }
 
@@ -100,6 +100,6 @@
 
     /** Number of series that end with a stale marker. */
     public synchronized long endedSeriesCount() {
-        return series.values().stream().filter(all -> all.get(all.size() - 1).stale()).count();
+        return series.values().stream().filter(all -> all.get(all.size() - 1).isStale()).count();
     }
 }
--- a/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
+++ b/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
@@ -81,7 +81,7 @@
             readRequest(connection);
             connection.getOutputStream().write(ANSWER);
             while (!answered(auditor)) {
-                if (auditor.requests() > 1) {
+                if (auditor.requestCount() > 1) {
                     return false; // the next request was sent before the event loop was blocked
                 }
                 Thread.sleep(1);
@@ -94,7 +94,7 @@
             connection.setSoLinger(true, 0);
             connection.close();
             frontEnd.close();
-            int requestsBefore = auditor.requests();
+            int requestsBefore = auditor.requestCount();
             auditor.frontEndKilled(address, loops.now());
             auditor.frontEndExited(address, loops.now());
             block.secondReleased.countDown();
@@ -103,7 +103,7 @@
             }
             client.stop();
             findings.addAll(auditor.findings(Double.POSITIVE_INFINITY));
-            return auditor.requests() > requestsBefore;
+            return auditor.requestCount() > requestsBefore;
         } finally {
             frontEnd.close();
         }
--- a/standins/src/test/java/gradereach/standins/frames/RequestAuditorTest.java
+++ b/standins/src/test/java/gradereach/standins/frames/RequestAuditorTest.java
@@ -65,7 +65,7 @@
         for (int i = 0; i < 2; i++) {
             assertEquals(expected == null ? List.of() : List.of(expected),
                     lagging.findings(1e9).stream().map(RequestAuditor.Finding::violation).toList());
-            assertEquals(expectedInconclusive, lagging.inconclusive().size());
+            assertEquals(expectedInconclusive, lagging.inconclusiveFindings().size());
         }
     }
 
@@ -81,7 +81,7 @@
         lagging.attemptReceived("s-1", "a", 1700, 0);
         assertEquals(expectedFindings,
                 lagging.findings(1e9).stream().filter(finding -> finding.violation() != Violation.NO_ANSWER).count());
-        assertEquals(expectedInconclusive, lagging.inconclusive().size());
+        assertEquals(expectedInconclusive, lagging.inconclusiveFindings().size());
     }
 
     @Test
@@ -178,7 +178,7 @@
         lagIntervals.add(2001 - lagMillis, lagMillis > 2000 ? 2000 : 2001);
         RequestAuditor lagging = coldStart(lagIntervals, 30, 37, 0);
         assertEquals(expectedFindings, lagging.findings(1e9).size());
-        assertEquals(expectedInconclusive, lagging.inconclusive().size());
+        assertEquals(expectedInconclusive, lagging.inconclusiveFindings().size());
     }
 
     /** A process starts at 1000, and its start is delivered 0.5 ms before the last requests arrive, at 2001. */
--- a/standins/src/test/java/gradereach/standins/prometheus/ExpressionTest.java
+++ b/standins/src/test/java/gradereach/standins/prometheus/ExpressionTest.java
@@ -24,7 +24,7 @@
             store.add(Map.of("__name__", "v", "g", "a"), timestamp, 7);
         }
         store.add(Map.of("__name__", "gone", "g", "a"), 1_300_000, 1);
-        store.add(Map.of("__name__", "gone", "g", "a"), 1_300_001, Double.longBitsToDouble(SampleStore.STALE));
+        store.add(Map.of("__name__", "gone", "g", "a"), 1_300_001, Double.longBitsToDouble(SampleStore.STALE_MARKER_BITS));
     }
 
     @ParameterizedTest
@@ -103,9 +103,9 @@
             samples.add(Map.of("__name__", "gradereach_limit_bound", "instance", "fe", "limit", "inferences_held"), now, 100);
             rules.evaluate(now);
         }
-        List<String> fired = rules.fired().stream().map(RuleEvaluator.FiredAlert::alert).distinct().sorted().toList();
+        List<String> fired = rules.firedAlerts().stream().map(RuleEvaluator.FiredAlert::alert).distinct().sorted().toList();
         assertEquals(alerts == null ? "" : alerts, String.join(" ", fired));
-        assertTrue(rules.fired().stream().allMatch(alert -> alert.firedAt() > 1_000_000_000 + 60 * 60_000), "fired before its fault");
+        assertTrue(rules.firedAlerts().stream().allMatch(alert -> alert.firedAt() > 1_000_000_000 + 60 * 60_000), "fired before its fault");
     }
 
     private static void counter(SampleStore store, long now, String name, double value, String... labels) {
--- a/telemetry/src/main/java/gradereach/remotewrite/ProtocolVersionSelector.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/ProtocolVersionSelector.java
@@ -14,7 +14,7 @@
         this.onlyVersion1 = onlyVersion1;
     }
 
-    boolean useVersion2(double now) {
+    boolean shouldUseVersion2(double now) {
         return !onlyVersion1 && now >= fallbackUntil;
     }
 
--- a/telemetry/src/main/java/gradereach/remotewrite/Pusher.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Pusher.java
@@ -42,7 +42,7 @@
      * @param limits of all shards together
      * @param stopTimeoutMillis time that {@link #close} may take to send the pending samples and the stale markers
      */
-    public record Receiver(URI uri, boolean onlyVersionOne, List<String> commonLabels, String instance, long intervalMillis,
+    public record Receiver(URI uri, boolean onlyVersion1, List<String> commonLabels, String instance, long intervalMillis,
             long timeoutMillis, int maxShards, SendQueue.Limits limits, long stopTimeoutMillis) { }
 
     private final Receiver receiver;
@@ -89,7 +89,7 @@
         schedule = new PushSchedule(receiver.instance, receiver.intervalMillis);
         shards = new Shards(receiver.limits, random);
         shardCalculator = new ShardCalculator(receiver.maxShards);
-        versionSelector = new ProtocolVersionSelector(receiver.onlyVersionOne);
+        versionSelector = new ProtocolVersionSelector(receiver.onlyVersion1);
         startedMillis = unixMillis.getAsLong();
         client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(httpExecutor)
                 .connectTimeout(Duration.ofMillis(Math.min(5000, receiver.timeoutMillis))).build();
@@ -172,7 +172,7 @@
         for (int shard = 0; shard < shards.size(); shard++) {
             SendQueue.Batch batch = shards.nextBatch(shard, now());
             if (batch != null) {
-                post(shard, batch, versionSelector.useVersion2(now()));
+                post(shard, batch, versionSelector.shouldUseVersion2(now()));
             }
         }
     }
--- a/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
@@ -19,11 +19,11 @@
     /**
      * Limits of a queue; times in milliseconds.
      *
-     * @param maxBatchDelay after which a batch is sent although it is not full
-     * @param maxAge after which a sample is dropped
+     * @param maxBatchDelayMillis after which a batch is sent although it is not full
+     * @param maxAgeMillis after which a sample is dropped
      */
-    public record Limits(int maxSamples, long maxBytes, int maxBatchSamples, long maxBatchBytes, double maxBatchDelay, double maxAge,
-            double initialBackoff, double maxBackoff) { }
+    public record Limits(int maxSamples, long maxBytes, int maxBatchSamples, long maxBatchBytes, double maxBatchDelayMillis, double maxAgeMillis,
+            double initialBackoffMillis, double maxBackoffMillis) { }
 
     /** Why a sample was dropped. */
     public enum DropReason { FULL, TOO_OLD, REFUSED, STOPPED }
@@ -156,18 +156,18 @@
             return Double.POSITIVE_INFINITY;
         }
         boolean full = flushing || queue.size() >= limits.maxBatchSamples || bytes >= limits.maxBatchBytes;
-        return Math.max(notBefore, full ? Double.NEGATIVE_INFINITY : queue.peek().addedAt + limits.maxBatchDelay);
+        return Math.max(notBefore, full ? Double.NEGATIVE_INFINITY : queue.peek().addedAt + limits.maxBatchDelayMillis);
     }
 
     private void dropExpired(double now) {
         if (retryBatch != null) {
             List<QueuedSample> expired = new ArrayList<>();
             List<QueuedSample> remaining = new ArrayList<>();
-            retryBatch.forEach(queued -> (now - queued.addedAt > limits.maxAge ? expired : remaining).add(queued));
+            retryBatch.forEach(queued -> (now - queued.addedAt > limits.maxAgeMillis ? expired : remaining).add(queued));
             drop(expired, DropReason.TOO_OLD);
             retryBatch = remaining.isEmpty() ? null : remaining;
         }
-        while (!queue.isEmpty() && now - queue.peek().addedAt > limits.maxAge) {
+        while (!queue.isEmpty() && now - queue.peek().addedAt > limits.maxAgeMillis) {
             dropOldest(DropReason.TOO_OLD);
         }
     }
@@ -179,7 +179,7 @@
         if (result instanceof Retry retry) {
             retryBatch = batch;
             // Exponential backoff with full jitter: front ends that lost one receiver must not all return at once.
-            double backoff = Math.min(limits.maxBackoff, limits.initialBackoff * Math.pow(2, Math.min(30, failedAttempts)));
+            double backoff = Math.min(limits.maxBackoffMillis, limits.initialBackoffMillis * Math.pow(2, Math.min(30, failedAttempts)));
             failedAttempts++;
             notBefore = now + (retry.retryAfterMillis > 0 ? retry.retryAfterMillis * (1 + random.nextDouble() / 4)
                     : backoff * random.nextDouble());
--- a/telemetry/src/main/java/gradereach/remotewrite/Shards.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Shards.java
@@ -58,8 +58,8 @@
         queues = new ArrayList<>();
         for (int i = 0; i < targetSize; i++) {
             queues.add(new SendQueue(new SendQueue.Limits(Math.max(1, limits.maxSamples() / targetSize),
-                    Math.max(1, limits.maxBytes() / targetSize), limits.maxBatchSamples(), limits.maxBatchBytes(), limits.maxBatchDelay(),
-                    limits.maxAge(), limits.initialBackoff(), limits.maxBackoff()), random));
+                    Math.max(1, limits.maxBytes() / targetSize), limits.maxBatchSamples(), limits.maxBatchBytes(), limits.maxBatchDelayMillis(),
+                    limits.maxAgeMillis(), limits.initialBackoffMillis(), limits.maxBackoffMillis()), random));
         }
         all.forEach(pending -> add(pending.sample, pending.addedAt));
     }
