--- a/benchlink/src/main/java/gradereach/benchlink/HostedInstance.java
+++ b/benchlink/src/main/java/gradereach/benchlink/HostedInstance.java
@@ -18,16 +18,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One hosted instance of the policy. Maps the ids of the protocol to objects, and actions to reply records. */
+/**
+ * One hosted instance of the policy. Maps the ids in event records to objects, and the actions of the policy to reply records.
+ * Fields of a record that the policy does not need are read and ignored.
+ */
 final class HostedInstance implements RouterActions {
-    /** By code in the protocol. */
+    /** By their codes in the protocol. */
     private static final Outcome[] OUTCOMES = {null, Outcome.RETURNED, Outcome.ERROR, Outcome.FULL,
         Outcome.TIMED_OUT, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.CANCELLED, Outcome.NEVER_SENT,
         Outcome.MISS};
     private static final long ALL_PEERS = 0xffffffffL;
-    // Bits of the options of an inference.
+    // Bits in the options of an accepted inference.
     private static final int WORK_HINT_VALID = 1;
     private static final int CLIENT_RETRY = 2;
+    // Parts of the load status field of an ended forward: a status code, and the model's inferences in flight on the executor.
+    private static final int LOAD_STATUS_MASK = 7;
+    private static final int MODEL_IN_FLIGHT_SHIFT = 3;
 
     final int instanceId;
     private final ReplyWriter reply;
@@ -37,9 +43,11 @@
     private final LongMap<Inference> inferences = new LongMap<>();
     private final LongMap<Executor> executors = new LongMap<>();
     private final LongMap<Model> models = new LongMap<>();
+    /** Time of the current batch, in milliseconds. */
     private double now;
+    /** Whether the current batch has begun for this instance. */
     boolean inBatch;
-    /** Whether it threw an exception; it gets no more events then. */
+    /** Whether the policy threw an exception; the instance gets no more events then. */
     boolean failed;
 
     HostedInstance(int instanceId, long seed, byte[] settings, ReplyWriter reply) throws InvalidInputException {
@@ -85,8 +93,8 @@
                 router.onProbeEnded(executor, outcome, in.readF64(), readReport(in));
             }
             case InstanceHost.PEER_MESSAGE -> {
-                int from = in.readU16();
-                router.onPeerMessage(from, in.readBytes(in.readU16()));
+                int sender = in.readU16();
+                router.onPeerMessage(sender, in.readBytes(in.readU16()));
             }
             case InstanceHost.ORDER_ENDED -> {
                 Executor executor = findOrCreateExecutor(in.readAddress());
@@ -133,13 +141,14 @@
         return OUTCOMES[code];
     }
 
+    /** Returns null if the record has no load report. */
     private ExecutorReport readReport(FrameReader in) throws InvalidInputException {
-        int n = in.hasRemaining(1) ? in.readU8() : 0;
-        if (n == 0) {
+        int valueCount = in.hasRemaining(1) ? in.readU8() : 0;
+        if (valueCount == 0) {
             return null;
         }
-        double[] values = new double[n];
-        for (int i = 0; i < n; i++) {
+        double[] values = new double[valueCount];
+        for (int i = 0; i < valueCount; i++) {
             values[i] = in.readF32();
         }
         return InstanceSettings.createReport(reportColumns, values);
@@ -153,7 +162,8 @@
             case 2 -> RosterUpdateKind.FAILED;
             case 3 -> RosterUpdateKind.FULL;
             case 4 -> RosterUpdateKind.CHANGES;
-            default -> throw new InvalidInputException("unknown list form " + kindCode + " at byte " + (in.position() - 1));
+            default -> throw new InvalidInputException("unknown roster update kind " + kindCode + " at byte "
+                    + (in.position() - 1));
         };
         long count = in.readU32();
         List<ExecutorListing> listings = new ArrayList<>();
@@ -161,34 +171,36 @@
             double capacity = in.readF32();
             double startedAt = in.readF64();
             int stateCode = in.readU8();
-            ExecutorState state = stateCode == 1 ? ExecutorState.READY : stateCode == 2 ? ExecutorState.DRAINING : ExecutorState.REMOVED;
+            ExecutorState state = stateCode == 1 ? ExecutorState.READY
+                    : stateCode == 2 ? ExecutorState.DRAINING : ExecutorState.REMOVED;
             int location = in.readU16();
             int machineKind = in.readU8();
             int cell = in.readU16();
-            listings.add(new ExecutorListing(findOrCreateExecutor(in.readAddress()), capacity, startedAt, state, location, machineKind, cell));
+            listings.add(new ExecutorListing(findOrCreateExecutor(in.readAddress()), capacity, startedAt, state, location,
+                    machineKind, cell));
         }
         router.onRosterUpdate(kind, listings);
     }
 
     private void handleInferenceAccepted(FrameReader in) throws InvalidInputException {
         long id = in.readU32();
-        int group = in.readU16();
-        if (group >= groups.size()) {
-            throw new InvalidInputException("unknown class " + group + " at byte " + (in.position() - 2));
+        int groupIndex = in.readU16();
+        if (groupIndex >= groups.size()) {
+            throw new InvalidInputException("unknown model group " + groupIndex + " at byte " + (in.position() - 2));
         }
-        int customer = (int) in.readU32();
+        int customerIndex = (int) in.readU32();
         Model model = findOrCreateModel(in.readU64());
         double timeLeft = in.readF64();
         double expectedWork = in.hasRemaining(8) ? in.readF64() : 0;
-        double memory = in.hasRemaining(4) ? in.readF32() : 0;
+        double memoryMegabytes = in.hasRemaining(4) ? in.readF32() : 0;
         double lanes = in.hasRemaining(4) ? in.readF32() : 0;
         double loadTime = in.hasRemaining(4) ? in.readF32() : 0;
         int options = in.hasRemaining(1) ? in.readU8() : 0;
-        model.memoryMegabytes = memory;
+        model.memoryMegabytes = memoryMegabytes;
         model.lanes = Math.max(1, (int) lanes);
         model.loadTime = loadTime;
         boolean workKnown = (options & WORK_HINT_VALID) != 0;
-        Inference inference = new Inference(id, groups.get(group), customer, model, now, now + timeLeft,
+        Inference inference = new Inference(id, groups.get(groupIndex), customerIndex, model, now, now + timeLeft,
                 workKnown ? expectedWork : Double.NaN, (options & CLIENT_RETRY) != 0);
         inferences.put(id, inference);
         router.onInferenceAccepted(inference);
@@ -196,7 +208,7 @@
 
     private void handleForwardEnded(FrameReader in) throws InvalidInputException {
         Inference inference = inferences.get(in.readU32());
-        long loadNote = in.readU32();
+        long loadField = in.readU32();
         double elapsed = in.readF64();
         boolean inferenceDone = in.readU8() != 0;
         Outcome outcome = readOutcome(in);
@@ -205,7 +217,7 @@
         if (forward == null || forward.outcome != null) {
             return;
         }
-        LoadStatus loadStatus = switch ((int) (loadNote & 7)) {
+        LoadStatus loadStatus = switch ((int) (loadField & LOAD_STATUS_MASK)) {
             case 1 -> LoadStatus.ALREADY_LOADED;
             case 2 -> LoadStatus.STARTED_LOAD;
             case 3 -> LoadStatus.WAITED_FOR_LOAD;
@@ -213,10 +225,11 @@
             default -> LoadStatus.UNKNOWN;
         };
         boolean hasModelInFlight = outcome == Outcome.FULL || outcome == Outcome.RETURNED;
-        int modelInFlight = loadNote > 0 && hasModelInFlight ? (int) (loadNote >> 3) : -1;
+        int modelInFlight = loadField > 0 && hasModelInFlight ? (int) (loadField >> MODEL_IN_FLIGHT_SHIFT) : -1;
         forward.outcome = outcome;
         inference.done |= inferenceDone;
-        router.onForwardEnded(forward, new ForwardResult(outcome, loadStatus, modelInFlight, elapsed, inferenceDone, readReport(in)));
+        router.onForwardEnded(forward,
+                new ForwardResult(outcome, loadStatus, modelInFlight, elapsed, inferenceDone, readReport(in)));
         forgetIfEnded(inference);
     }
 
@@ -235,8 +248,9 @@
 
     @Override
     public Forward sendForward(Inference inference, Executor executor, double deadline) {
-        ByteBuffer to = reply.startRecord(ReplyWriter.FORWARD, 22).putInt(instanceId).putInt((int) inference.id).putDouble(deadline);
-        ReplyWriter.putAddress(to, executor.id);
+        ByteBuffer record = reply.startRecord(ReplyWriter.FORWARD, 22).putInt(instanceId).putInt((int) inference.id)
+                .putDouble(deadline);
+        ReplyWriter.putAddress(record, executor.id);
         Forward forward = new Forward(inference, executor, inference.forwards.size(), now);
         inference.forwards.add(forward);
         return forward;
@@ -263,14 +277,14 @@
 
     @Override
     public void sendOrder(Executor executor, Model model, int copies) {
-        ByteBuffer to = reply.startRecord(ReplyWriter.ORDER, 19).putInt(instanceId).put((byte) copies).putLong(model.id);
-        ReplyWriter.putAddress(to, executor.id);
+        ByteBuffer record = reply.startRecord(ReplyWriter.ORDER, 19).putInt(instanceId).put((byte) copies).putLong(model.id);
+        ReplyWriter.putAddress(record, executor.id);
     }
 
     @Override
     public void unloadIdle(Executor executor, Model model) {
-        ByteBuffer to = reply.startRecord(ReplyWriter.UNLOAD_IDLE, 18).putInt(instanceId).putLong(model.id);
-        ReplyWriter.putAddress(to, executor.id);
+        ByteBuffer record = reply.startRecord(ReplyWriter.UNLOAD_IDLE, 18).putInt(instanceId).putLong(model.id);
+        ReplyWriter.putAddress(record, executor.id);
     }
 
     @Override
@@ -299,9 +313,9 @@
     }
 
     @Override
-    public void sendPeerMessage(int to, byte[] message) {
+    public void sendPeerMessage(int receiver, byte[] message) {
         reply.startRecord(ReplyWriter.PEER_MESSAGE, 10 + message.length).putInt(instanceId)
-                .putInt(to < 0 ? (int) ALL_PEERS : to).putShort((short) message.length).put(message);
+                .putInt(receiver < 0 ? (int) ALL_PEERS : receiver).putShort((short) message.length).put(message);
     }
 
     @Override
--- a/benchlink/src/main/java/gradereach/benchlink/InstanceHost.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InstanceHost.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts instances of the policy and gives them their events. Each frame is one event batch. */
+/** Hosts instances of the policy and passes them their events. Each frame is one event batch for the instances that it names. */
 final class InstanceHost {
-    // Record codes of the protocol.
+    // Record codes of the protocol. Records with other codes are ignored.
     static final int INSTANCE_STARTED = 0;
     static final int ROSTER_UPDATE = 1;
     static final int INFERENCE_ACCEPTED = 2;
@@ -22,7 +22,7 @@
     static final int INSTANCE_STOPPED = 9;
     static final int ORDER_ENDED = 10;
 
-    /** By id; null for a stopped instance. */
+    /** By instance id; null for a stopped instance, whose late events are ignored. */
     private final Map<Integer, HostedInstance> instances = new HashMap<>();
     private final List<HostedInstance> instancesInBatch = new ArrayList<>();
     private final ReplyWriter reply = new ReplyWriter();
@@ -66,7 +66,8 @@
             if (instances.containsKey(instanceId)) {
                 return;
             }
-            throw new InvalidInputException("event for instance " + instanceId + ", which never began, at byte " + (in.position() - 4));
+            throw new InvalidInputException("event for instance " + instanceId + ", which never began, at byte "
+                    + (in.position() - 4));
         }
         addToBatch(instance, in.frameTime);
         if (instance.failed) {
@@ -98,6 +99,7 @@
         }
     }
 
+    /** Excludes the instance from further events, and reports its exception to the simulator. */
     private void reportFailure(HostedInstance instance, RuntimeException e) {
         instance.failed = true;
         StackTraceElement[] trace = e.getStackTrace();
--- a/benchlink/src/main/java/gradereach/benchlink/InstanceSettings.java
+++ b/benchlink/src/main/java/gradereach/benchlink/InstanceSettings.java
@@ -26,52 +26,61 @@
  * front end of the platform takes them from its configuration, flattened to the same paths.
  */
 public final class InstanceSettings {
+    /** In the order of the components of {@link ExecutorReport}. */
     private static final List<String> REPORT_COLUMNS =
             List.of("rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1");
 
-    private final Map<String, String> lines;
+    private final Map<String, String> values;
+    /** In the order of the settings; the protocol names a model group by its index. */
     public final List<ModelGroup> groups = new ArrayList<>();
+    /** In the order of the settings; the protocol names a customer by its index. */
     public final List<Customer> customers = new ArrayList<>();
+    /** Names of the values in a load report, in their order; see {@link #createReport}. */
     public final List<String> reportColumns;
     public final FrontEndSettings frontEnd;
     public final ColdStartRule coldStart;
     public final LoadOrderBudget loadOrderBudget;
     public final LoadingRules loadingRules;
     public final ForwardRules forwardRules;
-    /** Whether answers report how many inferences of the model the executor held. */
+    /** Whether an answer reports how many inferences of its model the executor had in flight. */
     public final boolean reportsModelInFlight;
     private final double overQuotaValue;
 
     InstanceSettings(byte[] content) throws InvalidInputException {
-        this(lines(content));
+        this(parseLines(content));
     }
 
-    private static Map<String, String> lines(byte[] content) {
-        Map<String, String> lines = new HashMap<>();
+    private static Map<String, String> parseLines(byte[] content) {
+        Map<String, String> values = new HashMap<>();
         for (String line : new String(content, StandardCharsets.UTF_8).split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
-                lines.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
+                values.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
             }
         }
-        return lines;
+        return values;
     }
 
-    /** @param lines value by path; lists of scalars are joined by commas, lists of objects have the paths .count, .0, .1 and so on */
-    public InstanceSettings(Map<String, String> lines) throws InvalidInputException {
-        this.lines = lines;
+    /**
+     * Reads and checks all settings. Those that are not required have defaults.
+     *
+     * @param values by path; lists of scalars are joined by commas, lists of objects have the paths .count, .0, .1 and so on
+     */
+    public InstanceSettings(Map<String, String> values) throws InvalidInputException {
+        this.values = values;
         reportColumns = list("report.columns");
         int count = (int) requiredPositive("grades.count");
         for (int index = 0; index < count; index++) {
-            groups.add(group("grades." + index + "."));
+            groups.add(readGroup("grades." + index + "."));
         }
         for (int index = 0; index < (int) nonNegative("customers.count", 0); index++) {
             String path = "customers." + index + ".";
-            customers.add(new Customer(text(path + "name", ""), nonNegative(path + "portion", 0), nonNegative(path + "quota_rps", 0)));
+            customers.add(new Customer(text(path + "name", ""), nonNegative(path + "portion", 0),
+                    nonNegative(path + "quota_rps", 0)));
         }
-        List<Double> memory = new ArrayList<>();
+        List<Double> memoryByMachineKind = new ArrayList<>();
         for (String value : list("extra.memory_mb_by_kind")) {
-            memory.add(parse("extra.memory_mb_by_kind", value));
+            memoryByMachineKind.add(parse("extra.memory_mb_by_kind", value));
         }
         boolean subscribesToRoster = text("registry_mode", "push").equals("ask");
         frontEnd = new FrontEndSettings((int) number("me", 0), (int) nonNegative("n_instances", 1), (int) number("az", 0),
@@ -83,7 +92,7 @@
                 nonNegative("extra.load_span", 0));
         loadingRules = new LoadingRules(flag("extra.orders", false), text("extra.when_absent", "load").equals("load"),
                 nonNegative("extra.stays_loaded", 0), nonNegative("extra.order_timeout", 0),
-                nonNegative("extra.price_of_idle", 0), memory);
+                nonNegative("extra.price_of_idle", 0), memoryByMachineKind);
         forwardRules = new ForwardRules((int) nonNegative("limits.attempts_cap", 1), flag("limits.second_copies", false),
                 flag("limits.cancel", false), nonNegative("limits.connect_timeout", 250),
                 nonNegative("rules.answer_slack", 0), nonNegative("limits.max_retry_after", 0),
@@ -104,15 +113,17 @@
             }
             index++;
         }
-        return new ExecutorReport(byColumn[0], byColumn[1], byColumn[2], byColumn[3], byColumn[4], byColumn[5], byColumn[6], byColumn[7]);
+        return new ExecutorReport(byColumn[0], byColumn[1], byColumn[2], byColumn[3], byColumn[4], byColumn[5], byColumn[6],
+                byColumn[7]);
     }
 
+    /** Creates a policy with these settings. The seed determines its random choices. */
     public Router createRouter(RouterActions actions, long seed) {
-        return new Policy(actions, new Random(seed), frontEnd, groups, customers, overQuotaValue, coldStart, loadOrderBudget, loadingRules,
-                forwardRules);
+        return new Policy(actions, new Random(seed), frontEnd, groups, customers, overQuotaValue, coldStart, loadOrderBudget,
+                loadingRules, forwardRules);
     }
 
-    private ModelGroup group(String path) throws InvalidInputException {
+    private ModelGroup readGroup(String path) throws InvalidInputException {
         RetrySafety retrySafety = switch (text(path + "repeat", "")) {
             case "retryable" -> RetrySafety.RETRIABLE;
             case "dedup" -> RetrySafety.DEDUPED;
@@ -129,18 +140,20 @@
                 nonNegative(path + "worth", 1), nonNegative(path + "late_worth", 0), flag(path + "streaming", false));
     }
 
-    /** A list of scalars; empty if the path is missing. */
+    /** Returns a list of scalars; empty if the setting is missing. */
     public List<String> list(String key) {
-        String joined = lines.getOrDefault(key, "");
+        String joined = values.getOrDefault(key, "");
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
 
+    /** Returns a text, or the default if the setting is missing. */
     public String text(String key, String defaultValue) {
-        return lines.getOrDefault(key, defaultValue);
+        return values.getOrDefault(key, defaultValue);
     }
 
+    /** Returns a boolean, or the default if the setting is missing. */
     public boolean flag(String key, boolean defaultValue) throws InvalidInputException {
-        String value = lines.get(key);
+        String value = values.get(key);
         return value == null ? defaultValue : switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
@@ -148,20 +161,21 @@
         };
     }
 
-    /** A required time or count above 0. */
+    /** Returns a required number above 0. */
     private double requiredPositive(String key) throws InvalidInputException {
-        if (!lines.containsKey(key)) {
+        if (!values.containsKey(key)) {
             throw new InvalidInputException("start message: " + key + " is missing");
         }
         double value = number(key, 0);
         if (value <= 0) {
-            throw new InvalidInputException("start message: " + key + " is not above 0: " + lines.get(key));
+            throw new InvalidInputException("start message: " + key + " is not above 0: " + values.get(key));
         }
         return value;
     }
 
+    /** Returns a finite number, or the default if the setting is missing or empty. */
     public double number(String key, double defaultValue) throws InvalidInputException {
-        String value = lines.get(key);
+        String value = values.get(key);
         return value == null || value.isEmpty() ? defaultValue : parse(key, value);
     }
 
@@ -180,7 +194,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // reported below
+            // reported below, together with numbers that are not finite
         }
         throw new InvalidInputException("start message: " + key + " is no number: " + value);
     }
--- a/benchlink/src/main/java/gradereach/benchlink/LongMap.java
+++ b/benchlink/src/main/java/gradereach/benchlink/LongMap.java
@@ -1,6 +1,6 @@
 package gradereach.benchlink;
 
-/** Hash map with primitive long keys and open addressing. Has no iteration. */
+/** A hash map with primitive long keys and open addressing, at most half full. It cannot be iterated. */
 final class LongMap<V> {
     private long[] keys = new long[64];
     private Object[] values = new Object[64];
@@ -11,6 +11,7 @@
         return (int) (hash >>> 32);
     }
 
+    /** Returns the slot that holds the key, or the empty slot where it belongs. */
     private int slotOf(long key) {
         int mask = keys.length - 1;
         int slot = hash(key) & mask;
@@ -52,6 +53,7 @@
         }
         size--;
         int mask = keys.length - 1;
+        // Moves later entries of the probe sequence back, so that no empty slot separates a key from its home slot.
         int hole = slot;
         for (int next = slot + 1 & mask; values[next] != null; next = next + 1 & mask) {
             int home = hash(keys[next]) & mask;
--- a/core/src/main/java/gradereach/Policy.java
+++ b/core/src/main/java/gradereach/Policy.java
@@ -5,13 +5,16 @@
 import java.util.*;
 
 /**
- * Makes all routing decisions of one front end. The host creates one Policy per front end, delivers events through
- * {@link gradereach.api.Router} and then calls endBatch(); the decisions go out through
- * {@link gradereach.api.RouterActions}. Types are in gradereach.api, mutable state in gradereach.state.
+ * Makes all routing decisions of one front end. The host creates one policy per front end, delivers events through
+ * {@link gradereach.api.Router} and then calls {@link #endBatch}. The decisions go out through
+ * {@link gradereach.api.RouterActions}. Settings and results are in {@code gradereach.api}, mutable state in
+ * {@code gradereach.state}.
  *
- * The usual path (docs/design.md): each model has a queue; a queued inference goes to the busiest executor that has a
- * free lane for the model; when the known lanes are exhausted, one more copy is ordered; idle copies are left to expire.
- * Events update the state, endBatch() decides what to send, and sendActions() sends it.
+ * <p>The usual path, as described in docs/design.md: Each model has a queue. A queued inference goes to the busiest executor that
+ * has a free lane for the model. When the known lanes are exhausted, one more copy is ordered. Idle copies are left to expire.
+ *
+ * <p>Events update the state, {@link #endBatch} decides what to send, and {@link #sendActions} sends it. Times are in
+ * milliseconds, and times named {@code ...At} are monotonic times.
  */
 public final class Policy implements Router {
     private final RouterActions actions;
@@ -31,14 +34,18 @@
     private final Set<Executor> removedExecutors = new LinkedHashSet<>();
     /** Executors that may have restarted while the roster was not valid; they count as cold. */
     private final Set<Executor> assumedRestarted = new LinkedHashSet<>();
+    /** Changes whenever an executor is added or dropped, which makes the rendezvous orders of all models outdated. */
     private int fleetVersion;
     private final Set<Model> modelsToReview = new LinkedHashSet<>();
     private final Set<Model> queuedModels = new LinkedHashSet<>();
     private final TimerQueue timers = new TimerQueue();
+    /** When the requested timer event is due; positive infinity if none is requested. */
     private double timerScheduledAt = Double.POSITIVE_INFINITY;
     private int ordersInFlight, probeCredit = 10 * PROBE_CREDIT_PER_INFERENCE;
     private boolean rosterSubscribed;
+    /** Value density of the most valuable inference that recently found no executor, and when it was last blocked. */
     private double blockedValueDensity, blockedAt = Double.NEGATIVE_INFINITY;
+    /** Mean relative load by the latest reports, and the number of reports so far. */
     private double meanLoad, reportCount;
     private double now;
 
@@ -48,9 +55,10 @@
     private final Set<ModelCopies> ordersToSend = new LinkedHashSet<>();
     private final Set<Executor> executorsToProbe = new LinkedHashSet<>();
 
-    public Policy(RouterActions actions, Random random, FrontEndSettings frontEnd, List<ModelGroup> groups, List<Customer> customers,
-            double overQuotaValue, ColdStartRule coldStart, LoadOrderBudget loadOrderBudget, LoadingRules loadingRules,
-            ForwardRules forwardRules) {
+    /** @param overQuotaValue value of an inference beyond its customer's quota, as a fraction of its usual value */
+    public Policy(RouterActions actions, Random random, FrontEndSettings frontEnd, List<ModelGroup> groups,
+            List<Customer> customers, double overQuotaValue, ColdStartRule coldStart, LoadOrderBudget loadOrderBudget,
+            LoadingRules loadingRules, ForwardRules forwardRules) {
         this.actions = actions;
         this.random = random;
         this.frontEnd = frontEnd;
@@ -65,7 +73,7 @@
                 .toArray(), frontEndShare, customers.stream().map(customer -> new DecayingSum()).toList());
         for (ModelGroup group : groups) {
             AnswerTimeStats answerTimes = new AnswerTimeStats();
-            // Initial estimate until answers are measured: an SLO leaves room for queueing and for the tail.
+            // The estimate until answers are measured: an SLO time leaves room for queueing and for slow answers.
             answerTimes.mean = answerTimes.lowestMean = group.sloTime() / 4;
             groupAnswerTimes.add(answerTimes);
         }
@@ -75,18 +83,18 @@
 
     @Override public void beginBatch(double time) {
         now = time;
-        // A late timer shows that this front end itself stalled: answers read late do not mean slow executors.
+        // A late timer event shows that this front end itself stalled, and read answers late that came from healthy executors.
         health.resumedAt = time - timerScheduledAt > STALL_MILLIS ? time : health.resumedAt;
         frontEndShare.startedAt = Double.isNaN(frontEndShare.startedAt) ? time : frontEndShare.startedAt;
     }
 
-    private static final double STALL_MILLIS = 50; // a few batches; shorter delays are the granularity of the clock
+    private static final double STALL_MILLIS = 50; // a few batches; shorter delays come from the granularity of the clock
+    private static final double RESUBSCRIPTION_DELAY_MILLIS = 1000; // the source of the roster fails when it is short of capacity
 
     @Override public void onRosterUpdate(RosterUpdateKind kind, List<ExecutorListing> listings) {
         if (kind == RosterUpdateKind.FAILED) {
             rosterSubscribed = false;
-            // Subscribes again after a second: the discovery service is short of capacity.
-            timers.schedule(now + 1000, this);
+            timers.schedule(now + RESUBSCRIPTION_DELAY_MILLIS, this);
             return;
         }
         if (kind != RosterUpdateKind.CHANGES) {
@@ -111,7 +119,8 @@
                 executor.beginGeneration(now, modelsToReview);
             }
             if (listing.replacedExecutor() != null) {
-                executor.recentWork.addAll(listing.replacedExecutor().recentWork); // that work may already have reached this process
+                // What was sent to the same address may have reached the new process.
+                executor.recentWork.addAll(listing.replacedExecutor().recentWork);
             }
             executor.state = listing.state();
             if (!sameStart || !assumedRestarted.contains(executor)) {
@@ -196,6 +205,7 @@
         forward.executor.unansweredForwards.remove(forward);
         health.fleet.unansweredForwards.remove(forward);
         addInFlight(forward.copies, -1);
+        // Where the answer had started, onAnswerStarted() had already lowered the counts of unanswered forwards.
         addUnanswered(forward, forward.answerStarted ? 1 : 0);
         modelsToReview.add(inference.model);
         if (forward.isCurrent()) {
@@ -213,7 +223,7 @@
         }
     }
 
-    /** Updates the statistics of the model and of the fleet, whichever process the result came from. */
+    /** Updates the statistics of the model and of the fleet. A result of an earlier process of the executor counts too. */
     private void updateFleetStatistics(Forward forward, ForwardResult result) {
         switch (result.outcome()) {
             case RETURNED -> {
@@ -230,14 +240,15 @@
             }
             case TIMED_OUT, CANCELLED -> {
                 if (!forward.answerStarted) {
-                    health.fleet.slowdownSum.add(result.elapsed() / forward.targetAnswerTime, now, ExecutorHealth.STATISTICS_DECAY_MILLIS);
+                    health.fleet.slowdownSum.add(result.elapsed() / forward.targetAnswerTime, now,
+                            ExecutorHealth.STATISTICS_DECAY_MILLIS);
                 }
             }
             default -> { }
         }
     }
 
-    /** Whether the answer time is that of a loaded copy, and not distorted by a stall of this front end. */
+    /** Whether the answer time is, as far as known, that of a loaded copy and not distorted by a stall of this front end. */
     private boolean usedLoadedCopy(Forward forward, ForwardResult result) {
         return forward.sentAt >= health.resumedAt
                 && (result.loadStatus() == LoadStatus.ALREADY_LOADED || result.loadStatus() == LoadStatus.UNKNOWN);
@@ -250,8 +261,8 @@
         if (result.modelInFlight() >= 0) {
             double othersInFlight = Math.max(0, result.modelInFlight() - forward.ownInFlight);
             double previousOthers = totalInFlight(copies) - copies.inFlight;
-            // Averaged per answer, not over time: one of many front ends gets few answers, and each of their counts
-            // is a fair sample.
+            // Averaged per answer and not over time: one of many front ends gets few answers, but the count in each of them is a
+            // fair sample.
             copies.othersInFlight.set(previousOthers < 0.01 ? othersInFlight : 0.7 * previousOthers + 0.3 * othersInFlight, now);
             copies.peakInFlight = Math.max(copies.peakInFlight, result.modelInFlight() + 1);
         }
@@ -293,17 +304,18 @@
                 if (forward.answerStarted) {
                     break; // the client left or read slowly
                 }
-                // The time of forwards that ended without an answer counts too, or an executor that never answers would not
-                // look slow.
-                executor.slowdownSum.add(result.elapsed() / forward.expectedAnswerTime, now, ExecutorHealth.STATISTICS_DECAY_MILLIS);
+                // The time of forwards without an answer counts too. Otherwise an executor that never answers would not count as
+                // slow.
+                executor.slowdownSum.add(result.elapsed() / forward.expectedAnswerTime, now,
+                        ExecutorHealth.STATISTICS_DECAY_MILLIS);
                 health.raiseSuspicion(executor, result.outcome() == Outcome.CANCELLED ? 0 : 0.3, now);
             }
             default -> { }
         }
     }
 
-    private static final int ANSWER_TIME_SAMPLES = 100; // with fewer, the lowest mean would be that of lucky answers
-    private static final double LOWEST_MEAN_GROWTH_PER_MILLI = 0.00001; // 1% per second: follows work that has become heavier
+    private static final int ANSWER_TIME_SAMPLES = 100; // with fewer, a few fast answers would determine the lowest mean
+    private static final double LOWEST_MEAN_GROWTH_PER_MILLI = 0.00001; // 1% per second; follows work that becomes heavier
 
     @Override public void onTimer(long tag) { timerScheduledAt = Double.POSITIVE_INFINITY; }
 
@@ -371,28 +383,28 @@
         }
     }
 
-    private static final double BACKOFF_MILLIS = 1000; // after a refusal; about the duration of one load
+    private static final double BACKOFF_MILLIS = 1000; // after a refusal; about the time of one load
 
     /**
-     * Whether the model failed to load wherever it was tried, so that it hardly exists. Its inferences are rejected at
-     * once, and it is not ordered on one executor after the other; one more attempt is made later. Drawback: it also
-     * rejects models that are first used while no executor can load.
+     * Whether the model failed to load wherever it was tried, so that it probably does not exist. Its inferences are rejected
+     * at once, and it is not ordered on one executor after the other. One more attempt is made later. Drawback: inferences are
+     * also rejected for a model that is first used while no executor can load.
      */
     private boolean cannotLoad(Model model) {
         return model.consecutiveFailedLoads >= MAX_CONSECUTIVE_FAILED_LOADS && !model.hasLoadedCopy() && model.inFlight == 0
                 && now - model.lastFailedLoadAt < FAILED_LOAD_RETRY_MILLIS;
     }
 
-    private static final int MAX_CONSECUTIVE_FAILED_LOADS = 3; // loads of existing models rarely fail, hardly ever three times in a row
+    private static final int MAX_CONSECUTIVE_FAILED_LOADS = 3; // loads of existing models hardly ever fail as often in a row
     private static final double FAILED_LOAD_RETRY_MILLIS = 5000; // longer than a burst of clients that retry at once
 
-    @Override public void onPeerMessage(int from, byte[] message) { }
+    @Override public void onPeerMessage(int sender, byte[] message) { }
 
     @Override public void onShareChanged(double fraction) { frontEndShare.fraction = fraction; }
 
     // ---- decisions -------------------------------------------------------------------------------------
 
-    /** Drops executors that were removed from the roster, once nothing of this front end is pending there. */
+    /** Drops executors that were removed from the roster, as soon as nothing of this front end is pending there. */
     private void dropIdleRemovedExecutors() {
         for (Executor executor : removedExecutors.isEmpty() ? List.<Executor>of() : List.copyOf(removedExecutors)) {
             if (executor.isIdle()) {
@@ -424,7 +436,7 @@
                 reviewCopies(copies);
             } else if (subject instanceof Model model) {
                 modelsToReview.add(model);
-            } else if (frontEnd.subscribesToRoster() && !rosterSubscribed) {
+            } else if (frontEnd.subscribesToRoster() && !rosterSubscribed) { // the subject is the policy: time to subscribe
                 rosterSubscribed = true;
                 actions.setRosterSubscription(true);
             }
@@ -444,13 +456,13 @@
         sendActions();
     }
 
-    /** The value that an answer still has, by expected work. */
+    /** The value that an answer would still have, divided by the expected answer time. */
     private double valueDensity(Inference inference) {
-        return inference.group.value() * (isLate(inference) ? inference.group.lateValueFraction() : 1) / expectedAnswerTime(inference.model)
-                * (inference.overQuota ? customerQuotas.overQuotaValue() : 1);
+        return inference.group.value() * (isLate(inference) ? inference.group.lateValueFraction() : 1)
+                / expectedAnswerTime(inference.model) * (inference.overQuota ? customerQuotas.overQuotaValue() : 1);
     }
 
-    /** Whether the mean inference sent now would miss its SLO time; a client's repeat counts from its first try. */
+    /** Whether the inference, if sent now, would probably miss its SLO time. The time of a repeat counts from its first try. */
     private boolean isLate(Inference inference) { return inference.isRetry || now >= lateAfter(inference); }
 
     private static double lateAfter(Inference inference) {
@@ -458,8 +470,8 @@
     }
 
     /**
-     * Queues are in order of arrival, with late and over-quota inferences behind the others. This avoids a backlog in
-     * which everything is served just too late; only the late ones lose by it.
+     * Adds the inference to the queue of its model. Queues are in order of arrival, with late and over-quota inferences behind
+     * the others. This avoids a backlog in which every inference is served just too late, at the expense of the late ones.
      */
     private void enqueue(Inference inference) {
         dequeue(inference);
@@ -476,10 +488,13 @@
         }
     }
 
-    /** Half the SLO time: after it, an executor's queue is a better bet than a lane that may become free. */
+    /** Half the SLO time. After it, the queue of an executor is likely to serve an inference sooner than a free lane would. */
     private static double maxLaneWait(Inference inference) { return inference.group.sloTime() / 2; }
 
-    /** The last batch but one before the deadline. */
+    /**
+     * When a queued inference is rejected: three batch intervals before its deadline, so that the client gets this answer in time
+     * even if a batch is late.
+     */
     private double giveUpAt(Inference inference) { return inference.deadlineAt - 3 * frontEnd.batchInterval(); }
 
     private void dispatchQueue(Model model) {
@@ -490,13 +505,13 @@
         }
         boolean lanesFree = true;
         boolean queueRoom = true;
-        // Lanes used by other front ends become free unnoticed: without a forward of our own in flight, there is nothing
-        // to wait for.
+        // Lanes used by other front ends become free without notice. Without a forward of this front end in flight, there is
+        // thus nothing to wait for.
         boolean worthWaiting = model.inFlight > 0 || !model.hasLoadedCopy();
         // Iterates without a copy: only the head of a long queue is examined.
         Inference head = model.queue.isEmpty() ? null : model.queue.first();
         for (Inference inference = head; inference != null; inference = model.queue.higher(inference)) {
-            // In a long queue, the first that finds no executor stands for the rest, except those with earlier forwards.
+            // To keep long queues cheap, one inference that finds no executor stands for all others without earlier forwards.
             boolean firstAttempt = inference.forwards.isEmpty();
             boolean waitedLongEnough = !worthWaiting || now - inference.acceptedAt >= maxLaneWait(inference);
             ModelCopies copies = lanesFree || !firstAttempt ? selectCopies(model, inference, true) : null;
@@ -523,7 +538,7 @@
         }
     }
 
-    /** For when executors cannot be probed: a roster source that is available again reports so within a second. */
+    /** Inferences stay queued for this long if executors cannot be probed: a source that recovers reports within a second. */
     private static final double ROSTER_RECOVERY_MILLIS = 1000;
 
     private void addInFlight(ModelCopies copies, int delta) {
@@ -531,16 +546,20 @@
         health.fleet.unansweredCount += delta;
     }
 
-    /** In-flight limits count forwards whose answer has not started: they limit that wait. Lanes are occupied to the end. */
+    /** The concurrency limits count forwards whose answer has not started. Lanes are occupied until the answer ends. */
     private void addUnanswered(Forward forward, int delta) {
         forward.executor.unansweredCount += delta;
         health.fleet.unansweredCount += delta;
         forward.inference.model.startedAnswers -= delta;
     }
 
-    private static final double BLOCKED_MILLIS = 1000; // for this long, clearly lower values leave half of the capacity free
+    /** How long clearly less valuable inferences leave half of each limit free, after a more valuable one found no executor. */
+    private static final double BLOCKED_MILLIS = 1000;
 
-    /** Of all front ends; the count of the others decays over the time after which idle copies are unloaded. */
+    /**
+     * Inferences in flight on the copies, from all front ends. The estimate for the others decays over the time after which idle
+     * copies are unloaded.
+     */
     private double totalInFlight(ModelCopies copies) {
         return copies.inFlight + copies.othersInFlight.value(now, loadingRules.idleUnloadTime());
     }
@@ -549,6 +568,7 @@
         Executor executor = copies.executor;
         // Every point of suspicion reduces traffic to about a third.
         double suspicion = executor.suspicion.value(now, ExecutorHealth.SUSPICION_DECAY_MILLIS);
+        // A clearly less valuable inference gets only half of each limit while a more valuable one is blocked.
         boolean yields = now - blockedAt < BLOCKED_MILLIS && valueDensity(inference) < 0.7 * blockedValueDensity;
         return now >= copies.backoffUntil && sendRules.mayForward(inference, executor, expectedAnswerTime(copies.model), now)
                 && estimatedAnswerTime(copies, inference) < inference.deadlineAt - now
@@ -564,24 +584,26 @@
      * factors, would exclude an idle executor for longer than a client waits; the cost is one inference if it stalls.
      */
     private double estimatedAnswerTime(ModelCopies copies, Inference inference) {
-        boolean idle = copies.executor.unansweredCount == 0 && now - inference.acceptedAt >= maxLaneWait(inference);
-        return expectedAnswerTime(copies.model) * (idle ? 1 : health.slowdown(copies.executor, now));
+        boolean ignoresSlowdown = copies.executor.unansweredCount == 0 && now - inference.acceptedAt >= maxLaneWait(inference);
+        return expectedAnswerTime(copies.model) * (ignoresSlowdown ? 1 : health.slowdown(copies.executor, now));
     }
 
-    private static final double MIN_FLEET_LIMIT_PER_EXECUTOR = 4; // so many per executor, from all front ends, are no overload
-    // Before the first answers. At startup models have to be loaded; a lower value would hold back what could run.
+    /** Forwards per executor, from all front ends together, that do not overload the fleet. */
+    private static final double MIN_FLEET_LIMIT_PER_EXECUTOR = 4;
+    /** Until the first answers. At startup models have to be loaded, and a lower limit would hold back what could already run. */
     private static final double INITIAL_FLEET_LIMIT_PER_EXECUTOR = 16;
 
     /**
-     * How busy copies are includes recent forwards. Otherwise all idle copies would tie and be used in turn, and none
-     * would expire. The time spans a few arrivals of a model with medium traffic.
+     * Time constant of recent forwards and arrivals; spans a few arrivals of a model with medium traffic. Recent forwards count
+     * when the busiest copies are selected. Otherwise all idle copies would be equal and used in turn, and none would expire.
      */
     private static final double RECENT_DECAY_MILLIS = 3000;
 
     /**
-     * Selects the busiest executor with a free lane, ties at random; those too slow for the SLO time come last. Without
-     * {@code freeLaneOnly}, selects the least busy one. As the load from other front ends is not known, the load report of
-     * a second candidate is compared with that of the first.
+     * Selects the busiest executor with a free lane, or one of them at random; those too slow for the SLO time come last. Without
+     * {@code freeLaneOnly}, selects the least busy executor. As the load from other front ends is not known, the load report of
+     * a second, random candidate is compared with that of the first. Returns null if no executor can accept the inference, or
+     * if the load report of a candidate is still awaited.
      */
     private ModelCopies selectCopies(Model model, Inference inference, boolean freeLaneOnly) {
         if (inference.firstCandidate != null && (isProbeAwaited(inference.firstCandidate.executor)
@@ -622,7 +644,7 @@
         ModelCopies first = canStillAccept(inference.firstCandidate, inference) ? inference.firstCandidate : best;
         ModelCopies second = canStillAccept(inference.secondCandidate, inference) ? inference.secondCandidate : first;
         inference.firstCandidate = null;
-        // Reports are off by about a fifth.
+        // Differences of up to a fifth are within the error of the reports.
         return relativeLoad(first.executor) > 1.2 * relativeLoad(second.executor) ? second : first;
     }
 
@@ -650,43 +672,44 @@
 
     /** Probes executors without a lease that hold the model, as those with a lease did not accept all queued inferences. */
     private void renewLeases(Model model) {
-        int probed = 0;
+        int probedCount = 0;
         for (ModelCopies copies : model.copies) {
-            if (probed < LEASE_PROBES_PER_MODEL && copies.loadedCopies + copies.copiesOnOrder() > 0
+            if (probedCount < LEASE_PROBES_PER_MODEL && copies.loadedCopies + copies.copiesOnOrder() > 0
                     && !sendRules.maySend(copies.executor, now) && now >= copies.backoffUntil && renewLease(copies.executor)) {
-                probed++;
+                probedCount++;
             }
         }
     }
 
-    /** As many as are compared for one inference. */
+    /** As many as the candidates that are compared for one inference. */
     private static final int LEASE_PROBES_PER_MODEL = 2;
 
     private boolean isProbeAwaited(Executor executor) {
-        return executorsToProbe.contains(executor) || unansweredProbeAge(executor) > 0 && unansweredProbeAge(executor) <= REPLY_WAIT_MILLIS;
+        return executorsToProbe.contains(executor)
+                || unansweredProbeAge(executor) > 0 && unansweredProbeAge(executor) <= REPLY_WAIT_MILLIS;
     }
 
-    /** Time since the pending probe was sent, if no report came since then; otherwise 0. */
+    /** Time since the pending probe was sent, or 0 if no probe is pending or a report has come since. */
     private double unansweredProbeAge(Executor executor) {
         return executor.probePending && executor.reportedAt < executor.probeSentAt ? now - executor.probeSentAt : 0;
     }
 
     /**
-     * Probes and status queries allowed per accepted inference; the credit of ten inferences can be saved up. About three
-     * are used when all is well. Keeps a fleet that gets worse from being probed more and more; the drawback is for a
-     * front end that restarts with many models.
+     * Probes and status queries allowed per accepted inference; the credit of ten inferences can be saved up. About three are
+     * used in a healthy fleet. The limit prevents that a fleet is probed more and more as it gets worse. Drawback: a front end
+     * that restarts with many models may run out of credit.
      */
     private static final int PROBE_CREDIT_PER_INFERENCE = 8;
-    private static final double REPORT_FRESH_MILLIS = 300; // reports are refreshed a few times a second
+    private static final double REPORT_FRESH_MILLIS = 300; // a few reports per second
 
-    private static final double ORDER_DELIVERY_MILLIS = 20; // a forward may overtake an order: a few network round trips
+    private static final double ORDER_DELIVERY_MILLIS = 20; // a few network round trips, as a forward may overtake an order
 
     /** Mean answer time of a loaded copy without queueing: the group's lowest mean, scaled by the model's own mean. */
     private static double expectedAnswerTime(Model model) {
-        double own = model.answerTimes.count;
-        // Eight answers of the model weigh as much as the group's.
-        double shape = (8 + own * model.answerTimes.mean / model.groupAnswerTimes.mean) / (8 + own);
-        return Math.max(1, model.groupAnswerTimes.lowestMean * shape);
+        double ownAnswers = model.answerTimes.count;
+        // The model's own mean has half of the weight after eight answers.
+        double scale = (8 + ownAnswers * model.answerTimes.mean / model.groupAnswerTimes.mean) / (8 + ownAnswers);
+        return Math.max(1, model.groupAnswerTimes.lowestMean * scale);
     }
 
     /** Orders one more copy when the known lanes are exhausted, after querying likely executors for loaded copies. */
@@ -708,26 +731,29 @@
                 othersInFlight += inFlightHere - copies.inFlight;
             }
         }
-        int queued = model.queue.size();
-        // A started answer occupies its lane for as long as the client reads, which no mean answer time shows.
+        int queuedCount = model.queue.size();
+        // A started answer occupies its lane for as long as the client reads, which the expected answer time does not include.
         double busyLanes = model.recentArrivals.value(now, RECENT_DECAY_MILLIS) / RECENT_DECAY_MILLIS
                 * expectedAnswerTime(model) + othersInFlight + model.startedAnswers;
-        // Also if the last copy has just been lost with its executor: the next inference would wait for a load.
-        boolean inDemand = model.inFlight + othersInFlight + queued > 0 || model.recentArrivals.value(now, RECENT_DECAY_MILLIS) > 0.5;
+        // Recent arrivals count too, in case the last copy has just been lost with its executor: the next inference would wait
+        // for a load.
+        boolean inDemand = model.inFlight + othersInFlight + queuedCount > 0
+                || model.recentArrivals.value(now, RECENT_DECAY_MILLIS) > 0.5;
         boolean lanesExhausted = freeLanes <= 0 && inDemand && (loadedLanes == 0 || busyLanes > BUSY_LANES_THRESHOLD * loadedLanes
-                || queued * expectedAnswerTime(model) / loadedLanes > model.group.sloTime() / 2);
-        if (!lanesExhausted || lanesOnOrder > 0 && lanesOnOrder >= queued
+                || queuedCount * expectedAnswerTime(model) / loadedLanes > model.group.sloTime() / 2);
+        if (!lanesExhausted || lanesOnOrder > 0 && lanesOnOrder >= queuedCount
                 || model.queriesInFlight > 0 && now - model.queriedAt <= REPLY_WAIT_MILLIS) {
             return;
         }
-        int candidates = 0;
+        int candidateCount = 0;
         List<Executor> nearest = rendezvousOrder(model);
-        // The more a status query costs, the fewer are sent, or none: where a copy is loaded, an order is answered at once.
+        // The more a status query costs, the fewer are sent. Without them the order itself tells, as it is answered at once
+        // where a copy is loaded.
         double maxQueries = Math.min(MAX_CANDIDATES, QUERY_COST_LIMIT / frontEnd.probeCost());
-        for (int i = 0; i < nearest.size() && candidates + 1 <= maxQueries; i++) {
+        for (int i = 0; i < nearest.size() && candidateCount + 1 <= maxQueries; i++) {
             ModelCopies copies = sendRules.mayQuery(nearest.get(i)) ? model.copiesOn(nearest.get(i)) : null;
             if (copies != null && copies.loadedCopies == 0) {
-                candidates++;
+                candidateCount++;
                 if (!copies.orderPending && now - copies.confirmedAt > QUERY_INTERVAL_MILLIS && probeCredit > 0) {
                     probeCredit--;
                     model.queriedAt = now;
@@ -743,13 +769,13 @@
 
     /** Limits of load orders in flight. */
     private static final int MAX_ORDERS_PER_MODEL = 2, MAX_ORDERS = 8;
-    private static final double BUSY_LANES_THRESHOLD = 0.5; // lanes missing for a moment are worth a wait, not a load
-    /** A status query is cheap compared with a load, but each one has to be answered. */
+    private static final double BUSY_LANES_THRESHOLD = 0.5; // of loaded lanes; a short lack of lanes ends sooner than a load
+    /** Between status queries to an executor: each is cheap compared with a load, but has to be answered. */
     private static final double QUERY_INTERVAL_MILLIS = 8000;
-    /** Orders go to the first executors in rendezvous order, so loaded copies are found on the first few. */
+    /** Orders go to the first executors in rendezvous order, so that loaded copies are found on the first few. */
     private static final int MAX_CANDIDATES = 4;
     private static final double QUERY_COST_LIMIT = 0.05; // points: a twentieth of the value of an inference
-    private static final double REPLY_WAIT_MILLIS = 15; // a few network round trips; stalled executors are not waited for
+    private static final double REPLY_WAIT_MILLIS = 15; // a few network round trips; a stalled executor is not waited for
 
     /** The executors in the model's rendezvous order, sorted again after the fleet has changed. */
     private List<Executor> rendezvousOrder(Model model) {
@@ -765,8 +791,8 @@
     /** Selects the first executor in the model's rendezvous order whose load is not far above the mean. */
     private ModelCopies selectExecutorForOrder(Model model) {
         ModelCopies leastLoaded = null;
-        int overloaded = 0;
-        int withoutLease = 0;
+        int overloadedCount = 0;
+        int withoutLeaseCount = 0;
         for (Executor executor : rendezvousOrder(model)) {
             if (!isUsable(executor) || model.copiesOn(executor).orderPending || now < model.copiesOn(executor).backoffUntil) {
                 continue;
@@ -776,8 +802,8 @@
                     timers.schedule(now + REPLY_WAIT_MILLIS, model);
                     return null;
                 }
-                if (++withoutLease == MAX_CANDIDATES) {
-                    return leastLoaded; // no answers or no probe credit left: the same goes for the others
+                if (++withoutLeaseCount == MAX_CANDIDATES) {
+                    return leastLoaded; // without answers to probes, or without probe credit, the others are not usable either
                 }
                 continue;
             }
@@ -785,13 +811,13 @@
                 timers.schedule(now + REPLY_WAIT_MILLIS, model);
                 return null;
             }
-            // Up to 1.5 times the mean is within the noise of the reports.
+            // Up to 1.5 times the mean is within the error of the reports.
             if (relativeLoad(executor) <= 1.5 * meanLoad) {
                 return model.copiesOn(executor);
             }
             leastLoaded = leastLoaded == null || relativeLoad(executor) < relativeLoad(leastLoaded.executor)
                     ? model.copiesOn(executor) : leastLoaded;
-            if (++overloaded == MAX_CANDIDATES) {
+            if (++overloadedCount == MAX_CANDIDATES) {
                 return leastLoaded;
             }
         }
@@ -806,23 +832,23 @@
         }
     }
 
-    private static final double MEAN_LOAD_SAMPLES = 20; // as many executors as a model may choose from
+    private static final double MEAN_LOAD_SAMPLES = 20; // about as many as the executors that a model can choose from
 
-    /** Whether copies there count; an expired lease is no obstacle, as it is renewed when needed. */
+    /** Whether copies on the executor count as usable. An expired lease does not matter, as it is renewed when needed. */
     private boolean isUsable(Executor executor) {
         return executor.state == ExecutorState.READY && !leases.isRefusing(executor, now)
                 && executor.suspicion.value(now, ExecutorHealth.SUSPICION_DECAY_MILLIS) <= 0.7;
     }
 
     /**
-     * In-flight work by capacity: as reported, otherwise the forwards of this front end. An executor that leaves a probe
-     * unanswered counts as full.
+     * Inferences in flight divided by the capacity: as reported, or the forwards of this front end if there is no fresh report.
+     * An executor that leaves a probe unanswered counts as full.
      */
     private double relativeLoad(Executor executor) {
         ExecutorReport report = now - executor.reportedAt < 4 * REPORT_FRESH_MILLIS ? executor.report : null;
-        double load = unansweredProbeAge(executor) > REPLY_WAIT_MILLIS ? 100 // more than most executors hold
+        double load = unansweredProbeAge(executor) > REPLY_WAIT_MILLIS ? 100 // more inferences than most executors hold
                 : report == null ? executor.unansweredCount : !Double.isNaN(report.inFlight()) ? report.inFlight()
-                // The fraction of busy cores says little near 1: converted into the inferences in flight that it implies.
+                // The fraction of busy cores says little near 1, so it is converted to the inferences in flight that it implies.
                 : (report.queued() > 0 ? report.queued() : 0)
                 + (report.busyFraction() > 0 ? 1 / (1.1 - Math.min(1, report.busyFraction())) : 0);
         return load / executor.capacity / sendRules.capacityFraction(executor, now);
@@ -834,12 +860,14 @@
         return hash ^ hash >>> 29;
     }
 
-    /** Requests an order, or a status query where count is 0. Orders ask for at most 16 copies, though executors may hold more. */
+    /** Requests an order, or a status query if {@code count} is 0. Executors may hold more copies than an order may ask for. */
     private void requestCopies(ModelCopies copies, int count) {
-        copies.wantedCopies = Math.min(16, count);
+        copies.wantedCopies = Math.min(MAX_COPIES_PER_ORDER, count);
         ordersToSend.add(copies);
     }
 
+    private static final int MAX_COPIES_PER_ORDER = 16;
+
     private void scheduleReview(ModelCopies copies) {
         if (!copies.reviewScheduled) {
             copies.reviewScheduled = true;
@@ -847,22 +875,23 @@
         }
     }
 
-    /** A tenth of the idle time: late enough to see a last use, early enough for a slow round trip. */
+    /** How long before their idle time ends copies are renewed: late enough to see a last use, early enough for a slow reply. */
     private double renewLead() { return loadingRules.idleUnloadTime() / 10; }
 
-    /** Shortly before their idle time ends, renews copies that were used and whose model had more than one inference. */
+    /** Renews copies shortly before their idle time ends, if they were used and their model has had more than one inference. */
     private void reviewCopies(ModelCopies copies) {
         copies.reviewScheduled = false;
         copies.loadedCopies = now >= copies.loadedUntil && copies.inFlight == 0 ? 0 : copies.loadedCopies;
         if (copies.loadedCopies == 0) {
             return;
         } else if (now >= copies.loadedUntil - renewLead() - 1) {
-            copies.loadedCopies = Math.min(copies.loadedCopies, Math.max(1, (int) Math.ceil(copies.peakInFlight / copies.model.lanes)));
+            copies.loadedCopies = Math.min(copies.loadedCopies,
+                    Math.max(1, (int) Math.ceil(copies.peakInFlight / copies.model.lanes)));
             copies.peakInFlight = copies.inFlight;
             if (copies.inFlight > 0) {
                 copies.loadedUntil = now + loadingRules.idleUnloadTime();
-            } else if (copies.lastUsedAt > copies.renewedAt && copies.model.acceptedCount > 1 && !sendRules.maySend(copies.executor, now)
-                    && renewLease(copies.executor)) {
+            } else if (copies.lastUsedAt > copies.renewedAt && copies.model.acceptedCount > 1
+                    && !sendRules.maySend(copies.executor, now) && renewLease(copies.executor)) {
                 copies.reviewScheduled = true;
                 timers.schedule(now + REPLY_WAIT_MILLIS, copies);
                 return;
@@ -903,13 +932,16 @@
         }
     }
 
-    /** Sends what was decided, after checking every rule again. */
+    /** With a mean answer time of twice this, slow answers miss the SLO time. A lower value would exclude healthy executors. */
+    private static final double TARGET_SLO_FRACTION = 0.375;
+
+    /** Carries out the decisions, after another check of the rules for everything that is sent to an executor. */
     private void sendActions() {
         forwardsToCancel.forEach(actions::cancelForward);
         forwardsToCancel.clear();
         for (Inference inference : inferencesToReject) {
             if (!inference.done && inference.rejection == Rejection.SHED) {
-                // It was queued to its deadline: an immediate retry would meet the same load.
+                // An inference that was queued to its deadline would meet the same load if the client repeated it at once.
                 actions.shed(inference, forwardRules.sendsRetryAfter() ? forwardRules.maxRetryAfter() : 0);
             } else if (!inference.done) {
                 actions.fail(inference);
@@ -939,12 +971,13 @@
                 continue;
             }
             copies.executor.leaseEndsAt = leases.leaseEnd(copies.executor);
-            Forward forward = actions.sendForward(inference, copies.executor, inference.deadlineAt - 2 * frontEnd.batchInterval());
+            Forward forward = actions.sendForward(inference, copies.executor,
+                    inference.deadlineAt - 2 * frontEnd.batchInterval());
             forward.copies = copies;
             forward.ownInFlight = copies.inFlight - 1;
             forward.expectedAnswerTime = expectedAnswerTime(copies.model) + (copies.loadedCopies > 0 ? 0 : copies.model.loadTime);
-            // Where the mean is twice this, the tail misses the SLO; a lower value excludes healthy executors.
-            forward.targetAnswerTime = 0.375 * inference.group.sloTime() + (copies.loadedCopies > 0 ? 0 : copies.model.loadTime);
+            forward.targetAnswerTime = TARGET_SLO_FRACTION * inference.group.sloTime()
+                    + (copies.loadedCopies > 0 ? 0 : copies.model.loadTime);
             copies.executor.unansweredForwards.add(forward);
             health.fleet.unansweredForwards.add(forward);
             copies.peakInFlight = Math.max(copies.peakInFlight, totalInFlight(copies));
@@ -959,7 +992,8 @@
             actions.sendProbe(executor);
         }
         executorsToProbe.clear();
-        // While inferences are queued, checks again soon, but at most a thousand models per second.
+        // While inferences are queued, checks again after 10 ms, or after 1 ms per model with a queue if that is longer, so that
+        // at most a thousand models are checked per second.
         double nextReview = queuedModels.isEmpty() ? Double.POSITIVE_INFINITY : now + Math.max(10, queuedModels.size());
         double next = Math.min(timers.nextDueAt(), nextReview);
         if (next < timerScheduledAt) {
--- a/core/src/main/java/gradereach/ReadinessLeases.java
+++ b/core/src/main/java/gradereach/ReadinessLeases.java
@@ -13,11 +13,11 @@
  * and status queries for loaded copies for as long as they were up (docs/incidents/i1c4c95.md).
  */
 final class ReadinessLeases {
-    /** For the network and one event batch: a send counts from its arrival at the executor. */
+    /** Time for the network and one event batch, as a send counts when it arrives at the executor. */
     private static final double DELIVERY_MARGIN_MILLIS = 25;
-    /** After an answer of not ready: the executor will stop soon, or restart. */
+    /** After a probe answered as not ready: the executor will stop soon, or restart. */
     private static final double NOT_READY_PROBE_INTERVAL_MILLIS = 1000;
-    /** While probes are not answered: a few network round trips. */
+    /** While probes remain unanswered: a few network round trips. */
     private static final double UNANSWERED_PROBE_INTERVAL_MILLIS = 50;
 
     private final double drainGrace;
@@ -33,7 +33,7 @@
      * Sets the validity of the roster as a whole. Until the first call the roster is always valid.
      *
      * @param confirmedAt when it was last known to be complete
-     * @param validUntil until when a drain that it does not list counts as not announced
+     * @param validUntil until then, a drain that the roster does not list does not count as announced
      */
     void setRosterValidity(double confirmedAt, double validUntil) {
         rosterConfirmedAt = confirmedAt;
@@ -44,7 +44,7 @@
         return now < rosterValidUntil;
     }
 
-    /** Whether the roster has allowed no sends for at least this time. */
+    /** Whether the validity of the roster and the drain grace after it ended at least {@code span} milliseconds ago. */
     boolean hasRosterExpiredFor(double span, double now) {
         return now - rosterValidUntil - drainGrace >= span;
     }
@@ -81,7 +81,10 @@
         invalidateProof(executor, probeSentAt);
     }
 
-    /** The executor refused what was sent then: it may be draining, and has to be probed before anything else is sent. */
+    /**
+     * The executor refused what was sent at {@code sentAt}: it may be draining. An earlier probe proves nothing any more, and
+     * the executor has to be probed before anything else is sent.
+     */
     void invalidateProof(Executor executor, double sentAt) {
         if (sentAt >= executor.readyProbeSentAt) {
             executor.readyProbeSentAt = Double.NEGATIVE_INFINITY;
@@ -94,9 +97,9 @@
     }
 
     /**
-     * Whether an answer to what was sent at sentAt may come from a new process that the roster could not report, since
-     * connections to the old one were lost. An answer to something sent before that came from the old process, and shows
-     * that it still runs.
+     * Whether an answer to what was sent at {@code sentAt} may come from a new process that the roster could not report. This
+     * is so if the roster is not valid, and a connection was lost since it was last confirmed. An answer to something that was
+     * sent before the loss came from the old process and shows that it still runs. In this case the loss is forgotten.
      */
     boolean mayHaveRestarted(Executor executor, double sentAt, double now) {
         if (sentAt <= executor.disconnectedAt) {
--- a/core/src/main/java/gradereach/SendRules.java
+++ b/core/src/main/java/gradereach/SendRules.java
@@ -27,12 +27,15 @@
  * <li>load orders stay within their budget.
  * </ol>
  *
- * @param sentWorkPerExecutor recent work, averaged over the executors
+ * @param orders load orders sent recently
+ * @param acceptedInferences inferences accepted recently
+ * @param sentWorkPerExecutor recent work sent, in milliseconds, averaged over the executors
+ * @param executors all executors of the roster
  */
 record SendRules(ColdStartRule coldStart, LoadOrderBudget loadOrderBudget, FrontEndShare frontEndShare, ForwardRules forwardRules,
         ReadinessLeases leases, SlidingWindowSum orders, SlidingWindowSum acceptedInferences,
         DecayingSum sentWorkPerExecutor, Set<Executor> executors, Random random) {
-    /** Rule 5. Orders count a little longer than the window, inferences a little shorter, since clocks round. */
+    /** Rule 5. As clocks round, orders count a millisecond longer than the window, and inferences a millisecond shorter. */
     boolean mayOrder(double now) {
         double recentOrders = orders.sumSince(now - loadOrderBudget.window() - 1);
         return recentOrders + 1 <= loadOrderBudget.baseOrders()
@@ -40,20 +43,24 @@
                 || loadOrderBudget.window() <= 0;
     }
 
-    /** Rule 3. Uses the grace of the rule only when the roster cannot tell. */
+    /** Rule 3. Uses the drain grace only while the roster cannot tell whether the executor is draining. */
     boolean maySend(Executor executor, double now) { return leases.maySend(executor, now); }
 
     /** Status queries are not subject to rule 3, but there is no point in asking an executor that is shutting down. */
     boolean mayQuery(Executor executor) { return executor.state == ExecutorState.READY; }
 
-    /** Rules 1 to 4. */
+    /**
+     * Rules 1 to 4.
+     *
+     * @param work expected answer time, in milliseconds
+     */
     boolean mayForward(Inference inference, Executor executor, double work, double now) {
         return maySend(executor, now) && !inference.done && !inference.answerStarted && now < inference.deadlineAt
                 && inference.forwards.size() < forwardRules.maxForwards()
                 && mayRetryOn(inference, executor, now) && fitsColdStartLimit(executor, work, now);
     }
 
-    /** Rule 2. */
+    /** Rule 2. Whether the earlier forwards of the inference allow another one to the executor. */
     private boolean mayRetryOn(Inference inference, Executor executor, double now) {
         ModelGroup group = inference.group;
         for (Forward forward : inference.forwards) {
@@ -75,7 +82,7 @@
         return true;
     }
 
-    /** Negative values are unknown: two of them need not be the same. */
+    /** Negative numbers of locations and cells are unknown, and two of them need not be the same. */
     private static boolean isSameAndKnown(int first, int second) {
         return first == second && first >= 0;
     }
@@ -96,8 +103,9 @@
     }
 
     /**
-     * Rule 4. The budget is this front end's share of one core, or of what an executor usually gets. If it is less than one
-     * inference, a random draw decides.
+     * Rule 4. The budget is this front end's share of the work that a cold executor with one core can take, raised where
+     * executors usually get more than this share from this front end. If the budget is less than one inference, a random draw
+     * decides.
      */
     private boolean fitsColdStartLimit(Executor executor, double work, double now) {
         double fraction = capacityFraction(executor, now - coldStart.overloadTime());
@@ -105,13 +113,14 @@
         if (fraction >= 1 || coldStart.overloadFactor() <= 0) {
             return true;
         }
-        // Averaged over longer than a burst, which must not count as what executors can take.
+        // Averaged over the warm-up time, so that a short burst does not raise the budget.
         double usualWork = sentWorkPerExecutor.value(now, coldStart.warmUpTime()) / coldStart.warmUpTime();
-        // Three quarters of the maximum; the rest is for inferences that take longer than the mean.
+        // Three quarters of the maximum. The rest is a reserve for inferences that take longer than the mean.
         double maxWork = 0.75 * coldStart.overloadFactor() * coldStart.overloadTime() * fraction;
         // Usual work above the share counts half: the shares of other front ends hold, however little they are used.
         double budget = maxWork * (frontEndShare.fraction + Math.max(0, usualWork - frontEndShare.fraction) / 2);
-        // Before a restart, this front end may just have used up its budget: half, until that work no longer counts.
+        // A process before the restart of this front end may just have used up the budget: half of it, until that work no longer
+        // counts.
         budget *= now - frontEndShare.startedAt < coldStart.overloadTime() ? 0.5 : 1;
         if (now >= executor.admissionDrawValidUntil) {
             executor.admissionDrawValidUntil = now + coldStart.overloadTime();
@@ -120,9 +129,13 @@
         return recentWork + work <= Math.max(budget, executor.admissionDraw * work < budget ? work : 0);
     }
 
-    /** Records the work of a forward that has been sent. */
+    /**
+     * Records a forward that has been sent.
+     *
+     * @param work expected answer time, in milliseconds
+     */
     void recordForward(Executor executor, double work, double now) {
-        // Divided by the present number of executors: divided later, a shrinking fleet would raise every budget.
+        // Divided now and not when the sum is read, as a shrinking fleet would then raise every budget.
         sentWorkPerExecutor.add(work / executors.size(), now, coldStart.warmUpTime());
         executor.recentWork.add(work, now);
     }
--- a/core/src/main/java/gradereach/api/DedupScope.java
+++ b/core/src/main/java/gradereach/api/DedupScope.java
@@ -1,4 +1,7 @@
 package gradereach.api;
 
-/** Which executors recognize a forward of a deduped inference that they have run before: all, or those of the same location or cell. */
+/**
+ * Which executors recognize a repeated forward of a deduped inference: all, or those in the location or cell of the executor that
+ * ran it first.
+ */
 public enum DedupScope { ALL, LOCATION, CELL }
--- a/core/src/main/java/gradereach/api/ExecutorListing.java
+++ b/core/src/main/java/gradereach/api/ExecutorListing.java
@@ -5,6 +5,7 @@
 /**
  * One executor as listed by the roster.
  *
+ * @param capacity relative to that of other executors; 0 if unknown
  * @param startedAt monotonic time; 0 means long ago
  * @param location negative if unknown
  * @param cell negative if unknown
--- a/core/src/main/java/gradereach/api/LoadOrderBudget.java
+++ b/core/src/main/java/gradereach/api/LoadOrderBudget.java
@@ -1,7 +1,7 @@
 package gradereach.api;
 
 /**
- * Limits load orders in any window: to a base plus a fraction of the inferences accepted in it.
+ * Limits the load orders in any window (rule 5): to a base number plus a fraction of the inferences accepted in it.
  *
  * @param window milliseconds; 0 means no limit
  */
--- a/core/src/main/java/gradereach/api/LoadStatus.java
+++ b/core/src/main/java/gradereach/api/LoadStatus.java
@@ -1,4 +1,4 @@
 package gradereach.api;
 
-/** How the executor had, or came by, the copy that an inference ran on. */
+/** Whether an inference had to wait until a copy of its model was loaded, as its executor reports it. */
 public enum LoadStatus { UNKNOWN, ALREADY_LOADED, STARTED_LOAD, WAITED_FOR_LOAD, LOAD_FAILED }
--- a/core/src/main/java/gradereach/api/Router.java
+++ b/core/src/main/java/gradereach/api/Router.java
@@ -6,15 +6,19 @@
 import gradereach.state.Model;
 import java.util.List;
 
-/** Takes events, in batches between {@link #beginBatch} and {@link #endBatch}. Times are in milliseconds. */
+/**
+ * Decides what is sent to which executor. Takes events, in batches between {@link #beginBatch} and {@link #endBatch}, and acts
+ * through {@link RouterActions}. Times are in milliseconds.
+ */
 public interface Router {
     /** Sets the time of the batch, before its first event. */
     void beginBatch(double now);
 
+    /** @param listings the executors that the update lists; ignored if the update failed */
     void onRosterUpdate(RosterUpdateKind kind, List<ExecutorListing> listings);
 
     /**
-     * Validity of the roster. Unless this is called, the roster always counts as complete.
+     * Sets the validity of the roster. Unless this is called, the roster always counts as complete.
      *
      * @param confirmedAt when the roster was last known to be complete
      * @param validUntil from then on, a drain may count as announced although the roster does not list it
@@ -40,22 +44,24 @@
     /** The client disconnected or its deadline has passed: it needs no answer any more. */
     void onInferenceCancelled(Inference inference);
 
+    /** A timer of {@link RouterActions#scheduleTimer} is due. */
     void onTimer(long tag);
 
     /** @param report null if there was none */
     void onProbeEnded(Executor executor, Outcome outcome, double elapsed, ExecutorReport report);
 
-    /** A load order has ended. {@code loadedCopies} is the number of copies loaded now, 0 if there was no answer. */
+    /** A load order or a status query has ended. {@code loadedCopies} is the number of copies loaded now, 0 without an answer. */
     void onOrderEnded(Executor executor, Model model, Outcome outcome, double elapsed, int loadedCopies);
 
-    void onPeerMessage(int from, byte[] message);
+    /** @param sender index of the front end that sent the message */
+    void onPeerMessage(int sender, byte[] message);
 
     /** Sets the fraction of shared limits that this front end may use, 0 to 1. Until then it is 1 / number of front ends. */
     void onShareChanged(double fraction);
 
-    /** Asks to drop the state of a model. Returns true if nothing of it is in flight, loaded or queued any more. */
+    /** Drops the state of a model if it is no longer used. Returns whether it was dropped. */
     boolean tryForgetModel(Model model);
 
-    /** All events of the batch are in: decides and acts. */
+    /** Decides and acts, after the last event of the batch. */
     void endBatch();
 }
--- a/core/src/main/java/gradereach/state/DecayingSum.java
+++ b/core/src/main/java/gradereach/state/DecayingSum.java
@@ -1,6 +1,6 @@
 package gradereach.state;
 
-/** A sum that decays exponentially. The time constant is given with each call. */
+/** A sum that decays exponentially, to about a third within the time constant that is given with each call. */
 public final class DecayingSum {
     private double sum;
     private double updatedAt;
--- a/core/src/main/java/gradereach/state/Forward.java
+++ b/core/src/main/java/gradereach/state/Forward.java
@@ -6,21 +6,23 @@
 public final class Forward {
     public final Inference inference;
     public final Executor executor;
+    /** Its index in the forwards of the inference. */
     public final int number;
     public final double sentAt;
     /** The generation of the executor that it was sent to. */
     private int generation;
     /** Null while it is in flight. */
     public Outcome outcome;
+    /** The copies of the model on the executor. */
     public ModelCopies copies;
-    /** Inferences of the model that this front end had in flight there when the forward was sent. */
+    /** Other inferences of the model that this front end had in flight there when the forward was sent. */
     public int ownInFlight;
     /** The answer time expected when it was sent. */
     public double expectedAnswerTime;
     /** The mean answer time at which even slow answers still meet the SLO. */
     public double targetAnswerTime;
     public boolean cancelled;
-    /** Its answer has started: it occupies a lane, but waits for nothing. */
+    /** Whether its answer has started: it still occupies a lane, but nothing is waited for. */
     public boolean answerStarted;
 
     public Forward(Inference inference, Executor executor, int number, double sentAt) {
--- a/core/src/main/java/gradereach/state/Inference.java
+++ b/core/src/main/java/gradereach/state/Inference.java
@@ -12,20 +12,22 @@
 
     public final long id;
     public final ModelGroup group;
-    /** Index of its customer. */
     public final int customerIndex;
     public final Model model;
     public final double acceptedAt;
     /** When its client stops waiting. */
     public final double deadlineAt;
-    /** NaN if unknown. */
+    /** NaN if unknown. Not used by the policy. */
     public final double expectedWork;
     /** Whether it is a repeat by the client. */
     public final boolean isRetry;
 
     public final List<Forward> forwards = new ArrayList<>(2);
+    /** Whether it has its final answer, or needs none any more. */
     public boolean done;
+    /** Whether the answer of one of its forwards has started. */
     public boolean answerStarted;
+    /** Whether it waits in the queue of its model. */
     public boolean queued;
     /** Rank in the queue of its model; lower ranks are served first. */
     public int queueRank;
@@ -34,16 +36,16 @@
     /** The candidates whose load reports are awaited before the inference is sent to one of them; null for none. */
     public ModelCopies firstCandidate;
     public ModelCopies secondCandidate;
-    /** Where it is about to be sent, null for nowhere. */
+    /** The copies that it is about to be sent to; null for none. */
     public ModelCopies target;
     /** The decided rejection; null for none. */
     public Rejection rejection;
 
-    public Inference(long id, ModelGroup group, int customer, Model model, double acceptedAt, double deadlineAt,
+    public Inference(long id, ModelGroup group, int customerIndex, Model model, double acceptedAt, double deadlineAt,
             double expectedWork, boolean isRetry) {
         this.id = id;
         this.group = group;
-        this.customerIndex = customer;
+        this.customerIndex = customerIndex;
         this.model = model;
         this.acceptedAt = acceptedAt;
         this.deadlineAt = deadlineAt;
--- a/core/src/main/java/gradereach/state/Model.java
+++ b/core/src/main/java/gradereach/state/Model.java
@@ -11,7 +11,7 @@
     public double memoryMegabytes;
     /** Inferences that one copy runs concurrently. */
     public int lanes = 1;
-    /** Usual load time, 0 if unknown. */
+    /** Usual load time in milliseconds, 0 if unknown. */
     public double loadTime;
     public ModelGroup group;
     /** Answer times over the model group. */
@@ -19,21 +19,22 @@
     public final AnswerTimeStats answerTimes = new AnswerTimeStats();
 
     public final TreeSet<Inference> queue = new TreeSet<>(Inference.QUEUE_ORDER);
-    /** The executors in this model's rendezvous order. */
+    /** The executors in the order in which this model prefers them, by rendezvous hashing. */
     public final List<Executor> rendezvousOrder = new ArrayList<>();
-    /** Version of the fleet for which the rendezvous order was computed. */
+    /** The version of the fleet for which the rendezvous order was computed. */
     public int rendezvousFleetVersion;
-    /** By executor, in the order of first use. */
+    /** One entry per executor, in the order of first use. */
     public final List<ModelCopies> copies = new ArrayList<>();
-    /** Accepted inferences: in total, and recent. */
+    /** The number of accepted inferences in total, and of recent ones. */
     public long acceptedCount;
     public final DecayingSum recentArrivals = new DecayingSum();
-    /** Forwards of this front end in flight. */
+    /** The number of forwards of this front end in flight. */
     public int inFlight;
-    /** Those of them whose answer has started. */
+    /** The number of forwards in flight whose answer has started. */
     public int startedAnswers;
     public int ordersInFlight;
     public int queriesInFlight;
+    /** When a status query for this model was last requested. */
     public double queriedAt = Double.NEGATIVE_INFINITY;
     /** Loads that failed in a row since a copy was last known to be loaded, and when the last one failed. */
     public int consecutiveFailedLoads;
@@ -43,7 +44,7 @@
         this.id = id;
     }
 
-    /** The copies on that executor, created if missing. */
+    /** Returns the entry for the executor, which is created if missing. */
     public ModelCopies copiesOn(Executor executor) {
         for (ModelCopies modelCopies : copies) {
             if (modelCopies.executor == executor) {
--- a/core/src/main/java/gradereach/state/ModelCopies.java
+++ b/core/src/main/java/gradereach/state/ModelCopies.java
@@ -14,19 +14,22 @@
     public final DecayingSum recentForwards = new DecayingSum();
     /** Highest number of concurrent inferences since the last review. */
     public double peakInFlight;
+    /** When a forward last returned from here. */
     public double lastUsedAt = Double.NEGATIVE_INFINITY;
+    /** When the copies were last ordered again, so that they are not unloaded. */
     public double renewedAt = Double.NEGATIVE_INFINITY;
+    /** When the executor last reported the number of loaded copies. */
     public double confirmedAt = Double.NEGATIVE_INFINITY;
     /** Until when the copies are believed to stay loaded. */
     public double loadedUntil = Double.NEGATIVE_INFINITY;
     /** Whether an order or a status query is pending. */
     public boolean orderPending;
-    /** Copies that the order asks for, 0 for a status query. */
+    /** Copies that the pending order asks for; 0 for a status query, or without a pending order. */
     public int orderedCopies;
     public double orderSentAt;
     /** The generation of the executor that the order was sent to. */
     private int orderGeneration;
-    /** Copies to be ordered, 0 for a status query. */
+    /** Copies that the next order is to ask for; 0 for a status query. */
     public int wantedCopies;
     /** No forward or order is sent before this time. */
     public double backoffUntil = Double.NEGATIVE_INFINITY;
@@ -44,7 +47,7 @@
         model.inFlight += delta;
     }
 
-    /** The wanted copies have been ordered. */
+    /** Records that the wanted copies are being ordered. */
     public void recordOrderSent(double now) {
         orderPending = true;
         orderedCopies = wantedCopies;
@@ -63,7 +66,7 @@
     /** Copies that a pending order to the current process asks for, otherwise 0. */
     public int copiesOnOrder() { return orderIsCurrent() ? orderedCopies : 0; }
 
-    /** The order has ended. Returns whether it was only a status query. */
+    /** Records the end of the pending order. Returns whether it was only a status query. */
     public boolean recordOrderEnded() {
         boolean isQuery = orderedCopies == 0;
         model.ordersInFlight -= isQuery ? 0 : 1;
--- a/core/src/main/java/gradereach/state/SlidingWindowSum.java
+++ b/core/src/main/java/gradereach/state/SlidingWindowSum.java
@@ -5,8 +5,9 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Amounts with their times, summed over those since a given time. */
+/** Sum of the amounts that were added since a given time. */
 public final class SlidingWindowSum {
+    /** Pairs of a time and an amount, in the order of time. */
     private final ArrayDeque<double[]> amounts = new ArrayDeque<>();
     private double sum;
 
@@ -25,7 +26,7 @@
         sum += other.sum;
     }
 
-    /** The sum since that time. Drops older amounts. */
+    /** Returns the sum since that time, and drops older amounts: later calls must not ask for an earlier time. */
     public double sumSince(double time) {
         while (!amounts.isEmpty() && amounts.peek()[0] < time) {
             sum -= amounts.poll()[1];
--- a/core/src/main/java/gradereach/state/TimerQueue.java
+++ b/core/src/main/java/gradereach/state/TimerQueue.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Objects to be reviewed at given times; equal times come out in the order in which they were scheduled. */
+/** Objects that are due at given times. Objects with equal times are due in the order in which they were scheduled. */
 public final class TimerQueue {
     private record Timer(double dueAt, long sequence, Object subject) { }
 
@@ -15,11 +15,12 @@
         queue.add(new Timer(dueAt, nextSequence++, subject));
     }
 
-    /** Removes and returns the next object that is due, null if none is. */
+    /** Removes and returns the next object that is due; null if none is. */
     public Object pollDue(double now) {
         return nextDueAt() <= now ? queue.poll().subject() : null;
     }
 
+    /** Returns when the next object is due; positive infinity if the queue is empty. */
     public double nextDueAt() {
         return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().dueAt();
     }
