--- a/benchlink/src/test/java/gradereach/benchlink/WireTest.java
+++ b/benchlink/src/test/java/gradereach/benchlink/WireTest.java
@@ -13,11 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Byte-exact input and output of the simulator protocol. */
+/** The simulator protocol, by bytes of input and output in hexadecimal, and its map of ids. */
 class WireTest {
     private static final String SETTINGS = "grades.count=1\ngrades.0.name=g\ngrades.0.repeat=retryable\n"
             + "grades.0.aim=400\ngrades.0.deadline=2000\nlimits.attempts_cap=3\nextra.orders=true\nnew.key=x\n"
             + "report.columns=busy,q\n";
+    /** Lists two ready executors. */
     private static final String ROSTER_UPDATE = "01 00000041 00000003 0000000000000029 01 00000002"
             + "3f800000 0000000000000000 01 0000 00 0000 0a124a07 1b5b"
             + "3fc00000 0000000000000000 01 0001 00 0000 0a9011f2 1b84";
@@ -32,10 +33,11 @@
 
     private static String startInstance(String settings) {
         String text = HexFormat.of().formatHex(settings.getBytes(StandardCharsets.UTF_8));
-        int n = settings.length();
-        return String.format("00 %08x 00000003 0000000000000001 %08x", 16 + n, n) + text;
+        int length = settings.length();
+        return String.format("00 %08x 00000003 0000000000000001 %08x", 16 + length, length) + text;
     }
 
+    /** A frame of the time 8412.25 ms. */
     private static String frame(String... records) {
         String body = hex(String.join("", records));
         return String.format("%08x%08x", 16 + body.length() / 2, records.length) + "40c06e2000000000" + body;
@@ -56,6 +58,7 @@
         assertEquals(0, exitCode);
     }
 
+    /** Also shows that a record with an unknown code is ignored. */
     @Test
     void acceptedInferenceQueriesBothExecutorsAndIsForwarded() {
         String orderEnded = "0a 0000001c 00000003 0a9011f2 1b84 0000007c55d20a01 01 4008000000000000 01";
@@ -69,6 +72,10 @@
         assertEquals("", errors);
     }
 
+    /**
+     * Guards against actions of an instance that was stopped in the batch in which it accepted an inference. The new instance
+     * with the same id knows nothing of the inference, and sends no status queries.
+     */
     @Test
     void stoppedInstanceMayRestartInTheSameBatch() {
         String reply = serve(frame(startInstance(SETTINGS), ROSTER_UPDATE)
@@ -97,12 +104,16 @@
     @ParameterizedTest
     @CsvSource({"grades.0.aim=400, grades.0.aim is missing", "grades.0.repeat=retryable, grades.0.repeat",
         "grades.count=1, grades.count is missing"})
-    void missingSettingIsNamed(String without, String message) {
-        serve(frame(startInstance(SETTINGS.replace(without + "\n", ""))));
+    void missingSettingIsNamed(String removedLine, String message) {
+        serve(frame(startInstance(SETTINGS.replace(removedLine + "\n", ""))));
         assertEquals(1, exitCode);
         assertTrue(errors.contains(message), errors);
     }
 
+    /**
+     * Guards against a removal that leaves an empty slot between a key and its home slot, so that the key is no longer found.
+     * Also checks the bytes of an address.
+     */
     @Test
     void keysAreFoundAfterOthersWereRemoved() {
         LongMap<String> map = new LongMap<>();
@@ -115,8 +126,8 @@
         for (long i = 0; i < 1000; i++) {
             assertEquals(i % 2 == 0 ? null : "v" + i, map.get(i * 64));
         }
-        ByteBuffer to = ByteBuffer.allocate(6);
-        ReplyWriter.putAddress(to, 0x0a124a071b5bL);
-        assertEquals("0a124a071b5b", HexFormat.of().formatHex(to.array()));
+        ByteBuffer record = ByteBuffer.allocate(6);
+        ReplyWriter.putAddress(record, 0x0a124a071b5bL);
+        assertEquals("0a124a071b5b", HexFormat.of().formatHex(record.array()));
     }
 }
--- a/core/src/test/java/gradereach/ColdFleetTest.java
+++ b/core/src/test/java/gradereach/ColdFleetTest.java
@@ -13,38 +13,41 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Many front ends with the same cold executor: what they send to it in total, in any window of the cold start rule. */
+/** What many front ends together send to the same cold executor, within any time window of the cold start rule. */
 class ColdFleetTest {
     private static final double WORK_MILLIS = 100;
     private static final double WINDOW_MILLIS = 3000; // overloadTime of the cold start rule, as in PolicyHarness
     private static final int WARM_EXECUTORS = 4;
     private static final long COLD_EXECUTOR_ID = 99;
+    /** When the cold executor joins, and when the test ends. */
     private static final double JOINED_AT = 25_000;
     private static final double ENDED_AT = JOINED_AT + 7000;
 
-    private record Member(PolicyHarness frontEnd, Model model, Executor cold) { }
+    /** One front end, with its own objects for the model and the cold executor. */
+    private record Member(PolicyHarness frontEnd, Model model, Executor coldExecutor) { }
 
     private final Random random;
     private final List<Member> members = new ArrayList<>();
-    private final List<Double> sentCold = new ArrayList<>();
-    private long seeds;
+    /** When each forward to the cold executor was sent, by any front end. */
+    private final List<Double> sentToColdAt = new ArrayList<>();
+    private long seedCount;
 
     ColdFleetTest() {
         random = new Random(5);
     }
 
-    private Member member(int frontEnds, double startedAt, double now) {
+    private Member startMember(int frontEndCount, double startedAt, double now) {
         PolicyHarness frontEnd = new PolicyHarness();
-        frontEnd.frontEndCount = frontEnds;
-        frontEnd.start(++seeds * 0x9e3779b97f4a7c15L, WARM_EXECUTORS, startedAt);
+        frontEnd.frontEndCount = frontEndCount;
+        frontEnd.start(++seedCount * 0x9e3779b97f4a7c15L, WARM_EXECUTORS, startedAt);
         Model model = new Model(7);
         model.lanes = 1000;
         return new Member(frontEnd, model, new Executor(COLD_EXECUTOR_ID));
     }
 
-    /** Ends the forwards that are due, and answers all orders: copies are loaded everywhere. */
+    /** Ends the forwards that are due, and answers all orders as if copies were loaded on every executor. */
     private void answerAll(Member member, double now) {
-        // Not before the first inference of the model.
+        // There are no orders before the first inference of the model.
         for (Executor executor : member.model.group == null ? List.<Executor>of() : member.frontEnd.executors) {
             member.frontEnd.answerOrder(now, executor, member.model, 16);
         }
@@ -57,8 +60,9 @@
     }
 
     /**
-     * Guards against front ends that together overload a cold executor. After some seconds of traffic worth one core per
-     * executor, a cold executor joins and all others are removed, so that all traffic goes to it.
+     * Guards against front ends that together overload a cold executor, although each stays within its own budget. After some
+     * seconds of traffic worth one core per executor, a cold executor joins and all others are removed, so that all traffic goes
+     * to it.
      *
      * @param busyShare fraction of all inferences that the first fifth of the front ends gets
      * @param restartedShare fraction of the front ends that restart one second after the executor has joined
@@ -68,9 +72,9 @@
         "100, 0.2, 0.9", "100, 0.8, 0.9"})
     void allFrontEndsTogetherStayWithinTheColdStartLimit(int frontEnds, double busyShare, double restartedShare) {
         for (int i = 0; i < frontEnds; i++) {
-            members.add(member(frontEnds, 0, 1000));
+            members.add(startMember(frontEnds, 0, 1000));
         }
-        double perStep = (WARM_EXECUTORS + 1) * 5 / WORK_MILLIS;
+        double arrivalsPerStep = (WARM_EXECUTORS + 1) * 5 / WORK_MILLIS;
         for (double now = 2000; now < ENDED_AT; now += 5) {
             if (now == JOINED_AT) {
                 for (Member member : members) {
@@ -79,12 +83,12 @@
             }
             if (now == JOINED_AT + 1000) {
                 for (int i = 0; i < restartedShare * frontEnds; i++) {
-                    Member restartedMember = member(frontEnds, 0, now);
+                    Member restartedMember = startMember(frontEnds, 0, now);
                     members.set(i, restartedMember);
                     addColdAndRemoveOthers(restartedMember, now);
                 }
             }
-            for (double expected = perStep; expected > 0; expected--) {
+            for (double expected = arrivalsPerStep; expected > 0; expected--) {
                 if (random.nextDouble() < expected) {
                     int busyCount = Math.max(1, frontEnds / 5);
                     Member member = members.get(random.nextDouble() < busyShare ? random.nextInt(busyCount)
@@ -96,25 +100,28 @@
                 double time = now;
                 member.frontEnd.advanceTo(now);
                 answerAll(member, now);
-                sentCold.addAll(member.frontEnd.forwards.stream().filter(f -> f.executor.id == COLD_EXECUTOR_ID && f.sentAt == time)
-                        .map(f -> f.sentAt).toList());
+                sentToColdAt.addAll(member.frontEnd.forwards.stream()
+                        .filter(f -> f.executor.id == COLD_EXECUTOR_ID && f.sentAt == time).map(f -> f.sentAt).toList());
             }
         }
-        assertTrue(sentCold.size() > 5, "so few were sent that nothing is shown: " + sentCold.size());
-        for (double from = JOINED_AT; from < ENDED_AT - WINDOW_MILLIS; from += 50) {
-            double windowStart = from;
-            long sentInWindow = sentCold.stream().filter(sentAt -> sentAt >= windowStart && sentAt < windowStart + WINDOW_MILLIS).count();
+        assertTrue(sentToColdAt.size() > 5, "too few forwards to the cold executor for a conclusion: " + sentToColdAt.size());
+        for (double start = JOINED_AT; start < ENDED_AT - WINDOW_MILLIS; start += 50) {
+            double windowStart = start;
+            long sentInWindow = sentToColdAt.stream()
+                    .filter(sentAt -> sentAt >= windowStart && sentAt < windowStart + WINDOW_MILLIS).count();
+            // The cold start rule of PolicyHarness: from 0.2 to 1 within 10 s, overload at 3 times the capacity.
             double capacityFraction = 0.2 + 0.8 * (windowStart - JOINED_AT) / 10_000;
             double limit = 3 * capacityFraction * WINDOW_MILLIS / WORK_MILLIS;
+            // With some slack for random draws.
             assertTrue(sentInWindow <= limit + 2 * Math.sqrt(limit) + 2,
-                    sentInWindow + " from " + (windowStart - JOINED_AT) + " ms on, where N is " + limit);
+                    sentInWindow + " forwards in the window from " + (windowStart - JOINED_AT) + " ms on, limit " + limit);
         }
     }
 
     private void addColdAndRemoveOthers(Member member, double now) {
-        member.frontEnd.addExecutors(now, JOINED_AT, member.cold);
+        member.frontEnd.addExecutors(now, JOINED_AT, member.coldExecutor);
         for (Executor executor : List.copyOf(member.frontEnd.executors)) {
-            if (executor != member.cold) {
+            if (executor != member.coldExecutor) {
                 member.frontEnd.updateRoster(now, executor, ExecutorState.REMOVED);
             }
         }
--- a/core/src/test/java/gradereach/PolicyHarness.java
+++ b/core/src/test/java/gradereach/PolicyHarness.java
@@ -4,18 +4,24 @@
 import gradereach.state.*;
 import java.util.*;
 
-/** Runs one policy under test: sends it events, and records its actions as texts. */
+/**
+ * Runs one policy under test: sends it events in virtual time, in milliseconds, and records its actions as texts.
+ * "forward 1 to 2" is a forward of inference 1 to executor 2, "query 2" a status query, "order 1 on 2" a load order for one
+ * copy, "probe 2" a probe, "cancel 1/0" the cancellation of the first forward of inference 1, and "shed 1" or "fail 1" its
+ * rejection.
+ */
 final class PolicyHarness implements RouterActions {
-    static final ModelGroup RETRIABLE = group("quick", RetrySafety.RETRIABLE, DedupScope.ALL);
-    static final ModelGroup NON_RETRIABLE = group("booking", RetrySafety.NON_RETRIABLE, DedupScope.ALL);
-    static final ModelGroup DEDUPED = group("marked", RetrySafety.DEDUPED, DedupScope.LOCATION);
-    static final ModelGroup DEDUPED_ANYWHERE = group("marked-anywhere", RetrySafety.DEDUPED, DedupScope.ALL);
-    static final ModelGroup HIGH_VALUE = new ModelGroup("dear", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400, 0, 2000, 9, 0.2,
-            false);
+    static final ModelGroup RETRIABLE = group("retriable", RetrySafety.RETRIABLE, DedupScope.ALL);
+    static final ModelGroup NON_RETRIABLE = group("non-retriable", RetrySafety.NON_RETRIABLE, DedupScope.ALL);
+    static final ModelGroup DEDUPED = group("deduped", RetrySafety.DEDUPED, DedupScope.LOCATION);
+    static final ModelGroup DEDUPED_ANYWHERE = group("deduped-anywhere", RetrySafety.DEDUPED, DedupScope.ALL);
+    static final ModelGroup HIGH_VALUE = new ModelGroup("high-value", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400, 0, 2000, 9,
+            0.2, false);
 
-    static final double DRAIN_GRACE = 500;
+    static final double DRAIN_GRACE = 500; // milliseconds
 
     final List<String> actions = new ArrayList<>();
+    /** All forwards that were sent, in their order. */
     final List<Forward> forwards = new ArrayList<>();
     final List<Executor> executors = new ArrayList<>();
     LoadOrderBudget loadOrderBudget = new LoadOrderBudget(0, 0, 0);
@@ -30,13 +36,15 @@
         return new ModelGroup(name, retrySafety, scope, 1500, 400, 0, 2000, 1, 0.2, false);
     }
 
-    PolicyHarness start(long seed, int count, double startedAt) {
-        policy = new Policy(this, new Random(seed), new FrontEndSettings(0, frontEndCount, 0, false, probesAllowed, false, 0, 0, 1),
+    /** Starts the policy with ready executors, whose ids are 1 to {@code executorCount}. */
+    PolicyHarness start(long seed, int executorCount, double startedAt) {
+        policy = new Policy(this, new Random(seed),
+                new FrontEndSettings(0, frontEndCount, 0, false, probesAllowed, false, 0, 0, 1),
                 List.of(RETRIABLE, NON_RETRIABLE, DEDUPED, DEDUPED_ANYWHERE, HIGH_VALUE), List.of(), 1,
                 new ColdStartRule(0.2, 10_000, 3, 3000), loadOrderBudget,
                 new LoadingRules(true, true, idleUnloadTime, 10_000, 0.1, List.of(1000.0)),
                 new ForwardRules(4, true, true, 250, 8, 1000, true, DRAIN_GRACE));
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < executorCount; i++) {
             executors.add(new Executor(i + 1));
         }
         runBatch(1000, () -> policy.onRosterUpdate(RosterUpdateKind.CACHED,
@@ -59,21 +67,21 @@
         runBatch(time, () -> policy.onRosterUpdate(RosterUpdateKind.CHANGES, List.of(listing(executor, state, 0))));
     }
 
-    /** Adds executors to the roster that were started at that time. */
+    /** Adds executors to the roster that were started at {@code startedAt}. */
     void addExecutors(double time, double startedAt, Executor... added) {
         executors.addAll(List.of(added));
         runBatch(time, () -> policy.onRosterUpdate(RosterUpdateKind.CHANGES,
                 Arrays.stream(added).map(executor -> listing(executor, ExecutorState.READY, startedAt)).toList()));
     }
 
-    /** Lets time pass, with timer events as often as a policy may ask for them. */
+    /** Lets time pass, with a timer event every 5 ms. */
     void advanceTo(double until) {
         for (double time = now + 5; time <= until; time += 5) {
             runBatch(time, () -> policy.onTimer(0));
         }
     }
 
-    /** Accepts an inference for each model, all in one batch. Returns the first. */
+    /** Accepts one inference for each model, all in one batch. Returns the first. */
     Inference accept(double time, ModelGroup group, Model... models) {
         List<Inference> accepted = new ArrayList<>();
         for (Model model : models) {
@@ -90,6 +98,7 @@
         }
     }
 
+    /** Answers the pending status queries or orders for the model on the first executors, with their numbers of loaded copies. */
     void answerOrder(double time, Model model, int... copies) {
         for (int i = 0; i < copies.length; i++) {
             answerOrder(time, executors.get(i), model, copies[i]);
@@ -106,11 +115,11 @@
 
     void endForward(double time, Forward forward, Outcome outcome) { endForward(time, forward, outcome, 0); }
 
-    /** Ends a forward, with {@code others} other inferences of its model in flight when it arrived. */
-    void endForward(double time, Forward forward, Outcome outcome, int others) {
+    /** Ends a forward that found {@code otherInferences} of its model in flight when it arrived. */
+    void endForward(double time, Forward forward, Outcome outcome, int otherInferences) {
         forward.outcome = outcome;
         forward.inference.done |= outcome == Outcome.RETURNED;
-        runBatch(time, () -> policy.onForwardEnded(forward, new ForwardResult(outcome, LoadStatus.ALREADY_LOADED, others,
+        runBatch(time, () -> policy.onForwardEnded(forward, new ForwardResult(outcome, LoadStatus.ALREADY_LOADED, otherInferences,
                 time - forward.sentAt, forward.inference.done, null)));
     }
 
@@ -132,7 +141,12 @@
         runBatch(time, () -> policy.onInferenceCancelled(inference));
     }
 
-    /** @param confirmedAt when the roster was last known to be complete */
+    /**
+     * Sets the validity of the roster.
+     *
+     * @param confirmedAt when it was last known to be complete
+     * @param validUntil until when a drain that it does not list does not count as announced
+     */
     void setRosterValidity(double time, double confirmedAt, double validUntil) {
         runBatch(time, () -> policy.onRosterValidity(confirmedAt, validUntil));
     }
@@ -157,10 +171,12 @@
                 new ExecutorReport(inFlight, unknown, unknown, unknown, unknown, unknown, unknown, unknown)));
     }
 
-    List<String> actionsSince(int mark) {
-        return actions.subList(mark, actions.size());
+    /** The actions after the first {@code actionCount} ones. */
+    List<String> actionsSince(int actionCount) {
+        return actions.subList(actionCount, actions.size());
     }
 
+    /** The number of actions so far whose texts start with the prefix. */
     long countActions(String prefix) {
         return actions.stream().filter(line -> line.startsWith(prefix)).count();
     }
@@ -176,7 +192,7 @@
 
     @Override
     public void sendOrder(Executor executor, Model model, int copies) {
-        actions.add((copies == 0 ? "ask " : "hold " + copies + " on ") + executor.id);
+        actions.add((copies == 0 ? "query " : "order " + copies + " on ") + executor.id);
     }
 
     @Override
@@ -219,7 +235,7 @@
     public void closeConnections(Executor executor) { }
 
     @Override
-    public void sendPeerMessage(int to, byte[] message) { }
+    public void sendPeerMessage(int receiver, byte[] message) { }
 
     @Override
     public void log(String line) { }
--- a/core/src/test/java/gradereach/PolicyTest.java
+++ b/core/src/test/java/gradereach/PolicyTest.java
@@ -15,6 +15,7 @@
 class PolicyTest {
     private final Model model = new Model(7);
 
+    /** Starts with one executor for each number, which has that many loaded copies. */
     private PolicyHarness startWithCopies(int... copies) {
         PolicyHarness frontEnd = new PolicyHarness().start(1, copies.length, 0);
         reportCopies(frontEnd, model, copies);
@@ -52,21 +53,23 @@
         return time + 10 + answerTime;
     }
 
+    /** Guards against load orders for a model that has loaded copies which only other front ends know of. */
     @Test
     void queriesLoadedCopiesBeforeOrdering() {
         PolicyHarness frontEnd = new PolicyHarness().start(1, 3, 0);
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model);
-        assertEquals(List.of("ask 1", "ask 2", "ask 3"), frontEnd.actions.stream().sorted().toList());
+        assertEquals(List.of("query 1", "query 2", "query 3"), frontEnd.actions.stream().sorted().toList());
         frontEnd.answerOrder(2002, model, 0, 1, 0);
         assertEquals(List.of("forward 1 to 2"), frontEnd.actionsSince(3).subList(0, 1));
     }
 
+    /** Guards against forwards to executors that are known to hold no copy. */
     @Test
     void ordersCopyAndQueuesInferenceWhenNoneIsLoaded() {
         PolicyHarness frontEnd = new PolicyHarness().start(1, 3, 0);
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model);
         frontEnd.answerOrder(2002, model, 0, 0, 0);
-        assertEquals(1, frontEnd.countActions("hold 1 on"));
+        assertEquals(1, frontEnd.countActions("order 1 on"));
         assertEquals(0, frontEnd.countActions("forward"));
         for (Executor executor : frontEnd.executors) {
             if (model.copiesOn(executor).orderedCopies > 0) {
@@ -82,47 +85,51 @@
         PolicyHarness frontEnd = new PolicyHarness().start(1, 20, 0);
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model);
         failOrdersUntil(frontEnd, 2400);
-        assertEquals(3, frontEnd.countActions("hold"));
+        assertEquals(3, frontEnd.countActions("order"));
         assertEquals(List.of("shed 1"), frontEnd.actions.stream().filter(line -> line.startsWith("shed")).toList());
         frontEnd.accept(2500, PolicyHarness.RETRIABLE, model);
         assertEquals(1, frontEnd.countActions("shed 2"));
         frontEnd.accept(8000, PolicyHarness.RETRIABLE, model);
         failOrdersUntil(frontEnd, 8400);
-        assertEquals(4, frontEnd.countActions("hold"));
+        assertEquals(4, frontEnd.countActions("order"));
     }
 
     /** Answers status queries with no loaded copies, and fails every order. */
     private void failOrdersUntil(PolicyHarness frontEnd, double until) {
-        for (double t = frontEnd.now() + 5; t < until; t += 5) {
-            double at = t;
-            frontEnd.advanceTo(t);
+        for (double next = frontEnd.now() + 5; next < until; next += 5) {
+            double time = next;
+            frontEnd.advanceTo(next);
             for (Executor executor : frontEnd.executors) {
                 if (model.copiesOn(executor).orderPending && model.copiesOn(executor).orderedCopies > 0) {
-                    frontEnd.failOrder(at, executor, model);
+                    frontEnd.failOrder(time, executor, model);
                 }
-                frontEnd.answerOrder(at, executor, model, 0);
+                frontEnd.answerOrder(time, executor, model, 0);
             }
         }
     }
 
-    /** Before the first answers, a new front end sends its share of 16 forwards per executor; loads and queries come first anyway. */
+    /**
+     * Guards against a new front end that holds back most inferences until its first answers, whatever the size of the fleet. It
+     * may send its share of 16 forwards per executor.
+     */
     @ParameterizedTest
     @CsvSource({"3, 3, 16", "3, 6, 8", "6, 3, 32"})
-    void newFrontEndUsesItsShareOfTheInitialFleetLimit(int executors, int frontEnds, int forwards) {
+    void newFrontEndUsesItsShareOfTheInitialFleetLimit(int executorCount, int frontEndCount, int forwardCount) {
         model.lanes = 8;
         PolicyHarness frontEnd = new PolicyHarness();
-        frontEnd.frontEndCount = frontEnds;
-        frontEnd.start(1, executors, 0);
+        frontEnd.frontEndCount = frontEndCount;
+        frontEnd.start(1, executorCount, 0);
         Model[] models = new Model[60];
         java.util.Arrays.fill(models, model);
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, models);
-        int[] copies = new int[executors];
+        int[] copies = new int[executorCount];
         java.util.Arrays.fill(copies, 1);
         frontEnd.answerOrder(2001, model, copies);
         frontEnd.advanceTo(2010);
-        assertEquals(forwards, frontEnd.forwards.size());
+        assertEquals(forwardCount, frontEnd.forwards.size());
     }
 
+    /** Guards against removed executors that are kept for ever, or dropped while a forward is in flight. */
     @Test
     void removedExecutorIsForgottenOnceIdle() {
         PolicyHarness frontEnd = startWithCopies(1, 1, 1);
@@ -136,9 +143,10 @@
         assertTrue(removed.copies.isEmpty());
         frontEnd.updateRoster(2200, removed, ExecutorState.READY);
         frontEnd.accept(2201, PolicyHarness.RETRIABLE, new Model(8));
-        assertTrue(frontEnd.actionsSince(0).contains("ask " + removed.id));
+        assertTrue(frontEnd.actionsSince(0).contains("query " + removed.id));
     }
 
+    /** Guards against models that are kept for ever, or dropped while a copy is loaded or the model was used recently. */
     @ParameterizedTest
     @CsvSource({"5000, false", "15000, false", "40000, true"})
     void modelIsForgottenOnlyWhenIdle(double time, boolean forgotten) {
@@ -148,6 +156,7 @@
         assertEquals(!forgotten, frontEnd.executors.get(0).copies.stream().anyMatch(copies -> copies.model == model));
     }
 
+    /** Guards against traffic that is spread over all copies, so that none of them becomes idle and is unloaded. */
     @Test
     void busiestExecutorWithAFreeLaneIsSelected() {
         model.lanes = 2;
@@ -160,6 +169,7 @@
         assertFalse(frontEnd.forwards.get(3).executor == used);
     }
 
+    /** The arrivals keep the only lane busy nearly all the time, although no inference is queued at the end. */
     @Test
     void ordersOneMoreCopyWhenLanesAreExhausted() {
         PolicyHarness frontEnd = startWithCopies(1, 0, 0);
@@ -170,31 +180,33 @@
         frontEnd.accept(7200, PolicyHarness.RETRIABLE, model);
         assertTrue(model.queue.isEmpty());
         frontEnd.answerOrder(7201, model, 1, 0, 0);
-        assertTrue(frontEnd.countActions("hold") >= 1);
+        assertTrue(frontEnd.countActions("order") >= 1);
     }
 
+    /** Guards against copies in use that are unloaded, and against unused copies that are renewed again and again. */
     @Test
     void usedCopiesAreRenewedOnceAndThenExpire() {
         PolicyHarness frontEnd = startWithCopies(1, 0);
         frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
         frontEnd.endForward(2150, frontEnd.forwards.get(1), Outcome.RETURNED);
-        int mark = frontEnd.actions.size();
+        int actionsBefore = frontEnd.actions.size();
         frontEnd.advanceTo(11_500);
-        assertEquals(List.of("hold 1 on 1"), frontEnd.actionsSince(mark));
+        assertEquals(List.of("order 1 on 1"), frontEnd.actionsSince(actionsBefore));
         frontEnd.answerOrder(11_501, model, 1, 0);
         frontEnd.advanceTo(30_000);
-        assertEquals(1, frontEnd.actionsSince(mark).size());
+        assertEquals(1, frontEnd.actionsSince(actionsBefore).size());
         assertEquals(0, model.copiesOn(frontEnd.executors.get(0)).loadedCopies);
     }
 
+    /** Guards against a second effect of an inference that may have run, on an executor that would not recognize the repeat. */
     @ParameterizedTest
     @CsvSource({
         // group, outcome of the first forward, whether it is retried, final answer if it is not
-        "quick, MISS, true, shed", "quick, ERROR, true, shed", "quick, RESET, true, shed",
-        "booking, FULL, true, shed", "booking, CONNECT_FAILED, true, shed", "booking, NEVER_SENT, true, shed",
-        "booking, ERROR, false, fail", "booking, TIMED_OUT, false, fail", "booking, RESET, false, fail",
-        "booking, CANCELLED, false, fail", "marked-anywhere, ERROR, true, shed", "marked, ERROR, false, fail",
-        "marked, FULL, true, shed"})
+        "retriable, MISS, true, shed", "retriable, ERROR, true, shed", "retriable, RESET, true, shed",
+        "non-retriable, FULL, true, shed", "non-retriable, CONNECT_FAILED, true, shed", "non-retriable, NEVER_SENT, true, shed",
+        "non-retriable, ERROR, false, fail", "non-retriable, TIMED_OUT, false, fail", "non-retriable, RESET, false, fail",
+        "non-retriable, CANCELLED, false, fail", "deduped-anywhere, ERROR, true, shed", "deduped, ERROR, false, fail",
+        "deduped, FULL, true, shed"})
     void retriesOnlyWhenSafe(String group, Outcome outcome, boolean retried, String answer) {
         PolicyHarness frontEnd = startWithCopies(1, 1);
         ModelGroup modelGroup = List.of(PolicyHarness.RETRIABLE, PolicyHarness.NON_RETRIABLE, PolicyHarness.DEDUPED,
@@ -218,14 +230,16 @@
         PolicyHarness frontEnd = startWithCopies(1, 1);
         Executor unavailable = frontEnd.forwards.get(0).executor;
         frontEnd.updateRoster(2090, unavailable, state);
-        int mark = frontEnd.actions.size();
+        int actionsBefore = frontEnd.actions.size();
         for (int i = 0; i < 20; i++) {
             frontEnd.accept(2100 + i, PolicyHarness.RETRIABLE, model);
         }
         frontEnd.advanceTo(3000);
-        assertTrue(frontEnd.actionsSince(mark).stream().noneMatch(line -> line.endsWith(" " + unavailable.id)), frontEnd.actions::toString);
+        assertTrue(frontEnd.actionsSince(actionsBefore).stream().noneMatch(line -> line.endsWith(" " + unavailable.id)),
+                frontEnd.actions::toString);
     }
 
+    /** Guards against queued inferences without an answer at their deadline, as no executor is left. */
     @Test
     void everyInferenceIsAnsweredBeforeItsDeadline() {
         PolicyHarness frontEnd = new PolicyHarness().start(1, 2, 0);
@@ -250,27 +264,31 @@
         assertTrue(frontEnd.forwards.size() >= 5 && frontEnd.forwards.size() <= 13, () -> "" + frontEnd.forwards.size());
     }
 
+    /** Guards against front ends that each send one inference, as their budget is less than one, and overload it together. */
     @ParameterizedTest
     @CsvSource({"1, 6, 6", "40, 5, 24", "400, 5, 24"})
-    void allFrontEndsTogetherDoNotOverloadAColdExecutor(int frontEnds, int atLeast, int atMost) {
-        int sent = 0;
-        for (int i = 1; i <= frontEnds; i++) {
+    void allFrontEndsTogetherDoNotOverloadAColdExecutor(int frontEndCount, int atLeast, int atMost) {
+        int sentCount = 0;
+        for (int i = 1; i <= frontEndCount; i++) {
             Model model = new Model(7);
             model.lanes = 100;
             PolicyHarness frontEnd = new PolicyHarness();
-            frontEnd.frontEndCount = frontEnds;
+            frontEnd.frontEndCount = frontEndCount;
             frontEnd.start(i * 0x9e3779b97f4a7c15L, 1, 1999).accept(2000, PolicyHarness.RETRIABLE, model);
             frontEnd.answerOrder(2001, model, 16);
             for (int n = 0; n < 5; n++) {
                 frontEnd.accept(2010 + 500 * n, PolicyHarness.RETRIABLE, model);
             }
-            sent += frontEnd.forwards.size();
+            sentCount += frontEnd.forwards.size();
         }
         // 1800 ms of work within 3 s is 18 inferences of 100 ms, with some slack for randomness.
-        assertTrue(sent >= atLeast && sent <= atMost, "" + sent);
+        assertTrue(sentCount >= atLeast && sentCount <= atMost, "" + sentCount);
     }
 
-    /** A share that was set replaces the initial 1 / number of front ends: of the 13 inferences that a cold executor gets, or none. */
+    /**
+     * Guards against a share that was set and has no effect. It replaces the initial share of 1 / 40, and applies to the 13
+     * inferences that a cold executor gets at most.
+     */
     @ParameterizedTest
     @CsvSource({"0, 0, 0", "0.25, 1, 4", "1, 5, 13"})
     void coldExecutorGetsTheShareOfThisFrontEnd(double fraction, int atLeast, int atMost) {
@@ -284,9 +302,11 @@
         for (int i = 0; i < 100; i++) {
             frontEnd.accept(2010 + 3 * i, PolicyHarness.RETRIABLE, model);
         }
-        assertTrue(frontEnd.forwards.size() >= atLeast && frontEnd.forwards.size() <= atMost, () -> "" + frontEnd.forwards.size());
+        assertTrue(frontEnd.forwards.size() >= atLeast && frontEnd.forwards.size() <= atMost,
+                () -> "" + frontEnd.forwards.size());
     }
 
+    /** Guards against an order for each of many new models. The budget is 2 orders and a tenth of the 30 inferences. */
     @Test
     void loadOrdersStayWithinTheirBudget() {
         PolicyHarness frontEnd = new PolicyHarness();
@@ -298,9 +318,11 @@
             frontEnd.answerOrder(2001 + 10 * i, other, 0, 0, 0, 0);
         }
         frontEnd.advanceTo(2500);
-        assertTrue(frontEnd.countActions("hold") >= 3 && frontEnd.countActions("hold") <= 5, () -> "" + frontEnd.countActions("hold"));
+        assertTrue(frontEnd.countActions("order") >= 3 && frontEnd.countActions("order") <= 5,
+                () -> "" + frontEnd.countActions("order"));
     }
 
+    /** Guards against decisions that depend on the order of an unordered set, so that a run cannot be repeated. */
     @Test
     void sameEventsGiveSameActions() {
         String first = startWithCopies(2, 2, 2).actions.toString();
@@ -310,18 +332,19 @@
         assertEquals(first, frontEnd.actions.toString());
     }
 
+    /** Guards against reloading every copy that was unloaded, which would have other models unloaded. */
     @Test
     void missOrdersACopyOnlyIfNoneIsLoadedElsewhere() {
         PolicyHarness frontEnd = startWithCopies(1, 1);
-        int mark = frontEnd.actions.size();
+        int actionsBefore = frontEnd.actions.size();
         Inference inference = frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
         frontEnd.endForward(2102, inference.forwards.get(0), Outcome.MISS);
-        assertEquals(0, frontEnd.actionsSince(mark).stream().filter(line -> line.startsWith("hold")).count());
+        assertEquals(0, frontEnd.actionsSince(actionsBefore).stream().filter(line -> line.startsWith("order")).count());
         frontEnd.endForward(2104, inference.forwards.get(1), Outcome.MISS);
-        assertEquals(1, frontEnd.actionsSince(mark).stream().filter(line -> line.startsWith("hold")).count());
+        assertEquals(1, frontEnd.actionsSince(actionsBefore).stream().filter(line -> line.startsWith("order")).count());
     }
 
-    /** A long answer that has started does not count as a slow executor, and is neither cancelled nor retried. */
+    /** Guards against a long answer that has started and makes its executor count as slow, or is cancelled or retried. */
     @Test
     void startedAnswerIsNeitherCancelledNorRetried() {
         PolicyHarness frontEnd = new PolicyHarness().start(1, 1, 0);
@@ -339,12 +362,12 @@
         assertEquals(List.of(0, 0), List.of(forward.executor.unansweredCount, forward.copies.inFlight));
         Inference next = frontEnd.accept(12_002, PolicyHarness.RETRIABLE, model);
         frontEnd.answerOrder(12_003, model, 1);
-        assertEquals(1, next.forwards.size(), "its executor is held to be slow");
+        assertEquals(1, next.forwards.size(), "the executor counts as slow");
     }
 
     /**
      * Guards against lanes that are occupied by started answers and counted as free, so that the next inferences wait for
-     * half their SLO time. Found by measure --streams.
+     * half their SLO time.
      */
     @Test
     void lanesOccupiedByStartedAnswersDoNotCountAsFree() {
@@ -356,12 +379,13 @@
             frontEnd.startAnswer(2050 + i * 100, frontEnd.forwards.get(i));
         }
         assertEquals(2, model.startedAnswers);
-        int mark = frontEnd.actions.size();
+        int actionsBefore = frontEnd.actions.size();
         frontEnd.accept(9000, PolicyHarness.RETRIABLE, model);
         frontEnd.answerOrder(9001, model, 1, 0);
-        assertTrue(frontEnd.actionsSince(mark).stream().anyMatch(line -> line.startsWith("hold")));
+        assertTrue(frontEnd.actionsSince(actionsBefore).stream().anyMatch(line -> line.startsWith("order")));
     }
 
+    /** Guards against a concurrency limit that counts only forwards of earlier batches. */
     @Test
     void forwardsOfOneBatchCountAgainstTheLimit() {
         PolicyHarness frontEnd = new PolicyHarness().start(1, 1, 0);
@@ -373,6 +397,7 @@
         assertEquals(8, frontEnd.forwards.size());
     }
 
+    /** Guards against a backlog in which every inference is served just too late. */
     @Test
     void inferencesInTimeGoBeforeLateOnes() {
         PolicyHarness frontEnd = new PolicyHarness().start(1, 1, 0);
@@ -384,10 +409,11 @@
         assertFalse(late.done);
     }
 
+    /** Guards against forwards that an executor refuses again and again, as it has just refused one. */
     @Test
     void fullExecutorIsNotRetriedAtOnce() {
         PolicyHarness frontEnd = startWithCopies(16);
-        int mark = frontEnd.forwards.size();
+        int forwardsBefore = frontEnd.forwards.size();
         for (int i = 0; i < 50; i++) {
             frontEnd.accept(2100 + i, PolicyHarness.RETRIABLE, model);
             for (Forward forward : List.copyOf(frontEnd.forwards)) {
@@ -396,10 +422,11 @@
                 }
             }
         }
-        int tries = frontEnd.forwards.size() - mark;
-        assertTrue(tries < 30, () -> "" + tries);
+        int sentCount = frontEnd.forwards.size() - forwardsBefore;
+        assertTrue(sentCount < 30, () -> "" + sentCount);
     }
 
+    /** Guards against low-value inferences that take all capacity as it becomes free, while a high-value one finds none. */
     @Test
     void lowValueInferencesLeaveCapacityToHighValueOnes() {
         Model highValue = new Model(8);
@@ -415,18 +442,19 @@
         // The high-value inference is blocked from half its SLO time on; then all earlier forwards return.
         frontEnd.advanceTo(2203);
         List.copyOf(frontEnd.forwards).forEach(forward -> frontEnd.endForward(2204, forward, Outcome.RETURNED));
-        int mark = frontEnd.forwards.size();
+        int forwardsBefore = frontEnd.forwards.size();
         for (int i = 0; i < 8; i++) {
             frontEnd.accept(2205, PolicyHarness.RETRIABLE, model);
         }
-        int lowValueCount = frontEnd.forwards.size() - mark;
+        int lowValueCount = frontEnd.forwards.size() - forwardsBefore;
         for (int i = 0; i < 8; i++) {
             frontEnd.accept(2206, PolicyHarness.HIGH_VALUE, highValue);
         }
-        int totalCount = frontEnd.forwards.size() - mark;
+        int totalCount = frontEnd.forwards.size() - forwardsBefore;
         assertTrue(lowValueCount >= 1 && totalCount >= 2 * lowValueCount, () -> lowValueCount + " of " + totalCount);
     }
 
+    /** The peak of 20 inferences would otherwise have all 20 copies renewed. */
     @Test
     void noOrderAsksForMoreThanSixteenCopies() {
         PolicyHarness frontEnd = startWithCopies(20);
@@ -434,9 +462,10 @@
         frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
         frontEnd.endForward(2150, frontEnd.forwards.get(1), Outcome.RETURNED);
         frontEnd.advanceTo(11_500);
-        assertEquals(List.of("hold 16 on 1"), frontEnd.actions.stream().filter(line -> line.startsWith("hold")).toList());
+        assertEquals(List.of("order 16 on 1"), frontEnd.actions.stream().filter(line -> line.startsWith("order")).toList());
     }
 
+    /** Guards against loading copies again after a connection broke, and against full traffic to an executor that may be down. */
     @Test
     void brokenConnectionKeepsCopiesButReducesTraffic() {
         int retriedOnBroken = 0;
@@ -453,19 +482,20 @@
         assertTrue(retriedOnBroken < 15, "of 40: " + retriedOnBroken);
     }
 
+    /** Guards against an inference that has to wait for a load, as the last copy was lost while none was in flight. */
     @Test
     void modelThatLosesItsLastCopyIsOrderedBeforeTheNextInference() {
         PolicyHarness frontEnd = startWithCopies(1, 0, 0);
         frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
         frontEnd.endForward(2150, frontEnd.forwards.get(1), Outcome.RETURNED);
         frontEnd.advanceTo(2200);
-        long before = frontEnd.countActions("hold");
+        long ordersBefore = frontEnd.countActions("order");
         frontEnd.updateRoster(2201, frontEnd.executors.get(0), ExecutorState.DRAINING);
         frontEnd.advanceTo(2300);
-        assertEquals(before + 1, frontEnd.countActions("hold"));
+        assertEquals(ordersBefore + 1, frontEnd.countActions("order"));
     }
 
-    /** Two executors with loaded copies, both probed for one inference. Returns the busiest first. */
+    /** Starts two executors with loaded copies and has both probed for one inference. Returns the busiest executor first. */
     private List<Executor> startWithBothProbed(PolicyHarness frontEnd) {
         frontEnd.probesAllowed = true;
         reportCopies(frontEnd.start(1, 2, 0), model, 1, 1);
@@ -477,6 +507,7 @@
         return List.of(busiest, frontEnd.executors.get(busiest.id == 1 ? 1 : 0));
     }
 
+    /** Guards against an executor that is overloaded by other front ends and looks best by this one's own forwards. */
     @ParameterizedTest
     @CsvSource({"9, 1, 1", "1, 9, 0", "4, 4, 0"})
     void lessLoadedExecutorIsPreferredToTheBusiestCopies(int firstLoad, int secondLoad, int selected) {
@@ -487,6 +518,7 @@
         assertEquals(both.get(selected), frontEnd.forwards.get(1).executor);
     }
 
+    /** Guards against an inference that waits for the load report of a stalled executor. */
     @Test
     void unansweredProbeIsNotWaitedFor() {
         PolicyHarness frontEnd = new PolicyHarness();
@@ -512,9 +544,10 @@
         frontEnd.endProbe(4002, nearest, nearestLoad);
         frontEnd.endProbe(4003, next, nextLoad);
         frontEnd.advanceTo(4020);
-        assertEquals(1, frontEnd.countActions("hold 1 on " + (selected == 0 ? nearest : next).id), frontEnd.actions::toString);
+        assertEquals(1, frontEnd.countActions("order 1 on " + (selected == 0 ? nearest : next).id), frontEnd.actions::toString);
     }
 
+    /** Guards against a second probe of an executor, or an order before the probe is answered, for another model. */
     @Test
     void pendingProbeIsAwaitedByAllModels() {
         PolicyHarness frontEnd = new PolicyHarness();
@@ -530,18 +563,20 @@
         assertEquals(1, frontEnd.countActions("probe"));
     }
 
+    /** Guards against lanes that count as free again soon after an answer reported inferences of other front ends in them. */
     @Test
     void lanesOccupiedByOtherFrontEndsCountForSeconds() {
         PolicyHarness frontEnd = startWithCopies(1, 0, 0);
         frontEnd.accept(2100, PolicyHarness.RETRIABLE, model);
         frontEnd.endForward(2150, frontEnd.forwards.get(1), Outcome.RETURNED, 3);
-        assertEquals(1, frontEnd.countActions("hold"), frontEnd.actions::toString);
+        assertEquals(1, frontEnd.countActions("order"), frontEnd.actions::toString);
         // No forward of our own is in flight there, so there is no waiting for lanes that become free unnoticed.
         frontEnd.accept(3500, PolicyHarness.RETRIABLE, model);
         assertEquals(3, frontEnd.forwards.size());
         assertFalse(frontEnd.forwards.get(2).executor == frontEnd.forwards.get(1).executor);
     }
 
+    /** Guards against overload by many front ends, each of which has too few forwards for the limits of the executors to act. */
     @ParameterizedTest
     @CsvSource({"50, false", "1200, true"})
     void manyFrontEndsReduceLoadOnASlowFleet(double answerTime, boolean reduced) {
@@ -551,21 +586,22 @@
         frontEnd.start(1, 8, 0).accept(2000, PolicyHarness.RETRIABLE, model);
         frontEnd.answerOrder(2001, model, 9, 9, 9, 9, 9, 9, 9, 9);
         for (int i = 0; i < 40; i++) {
-            int last = frontEnd.forwards.size() - 1;
-            double sentAt = frontEnd.forwards.get(last).sentAt;
+            int lastForward = frontEnd.forwards.size() - 1;
+            double sentAt = frontEnd.forwards.get(lastForward).sentAt;
             frontEnd.advanceTo(sentAt + answerTime - 2);
-            frontEnd.endForward(sentAt + answerTime, frontEnd.forwards.get(last), Outcome.RETURNED);
+            frontEnd.endForward(sentAt + answerTime, frontEnd.forwards.get(lastForward), Outcome.RETURNED);
             frontEnd.accept(sentAt + answerTime + 1, PolicyHarness.RETRIABLE, model);
         }
         double now = frontEnd.forwards.get(frontEnd.forwards.size() - 1).sentAt;
-        int mark = frontEnd.forwards.size();
+        int forwardsBefore = frontEnd.forwards.size();
         for (int i = 0; i < 20; i++) {
             frontEnd.accept(now + i, PolicyHarness.RETRIABLE, model);
         }
-        int sent = frontEnd.forwards.size() - mark;
-        assertTrue(reduced ? sent <= 2 : sent >= 5, () -> "" + sent);
+        int sentCount = frontEnd.forwards.size() - forwardsBefore;
+        assertTrue(reduced ? sentCount <= 2 : sentCount >= 5, () -> "" + sentCount);
     }
 
+    /** Guards against executors that count as slow since this front end stalled and read their answers late. */
     @ParameterizedTest
     @CsvSource({"true, 0, 2", "false, 3, 40"})
     void answersReadAfterOwnStallAreIgnored(boolean stalled, double atLeast, double atMost) {
--- a/core/src/test/java/gradereach/RosterOutageTest.java
+++ b/core/src/test/java/gradereach/RosterOutageTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is sent to executors when the roster can no longer tell whether they are draining (incident 1c4c95). */
+/** What is sent to executors while the roster cannot tell whether they are draining (docs/incidents/i1c4c95.md). */
 class RosterOutageTest {
     /** When the roster was last confirmed, when it stops being valid, and when the leases based on it expire. */
     private static final double CONFIRMED_AT = 1900;
@@ -23,12 +23,12 @@
     private final Model model = new Model(7);
     private final PolicyHarness frontEnd = new PolicyHarness();
 
-    /** One loaded copy on each executor, and a roster that expires. */
-    private void start(int executors) {
+    /** Starts with one loaded copy on each executor, one returned forward, and a roster that expires. */
+    private void start(int executorCount) {
         frontEnd.probesAllowed = true;
-        frontEnd.start(1, executors, 0);
+        frontEnd.start(1, executorCount, 0);
         frontEnd.accept(2000, PolicyHarness.RETRIABLE, model);
-        int[] copies = new int[executors];
+        int[] copies = new int[executorCount];
         java.util.Arrays.fill(copies, 1);
         frontEnd.answerOrder(2001, model, copies);
         frontEnd.advanceTo(2040);
@@ -44,6 +44,7 @@
         return frontEnd.executors.get(number - 1);
     }
 
+    /** Guards against probes that a complete roster makes unnecessary. */
     @Test
     void noProbesWhileRosterIsValid() {
         start(1);
@@ -52,6 +53,7 @@
         assertEquals(0, frontEnd.countActions("probe"));
     }
 
+    /** Guards against an outage that stops all forwards: a probe answered as ready allows them for the drain grace. */
     @Test
     void readyProbeGivesLeaseForTheDrainGrace() {
         start(1);
@@ -76,6 +78,7 @@
         assertFalse(frontEnd.maySend(executor(1), LEASES_EXPIRE_AT));
     }
 
+    /** Guards against forwards to an executor whose probe was answered as not ready, and against probing it all the time. */
     @Test
     void drainingExecutorGetsNothingAndIsProbedAgainLater() {
         start(2);
@@ -109,13 +112,14 @@
     @Test
     void probeFromBeforeTheOutageGivesALease() {
         start(2);
-        frontEnd.accept(ROSTER_EXPIRES_AT + 300, PolicyHarness.RETRIABLE, model); // probes both for their load
+        frontEnd.accept(ROSTER_EXPIRES_AT + 300, PolicyHarness.RETRIABLE, model); // has both probed for load reports
         frontEnd.endProbe(ROSTER_EXPIRES_AT + 301, executor(1), 0);
         frontEnd.endProbe(ROSTER_EXPIRES_AT + 302, executor(2), 0);
         assertTrue(frontEnd.maySend(executor(1), ROSTER_EXPIRES_AT + 300 + PolicyHarness.DRAIN_GRACE - 50));
         assertFalse(frontEnd.maySend(executor(1), ROSTER_EXPIRES_AT + 300 + PolicyHarness.DRAIN_GRACE));
     }
 
+    /** Guards against load orders to executors that may be draining. An answered status query does not prove readiness. */
     @Test
     void noOrderWithoutProofOfReadiness() {
         start(3);
@@ -123,20 +127,20 @@
         frontEnd.accept(LEASES_EXPIRE_AT, PolicyHarness.RETRIABLE, other);
         frontEnd.executors.forEach(executor -> frontEnd.answerOrder(LEASES_EXPIRE_AT + 1, executor, other, 0));
         frontEnd.advanceTo(LEASES_EXPIRE_AT + 200);
-        assertEquals(0, frontEnd.countActions("hold"));
+        assertEquals(0, frontEnd.countActions("order"));
         frontEnd.executors.forEach(executor -> frontEnd.endProbe(LEASES_EXPIRE_AT + 201, executor, Outcome.RETURNED));
         frontEnd.advanceTo(LEASES_EXPIRE_AT + 400);
-        assertEquals(1, frontEnd.countActions("hold"));
+        assertEquals(1, frontEnd.countActions("order"));
     }
 
     /** After a reset, an executor that answers again may be a new process, which is cold and has nothing loaded. */
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"RESET", "CONNECT_FAILED"})
-    void executorThatMayHaveRestartedIsColdAndEmpty(Outcome end) {
+    void executorThatMayHaveRestartedIsColdAndEmpty(Outcome outcome) {
         start(1);
         frontEnd.accept(LEASES_EXPIRE_AT, PolicyHarness.RETRIABLE, model);
         frontEnd.endProbe(LEASES_EXPIRE_AT + 1, executor(1), Outcome.RETURNED);
-        frontEnd.endForward(LEASES_EXPIRE_AT + 2, lastForward(), end);
+        frontEnd.endForward(LEASES_EXPIRE_AT + 2, lastForward(), outcome);
         frontEnd.advanceTo(LEASES_EXPIRE_AT + 600);
         frontEnd.accept(LEASES_EXPIRE_AT + 1000, PolicyHarness.RETRIABLE, model);
         assertEquals(2, frontEnd.countActions("probe 1"));
@@ -175,6 +179,10 @@
         assertEquals(1, model.copiesOn(executor(1)).loadedCopies);
     }
 
+    /**
+     * Guards against a running executor that is treated as restarted after one of its connections was reset. An answer to a
+     * forward from before the reset proves that the process still runs.
+     */
     @Test
     void answerToAnOldForwardShowsThatTheProcessStillRuns() {
         start(1);
@@ -200,7 +208,7 @@
         assertEquals(0, executor(1).startedAt);
     }
 
-    /** Without probes, queued inferences are shed early, after the roster source had its time to recover. */
+    /** If probes are not allowed, queued inferences are shed a second after the leases expire, and not only at their deadline. */
     @Test
     void inferencesAreShedEarlyWithoutProbes() {
         start(1);
@@ -216,6 +224,7 @@
         assertEquals(0, withoutProbes.countActions("forward"));
     }
 
+    /** A confirmed roster counts more than an earlier probe, and later drains come from it again. */
     @Test
     void confirmedRosterEndsTheOutage() {
         start(1);
