--- a/gateway/src/main/java/gradereach/delay/AnswerDelay.java
+++ b/gateway/src/main/java/gradereach/delay/AnswerDelay.java
@@ -7,10 +7,13 @@
  */
 public final class AnswerDelay {
     private static final double DECAY_MILLIS = 10_000; // as long as a machine typically stays busy
-    /** Limit of either delay. Both together stay within the slack of 150 ms of a propagated deadline. */
+    /**
+     * Limit of each delay. Together they stay below the 150 ms by which a deadline passed on to an executor may be longer than
+     * what the client has left: the delays come after that deadline was computed.
+     */
     private static final double MAX_DELAY_MILLIS = 60;
-    /** Limits the margin for clients with a small time budget. */
-    private static final double MAX_BUDGET_SHARE = 0.25;
+    /** The margin is at most this fraction of a client's timeout; this limits it for clients with a short timeout. */
+    private static final double MAX_TIMEOUT_FRACTION = 0.25;
 
     private final RecentDelay decisionDelay = new RecentDelay(DECAY_MILLIS, MAX_DELAY_MILLIS);
     private final RecentDelay writeDelay = new RecentDelay(DECAY_MILLIS, MAX_DELAY_MILLIS);
@@ -25,8 +28,8 @@
         writeDelay.recordDelay(delayMillis, now);
     }
 
-    /** How many milliseconds early to answer a client that waits {@code budgetMillis}. */
-    public double margin(double budgetMillis, double now) {
-        return Math.min(MAX_BUDGET_SHARE * budgetMillis, decisionDelay.margin(now) + writeDelay.margin(now));
+    /** How many milliseconds early to answer a client that waits {@code timeoutMillis}. */
+    public double margin(double timeoutMillis, double now) {
+        return Math.min(MAX_TIMEOUT_FRACTION * timeoutMillis, decisionDelay.margin(now) + writeDelay.margin(now));
     }
 }
--- a/gateway/src/main/java/gradereach/delivery/DeliveryScheduler.java
+++ b/gateway/src/main/java/gradereach/delivery/DeliveryScheduler.java
@@ -21,15 +21,16 @@
     /** One day, the longest delay of the schedule. A longer {@code Retry-After} is cut to it. */
     private static final long MAX_RETRY_AFTER_MILLIS = 86_400_000;
 
-    /** A final answer to be delivered to an endpoint. */
+    /** A final answer to be delivered to an endpoint, with the state of its attempts. */
     public static final class Delivery {
         public final Endpoint endpoint;
         public final String webhookId;
         public final byte[] body;
-        /** Identifies the promise that this delivery fulfills; Unix milliseconds. */
+        /** Ledger time of the promise that this delivery fulfills; identifies the promise. */
         public final double promisedAt;
         int attempts;
         double dueAt;
+        /** Order in which deliveries that are due at the same time are taken. */
         long sequence;
 
         Delivery(Endpoint endpoint, String webhookId, byte[] body, double promisedAt) {
@@ -49,9 +50,11 @@
     public static final class Endpoint {
         public final int customer;
         public final String url;
+        /** Deliveries that wait for an earlier one to this endpoint to end, since too many are in flight. */
         private final ArrayDeque<Delivery> queued = new ArrayDeque<>();
         private int inFlight;
-        private boolean isDisabled;
+        private boolean disabled;
+        /** No delivery to this endpoint is attempted before this time; set by {@code Retry-After}. */
         private double notBefore;
 
         public Endpoint(int customer, String url) {
@@ -61,7 +64,7 @@
 
         /** Whether the endpoint has answered 410 and gets no further deliveries. */
         public boolean isDisabled() {
-            return isDisabled;
+            return disabled;
         }
     }
 
@@ -104,7 +107,7 @@
         List<Delivery> due = new ArrayList<>();
         while (!scheduled.isEmpty() && scheduled.peek().dueAt <= now) {
             Delivery next = scheduled.poll();
-            if (next.endpoint.isDisabled) {
+            if (next.endpoint.disabled) {
                 openCount--;
             } else if (now < next.endpoint.notBefore) {
                 schedule(next, next.endpoint.notBefore);
@@ -137,7 +140,7 @@
         if (status >= 200 && status < 300) {
             result = AttemptResult.DELIVERED;
         } else if (status == 410) {
-            endpoint.isDisabled = true;
+            endpoint.disabled = true;
             result = AttemptResult.ENDPOINT_DISABLED;
         } else if (delivery.attempts > RETRY_DELAYS_SECONDS.length) {
             result = AttemptResult.GIVEN_UP;
--- a/gateway/src/main/java/gradereach/delivery/Outbox.java
+++ b/gateway/src/main/java/gradereach/delivery/Outbox.java
@@ -63,7 +63,8 @@
     }
 
     /**
-     * @param urls by customer index, null for customers without an endpoint
+     * @param urls endpoint URLs by customer index, null for customers without an endpoint
+     * @param maxOpen answers that are promised and not yet delivered or given up, at one time
      * @param schedulerThread a single thread whose delays pass at the speed of {@code clock}; shut down with the outbox
      */
     public Outbox(List<String> customerNames, List<String> urls, List<List<WebhookKey>> answerKeys, Ledger ledger,
@@ -118,13 +119,16 @@
     private final class PromisedAnswer implements AnswerObserver {
         private final int customer;
         private final String id;
+        /** The observer of the client's connection; null where the promise was made before a restart. */
         private final AnswerObserver connection;
+        /** The promise was made; the answer goes to the webhook endpoint. */
         private boolean accepted;
         private boolean awaitingLedger;
         /** Another observer of the same inference owns the delivery; this one only confirms the promise to its client. */
         private boolean joined;
         private double promisedAt;
         private int attempts;
+        /** An answer that was decided while the promise was being written to the ledger. */
         private FinalAnswer deferredAnswer;
 
         PromisedAnswer(int customer, String id, AnswerObserver connection) {
@@ -206,9 +210,9 @@
             nextRun.cancel(false);
             nextRun = null;
         }
-        double next = scheduler.nextDueAt();
-        if (next < Double.POSITIVE_INFINITY) {
-            nextRun = schedulerThread.schedule(this::sendDue, (long) Math.max(1, next - clock.getAsDouble()),
+        double nextDueAt = scheduler.nextDueAt();
+        if (nextDueAt < Double.POSITIVE_INFINITY) {
+            nextRun = schedulerThread.schedule(this::sendDue, (long) Math.max(1, nextDueAt - clock.getAsDouble()),
                     TimeUnit.MILLISECONDS);
         }
     }
--- a/gateway/src/main/java/gradereach/desk/AnswerObserver.java
+++ b/gateway/src/main/java/gradereach/desk/AnswerObserver.java
@@ -12,8 +12,8 @@
      * The message cannot become an inference here.
      *
      * @param status an HTTP status of the 4xx class, or 500
-     * @param errorCode one word
-     * @param detail a sentence
+     * @param errorCode a short identifier, for instance {@code too-old}
+     * @param detail a sentence for the client
      */
     void onRejected(int status, String errorCode, String detail);
 
--- a/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
+++ b/gateway/src/main/java/gradereach/desk/EndpointRegistry.java
@@ -28,7 +28,7 @@
     private final Map<Long, ExecutorEndpoint> byId = new HashMap<>();
     private final Map<String, ExecutorEndpoint> byAddress = new HashMap<>();
     /** The last roster entry of each instance whose address another one took over: the roster may repeat that entry. */
-    private final Map<String, RosterEntry> replaced = new LinkedHashMap<>() {
+    private final Map<String, RosterEntry> replacedEntries = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -63,8 +63,8 @@
         Map<String, RosterEntry> current = currentEntryByAddress(latest);
         List<ExecutorListing> listings = new ArrayList<>(latest.size());
         for (RosterEntry entry : latest) {
-            if (claimsAddress(entry) && current.get(entry.address()) != entry) {
-                replaced.put(entry.instance(), entry);
+            if (listensAtAddress(entry) && current.get(entry.address()) != entry) {
+                replacedEntries.put(entry.instance(), entry);
                 apply(entry.asRemoved(), listings);
             } else {
                 apply(entry, listings);
@@ -75,17 +75,18 @@
 
     /** The entries without those of an earlier start of the same instance. */
     private static List<RosterEntry> latestOfEachInstance(List<RosterEntry> entries) {
-        Map<String, Double> starts = new HashMap<>();
+        Map<String, Double> latestStarts = new HashMap<>();
         for (RosterEntry entry : entries) {
-            if (claimsAddress(entry)) {
-                starts.merge(entry.instance(), entry.startedAt(), Math::max);
+            if (listensAtAddress(entry)) {
+                latestStarts.merge(entry.instance(), entry.startedAt(), Math::max);
             }
         }
-        return entries.stream().filter(entry -> !claimsAddress(entry) || entry.startedAt() == starts.get(entry.instance())).toList();
+        return entries.stream()
+                .filter(entry -> !listensAtAddress(entry) || entry.startedAt() == latestStarts.get(entry.instance())).toList();
     }
 
-    /** Whether its process listens at the address. */
-    private static boolean claimsAddress(RosterEntry entry) {
+    /** Whether the entry lists a process that listens at its address. */
+    private static boolean listensAtAddress(RosterEntry entry) {
         return entry.state() != ExecutorState.REMOVED && !entry.address().isEmpty();
     }
 
@@ -93,7 +94,7 @@
     private Map<String, RosterEntry> currentEntryByAddress(List<RosterEntry> entries) {
         Map<String, RosterEntry> current = new HashMap<>();
         for (RosterEntry entry : entries) {
-            if (claimsAddress(entry) && !wasReplaced(entry)) {
+            if (listensAtAddress(entry) && !wasReplaced(entry)) {
                 current.merge(entry.address(), entry, this::laterStart);
             }
         }
@@ -102,9 +103,10 @@
 
     /** Whether another instance has taken over the address since the start given in the entry. */
     private boolean wasReplaced(RosterEntry entry) {
-        RosterEntry previous = replaced.get(entry.instance());
-        ExecutorEndpoint holder = byAddress.get(entry.address());
-        boolean takenOver = holder != null && !holder.isRemoved() && !holder.instance.equals(entry.instance());
+        RosterEntry previous = replacedEntries.get(entry.instance());
+        ExecutorEndpoint endpointAtAddress = byAddress.get(entry.address());
+        boolean takenOver = endpointAtAddress != null && !endpointAtAddress.isRemoved()
+                && !endpointAtAddress.instance.equals(entry.instance());
         return takenOver && previous != null && previous.address().equals(entry.address()) && entry.startedAt() <= previous.startedAt();
     }
 
@@ -113,17 +115,17 @@
         if (one.startedAt() != other.startedAt()) {
             return one.startedAt() > other.startedAt() ? one : other;
         }
-        ExecutorEndpoint holder = byAddress.get(one.address());
-        return holder != null && holder.instance.equals(other.instance()) ? one : other;
+        ExecutorEndpoint endpointAtAddress = byAddress.get(one.address());
+        return endpointAtAddress != null && endpointAtAddress.instance.equals(other.instance()) ? one : other;
     }
 
     /** Applies one entry and adds the resulting listings. */
     private void apply(RosterEntry entry, List<ExecutorListing> listings) {
         ExecutorEndpoint endpoint = endpointFor(entry, listings);
-        ExecutorEndpoint previous = claimsAddress(entry) ? byAddress.put(endpoint.address, endpoint) : null;
+        ExecutorEndpoint previous = listensAtAddress(entry) ? byAddress.put(endpoint.address, endpoint) : null;
         boolean takesOver = previous != null && previous != endpoint && !previous.isRemoved();
         if (takesOver) {
-            replaced.put(previous.instance, previous.rosterEntry);
+            replacedEntries.put(previous.instance, previous.rosterEntry);
             markRemoved(previous);
             listings.add(listing(previous, null));
         }
@@ -194,10 +196,10 @@
      * @param instance name of the instance; empty where it was not recorded
      */
     ExecutorEndpoint inquiryTarget(String instance, String address) {
-        ExecutorEndpoint holder = byAddress.get(address);
-        if (holder == null || holder.isRemoved()) {
+        ExecutorEndpoint endpointAtAddress = byAddress.get(address);
+        if (endpointAtAddress == null || endpointAtAddress.isRemoved()) {
             return new ExecutorEndpoint(instance, address);
         }
-        return instance.isEmpty() || holder.instance.equals(instance) ? holder : null;
+        return instance.isEmpty() || endpointAtAddress.instance.equals(instance) ? endpointAtAddress : null;
     }
 }
--- a/gateway/src/main/java/gradereach/desk/ExecutorEndpoint.java
+++ b/gateway/src/main/java/gradereach/desk/ExecutorEndpoint.java
@@ -10,6 +10,7 @@
     public final String instance;
     /** {@code host:port}. */
     public final String address;
+    /** The router's id of the executor, a hash of the instance. */
     public final long id;
     /** Replaced together with the router. */
     Executor executor;
@@ -36,7 +37,7 @@
         return new Recipient(instance, address, processIdentity.number());
     }
 
-    /** The executor kind given by the roster, 0 where it gives none. */
+    /** The machine kind given by the roster, 0 where it gives none. */
     public int machineKind() {
         return rosterEntry == null ? 0 : rosterEntry.machineKind();
     }
--- a/gateway/src/main/java/gradereach/desk/InFlightForward.java
+++ b/gateway/src/main/java/gradereach/desk/InFlightForward.java
@@ -10,12 +10,13 @@
     final Forward forward;
     final double deadline;
     private final double leaseEndsAt;
-    /** The start time of the target process, as listed in the roster when this was created. */
+    /** The start time of the target process, as listed in the roster when this was created; Unix milliseconds. */
     private final double targetProcessStart;
     long timerId;
     boolean ended;
     /** Handed to the transport; false while its intent is not yet durable. */
     boolean sent;
+    /** Its intent was appended to the ledger, but need not be durable yet. */
     boolean intentRecorded;
     /** The process it was intended for; null where no intent is recorded. */
     Recipient recipient;
--- a/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
@@ -47,7 +47,7 @@
  * observers. Scheduling decisions are the router's. The coordinator itself keeps track of a message over its repeats,
  * enforces the admission limits and ends inferences correctly when the router throws.
  *
- * Everything here runs on the decision thread, between {@link #beginBatch} and {@link #endBatch}. It does no I/O and has no
+ * <p>Everything here runs on the decision thread, between {@link #beginBatch} and {@link #endBatch}. It does no I/O and has no
  * clock of its own.
  */
 public final class InferenceCoordinator implements RouterActions {
@@ -57,9 +57,9 @@
 
         /**
          * @param event the event that the router was handling
-         * @param inferences inferences that are ended because of the failure
+         * @param inferenceCount inferences that are ended because of the failure
          */
-        void onRouterFailed(RuntimeException failure, String event, int inferences);
+        void onRouterFailed(RuntimeException failure, String event, int inferenceCount);
 
         void onLogLine(String line);
     }
@@ -95,7 +95,7 @@
     private final LoadingRules loading;
     private final ForwardRules forwardRules;
     private final ColdStartRule coldStartRule;
-    private final String name;
+    private final String frontEndName;
     private final List<String> customerNames;
     private final AnswerDelay answerDelay = new AnswerDelay();
 
@@ -136,8 +136,8 @@
     private double now;
     private long lastInferenceId;
     /** This front end's share of the shared budgets, 0 to 1; NaN until it was set. */
-    private double setShare = Double.NaN;
-    private double shareUntil;
+    private double share = Double.NaN;
+    private double shareValidUntil;
     private double rosterConfirmedAt = Double.POSITIVE_INFINITY;
     private double rosterValidUntil = Double.POSITIVE_INFINITY;
     /** Unix seconds up to which a damaged ledger may have lost messages. */
@@ -148,7 +148,7 @@
     private final Map<Model, String> modelNames = new HashMap<>();
     private final ArrayDeque<Model> modelCleanupQueue = new ArrayDeque<>();
     private final EndpointRegistry endpoints;
-    /** Cold executors that a new router must not be told of before their cold-start budget is certainly unused again. */
+    /** Cold executors that a new router is not told of until what was sent to them has left the overload window of rule 4. */
     private final Set<Executor> deferredExecutors = new LinkedHashSet<>();
     private final OutcomeInquiries inquiries;
     /** Events caused by the router's own actions: passed to it in the next event batch, never while it is acting. */
@@ -164,11 +164,11 @@
      * @param routerFactory creates the router, and a new one after a failure
      * @param customerNames names by customer index
      */
-    public InferenceCoordinator(String name, Function<RouterActions, Router> routerFactory, ExecutorTransport transport, Timers timers,
-            InferenceListener listener, WallClock wallClock, MessageStore messageStore, Ledger ledger, ClaimService claimService,
-            InquiryScheduler inquiryScheduler, AnswerFormat answerFormat, AdmissionLimits limits, LoadingRules loading,
-            ForwardRules forwardRules, ColdStartRule coldStartRule, List<String> customerNames, Counts counts) {
-        this.name = name;
+    public InferenceCoordinator(String frontEndName, Function<RouterActions, Router> routerFactory, ExecutorTransport transport,
+            Timers timers, InferenceListener listener, WallClock wallClock, MessageStore messageStore, Ledger ledger,
+            ClaimService claimService, InquiryScheduler inquiryScheduler, AnswerFormat answerFormat, AdmissionLimits limits,
+            LoadingRules loading, ForwardRules forwardRules, ColdStartRule coldStartRule, List<String> customerNames, Counts counts) {
+        this.frontEndName = frontEndName;
         this.routerFactory = routerFactory;
         this.transport = transport;
         this.timers = timers;
@@ -227,10 +227,10 @@
     // ---- event batches -----------------------------------------------------------------------------------
 
     /** Starts an event batch at the given monotonic time; deferred events run first. */
-    public void beginBatch(double at) {
-        now = at;
-        callRouter("moment", () -> router.beginBatch(at));
-        for (int n = deferredEvents.size(); n > 0; n--) {
+    public void beginBatch(double time) {
+        now = time;
+        callRouter("moment", () -> router.beginBatch(time));
+        for (int remaining = deferredEvents.size(); remaining > 0; remaining--) {
             deferredEvents.poll().run();
         }
     }
@@ -277,15 +277,16 @@
      * Restores the messages recorded in the ledger, before the first event batch. Each message has its recorded answer, is
      * proven not to have run, or has an unknown outcome.
      *
+     * @param time the present monotonic time
      * @param retention milliseconds for which messages are stored
      * @param damagedUntil Unix seconds up to which a damaged part may have held messages, Long.MIN_VALUE for no damage
      */
-    public void recover(LedgerState ledgerState, double at, double retention, List<ModelGroup> groups, long damagedUntil,
+    public void recover(LedgerState ledgerState, double time, double retention, List<ModelGroup> groups, long damagedUntil,
             PromisedAnswerDelivery promisedAnswers) {
-        now = at;
+        now = time;
         this.ledgerDamagedUntil = damagedUntil;
         new LedgerRecovery(ledger, messageStore, answerFormat, inquiries, promisedAnswers, customerNames, groups)
-                .recover(ledgerState, at, retention);
+                .recover(ledgerState, time, retention);
         messageLimit.setInUse(messageStore.size());
     }
 
@@ -420,8 +421,8 @@
         repeatsAwaitingInquiry.increment();
         AnswerObserver observer = message.observer();
         entry.observers.add(observer);
-        double until = message.receivedAt() + clientTimeout(message) - UNKNOWN_ANSWER_MARGIN;
-        timers.schedule(Math.max(now, until), (Runnable) () -> {
+        double answerAt = message.receivedAt() + clientTimeout(message) - UNKNOWN_ANSWER_MARGIN;
+        timers.schedule(Math.max(now, answerAt), (Runnable) () -> {
             if (entry.observers.remove(observer)) {
                 observer.onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, now));
             }
@@ -492,7 +493,7 @@
         }
         Inference inference = new Inference(++lastInferenceId, message.model().group(), message.customer(), model,
                 message.receivedAt(), routerDeadline, Double.NaN, repeated || message.markedAsRetry());
-        InferenceState state = new InferenceState(inference, message.model(), message.input(), entry, name,
+        InferenceState state = new InferenceState(inference, message.model(), message.input(), entry, frontEndName,
                 customerNames.get(message.customer()) + "/" + message.id(), routerGeneration, clientDeadline,
                 ledger.time().fromMonotonic(now));
         state.earlierInferenceMayHaveRun = !Double.isNaN(entry.mayHaveRunSince);
@@ -626,14 +627,14 @@
                 + ",\"gradereach-parts-kept\":false}}").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Sets this front end's share of the shared budgets, 0 to 1, until {@code until}; the share is 0 after that. */
-    public void setShare(double fraction, double until) {
-        setShare = fraction;
-        shareUntil = until;
+    /** Sets this front end's share of the shared budgets, 0 to 1; after {@code validUntil} it is 0. */
+    public void setShare(double fraction, double validUntil) {
+        share = fraction;
+        shareValidUntil = validUntil;
         callRouter("share", () -> router.onShareChanged(fraction));
-        if (until < Double.POSITIVE_INFINITY) {
-            timers.schedule(until, (Runnable) () -> {
-                if (shareUntil == until) {
+        if (validUntil < Double.POSITIVE_INFINITY) {
+            timers.schedule(validUntil, (Runnable) () -> {
+                if (shareValidUntil == validUntil) {
                     setShare(0, Double.POSITIVE_INFINITY);
                 }
             });
@@ -747,17 +748,17 @@
      * The roster's source has confirmed that the roster is complete.
      *
      * @param confirmedAt when it was last known to be complete, monotonic time
-     * @param until until when it counts as complete, monotonic time; an executor may drain unnoticed after that
+     * @param validUntil until when it counts as complete, monotonic time; an executor may drain unnoticed after that
      */
-    public void onRosterConfirmed(double confirmedAt, double until) {
+    public void onRosterConfirmed(double confirmedAt, double validUntil) {
         rosterConfirmedAt = confirmedAt;
-        rosterValidUntil = until;
-        callRouter("rosterValid", () -> router.onRosterValidity(confirmedAt, until));
+        rosterValidUntil = validUntil;
+        callRouter("rosterValid", () -> router.onRosterValidity(confirmedAt, validUntil));
     }
 
     /** Whether forwards and load orders may be written to an executor now; the transport checks this before each write. */
-    public boolean maySendTo(ExecutorEndpoint endpoint, double at) {
-        return endpoint.isReady() && router.maySend(endpoint.executor, at);
+    public boolean maySendTo(ExecutorEndpoint endpoint, double time) {
+        return endpoint.isReady() && router.maySend(endpoint.executor, time);
     }
 
     /** An idle connection to an executor was reset. */
@@ -783,7 +784,7 @@
     /** Discards models that have not been requested for a while; checks a batch of them at a time, round robin. */
     private void discardUnusedModels() {
         timers.schedule(now + MODEL_CLEANUP_INTERVAL, (Runnable) this::discardUnusedModels);
-        for (int n = Math.min(MODEL_CLEANUP_BATCH, modelCleanupQueue.size()); n > 0; n--) {
+        for (int remaining = Math.min(MODEL_CLEANUP_BATCH, modelCleanupQueue.size()); remaining > 0; remaining--) {
             Model model = modelCleanupQueue.poll();
             boolean[] discardable = {!modelNames.containsKey(model)};
             if (!discardable[0]) {
@@ -798,7 +799,7 @@
     }
 
     private static final double MODEL_CLEANUP_INTERVAL = 1000; // milliseconds
-    private static final int MODEL_CLEANUP_BATCH = 500; // about 50 microseconds of work
+    private static final int MODEL_CLEANUP_BATCH = 500; // models; checking them takes about 50 microseconds
 
     // ---- the router's actions ----------------------------------------------------------------------------
 
@@ -899,16 +900,17 @@
     private FinalAnswer failureAnswer(InferenceState state) {
         noteMayHaveRun(state);
         MessageStore.Entry entry = state.entry;
-        boolean harmless = MessageStore.isRepeatHarmless(entry, now);
-        Outcome last = state.forwards.isEmpty() ? null : state.forwards.get(state.forwards.size() - 1).forward.outcome;
-        boolean answered = last == Outcome.ERROR || last == Outcome.RESET;
+        boolean repeatHarmless = MessageStore.isRepeatHarmless(entry, now);
+        Outcome lastOutcome = state.forwards.isEmpty() ? null : state.forwards.get(state.forwards.size() - 1).forward.outcome;
+        boolean endedByExecutor = lastOutcome == Outcome.ERROR || lastOutcome == Outcome.RESET;
         String detail = Double.isNaN(entry.mayHaveRunSince) ? "it never ran"
-                : last == Outcome.ERROR ? "the executor answered with an error; whether it took effect is unknown"
-                : last == Outcome.RESET ? "the executor's connection broke; whether it took effect is unknown"
+                : lastOutcome == Outcome.ERROR ? "the executor answered with an error; whether it took effect is unknown"
+                : lastOutcome == Outcome.RESET ? "the executor's connection broke; whether it took effect is unknown"
                 : "no answer within its time; whether it took effect is unknown";
-        return answerFormat.failed(entry.id, answered ? 502 : 504, detail, harmless);
+        return answerFormat.failed(entry.id, endedByExecutor ? 502 : 504, detail, repeatHarmless);
     }
 
+    /** Records in the message's entry since when it may have run, unless an earlier inference already has. */
     private void noteMayHaveRun(InferenceState state) {
         double since = state.mayHaveRunSince();
         MessageStore.Entry entry = state.entry;
@@ -1014,7 +1016,7 @@
         transport.sendProbe(probe);
     }
 
-    private static final double PROBE_TIMEOUT = 1000; // milliseconds; the router stops waiting much earlier, this frees the probe
+    private static final double PROBE_TIMEOUT = 1000; // milliseconds; the router stops waiting much earlier, this only releases the probe
 
     @Override
     public void scheduleTimer(double delay, long tag) {
@@ -1077,8 +1079,8 @@
         modelCleanupQueue.clear();
         router = routerFactory.apply(this);
         router.beginBatch(now);
-        if (!Double.isNaN(setShare)) {
-            router.onShareChanged(setShare);
+        if (!Double.isNaN(share)) {
+            router.onShareChanged(share);
         }
         router.onRosterValidity(rosterConfirmedAt, rosterValidUntil);
         List<ExecutorListing> listings = new ArrayList<>();
@@ -1118,7 +1120,7 @@
     private void endWithoutRouter(InferenceState state, String detail) {
         Inference inference = state.inference;
         inference.done = true;
-        boolean harmless = !inference.mayHaveRun() || inference.group.retrySafety() == RetrySafety.RETRIABLE
+        boolean repeatHarmless = !inference.mayHaveRun() || inference.group.retrySafety() == RetrySafety.RETRIABLE
                 || inference.group.retrySafety() == RetrySafety.DEDUPED && inference.group.dedupScope() == DedupScope.ALL
                         && !state.isDedupWindowClosed(now);
         for (InFlightForward inFlight : state.forwards) {
@@ -1130,7 +1132,7 @@
                 inFlight.forward.outcome = inFlight.sent ? Outcome.CANCELLED : Outcome.NEVER_SENT;
             }
         }
-        if (harmless && Double.isNaN(state.entry.mayHaveRunSince)) {
+        if (repeatHarmless && Double.isNaN(state.entry.mayHaveRunSince)) {
             finishInference(state, answerFormat.shed(state.entry.id, detail,
                     forwardRules.sendsRetryAfter() ? forwardRules.maxRetryAfter() : 0));
         } else {
--- a/gateway/src/main/java/gradereach/desk/InferenceState.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceState.java
@@ -14,7 +14,9 @@
     final Inference inference;
     final ModelCatalog.Entry model;
     final InferenceInput input;
+    /** What the message store holds of the message. */
     final MessageStore.Entry entry;
+    /** Name of this front end. */
     final String frontEnd;
     final String dedupKey;
     final int routerGeneration;
@@ -94,7 +96,7 @@
         return true;
     }
 
-    // ---- read by the inference log, the measures and the outbox ----------------------------------------------
+    // ---- read by the inference log, the metrics recorder and the outbox --------------------------------------
 
     public ModelGroup modelGroup() {
         return inference.group;
--- a/gateway/src/main/java/gradereach/desk/LedgerRecovery.java
+++ b/gateway/src/main/java/gradereach/desk/LedgerRecovery.java
@@ -22,22 +22,22 @@
     private final AnswerFormat answerFormat;
     private final OutcomeInquiries inquiries;
     private final InferenceCoordinator.PromisedAnswerDelivery promisedAnswers;
-    private final Map<String, Integer> customers = new HashMap<>();
+    private final Map<String, Integer> customerIndexes = new HashMap<>();
     private final Map<String, ModelGroup> groups = new HashMap<>();
 
     /**
-     * @param customers names by customer index
+     * @param customerNames names by customer index
      * @param groups the model groups of the current deployment
      */
     LedgerRecovery(Ledger ledger, MessageStore messageStore, AnswerFormat answerFormat, OutcomeInquiries inquiries,
-            InferenceCoordinator.PromisedAnswerDelivery promisedAnswers, List<String> customers, List<ModelGroup> groups) {
+            InferenceCoordinator.PromisedAnswerDelivery promisedAnswers, List<String> customerNames, List<ModelGroup> groups) {
         this.ledger = ledger;
         this.messageStore = messageStore;
         this.answerFormat = answerFormat;
         this.inquiries = inquiries;
         this.promisedAnswers = promisedAnswers;
-        for (int i = 0; i < customers.size(); i++) {
-            this.customers.put(customers.get(i), i);
+        for (int i = 0; i < customerNames.size(); i++) {
+            customerIndexes.put(customerNames.get(i), i);
         }
         groups.forEach(group -> this.groups.put(group.name(), group));
     }
@@ -47,28 +47,28 @@
      *
      * @param retention milliseconds for which messages are stored
      */
-    void recover(LedgerState ledgerState, double at, double retention) {
+    void recover(LedgerState ledgerState, double now, double retention) {
         messageStore.markExpiredUpTo(ledgerState.forgottenUpTo());
         for (LedgerState.Message message : ledgerState.messages()) {
-            boolean inDeployment = customers.containsKey(message.customer) && groups.containsKey(message.group());
+            boolean inDeployment = customerIndexes.containsKey(message.customer) && groups.containsKey(message.group());
             if (inDeployment) {
-                recover(message, at, retention);
+                recover(message, now, retention);
             }
         }
     }
 
-    private void recover(LedgerState.Message message, double at, double retention) {
-        double lastAt = ledger.time().toMonotonic(message.lastRecordedAt());
-        double expiresAt = (Double.isNaN(lastAt) ? at : lastAt) + retention;
-        if (expiresAt <= at) {
+    private void recover(LedgerState.Message message, double now, double retention) {
+        double lastRecordedAt = ledger.time().toMonotonic(message.lastRecordedAt());
+        double expiresAt = (Double.isNaN(lastRecordedAt) ? now : lastRecordedAt) + retention;
+        if (expiresAt <= now) {
             messageStore.markExpiredUpTo(message.signedAt());
             return; // too old to be replayed
         }
         ModelGroup group = groups.get(message.group());
-        MessageStore.Entry entry = messageStore.restore(customers.get(message.customer), message.id, message.digestHigh(),
+        MessageStore.Entry entry = messageStore.restore(customerIndexes.get(message.customer), message.id, message.digestHigh(),
                 message.digestLow(), group, expiresAt, message.signedAt(), mayHaveRunSince(message), restoredAnswer(message));
         if (message.isDeliveryPending()) {
-            answerPromised(message, entry, at);
+            deliverPromisedAnswer(message, entry, now);
         }
         if (message.hasUnknownOutcome() && InferenceCoordinator.restrictsRepeats(group)) {
             inquiries.startInquiries(entry, message.model(),
@@ -89,11 +89,11 @@
      * Delivers a promised answer. A message without one is shed where it did not run or may run again; otherwise its outcome is
      * inquired first.
      */
-    private void answerPromised(LedgerState.Message message, MessageStore.Entry entry, double at) {
+    private void deliverPromisedAnswer(LedgerState.Message message, MessageStore.Entry entry, double now) {
         AnswerObserver observer = promisedAnswers.observerFor(entry.customer, message.id, message.promisedAt(),
                 message.deliveryAttempts());
         if (message.state() == LedgerState.MessageState.ANSWERED) {
-            observer.onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, at));
+            observer.onFinalAnswer(MessageStore.currentAnswer(entry, answerFormat, now));
         } else if (mayHaveRun(message) && InferenceCoordinator.restrictsRepeats(entry.group)) {
             entry.observers.add(observer);
         } else {
--- a/gateway/src/main/java/gradereach/desk/LoadOrder.java
+++ b/gateway/src/main/java/gradereach/desk/LoadOrder.java
@@ -15,7 +15,7 @@
     final int routerGeneration;
     final double sentAt;
     private final double leaseEndsAt;
-    /** The start time of the target process, as listed in the roster when this was created. */
+    /** The start time of the target process, as listed in the roster when this was created; Unix milliseconds. */
     private final double targetProcessStart;
     long timerId;
     volatile boolean ended;
--- a/gateway/src/main/java/gradereach/desk/MessageStore.java
+++ b/gateway/src/main/java/gradereach/desk/MessageStore.java
@@ -16,7 +16,7 @@
  * The messages received and their answers. The same {@code webhook-id} of the same customer is the same inference for as
  * long as its signature could be replayed.
  *
- * Limited in entries and in bytes of recorded answers. At a limit, the oldest retriable messages are evicted, since they may
+ * <p>Limited in entries and in bytes of recorded answers. At a limit, the oldest retriable messages are evicted, since they may
  * run again. A message that must not run twice is never evicted; a new message is turned away instead.
  */
 public final class MessageStore {
@@ -36,7 +36,7 @@
         final long signedAt;
         final List<AnswerObserver> observers = new ArrayList<>(1);
         InferenceState openInference;
-        /** Inferences started for this message. */
+        /** Number of inferences started for this message. */
         int inferenceCount;
         /** The received copies of the message that wait for the result of its claim; null while none is pending. */
         List<IncomingMessage> awaitingClaim;
@@ -73,7 +73,7 @@
     /** Ids of evicted messages, to detect a different body under the same id. */
     private final ExpiringIdTable evictedIds;
     private final long fingerprintSeed;
-    private long bytes;
+    private long answerBytes;
     private long evictedCount;
     private double lastExpiryAt;
     /** The latest signed timestamp of all expired messages; a clock that is set back must not readmit them. */
@@ -107,6 +107,7 @@
         return bodyDiffers ? MessageStatus.BODY_MISMATCH : MessageStatus.NEW;
     }
 
+    /** A 64-bit hash of a message id; two of them, with different seeds, identify an evicted message. */
     private static long fingerprint(int customer, String id, long seed) {
         long hash = seed ^ customer * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < id.length(); i++) {
@@ -116,7 +117,6 @@
         return hash;
     }
 
-
     static MessageStatus statusOfEntry(Entry entry, IncomingMessage message, double now) {
         if (entry == null) {
             return MessageStatus.NEW;
@@ -188,7 +188,7 @@
         Entry entry = new Entry(customer, id, digestHigh, digestLow, group, expiresAt, signedAt);
         entry.mayHaveRunSince = mayHaveRunSince;
         entry.answer = answer;
-        bytes += size(answer);
+        answerBytes += bodySize(answer);
         put(entry);
         return entry;
     }
@@ -209,7 +209,7 @@
      * @param answer null where the message is proven not to have run
      */
     void replaceUnknownAnswer(Entry entry, FinalAnswer answer) {
-        bytes += size(answer) - size(entry.answer);
+        answerBytes += bodySize(answer) - bodySize(entry.answer);
         entry.answer = answer;
         if (answer == null) {
             entry.mayHaveRunSince = Double.NaN;
@@ -218,14 +218,14 @@
 
     /** Records the answer with which the open inference of a message has ended. */
     void recordAnswer(Entry entry, FinalAnswer answer) {
-        bytes -= size(entry.answer);
+        answerBytes -= bodySize(entry.answer);
         entry.answer = answer;
         entry.openInference = null;
-        bytes += size(answer);
-        while (bytes > maxBytes && evictOldestRetriable()) { }
+        answerBytes += bodySize(answer);
+        while (answerBytes > maxBytes && evictOldestRetriable()) { }
     }
 
-    /** Removes a message of which nothing may have run, as if it had never been received. */
+    /** Removes a message that may run again, as if it had never been received. */
     void discard(Entry entry) {
         entry.openInference = null;
         remove(entry);
@@ -275,11 +275,11 @@
         if (!entry.removed) {
             entry.removed = true;
             entries.remove(new Key(entry.customer, entry.id));
-            bytes -= size(entry.answer);
+            answerBytes -= bodySize(entry.answer);
         }
     }
 
-    private static long size(FinalAnswer answer) {
+    private static long bodySize(FinalAnswer answer) {
         return answer == null ? 0 : answer.body().length;
     }
 
@@ -290,7 +290,7 @@
 
     /** Bytes of recorded answers. */
     public long bytes() {
-        return bytes;
+        return answerBytes;
     }
 
     /** Messages evicted so far, because a limit was reached. */
--- a/gateway/src/main/java/gradereach/desk/ModelCatalog.java
+++ b/gateway/src/main/java/gradereach/desk/ModelCatalog.java
@@ -11,7 +11,7 @@
     /**
      * One model, or a family of models.
      *
-     * @param name of the model, or a prefix that ends in {@code *}
+     * @param name the model's name, or a prefix of names followed by {@code *}
      * @param lanes concurrent inferences of one copy
      */
     public record Entry(String name, long id, ModelGroup group, double memoryMegabytes, int lanes, double loadMillis) { }
--- a/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
+++ b/gateway/src/main/java/gradereach/desk/OutcomeInquiries.java
@@ -38,12 +38,12 @@
         int openInquiries;
         /** All inquiries that have ended prove that nothing ran; false where not all forwards of the message are inquired. */
         boolean neverRan;
-        /** The inferences of the message when the inquiries started; forwards of later ones are not covered. */
+        /** Number of inferences of the message when the inquiries started; forwards of later ones are not covered. */
         final int inferenceCount;
         final List<InquiryScheduler.Inquiry> inquiries = new ArrayList<>(1);
 
-        UnresolvedMessage(MessageStore.Entry entry, String modelName, boolean complete) {
-            neverRan = complete;
+        UnresolvedMessage(MessageStore.Entry entry, String modelName, boolean coversAllForwards) {
+            neverRan = coversAllForwards;
             inferenceCount = entry.inferenceCount;
             this.entry = entry;
             this.modelName = modelName;
@@ -57,6 +57,7 @@
     private final LongAdder unresolvable;
     private final LongAdder executorReplaced;
     private final Counts.Limit openInquiries;
+    /** When the timer for the inquiries due next fires, infinite for none. */
     private double timerAt = Double.POSITIVE_INFINITY;
 
     OutcomeInquiries(InquiryScheduler scheduler, Dependencies dependencies, Counts counts) {
@@ -81,10 +82,11 @@
     /**
      * Starts outcome inquiries for forwards of a message.
      *
-     * @param complete whether these are all forwards that may have run, over all inferences of the message so far
+     * @param coversAllForwards whether these are all forwards that may have run, over all inferences of the message so far
      */
-    void startInquiries(MessageStore.Entry entry, String modelName, List<InquiryScheduler.InquiredForward> forwards, boolean complete) {
-        UnresolvedMessage message = new UnresolvedMessage(entry, modelName, complete);
+    void startInquiries(MessageStore.Entry entry, String modelName, List<InquiryScheduler.InquiredForward> forwards,
+            boolean coversAllForwards) {
+        UnresolvedMessage message = new UnresolvedMessage(entry, modelName, coversAllForwards);
         for (InquiryScheduler.InquiredForward forward : forwards) {
             InquiryScheduler.Inquiry inquiry = scheduler.add(message, forward, dependencies.clock.getAsDouble());
             if (inquiry == null) {
@@ -225,8 +227,8 @@
         (answer != null ? resolvedAsRun : resolvedAsNotRun).increment();
         dependencies.messageStore.replaceUnknownAnswer(entry, answer);
         String customer = dependencies.customerNames.get(entry.customer);
-        double at = dependencies.ledger.time().fromMonotonic(dependencies.clock.getAsDouble());
-        dependencies.ledger.append(answer != null ? new LedgerRecord.Answered(customer, entry.id, at, answer)
-                : new LedgerRecord.ProvenNotRun(customer, entry.id, at), durable -> { });
+        double recordedAt = dependencies.ledger.time().fromMonotonic(dependencies.clock.getAsDouble());
+        dependencies.ledger.append(answer != null ? new LedgerRecord.Answered(customer, entry.id, recordedAt, answer)
+                : new LedgerRecord.ProvenNotRun(customer, entry.id, recordedAt), durable -> { });
     }
 }
--- a/gateway/src/main/java/gradereach/flow/AnswerStream.java
+++ b/gateway/src/main/java/gradereach/flow/AnswerStream.java
@@ -53,6 +53,7 @@
     private volatile Runnable onAvailable = NO_READER;
 
     // Confined to the producing thread.
+    /** Null once the parts exceed the limits of the record, and after the end. */
     private List<T> recordedParts = new ArrayList<>(4);
     private int recordBytes;
     private long partCount;
@@ -105,11 +106,11 @@
     public List<T> complete() {
         completed = true;
         onAvailable.run();
-        List<T> all = recordedParts;
+        List<T> allParts = recordedParts;
         recordedParts = null;
         limits.recordedBytes.release(recordBytes);
         recordBytes = 0;
-        return all;
+        return allParts;
     }
 
     /** Parts added so far. */
--- a/gateway/src/main/java/gradereach/inquiry/InquiryScheduler.java
+++ b/gateway/src/main/java/gradereach/inquiry/InquiryScheduler.java
@@ -38,12 +38,14 @@
 
     /** The inquiries about one forward. */
     public static final class Inquiry {
+        /** What the caller of {@link #add} asks on behalf of; not used here. */
         public final Object subject;
         public final InquiredForward forward;
         /** When the forward was intended, or else when the inquiry was added; monotonic time. */
         private final double ageCountsFrom;
         private int attempts;
         private double dueAt;
+        /** Order in which inquiries that are due at the same time are taken. */
         private long sequence;
         private boolean closed;
 
@@ -54,26 +56,26 @@
         }
 
         /** Whether the replying process is not the one that the forward was sent to, which alone may have seen it. */
-        private boolean isOtherProcess(double process) {
+        private boolean isOtherProcess(double processNumber) {
             double intendedFor = forward.recipient.processNumber();
-            return !Double.isNaN(process) && !Double.isNaN(intendedFor) && process != intendedFor;
+            return !Double.isNaN(processNumber) && !Double.isNaN(intendedFor) && processNumber != intendedFor;
         }
 
         /** UNSEEN by the intended process proves nothing: the forward may still arrive, however long ago its sender ended. */
-        private Conclusion concludeUnseen(double process) {
-            return isOtherProcess(process) ? Conclusion.NEVER_KNOWN : Conclusion.NOT_YET;
+        private Conclusion concludeUnseen(double processNumber) {
+            return isOtherProcess(processNumber) ? Conclusion.NEVER_KNOWN : Conclusion.NOT_YET;
         }
 
         /**
          * What a FENCED reply proves. Only the process that the forward was sent to knows whether it ran, and only for as long
          * as it keeps outcomes.
          */
-        private Conclusion concludeFenced(double process, double now, double retentionMillis) {
-            if (Double.isNaN(process)) {
+        private Conclusion concludeFenced(double processNumber, double now, double outcomeRetentionMillis) {
+            if (Double.isNaN(processNumber)) {
                 return Conclusion.NOT_YET;
             }
-            boolean withinRetention = !Double.isNaN(forward.intendedAt) && now - ageCountsFrom < retentionMillis;
-            return withinRetention && process == forward.recipient.processNumber() ? Conclusion.NEVER_RAN : Conclusion.NEVER_KNOWN;
+            boolean withinRetention = !Double.isNaN(forward.intendedAt) && now - ageCountsFrom < outcomeRetentionMillis;
+            return withinRetention && processNumber == forward.recipient.processNumber() ? Conclusion.NEVER_RAN : Conclusion.NEVER_KNOWN;
         }
     }
 
@@ -87,12 +89,12 @@
     private int openCount;
 
     /**
-     * @param retentionMillis how long executors keep outcomes; 0 if they do not, which disables inquiries
+     * @param outcomeRetentionMillis how long executors keep outcomes; 0 if they do not, which disables inquiries
      * @param maxInFlight inquiries in flight at once
      * @param maxOpen forwards with an unknown outcome; further ones are not asked about
      */
-    public InquiryScheduler(double retentionMillis, int maxInFlight, int maxOpen) {
-        this.outcomeRetentionMillis = retentionMillis;
+    public InquiryScheduler(double outcomeRetentionMillis, int maxInFlight, int maxOpen) {
+        this.outcomeRetentionMillis = outcomeRetentionMillis;
         this.maxInFlight = maxInFlight;
         this.maxOpen = maxOpen;
     }
@@ -142,17 +144,17 @@
     /**
      * Draws the conclusion from a reply, and schedules the next inquiry if it is not final.
      *
-     * @param process the number that identifies the replying process; NaN if it reported none
+     * @param processNumber the number that identifies the replying process; NaN if it reported none
      */
-    public Conclusion recordReply(Inquiry inquiry, OutcomeReply reply, double process, double now) {
+    public Conclusion recordReply(Inquiry inquiry, OutcomeReply reply, double processNumber, double now) {
         inFlight--;
         if (inquiry.closed) {
             return Conclusion.NOT_YET;
         }
         Conclusion conclusion = switch (reply) {
             case FINISHED -> Conclusion.RAN;
-            case UNSEEN -> inquiry.concludeUnseen(process);
-            case FENCED -> inquiry.concludeFenced(process, now, outcomeRetentionMillis);
+            case UNSEEN -> inquiry.concludeUnseen(processNumber);
+            case FENCED -> inquiry.concludeFenced(processNumber, now, outcomeRetentionMillis);
             case RUNNING, NOTHING -> Conclusion.NOT_YET;
             case GONE -> Conclusion.NEVER_KNOWN;
         };
--- a/gateway/src/main/java/gradereach/intake/Intake.java
+++ b/gateway/src/main/java/gradereach/intake/Intake.java
@@ -45,7 +45,7 @@
     private final InputFormats inputFormats;
     private final LongAdder messageCount;
     private final Counts counts;
-    private volatile boolean isStopping;
+    private volatile boolean stopping;
 
     /**
      * @param answerKeys keys that answers to a customer are signed with, by customer index
@@ -71,11 +71,12 @@
     /**
      * Finds the customer whose key signed a message that has been read completely, and counts the message.
      *
-     * @param likely index of the customer to try first, -1 for none
+     * @param likelyCustomer index of the customer to try first, -1 for none
      */
-    public KeyRing.VerificationResult authenticate(String id, String timestamp, String signature, byte[] signed, int likely) {
+    public KeyRing.VerificationResult authenticate(String id, String timestamp, String signature, byte[] signedContent,
+            int likelyCustomer) {
         messageCount.increment();
-        return keys.verify(id, timestamp, signature, signed, unixMillis.getAsLong() / 1000, likely);
+        return keys.verify(id, timestamp, signature, signedContent, unixMillis.getAsLong() / 1000, likelyCustomer);
     }
 
     /** Looks up a model by name; null if it is not in this deployment. */
@@ -83,19 +84,19 @@
         return catalog.find(name);
     }
 
-    /** The formats of inference requests that the executors of this deployment take: JSON and serialized protobuf messages. */
-    public record InputFormats(boolean json, boolean message) { }
+    /** Whether executors of this deployment accept inference requests as JSON, and as serialized protobuf messages. */
+    public record InputFormats(boolean acceptsJson, boolean acceptsProtobuf) { }
 
     /** Converts the input of a webhook message to the formats that the executors take. */
     public InferenceInput toInput(byte[] json, String model) throws InvalidMessageException {
-        return new InferenceInput(inputFormats.json ? json : null,
-                inputFormats.message ? InferenceJsonConverter.requestBytesFromJson(json, model) : null);
+        return new InferenceInput(inputFormats.acceptsJson ? json : null,
+                inputFormats.acceptsProtobuf ? InferenceJsonConverter.requestBytesFromJson(json, model) : null);
     }
 
     /** Converts the request of a gRPC call; the conversion to JSON, if executors take that, also validates it. */
     public InferenceInput toInput(ModelInferRequest request) throws InvalidMessageException {
-        return new InferenceInput(inputFormats.json ? InferenceJsonConverter.requestToJson(request) : null,
-                inputFormats.message ? request.toByteArray() : null);
+        return new InferenceInput(inputFormats.acceptsJson ? InferenceJsonConverter.requestToJson(request) : null,
+                inputFormats.acceptsProtobuf ? request.toByteArray() : null);
     }
 
     /** The SHA-256 digest of the bytes. */
@@ -103,10 +104,10 @@
         return SHA256.get().digest(bytes);
     }
 
-    /** The eight bytes of a digest that start at {@code from}, as a big-endian long. */
-    public static long longAt(byte[] digest, int from) {
+    /** The eight bytes of a digest that start at {@code offset}, as a big-endian long. */
+    public static long longAt(byte[] digest, int offset) {
         long value = 0;
-        for (int i = from; i < from + 8; i++) {
+        for (int i = offset; i < offset + 8; i++) {
             value = value << 8 | digest[i] & 0xff;
         }
         return value;
@@ -116,7 +117,7 @@
      * Hands a message to the decision thread. Returns false if it was shed instead, in which case the client has been answered.
      */
     public boolean admit(IncomingMessage message, WaitingClient client) {
-        if (isStopping) {
+        if (stopping) {
             client.onFinalAnswer(FinalAnswer.shed(message.id(), "this front end is stopping", shedRetryAfterMillis));
             return false;
         }
@@ -171,10 +172,10 @@
 
     /** Stops accepting messages. Those already accepted are still answered. */
     public void stop() {
-        isStopping = true;
+        stopping = true;
     }
 
     public boolean isStopping() {
-        return isStopping;
+        return stopping;
     }
 }
--- a/gateway/src/main/java/gradereach/message/FinalAnswer.java
+++ b/gateway/src/main/java/gradereach/message/FinalAnswer.java
@@ -61,7 +61,7 @@
                 problem("failed", status, "Inference failed", id, detail, repeatHarmless, 0), 0, repeatHarmless);
     }
 
-    /** The body that rejects a message before it became an inference. */
+    /** The body of the response to a message that is rejected before it becomes an inference. */
     public static byte[] rejectionBody(int status, String errorCode, String detail) {
         return problem(errorCode, status, "Message refused", null, detail, false, 0);
     }
--- a/gateway/src/main/java/gradereach/message/InferenceMessage.java
+++ b/gateway/src/main/java/gradereach/message/InferenceMessage.java
@@ -17,6 +17,7 @@
  * @param budgetMillis {@code data.budget_ms}, the time that the client waits for an answer, 0 if not given
  */
 public record InferenceMessage(String model, byte[] input, double budgetMillis) {
+    /** The only {@code type} that is accepted. */
     public static final String TYPE = "inference.requested";
     /** Enough for nested tensors, without the risk of a stack overflow. */
     private static final int MAX_NESTING_DEPTH = 64;
@@ -38,12 +39,12 @@
             require(parser.nextToken() == JsonToken.START_OBJECT, "body: no JSON object");
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
-                JsonToken value = parser.nextToken();
+                JsonToken token = parser.nextToken();
                 switch (name) {
-                    case "type" -> type = readString(parser, value, "type");
-                    case "timestamp" -> timestamped = !readString(parser, value, "timestamp").isEmpty();
+                    case "type" -> type = readString(parser, token, "type");
+                    case "timestamp" -> timestamped = !readString(parser, token, "timestamp").isEmpty();
                     case "data" -> {
-                        require(value == JsonToken.START_OBJECT, "data: no object");
+                        require(token == JsonToken.START_OBJECT, "data: no object");
                         require(message == null, "data: twice");
                         message = parseData(parser, body);
                     }
@@ -70,17 +71,17 @@
         double budgetMillis = 0;
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
-            JsonToken value = parser.nextToken();
+            JsonToken token = parser.nextToken();
             switch (name) {
-                case "model" -> model = readString(parser, value, "data.model");
+                case "model" -> model = readString(parser, token, "data.model");
                 case "input" -> {
-                    require(value == JsonToken.START_OBJECT, "data.input: no object");
-                    int from = (int) parser.currentTokenLocation().getByteOffset();
+                    require(token == JsonToken.START_OBJECT, "data.input: no object");
+                    int inputStart = (int) parser.currentTokenLocation().getByteOffset();
                     parser.skipChildren();
-                    input = Arrays.copyOfRange(body, from, (int) parser.currentLocation().getByteOffset());
+                    input = Arrays.copyOfRange(body, inputStart, (int) parser.currentLocation().getByteOffset());
                 }
                 case "budget_ms" -> {
-                    require(value.isNumeric(), "data.budget_ms: no number");
+                    require(token.isNumeric(), "data.budget_ms: no number");
                     budgetMillis = parser.getDoubleValue();
                     require(budgetMillis > 0 && budgetMillis < Double.MAX_VALUE, "data.budget_ms: not above 0");
                 }
@@ -94,8 +95,8 @@
         return new InferenceMessage(model, input, budgetMillis);
     }
 
-    private static String readString(JsonParser parser, JsonToken value, String path) throws IOException, InvalidMessageException {
-        require(value == JsonToken.VALUE_STRING, path + ": no string");
+    private static String readString(JsonParser parser, JsonToken token, String path) throws IOException, InvalidMessageException {
+        require(token == JsonToken.VALUE_STRING, path + ": no string");
         return parser.getText();
     }
 
--- a/gateway/src/main/java/gradereach/replay/ExpiringIdTable.java
+++ b/gateway/src/main/java/gradereach/replay/ExpiringIdTable.java
@@ -15,6 +15,7 @@
 
     private static final int LONGS_PER_SLOT = 3;
     private static final int INITIAL_SLOTS = 1024;
+    private static final int BUCKETS_PER_RETENTION = 8;
     private static final double MAX_LOAD_FACTOR = 0.625; // linear probing then takes two to three probes
 
     private static final class Bucket {
@@ -54,9 +55,9 @@
      * @param maxIds ids at one time
      */
     public ExpiringIdTable(double retentionMillis, int maxIds) {
-        // Eight buckets cover the retention time; one more is being filled.
-        buckets = new Bucket[9];
-        bucketMillis = retentionMillis / 8;
+        // One bucket more than the retention time needs: the one that is being filled.
+        buckets = new Bucket[BUCKETS_PER_RETENTION + 1];
+        bucketMillis = retentionMillis / BUCKETS_PER_RETENTION;
         this.maxIds = maxIds;
         for (int i = 0; i < buckets.length; i++) {
             buckets[i] = new Bucket();
@@ -83,7 +84,13 @@
         bucket.table = new long[INITIAL_SLOTS * LONGS_PER_SLOT];
     }
 
-    /** Whether the id was seen, and with the same digest. */
+    /**
+     * Whether an id was seen, and with the same digest.
+     *
+     * @param high first half of the id's 128-bit fingerprint
+     * @param low second half of the id's fingerprint
+     * @param digest of the message that came under the id
+     */
     public Lookup find(long high, long low, long digest, double now) {
         currentBucket(now);
         long nonZeroLow = low == 0 ? 1 : low;
@@ -98,7 +105,7 @@
         return Lookup.NOT_FOUND;
     }
 
-    /** Adds an id that was not found. Returns false if the table is full. */
+    /** Adds an id that {@link #find} did not find, with the same parameters. Returns false if the table is full. */
     public boolean add(long high, long low, long digest, double now) {
         Bucket bucket = currentBucket(now);
         if (size >= maxIds) {
--- a/gateway/src/test/java/gradereach/delivery/DeliverySchedulerTest.java
+++ b/gateway/src/test/java/gradereach/delivery/DeliverySchedulerTest.java
@@ -31,7 +31,7 @@
             AttemptResult result = scheduler.recordAttempt(takeOnlyDue(now), 500, 0, now);
             assertEquals(AttemptResult.RETRY, result);
             double delay = scheduler.nextDueAt() - now;
-            assertTrue(delay >= seconds * 1000d && delay <= seconds * 1100d, seconds + " came out as " + delay);
+            assertTrue(delay >= seconds * 1000d && delay <= seconds * 1100d, seconds + " s scheduled, actual delay in ms: " + delay);
             now = scheduler.nextDueAt();
         }
         assertEquals(AttemptResult.GIVEN_UP, scheduler.recordAttempt(takeOnlyDue(now), 500, 0, now));
--- a/gateway/src/test/java/gradereach/delivery/OutboxTest.java
+++ b/gateway/src/test/java/gradereach/delivery/OutboxTest.java
@@ -69,9 +69,9 @@
         }
 
         @Override
-        public void append(LedgerRecord record, AppendCallback then) {
+        public void append(LedgerRecord record, AppendCallback callback) {
             ledgerRecords.add(record);
-            then.onComplete(true);
+            callback.onComplete(true);
         }
     };
 
--- a/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
+++ b/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
@@ -157,20 +157,20 @@
 
     /** Guards against excluding an instance for good: the old one starts again there or elsewhere, or two swap their addresses. */
     @ParameterizedTest
-    @CsvSource({"starts again there, true, false", "moves to a free address, true, true", "exchange, true, true"})
-    void replacedInstanceCanReturn(String way, boolean old, boolean current) {
+    @CsvSource({"restarts at the address, true, false", "moves to a free address, true, true", "swaps addresses, true, true"})
+    void replacedInstanceCanReturn(String returnKind, boolean oldReceives, boolean newReceives) {
         CoordinatorHarness harness = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
-        if (way.equals("exchange")) {
+        if (returnKind.equals("swaps addresses")) {
             harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", "10.0.0.2:80", 0, ExecutorState.READY));
             harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-new", ADDRESS, 0, ExecutorState.READY),
                     rosterEntry("s-old", "10.0.0.2:80", 0, ExecutorState.READY));
         } else {
             RosterDelivery.AN_EVENT.deliverTo(harness, harness.now);
             harness.advanceTo(harness.now + 2000);
-            boolean sameAddress = way.equals("starts again there");
+            boolean sameAddress = returnKind.equals("restarts at the address");
             harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", sameAddress ? ADDRESS : "10.0.0.2:80", harness.now,
                     ExecutorState.READY));
         }
-        assertEquals(List.of(old, current), List.of(harness.maySendTo("s-old"), harness.maySendTo("s-new")));
+        assertEquals(List.of(oldReceives, newReceives), List.of(harness.maySendTo("s-old"), harness.maySendTo("s-new")));
     }
 }
--- a/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
+++ b/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
@@ -41,7 +41,7 @@
 class ClaimExplorationTest {
     private static final List<String> NAMES = List.of("fe-a", "fe-b", "fe-c");
 
-    /** Bugs that can be injected. */
+    /** Bugs that can be injected; the exploration has to find each of them. */
     enum Bug { NONE, ACKNOWLEDGES_EARLY, REPLICA_LOSES_CLAIMS, LISTS_DIFFER, NO_CLAIMS }
 
     /** A router that forwards at once, and sheds or fails when the forward ends without an answer; its decisions are not tested here. */
@@ -118,7 +118,7 @@
             int startedIn = incarnation;
             return new ClaimService() {
                 @Override
-                public void claim(MessageIdentity identity, double patience, ClaimCallback callback) {
+                public void claim(MessageIdentity identity, double timeout, ClaimCallback callback) {
                     List<ReplicaRequest> outgoing = new ArrayList<>();
                     Round round = claimCoordinator.startRound(identity, outgoing);
                     openRounds.add(new OpenRound(FrontEnd.this, startedIn, round, callback));
@@ -349,6 +349,7 @@
         return choiceCounts;
     }
 
+    /** The number of possible steps; 0 where only faults (a crash, a lost message, a timeout) are left. */
     private int defaultChoices(List<Runnable> steps) {
         boolean busy = !deferred.isEmpty() || !messagesInFlight.isEmpty() || !replies.isEmpty() || !atExecutor.isEmpty()
                 || !runAtExecutor.isEmpty() || !clientSends.isEmpty()
@@ -387,7 +388,7 @@
     private long schedulesExplored;
 
     @Test
-    void noScheduleRunsAReservationTwice() {
+    void noScheduleRunsANonRetriableMessageTwice() {
         assertNull(explore());
         assertTrue(schedulesExplored > 5000, schedulesExplored + " schedules");
         assertTrue(relays > 0);
--- a/gateway/src/test/java/gradereach/desk/ClosedDedupWindowTest.java
+++ b/gateway/src/test/java/gradereach/desk/ClosedDedupWindowTest.java
@@ -23,7 +23,8 @@
  * harmless.
  */
 class ClosedDedupWindowTest {
-    private static final double WINDOW = 1500;
+    /** Milliseconds, as in {@link CoordinatorHarness#DEDUPED}. */
+    private static final double DEDUP_WINDOW = 1500;
     private final ManualCommitLedger ledger = new ManualCommitLedger();
 
     private CoordinatorHarness start(double now) {
@@ -60,12 +61,12 @@
     /** Guards against a recorded answer that still calls a repeat harmless after the window, with or without a restart. */
     @ParameterizedTest
     @CsvSource({"NONE, false", "NONE, true", "ERROR, false", "ERROR, true", "RESET, true"})
-    void repeatHarmlessInsideTheWindowIsNotPromisedAfterIt(String end, boolean restarts) {
+    void repeatHarmlessInsideTheWindowIsNotPromisedAfterIt(String forwardEnd, boolean restarts) {
         CoordinatorHarness harness = start(1_000_000);
         Client first = harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         double sentAt = awaitForwardSentAt(harness, CoordinatorHarness.DEDUPED);
-        if (!end.equals("NONE")) {
-            harness.endForward(harness.forwards.get(0), Outcome.valueOf(end));
+        if (!forwardEnd.equals("NONE")) {
+            harness.endForward(harness.forwards.get(0), Outcome.valueOf(forwardEnd));
         }
         advanceTo(harness, sentAt + 1200);
         assertTrue(isRepeatHarmless(first), "within the window every executor drops a repeat");
@@ -73,7 +74,7 @@
             ledger.crash();
             harness = start(harness.now + 10);
         }
-        advanceTo(harness, sentAt + WINDOW + 100);
+        advanceTo(harness, sentAt + DEDUP_WINDOW + 100);
         harness.forwards.clear();
         Client again = harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         advanceTo(harness, harness.now + 1100);
@@ -90,7 +91,7 @@
         Client first = harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         double sentAt = awaitForwardSentAt(harness, CoordinatorHarness.DEDUPED);
         harness.endForward(harness.forwards.get(0), Outcome.RETURNED);
-        advanceTo(harness, sentAt + WINDOW + 100);
+        advanceTo(harness, sentAt + DEDUP_WINDOW + 100);
         if (restarts) {
             ledger.crash();
             harness = start(harness.now + 10);
@@ -112,7 +113,7 @@
         ledger.crash();
         Client promised = harness.new Client();
         CoordinatorHarness second = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
-        second.now = sentAt + WINDOW + 100;
+        second.now = sentAt + DEDUP_WINDOW + 100;
         second.coordinator.recover(ledger.replay(), second.now, 600_000, CoordinatorHarness.GROUPS, Long.MIN_VALUE,
                 (customer, id, promisedAt, attempts) -> promised);
         assertFalse(isRepeatHarmless(promised));
--- a/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
+++ b/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
@@ -43,7 +43,7 @@
     /** Its dedup window closes before the client's deadline. */
     static final ModelGroup DEDUPED_SHORT_WINDOW = new ModelGroup("marked-briefly", RetrySafety.DEDUPED, DedupScope.ALL, 100, 400, 0, 1000,
             1, 0.2, false);
-    /** Groups with streamed answers; otherwise like the first two. */
+    /** Groups with streamed answers; otherwise like {@link #RETRIABLE} and {@link #NON_RETRIABLE}. */
     static final ModelGroup STREAMED_RETRIABLE = new ModelGroup("told", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1, 0.2,
             true);
     static final ModelGroup STREAMED_NON_RETRIABLE = new ModelGroup("signed", RetrySafety.NON_RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1,
@@ -106,6 +106,7 @@
     final List<String> routerFailures = new ArrayList<>();
     final MessageStore messageStore;
     final InferenceCoordinator coordinator;
+    /** Number of forwards that were sent although their inference had its answer. */
     int sentAfterAnswers;
     double now = 1_000_000;
     private final PriorityQueue<ScheduledTimer> timerQueue = new PriorityQueue<>(
@@ -290,7 +291,9 @@
         return endpoint != null && coordinator.maySendTo(endpoint, now);
     }
 
+    /** Address and forward id of each inquiry sent. */
     final List<String> inquiries = new ArrayList<>();
+    /** The callback of the latest inquiry. */
     InquiryCallback lastInquiry;
 
     @Override
@@ -346,8 +349,8 @@
     public void onInferenceEnded(InferenceState state, double at) { }
 
     @Override
-    public void onRouterFailed(RuntimeException failure, String event, int inferences) {
-        routerFailures.add(event + ": " + failure.getMessage() + ", " + inferences);
+    public void onRouterFailed(RuntimeException failure, String event, int inferenceCount) {
+        routerFailures.add(event + ": " + failure.getMessage() + ", " + inferenceCount);
     }
 
     @Override
--- a/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
+++ b/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
@@ -44,14 +44,14 @@
         return client.received();
     }
 
-    private static final List<String> STEPS = List.of("asked", "intent durable", "ran", "answer in", "outcome durable");
+    private static final List<String> STEPS = List.of("asked", "intent durable", "ran", "answer received", "outcome durable");
 
     @ParameterizedTest
     @CsvSource({
         // killed after that number of steps, result of the repeated message, total number of runs
         "0, 1 RETURNED, 1", "1, 1 RETURNED, 1", "2, 1 FAILED, 0", "3, 1 FAILED, 1", "4, 1 FAILED, 1", "5, 1 RETURNED, 1",
     })
-    void neverRunsTwiceWhenKilledBetweenAnyTwoSteps(int steps, String repeatExpected, int runsInAll) {
+    void neverRunsTwiceWhenKilledBetweenAnyTwoSteps(int steps, String repeatExpected, int totalRuns) {
         CoordinatorHarness first = start(1_000_000);
         int runs = 0;
         Client client = null;
@@ -86,7 +86,7 @@
             ledger.commit(second, true);
         }
         assertEquals(repeatExpected, receivedWithinTimeout(second, again));
-        assertEquals(runsInAll, runs);
+        assertEquals(totalRuns, runs);
         if (client != null && !client.answers.isEmpty()) {
             assertEquals(new String(client.answers.get(0).body()), new String(again.answers.get(0).body()));
         }
@@ -246,8 +246,8 @@
         ledger.crash();
         CoordinatorHarness second = start(first.now + 6000);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        double askedAt = second.now;
-        second.advanceTo(askedAt + 200);
+        double repeatedAt = second.now;
+        second.advanceTo(repeatedAt + 200);
         assertEquals("0", waiting.received());
         assertEquals(List.of("10.0.0.1:80 " + forwardId), second.inquiries);
         second.runBatch(second.now, () -> second.lastInquiry.onReply(reply, processNumber, "{}".getBytes()));
@@ -257,7 +257,7 @@
         boolean stillUnknown = waitingExpected.equals("0");
         if (stillUnknown) {
             // No reply in time: the client is told that the outcome is unknown while it still waits.
-            second.advanceTo(askedAt + 999);
+            second.advanceTo(repeatedAt + 999);
             assertEquals("1 FAILED", waiting.received());
         }
         // The outcome is durable: after another restart it is known without an inquiry.
--- a/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
+++ b/gateway/src/test/java/gradereach/desk/DeferredActionsTest.java
@@ -16,6 +16,7 @@
 
 /** Deferred actions (a listing, a removal, a forward that waits for its intent) after the roster has changed meanwhile. */
 class DeferredActionsTest {
+    /** Milliseconds: the expected work of one inference, and the times of the cold start rule in the harness. */
     private static final double EXPECTED_MILLIS = 100;
     private static final double OVERLOAD_TIME = 1000;
     private static final double WARM_UP_TIME = 5000;
@@ -43,6 +44,7 @@
         return real -> routersCreated[0]++ == 0 ? InferenceCoordinatorTest.failingOnCall(real, "onInferenceCancelled", 1) : real;
     }
 
+    /** Sends ten messages and answers the load orders for that time; returns the client of the last message. */
     private Client sendMessages(CoordinatorHarness harness, double duration) {
         Client lastClient = null;
         for (int i = 0; i < 10; i++) {
@@ -54,11 +56,11 @@
         return lastClient;
     }
 
-    /** The limit is three quarters of overload factor x overload time, at the cold executor's share at the first forward. */
+    /** The budget is three quarters of overload factor x overload time, at the cold executor's share at the first forward. */
     private void assertColdBudgetKept(CoordinatorHarness harness) {
-        double first = harness.forwards.get(0).forward.sentAt;
-        double budget = 0.75 * 3 * OVERLOAD_TIME * (0.2 + 0.8 * (first - startedAt) / WARM_UP_TIME);
-        long sent = harness.forwards.stream().filter(forward -> forward.forward.sentAt < first + OVERLOAD_TIME).count();
+        double firstSentAt = harness.forwards.get(0).forward.sentAt;
+        double budget = 0.75 * 3 * OVERLOAD_TIME * (0.2 + 0.8 * (firstSentAt - startedAt) / WARM_UP_TIME);
+        long sent = harness.forwards.stream().filter(forward -> forward.forward.sentAt < firstSentAt + OVERLOAD_TIME).count();
         assertTrue(sent * EXPECTED_MILLIS <= budget, sent + " forwards within the overload time, budget " + budget);
     }
 
--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -184,8 +184,8 @@
         "marked-there, TIMED_OUT, 0, recorded", "booking, RETURNED, 0, recorded", "quick, RETURNED, 30000, recorded",
         "quick, RETURNED, 601000, again", "booking, RETURNED, 601000, again",
     })
-    void repeatRunsAgainOnlyWhereRule2Allows(String name, Outcome outcome, double delay, String expected) {
-        Client first = harness.sendMessage("a", group(name), 1);
+    void repeatRunsAgainOnlyWhereRule2Allows(String groupName, Outcome outcome, double delay, String expected) {
+        Client first = harness.sendMessage("a", group(groupName), 1);
         InFlightForward forward = harness.awaitForward();
         if (outcome == Outcome.RETURNED) {
             harness.endForward(forward, outcome);
@@ -194,7 +194,7 @@
         }
         assertEquals(1, first.answers.size());
         harness.now += delay;
-        Client again = harness.sendMessage("a", group(name), 1);
+        Client again = harness.sendMessage("a", group(groupName), 1);
         assertEquals(expected.equals("again"), again.answers.isEmpty());
         if (expected.equals("unknown")) {
             assertTrue(first.answers.get(0).repeatHarmless(), "its window was open");
@@ -226,9 +226,9 @@
         // group, whether it was forwarded, the result of a repeat after its clients disconnected
         "quick, true, again", "booking, true, recorded", "booking, false, again", "marked, true, again",
     })
-    void inferenceEndsWhenItsLastClientDisconnects(String name, boolean forwarded, String expected) {
-        Client client = harness.sendMessage("a", group(name), 1);
-        Client second = harness.sendMessage("a", group(name), 1);
+    void inferenceEndsWhenItsLastClientDisconnects(String groupName, boolean forwarded, String expected) {
+        Client client = harness.sendMessage("a", group(groupName), 1);
+        Client second = harness.sendMessage("a", group(groupName), 1);
         if (forwarded) {
             harness.awaitForward();
         }
@@ -238,7 +238,7 @@
         harness.advanceTo(harness.now + 1);
         assertEquals(0, harness.coordinator.openInferenceCount());
         assertEquals(forwarded ? 1 : 0, harness.counts.value("forwards_ended_cancelled"));
-        Client again = harness.sendMessage("a", group(name), 1);
+        Client again = harness.sendMessage("a", group(groupName), 1);
         assertEquals(expected.equals("again") ? "0" : "1 FAILED", again.received());
         assertTrue(client.answers.isEmpty());
     }
@@ -295,10 +295,10 @@
     @ParameterizedTest
     @CsvSource({"quick, false, 1 SHED", "quick, true, 1 SHED", "booking, false, 1 SHED", "booking, true, 1 FAILED",
         "marked, true, 1 SHED", "marked-there, true, 1 FAILED"})
-    void routerFailureEndsItsInferencesByTheRules(String name, boolean forwarded, String expected) {
+    void routerFailureEndsItsInferencesByTheRules(String groupName, boolean forwarded, String expected) {
         int[] routersCreated = {0};
         CoordinatorHarness failing = harness(real -> routersCreated[0]++ == 0 ? failingOnCall(real, "onProbeEnded", 1) : real);
-        Client client = failing.sendMessage("a", group(name), 1);
+        Client client = failing.sendMessage("a", group(groupName), 1);
         InFlightForward forward = forwarded ? failing.awaitForward() : null;
         failing.runBatch(failing.now, () -> {
             ExecutorEndpoint endpoint = failing.coordinator.endpoints().iterator().next();
@@ -423,7 +423,10 @@
         assertNull(underTest.forwards.stream().filter(forward -> !forward.ended).findAny().orElse(null));
     }
 
-    /** Guards against a forward for a client that disconnected during the claim; in the bad-day-kills rehearsal one left 55 ms later. */
+    /**
+     * Guards against a forward for a client that disconnected during the claim. In the bad-day-kills rehearsal, one was sent
+     * 55 ms after the disconnect.
+     */
     @ParameterizedTest
     @CsvSource({"GRANTED, true, 0", "GRANTED, false, 1", "HELD_BY_OTHER, true, 0", "UNKNOWN, true, 0"})
     void clientThatDisconnectsDuringTheClaimIsNotServed(ClaimService.ClaimStatus status, boolean disconnects, int forwards) {
@@ -456,8 +459,8 @@
     @ParameterizedTest
     @CsvSource({"told, RETURNED, 1 RETURNED", "told, RESET, 1 FAILED", "told, ERROR, 1 FAILED", "signed, RETURNED, 1 RETURNED",
         "signed, RESET, 1 FAILED"})
-    void startedAnswerHasNoTimeout(String name, Outcome outcome, String expected) {
-        Client client = harness.sendMessage("a", group(name), 1);
+    void startedAnswerHasNoTimeout(String groupName, Outcome outcome, String expected) {
+        Client client = harness.sendMessage("a", group(groupName), 1);
         InFlightForward forward = harness.awaitForward();
         AnswerStream<String> stream = harness.startAnswer(forward);
         assertSame(stream, client.answerStream);
--- a/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RepeatedInferenceInquiryTest.java
@@ -17,8 +17,8 @@
  */
 class RepeatedInferenceInquiryTest {
     private static final double START = 100_000_000;
-    private static final String FIRST = "10.0.0.1:80";
-    private static final String SECOND = "10.0.0.2:80";
+    private static final String FIRST_ADDRESS = "10.0.0.1:80";
+    private static final String SECOND_ADDRESS = "10.0.0.2:80";
     private final ManualCommitLedger ledger = new ManualCommitLedger();
 
     private CoordinatorHarness start(double now, RosterEntry... entries) {
@@ -48,11 +48,11 @@
         }
     }
 
-    /** Answers inquiries until that time: at {@code ranAt} it has run and no reply comes, at the other address it never arrives. */
+    /** Advances to that time. The executor at {@code ranAt} ran the message and does not reply; the other never received it. */
     private void answerInquiriesUntil(CoordinatorHarness harness, String ranAt, double until) {
         while (harness.now < until) {
             step(harness, 20);
-            harness.answerInquiries(ranAt.equals(FIRST) ? SECOND : FIRST, InquiryScheduler.OutcomeReply.FENCED, 0);
+            harness.answerInquiries(ranAt.equals(FIRST_ADDRESS) ? SECOND_ADDRESS : FIRST_ADDRESS, InquiryScheduler.OutcomeReply.FENCED, 0);
             harness.answerInquiries(ranAt, InquiryScheduler.OutcomeReply.NOTHING, Double.NaN);
         }
     }
@@ -69,8 +69,8 @@
     /** The client gets no answer for the first forward, and repeats its message within the dedup window. */
     private void runSecondInference(CoordinatorHarness harness, double firstSentAt) {
         harness.forwards.clear();
-        harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-1", FIRST, ExecutorState.DRAINING),
-                rosterEntry("s-2", SECOND, ExecutorState.READY));
+        harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-1", FIRST_ADDRESS, ExecutorState.DRAINING),
+                rosterEntry("s-2", SECOND_ADDRESS, ExecutorState.READY));
         CoordinatorHarness.Client client = harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         advanceTo(harness, harness.now + 40);
         assertEquals("s-2", harness.forwards.get(0).endpoint.instance, "the second inference's executor");
@@ -92,9 +92,9 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {FIRST, SECOND})
-    void withoutARestart(String ranAt) {
-        CoordinatorHarness harness = start(START, rosterEntry("s-1", FIRST, ExecutorState.READY));
+    @ValueSource(strings = {FIRST_ADDRESS, SECOND_ADDRESS})
+    void unansweredForwardPreventsARepeatWithoutARestart(String ranAt) {
+        CoordinatorHarness harness = start(START, rosterEntry("s-1", FIRST_ADDRESS, ExecutorState.READY));
         double firstSentAt = runFirstInference(harness);
         advanceTo(harness, firstSentAt + 1100);
         runSecondInference(harness, firstSentAt);
@@ -103,13 +103,13 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {FIRST, SECOND})
-    void acrossARestart(String ranAt) {
-        double firstSentAt = runFirstInference(start(START, rosterEntry("s-1", FIRST, ExecutorState.READY)));
+    @ValueSource(strings = {FIRST_ADDRESS, SECOND_ADDRESS})
+    void unansweredForwardPreventsARepeatAcrossARestart(String ranAt) {
+        double firstSentAt = runFirstInference(start(START, rosterEntry("s-1", FIRST_ADDRESS, ExecutorState.READY)));
         ledger.crash();
-        CoordinatorHarness second = start(firstSentAt + 500, rosterEntry("s-1", FIRST, ExecutorState.DRAINING),
-                rosterEntry("s-2", SECOND, ExecutorState.READY));
-        second.sendMessage("warmer", CoordinatorHarness.DEDUPED, 3);
+        CoordinatorHarness second = start(firstSentAt + 500, rosterEntry("s-1", FIRST_ADDRESS, ExecutorState.DRAINING),
+                rosterEntry("s-2", SECOND_ADDRESS, ExecutorState.READY));
+        second.sendMessage("other", CoordinatorHarness.DEDUPED, 3);
         advanceTo(second, firstSentAt + 540);
         second.forwards.forEach(forward -> second.endForward(forward, Outcome.RETURNED));
         runSecondInference(second, firstSentAt);
--- a/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
@@ -212,7 +212,7 @@
         assertNotRunAgain(second, waiting, again);
     }
 
-    /** The process has not seen the forward and does not promise to refuse it, so it may still read it later. */
+    /** The process has not seen the forward and does not promise to reject it, so it may still read it later. */
     @ParameterizedTest
     @ValueSource(doubles = {6000, 12_000, 29_000})
     void unseenProvesNothingWithoutAFence(double end) {
--- a/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
+++ b/gateway/src/test/java/gradereach/desk/SendLeaseTest.java
@@ -41,9 +41,10 @@
 /** A request that waits for a blocked I/O thread is written only if it may still be sent by then. */
 @Timeout(30)
 class SendLeaseTest {
+    /** Milliseconds, as all times here. */
     private static final double ROSTER_VALIDITY = 200;
     private static final double NO_LIMIT = 1e9;
-    /** Milliseconds: the drain grace of rule 3 in the harness, and the router's safety margin for transmission. */
+    /** The drain grace of rule 3 in the harness, and the router's safety margin for transmission. */
     private static final double GRACE = 500;
     private static final double MARGIN = 25;
 
@@ -122,7 +123,7 @@
 
     /** Guards against a forward that is written after its executor's lease (rule 3) or its own deadline. */
     @ParameterizedTest
-    @CsvSource({"lease, -1, 1", "lease, 1, 0", "time, -1, 1", "time, 1, 0"})
+    @CsvSource({"lease, -1, 1", "lease, 1, 0", "deadline, -1, 1", "deadline, 1, 0"})
     void forwardIsWrittenOnlyWithinItsLeaseAndDeadline(String limit, double offset, int expectedRequests) throws Exception {
         double leaseEnds = listAsReady(limit.equals("lease") ? ROSTER_VALIDITY : NO_LIMIT);
         harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
@@ -135,7 +136,7 @@
 
     /** The same for a load order; a status query may be sent at any time. */
     @ParameterizedTest
-    @CsvSource({"order, -1, 1", "order, 1, 0", "question, 1, 1"})
+    @CsvSource({"order, -1, 1", "order, 1, 0", "status query, 1, 1"})
     void loadOrderIsWrittenOnlyWithinItsLease(String kind, double offset, int expectedRequests) throws Exception {
         double leaseEnds = listAsReady(ROSTER_VALIDITY);
         harness.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
--- a/gateway/src/test/java/gradereach/desk/UnansweredInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/UnansweredInquiryTest.java
@@ -13,6 +13,7 @@
     private static final double START = 100_000_000;
     private static final String SILENT_ADDRESS = "10.0.0.1:80";
     private static final String ANSWERING_ADDRESS = "10.0.0.2:80";
+    /** As in the harness. */
     private static final int MAX_PENDING_INQUIRIES = 4;
     private final ManualCommitLedger ledger = new ManualCommitLedger();
 
--- a/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
+++ b/gateway/src/test/java/gradereach/message/InferenceMessageTest.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Answers that allow a repeat need ids of their own. Two of them and the last answer once had the same id, so that
-     * receivers dropped the last one as a duplicate; a rehearsal found it.
+     * Guards against one webhook-id for several answers of a message: receivers drop all but the first as duplicates. An answer
+     * that allows a repeat may be followed by another answer, so it needs an id of its own.
      */
     @ParameterizedTest
     @CsvSource({"shed, true, m.shed-", "failed, true, m.failed-", "failed, false, m.answer"})
