--- a/gateway/src/main/java/gradereach/delay/RecentDelay.java
+++ b/gateway/src/main/java/gradereach/delay/RecentDelay.java
@@ -16,7 +16,7 @@
         this.maxMillis = maxMillis;
     }
 
-    /** Records that one operation took so many milliseconds. */
+    /** Records that an operation was delayed by so many milliseconds. */
     public final synchronized void recordDelay(double millis, double now) {
         peakMillis = Math.max(margin(now), Math.min(maxMillis, millis));
         peakAt = now;
--- a/gateway/src/main/java/gradereach/desk/MessageStore.java
+++ b/gateway/src/main/java/gradereach/desk/MessageStore.java
@@ -17,7 +17,7 @@
  * long as its signature could be replayed.
  *
  * <p>Limited in entries and in bytes of recorded answers. At a limit, the oldest retriable messages are evicted, since they may
- * run again. A message that must not run twice is never evicted; a new message is turned away instead.
+ * run again. A message that must not run twice is never evicted; if all are of this kind, no new message is accepted.
  */
 public final class MessageStore {
     /** What the store knows of a received message. */
@@ -32,14 +32,18 @@
         final long digestHigh;
         final long digestLow;
         final ModelGroup group;
+        /** When its signature can no longer be replayed, monotonic time. */
         final double expiresAt;
+        /** Its signed timestamp, Unix seconds. */
         final long signedAt;
         final List<AnswerObserver> observers = new ArrayList<>(1);
+        /** The inference in progress, null for none. */
         InferenceState openInference;
         /** Number of inferences started for this message. */
         int inferenceCount;
         /** The received copies of the message that wait for the result of its claim; null while none is pending. */
         List<IncomingMessage> awaitingClaim;
+        /** The recorded answer, null for none. */
         FinalAnswer answer;
         /** When the first forward that may have run was sent, over all inferences of the message; NaN for none. */
         double mayHaveRunSince = Double.NaN;
@@ -75,7 +79,8 @@
     private final long fingerprintSeed;
     private long answerBytes;
     private long evictedCount;
-    private double lastExpiryAt;
+    /** When expired messages were last removed, monotonic time. */
+    private double expiredRemovedAt;
     /** The latest signed timestamp of all expired messages; a clock that is set back must not readmit them. */
     private long expiredUpTo = Long.MIN_VALUE;
 
@@ -233,7 +238,7 @@
 
     /** Removes the messages whose signatures can no longer be replayed. */
     void removeExpired(double now) {
-        lastExpiryAt = now;
+        expiredRemovedAt = now;
         for (ArrayDeque<Entry> queue : List.of(retriable, repeatRestricted)) {
             while (!queue.isEmpty() && (queue.peek().removed || queue.peek().expiresAt <= now)) {
                 Entry oldest = queue.peek();
@@ -263,7 +268,7 @@
             }
             evictedIds.add(fingerprint(oldest.customer, oldest.id, fingerprintSeed),
                     fingerprint(oldest.customer, oldest.id, ~fingerprintSeed),
-                    oldest.digestHigh ^ oldest.digestLow, lastExpiryAt);
+                    oldest.digestHigh ^ oldest.digestLow, expiredRemovedAt);
             remove(oldest);
             evictedCount++;
             return true;
--- a/gateway/src/main/java/gradereach/desk/Timers.java
+++ b/gateway/src/main/java/gradereach/desk/Timers.java
@@ -11,5 +11,5 @@
     long schedule(double at, Object target);
 
     /** Cancels a timer; without effect where it has already fired. */
-    void cancel(long timer, Object target);
+    void cancel(long timerId, Object target);
 }
--- a/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
+++ b/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
@@ -49,8 +49,11 @@
         return harness;
     }
 
-    /** Sends ten inferences, and returns what is sent to executors within that time; all load orders are answered with a copy. */
-    private static List<String> sentFor(CoordinatorHarness harness, double duration, String idPrefix) {
+    /**
+     * Sends ten messages, and returns the load orders and forwards of the next {@code duration} milliseconds; each load order is
+     * answered with a loaded copy.
+     */
+    private static List<String> sentWithin(CoordinatorHarness harness, double duration, String idPrefix) {
         int forwardsBefore = harness.forwards.size();
         List<String> sent = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -74,7 +77,7 @@
         InFlightForward openForward = harness.awaitForward();
         double startedAt = harness.now;
         delivery.deliverTo(harness, startedAt);
-        List<String> sent = new ArrayList<>(sentFor(harness, 300, "b"));
+        List<String> sent = new ArrayList<>(sentWithin(harness, 300, "b"));
         harness.endForward(openForward, Outcome.RETURNED);
         assertEquals("1 RETURNED", client.received());
         switch (oldInstanceLater) {
@@ -84,7 +87,7 @@
             case "gone" -> harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", ADDRESS, 0, ExecutorState.REMOVED));
             default -> { }
         }
-        sent.addAll(sentFor(harness, 600, "c"));
+        sent.addAll(sentWithin(harness, 600, "c"));
         assertEquals(List.of(), sent.stream().filter(item -> item.endsWith("s-old")).toList());
         long forwards = sent.stream().filter("forward s-new"::equals).count();
         assertTrue(forwards > 0 && forwards * EXPECTED_MILLIS <= COLD_BUDGET, forwards + " forwards in the first second");
--- a/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
+++ b/gateway/src/test/java/gradereach/desk/ClaimExplorationTest.java
@@ -44,14 +44,20 @@
     /** Bugs that can be injected; the exploration has to find each of them. */
     enum Bug { NONE, ACKNOWLEDGES_EARLY, REPLICA_LOSES_CLAIMS, LISTS_DIFFER, NO_CLAIMS }
 
-    /** A router that forwards at once, and sheds or fails when the forward ends without an answer; its decisions are not tested here. */
-    private static Router forwardAtOnce(RouterActions actions, Executor[] ready) {
+    /**
+     * A router that forwards at once, and sheds or fails when the forward ends without an answer; its decisions are not tested
+     * here.
+     *
+     * @param readyExecutor array of one element that holds the only executor once the roster lists it
+     */
+    private static Router forwardAtOnce(RouterActions actions, Executor[] readyExecutor) {
         List<Inference> waiting = new ArrayList<>();
         return (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class},
                 (proxy, invoked, args) -> {
                     switch (invoked.getName()) {
                         case "onInferenceAccepted" -> waiting.add((Inference) args[0]);
-                        case "onRosterUpdate" -> ready[0] = ((gradereach.api.ExecutorListing) ((List<?>) args[1]).get(0)).executor();
+                        case "onRosterUpdate" ->
+                            readyExecutor[0] = ((gradereach.api.ExecutorListing) ((List<?>) args[1]).get(0)).executor();
                         case "onForwardEnded" -> {
                             Forward forward = (Forward) args[0];
                             if (!((ForwardResult) args[1]).inferenceDone()) {
@@ -66,7 +72,7 @@
                             for (Inference inference : List.copyOf(waiting)) {
                                 waiting.remove(inference);
                                 if (!inference.done) {
-                                    actions.sendForward(inference, ready[0], inference.deadlineAt);
+                                    actions.sendForward(inference, readyExecutor[0], inference.deadlineAt);
                                 }
                             }
                         }
@@ -101,10 +107,10 @@
             }
             claimCoordinator = new ClaimCoordinator(List.of(new FrontEndSet(bug == Bug.LISTS_DIFFER ? List.of(name) : NAMES, 3)),
                     (long) incarnation << 32);
-            Executor[] ready = new Executor[1];
+            Executor[] readyExecutor = new Executor[1];
             CoordinatorHarness[] created = new CoordinatorHarness[1];
-            created[0] = new CoordinatorHarness(1, 100, 1000, real ->
-                    forwardAtOnce(created[0] == null ? actionsOf(real) : created[0].coordinator, ready), ledger,
+            created[0] = new CoordinatorHarness(1, 100, 1000, router ->
+                    forwardAtOnce(created[0] == null ? actionsOf(router) : created[0].coordinator, readyExecutor), ledger,
                     bug == Bug.NO_CLAIMS ? ClaimService.ALONE : claimService());
             harness = created[0];
             harness.now = now;
@@ -159,11 +165,11 @@
         }
     }
 
-    private static RouterActions actionsOf(Router real) {
+    private static RouterActions actionsOf(Router router) {
         try {
-            var field = real.getClass().getDeclaredField("actions");
+            var field = router.getClass().getDeclaredField("actions");
             field.setAccessible(true);
-            return (RouterActions) field.get(real);
+            return (RouterActions) field.get(router);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
--- a/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
+++ b/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
@@ -35,19 +35,19 @@
 /** A coordinator with the real router in virtual time. The test provides the transport, the timers and the clients. */
 final class CoordinatorHarness implements ExecutorTransport, Timers, InferenceCoordinator.InferenceListener,
         InferenceCoordinator.WallClock {
-    static final ModelGroup RETRIABLE = group("quick", RetrySafety.RETRIABLE, DedupScope.ALL);
-    static final ModelGroup NON_RETRIABLE = group("booking", RetrySafety.NON_RETRIABLE, DedupScope.ALL);
-    static final ModelGroup DEDUPED = group("marked", RetrySafety.DEDUPED, DedupScope.ALL);
-    static final ModelGroup DEDUPED_IN_LOCATION = group("marked-there", RetrySafety.DEDUPED, DedupScope.LOCATION);
-    static final ModelGroup DEDUPED_IN_CELL = group("marked-in-cell", RetrySafety.DEDUPED, DedupScope.CELL);
+    static final ModelGroup RETRIABLE = group("retriable", RetrySafety.RETRIABLE, DedupScope.ALL);
+    static final ModelGroup NON_RETRIABLE = group("non-retriable", RetrySafety.NON_RETRIABLE, DedupScope.ALL);
+    static final ModelGroup DEDUPED = group("deduped", RetrySafety.DEDUPED, DedupScope.ALL);
+    static final ModelGroup DEDUPED_IN_LOCATION = group("deduped-in-location", RetrySafety.DEDUPED, DedupScope.LOCATION);
+    static final ModelGroup DEDUPED_IN_CELL = group("deduped-in-cell", RetrySafety.DEDUPED, DedupScope.CELL);
     /** Its dedup window closes before the client's deadline. */
-    static final ModelGroup DEDUPED_SHORT_WINDOW = new ModelGroup("marked-briefly", RetrySafety.DEDUPED, DedupScope.ALL, 100, 400, 0, 1000,
-            1, 0.2, false);
+    static final ModelGroup DEDUPED_SHORT_WINDOW = new ModelGroup("deduped-short-window", RetrySafety.DEDUPED, DedupScope.ALL, 100,
+            400, 0, 1000, 1, 0.2, false);
     /** Groups with streamed answers; otherwise like {@link #RETRIABLE} and {@link #NON_RETRIABLE}. */
-    static final ModelGroup STREAMED_RETRIABLE = new ModelGroup("told", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1, 0.2,
-            true);
-    static final ModelGroup STREAMED_NON_RETRIABLE = new ModelGroup("signed", RetrySafety.NON_RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1,
-            0.2, true);
+    static final ModelGroup STREAMED_RETRIABLE = new ModelGroup("streamed-retriable", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400,
+            0, 1000, 1, 0.2, true);
+    static final ModelGroup STREAMED_NON_RETRIABLE = new ModelGroup("streamed-non-retriable", RetrySafety.NON_RETRIABLE, DedupScope.ALL,
+            0, 400, 0, 1000, 1, 0.2, true);
     static final List<ModelGroup> GROUPS = List.of(RETRIABLE, NON_RETRIABLE, DEDUPED, DEDUPED_IN_LOCATION, DEDUPED_IN_CELL,
             DEDUPED_SHORT_WINDOW, STREAMED_RETRIABLE, STREAMED_NON_RETRIABLE);
 
--- a/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
+++ b/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
@@ -222,12 +222,12 @@
 
     @Test
     void recoverySkipsCustomersAndGroupsNotInTheDeployment() {
-        ledger.durable.add(new LedgerRecord.ForwardIntended("gone", "a", 999_000, 1, 0, "booking", "m", "e", "f"));
+        ledger.durable.add(new LedgerRecord.ForwardIntended("gone", "a", 999_000, 1, 0, "non-retriable", "m", "e", "f"));
         ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "b", 999_000, 1, 0, "no-group", "m", "e", "f"));
-        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "c", 999_000, 1, 0, "booking", "m", "e", "f"));
+        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "c", 999_000, 1, 0, "non-retriable", "m", "e", "f"));
         CoordinatorHarness harness = start(1_000_000);
         assertEquals(1, harness.messageStore.size());
-        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "d", 1, 1, 0, "booking", "m", "e", "f"));
+        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "d", 1, 1, 0, "non-retriable", "m", "e", "f"));
         assertEquals("1 FAILED", receivedWithinTimeout(harness, harness.sendMessage("c", CoordinatorHarness.NON_RETRIABLE, 1)));
         assertNull(harness.messageStore.find(0, "b"));
     }
@@ -272,8 +272,8 @@
 
     /** An answer by webhook was promised: it is delivered after a restart, with the correct outcome. */
     @ParameterizedTest
-    @CsvSource({"quick, intent, SHED", "booking, none, SHED", "booking, intent, RETURNED", "booking, not-run, SHED",
-        "booking, answer, RETURNED", "booking, delivered, ''"})
+    @CsvSource({"retriable, intent, SHED", "non-retriable, none, SHED", "non-retriable, intent, RETURNED", "non-retriable, not-run, SHED",
+        "non-retriable, answer, RETURNED", "non-retriable, delivered, ''"})
     void promisedAnswerSurvivesARestart(String group, String lastRecord, String kind) {
         double at = 999_000;
         ledger.durable.add(new LedgerRecord.DeliveryPromised("yard", "p", at, 1, 0, group));
--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -179,10 +179,10 @@
     @ParameterizedTest
     @CsvSource({
         // group, how its only forward ends, milliseconds until the repeat, its result: runs again, recorded or unknown answer
-        "quick, TIMED_OUT, 0, again", "quick, TIMED_OUT, 30000, again", "booking, TIMED_OUT, 0, recorded",
-        "booking, TIMED_OUT, 30000, recorded", "marked, TIMED_OUT, 0, again", "marked, TIMED_OUT, 2000, unknown",
-        "marked-there, TIMED_OUT, 0, recorded", "booking, RETURNED, 0, recorded", "quick, RETURNED, 30000, recorded",
-        "quick, RETURNED, 601000, again", "booking, RETURNED, 601000, again",
+        "retriable, TIMED_OUT, 0, again", "retriable, TIMED_OUT, 30000, again", "non-retriable, TIMED_OUT, 0, recorded",
+        "non-retriable, TIMED_OUT, 30000, recorded", "deduped, TIMED_OUT, 0, again", "deduped, TIMED_OUT, 2000, unknown",
+        "deduped-in-location, TIMED_OUT, 0, recorded", "non-retriable, RETURNED, 0, recorded", "retriable, RETURNED, 30000, recorded",
+        "retriable, RETURNED, 601000, again", "non-retriable, RETURNED, 601000, again",
     })
     void repeatRunsAgainOnlyWhereRule2Allows(String groupName, Outcome outcome, double delay, String expected) {
         Client first = harness.sendMessage("a", group(groupName), 1);
@@ -224,7 +224,7 @@
     @ParameterizedTest
     @CsvSource({
         // group, whether it was forwarded, the result of a repeat after its clients disconnected
-        "quick, true, again", "booking, true, recorded", "booking, false, again", "marked, true, again",
+        "retriable, true, again", "non-retriable, true, recorded", "non-retriable, false, again", "deduped, true, again",
     })
     void inferenceEndsWhenItsLastClientDisconnects(String groupName, boolean forwarded, String expected) {
         Client client = harness.sendMessage("a", group(groupName), 1);
@@ -293,8 +293,8 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"quick, false, 1 SHED", "quick, true, 1 SHED", "booking, false, 1 SHED", "booking, true, 1 FAILED",
-        "marked, true, 1 SHED", "marked-there, true, 1 FAILED"})
+    @CsvSource({"retriable, false, 1 SHED", "retriable, true, 1 SHED", "non-retriable, false, 1 SHED", "non-retriable, true, 1 FAILED",
+        "deduped, true, 1 SHED", "deduped-in-location, true, 1 FAILED"})
     void routerFailureEndsItsInferencesByTheRules(String groupName, boolean forwarded, String expected) {
         int[] routersCreated = {0};
         CoordinatorHarness failing = harness(real -> routersCreated[0]++ == 0 ? failingOnCall(real, "onProbeEnded", 1) : real);
@@ -457,8 +457,9 @@
 
     /** A streamed answer that has started has no timeout: it ends as its forward ends, and nothing else is sent for it. */
     @ParameterizedTest
-    @CsvSource({"told, RETURNED, 1 RETURNED", "told, RESET, 1 FAILED", "told, ERROR, 1 FAILED", "signed, RETURNED, 1 RETURNED",
-        "signed, RESET, 1 FAILED"})
+    @CsvSource({"streamed-retriable, RETURNED, 1 RETURNED", "streamed-retriable, RESET, 1 FAILED",
+        "streamed-retriable, ERROR, 1 FAILED", "streamed-non-retriable, RETURNED, 1 RETURNED",
+        "streamed-non-retriable, RESET, 1 FAILED"})
     void startedAnswerHasNoTimeout(String groupName, Outcome outcome, String expected) {
         Client client = harness.sendMessage("a", group(groupName), 1);
         InFlightForward forward = harness.awaitForward();
--- a/gateway/src/test/java/gradereach/desk/UnknownDedupScopeTest.java
+++ b/gateway/src/test/java/gradereach/desk/UnknownDedupScopeTest.java
@@ -20,8 +20,8 @@
     @ParameterizedTest
     @CsvSource({
         // group, location and cell of either executor, forwards after the first executor's connection broke
-        "marked-there, -1, 0, -1, 0, 1", "marked-there, 1, 0, 1, 5, 2", "marked-there, 1, 0, -1, 0, 1",
-        "marked-in-cell, 0, -1, 0, -1, 1", "marked-in-cell, 0, 7, 1, 7, 2", "marked-in-cell, 0, 7, 0, -1, 1",
+        "deduped-in-location, -1, 0, -1, 0, 1", "deduped-in-location, 1, 0, 1, 5, 2", "deduped-in-location, 1, 0, -1, 0, 1",
+        "deduped-in-cell, 0, -1, 0, -1, 1", "deduped-in-cell, 0, 7, 1, 7, 2", "deduped-in-cell, 0, 7, 0, -1, 1",
     })
     void unknownLocationsOrCellsAreNotTheSame(String group, int location, int cell, int otherLocation, int otherCell, int forwards) {
         CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity());
