--- a/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
+++ b/gateway/src/main/java/gradereach/desk/InferenceCoordinator.java
@@ -772,10 +772,10 @@
      * before that, still cold.
      */
     private void scheduleDiscard(ExecutorEndpoint endpoint) {
-        double since = now;
-        endpoint.removedAt = since;
+        double removedAt = now;
+        endpoint.removedAt = removedAt;
         timers.schedule(now + coldStartRule.overloadTime() + 1, (Runnable) () -> {
-            if (endpoint.removedAt == since) {
+            if (endpoint.removedAt == removedAt) {
                 endpoints.discardRemoved(endpoint);
             }
         });
--- a/gateway/src/main/java/gradereach/desk/Timers.java
+++ b/gateway/src/main/java/gradereach/desk/Timers.java
@@ -5,10 +5,10 @@
     /**
      * Schedules a timer.
      *
-     * @param at monotonic time in milliseconds
+     * @param dueAt monotonic time in milliseconds
      * @return the timer's id, which cancels it together with the same target
      */
-    long schedule(double at, Object target);
+    long schedule(double dueAt, Object target);
 
     /** Cancels a timer; without effect where it has already fired. */
     void cancel(long timerId, Object target);
--- a/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
+++ b/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
@@ -51,7 +51,7 @@
     static final List<ModelGroup> GROUPS = List.of(RETRIABLE, NON_RETRIABLE, DEDUPED, DEDUPED_IN_LOCATION, DEDUPED_IN_CELL,
             DEDUPED_SHORT_WINDOW, STREAMED_RETRIABLE, STREAMED_NON_RETRIABLE);
 
-    private record ScheduledTimer(double at, long id, Object target) { }
+    private record ScheduledTimer(double dueAt, long id, Object target) { }
 
     /** A client that waits for an answer, and records what it receives. */
     final class Client implements AnswerObserver {
@@ -110,7 +110,7 @@
     int sentAfterAnswers;
     double now = 1_000_000;
     private final PriorityQueue<ScheduledTimer> timerQueue = new PriorityQueue<>(
-            Comparator.comparingDouble(ScheduledTimer::at).thenComparingLong(ScheduledTimer::id));
+            Comparator.comparingDouble(ScheduledTimer::dueAt).thenComparingLong(ScheduledTimer::id));
     private final Map<Long, ScheduledTimer> activeTimers = new HashMap<>();
     private long nextTimerId;
     /** Milliseconds by which the wall clock differs from the monotonic time. */
@@ -168,14 +168,14 @@
 
     /** Advances the virtual time, firing the timers one by one. */
     void advanceTo(double until) {
-        while (coordinator.hasDeferredEvents() || !timerQueue.isEmpty() && timerQueue.peek().at <= until) {
+        while (coordinator.hasDeferredEvents() || !timerQueue.isEmpty() && timerQueue.peek().dueAt <= until) {
             if (coordinator.hasDeferredEvents()) {
                 runBatch(now, () -> { });
                 continue;
             }
             ScheduledTimer next = timerQueue.poll();
             if (activeTimers.remove(next.id) != null) {
-                runBatch(Math.max(now, next.at), () -> coordinator.onTimer(next.target));
+                runBatch(Math.max(now, next.dueAt), () -> coordinator.onTimer(next.target));
             }
         }
         now = Math.max(now, until);
@@ -326,12 +326,12 @@
     public void closeWhenIdle(ExecutorEndpoint endpoint) { }
 
     @Override
-    public long schedule(double at, Object target) {
+    public long schedule(double dueAt, Object target) {
         if (nextTimerFails) {
             nextTimerFails = false;
             throw new IllegalStateException("injected");
         }
-        ScheduledTimer timer = new ScheduledTimer(Math.max(at, now), nextTimerId++, target);
+        ScheduledTimer timer = new ScheduledTimer(Math.max(dueAt, now), nextTimerId++, target);
         timerQueue.add(timer);
         activeTimers.put(timer.id, timer);
         return timer.id;
@@ -346,7 +346,7 @@
     }
 
     @Override
-    public void onInferenceEnded(InferenceState state, double at) { }
+    public void onInferenceEnded(InferenceState state, double time) { }
 
     @Override
     public void onRouterFailed(RuntimeException failure, String event, int inferenceCount) {
--- a/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
+++ b/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
@@ -275,18 +275,18 @@
     @CsvSource({"retriable, intent, SHED", "non-retriable, none, SHED", "non-retriable, intent, RETURNED", "non-retriable, not-run, SHED",
         "non-retriable, answer, RETURNED", "non-retriable, delivered, ''"})
     void promisedAnswerSurvivesARestart(String group, String lastRecord, String kind) {
-        double at = 999_000;
-        ledger.durable.add(new LedgerRecord.DeliveryPromised("yard", "p", at, 1, 0, group));
+        double recordedAt = 999_000;
+        ledger.durable.add(new LedgerRecord.DeliveryPromised("yard", "p", recordedAt, 1, 0, group));
         if (!lastRecord.equals("none")) {
-            ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "p", at, 1, 0, group, "m", "10.0.0.1:80", "f"));
+            ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "p", recordedAt, 1, 0, group, "m", "10.0.0.1:80", "f"));
         }
         if (lastRecord.equals("not-run")) {
-            ledger.durable.add(new LedgerRecord.ProvenNotRun("yard", "p", at));
+            ledger.durable.add(new LedgerRecord.ProvenNotRun("yard", "p", recordedAt));
         }
         if (lastRecord.equals("answer") || lastRecord.equals("delivered")) {
-            ledger.durable.add(new LedgerRecord.Answered("yard", "p", at,
+            ledger.durable.add(new LedgerRecord.Answered("yard", "p", recordedAt,
                     gradereach.message.FinalAnswer.returned("p", "m", "{}".getBytes(), java.time.Instant.EPOCH)));
-            ledger.durable.add(new LedgerRecord.DeliveryAttempted("yard", "p", at, at, 1, lastRecord.equals("delivered")));
+            ledger.durable.add(new LedgerRecord.DeliveryAttempted("yard", "p", recordedAt, recordedAt, 1, lastRecord.equals("delivered")));
         }
         CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
         Client promised = harness.new Client();
--- a/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
+++ b/gateway/src/test/java/gradereach/desk/ManualCommitLedger.java
@@ -36,13 +36,13 @@
         return !pending.isEmpty();
     }
 
-    /** Commits the oldest pending record; {@code ok} is false for a failing disk. */
-    void commit(CoordinatorHarness harness, boolean ok) {
+    /** Commits the oldest pending record; {@code succeeds} is false for a failing disk. */
+    void commit(CoordinatorHarness harness, boolean succeeds) {
         Pending next = pending.poll();
-        if (ok && !acknowledgesEarly) {
+        if (succeeds && !acknowledgesEarly) {
             durable.add(next.record);
         }
-        harness.runBatch(harness.now, () -> next.callback.onComplete(ok));
+        harness.runBatch(harness.now, () -> next.callback.onComplete(succeeds));
     }
 
     /** The process crashes: records that are not durable are lost. */
--- a/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
@@ -215,13 +215,13 @@
     /** The process has not seen the forward and does not promise to reject it, so it may still read it later. */
     @ParameterizedTest
     @ValueSource(doubles = {6000, 12_000, 29_000})
-    void unseenProvesNothingWithoutAFence(double end) {
+    void unseenProvesNothingWithoutAFence(double lastReplyAfter) {
         startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
         ledger.crash();
         CoordinatorHarness second = start(START + 100, 0, SENT_TO);
-        answerInquiriesUntil(second, START + end - 500, InquiryScheduler.OutcomeReply.UNSEEN, 0);
+        answerInquiriesUntil(second, START + lastReplyAfter - 500, InquiryScheduler.OutcomeReply.UNSEEN, 0);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        answerInquiriesUntil(second, START + end, InquiryScheduler.OutcomeReply.UNSEEN, 0);
+        answerInquiriesUntil(second, START + lastReplyAfter, InquiryScheduler.OutcomeReply.UNSEEN, 0);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         assertNotRunAgain(second, waiting, again);
     }
--- a/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
+++ b/gateway/src/test/java/gradereach/desk/StaleEvidenceTest.java
@@ -72,13 +72,13 @@
         }
     }
 
-    /** Advances until {@code n} probes have been sent; status queries are answered with no copies. */
-    private static void advanceToProbe(CoordinatorHarness harness, int n, double timeout) {
-        for (double until = harness.now + timeout; harness.probesSent() < n && harness.now < until;) {
+    /** Advances until {@code probeCount} probes have been sent; status queries are answered with no copies. */
+    private static void advanceToProbe(CoordinatorHarness harness, int probeCount, double timeout) {
+        for (double until = harness.now + timeout; harness.probesSent() < probeCount && harness.now < until;) {
             harness.advanceTo(harness.now + 5);
             answerStatusQueries(harness);
         }
-        assertEquals(n, harness.probesSent());
+        assertEquals(probeCount, harness.probesSent());
     }
 
     /** Advances until a load order was sent to the executor; the inference follows after half its SLO time. */
