--- a/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
+++ b/gateway/src/test/java/gradereach/desk/AddressTakeoverTest.java
@@ -49,8 +49,11 @@
         return harness;
     }
 
-    /** Sends ten inferences, and returns what is sent to executors within that time; all load orders are answered with a copy. */
-    private static List<String> sentFor(CoordinatorHarness harness, double duration, String idPrefix) {
+    /**
+     * Sends ten messages, and returns the load orders and forwards of the next {@code duration} milliseconds; each load order is
+     * answered with a loaded copy.
+     */
+    private static List<String> sentWithin(CoordinatorHarness harness, double duration, String idPrefix) {
         int forwardsBefore = harness.forwards.size();
         List<String> sent = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -74,7 +77,7 @@
         InFlightForward openForward = harness.awaitForward();
         double startedAt = harness.now;
         delivery.deliverTo(harness, startedAt);
-        List<String> sent = new ArrayList<>(sentFor(harness, 300, "b"));
+        List<String> sent = new ArrayList<>(sentWithin(harness, 300, "b"));
         harness.endForward(openForward, Outcome.RETURNED);
         assertEquals("1 RETURNED", client.received());
         switch (oldInstanceLater) {
@@ -84,7 +87,7 @@
             case "gone" -> harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", ADDRESS, 0, ExecutorState.REMOVED));
             default -> { }
         }
-        sent.addAll(sentFor(harness, 600, "c"));
+        sent.addAll(sentWithin(harness, 600, "c"));
         assertEquals(List.of(), sent.stream().filter(item -> item.endsWith("s-old")).toList());
         long forwards = sent.stream().filter("forward s-new"::equals).count();
         assertTrue(forwards > 0 && forwards * EXPECTED_MILLIS <= COLD_BUDGET, forwards + " forwards in the first second");
@@ -157,20 +160,20 @@
 
     /** Guards against excluding an instance for good: the old one starts again there or elsewhere, or two swap their addresses. */
     @ParameterizedTest
-    @CsvSource({"starts again there, true, false", "moves to a free address, true, true", "exchange, true, true"})
-    void replacedInstanceCanReturn(String way, boolean old, boolean current) {
+    @CsvSource({"restarts at the address, true, false", "moves to a free address, true, true", "swaps addresses, true, true"})
+    void replacedInstanceCanReturn(String returnKind, boolean oldReceives, boolean newReceives) {
         CoordinatorHarness harness = withOldInstance(new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity()));
-        if (way.equals("exchange")) {
+        if (returnKind.equals("swaps addresses")) {
             harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-new", "10.0.0.2:80", 0, ExecutorState.READY));
             harness.updateRoster(RosterUpdateKind.FULL, rosterEntry("s-new", ADDRESS, 0, ExecutorState.READY),
                     rosterEntry("s-old", "10.0.0.2:80", 0, ExecutorState.READY));
         } else {
             RosterDelivery.AN_EVENT.deliverTo(harness, harness.now);
             harness.advanceTo(harness.now + 2000);
-            boolean sameAddress = way.equals("starts again there");
+            boolean sameAddress = returnKind.equals("restarts at the address");
             harness.updateRoster(RosterUpdateKind.CHANGES, rosterEntry("s-old", sameAddress ? ADDRESS : "10.0.0.2:80", harness.now,
                     ExecutorState.READY));
         }
-        assertEquals(List.of(old, current), List.of(harness.maySendTo("s-old"), harness.maySendTo("s-new")));
+        assertEquals(List.of(oldReceives, newReceives), List.of(harness.maySendTo("s-old"), harness.maySendTo("s-new")));
     }
 }
--- a/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
+++ b/gateway/src/test/java/gradereach/desk/CoordinatorHarness.java
@@ -35,23 +35,23 @@
 /** A coordinator with the real router in virtual time. The test provides the transport, the timers and the clients. */
 final class CoordinatorHarness implements ExecutorTransport, Timers, InferenceCoordinator.InferenceListener,
         InferenceCoordinator.WallClock {
-    static final ModelGroup RETRIABLE = group("quick", RetrySafety.RETRIABLE, DedupScope.ALL);
-    static final ModelGroup NON_RETRIABLE = group("booking", RetrySafety.NON_RETRIABLE, DedupScope.ALL);
-    static final ModelGroup DEDUPED = group("marked", RetrySafety.DEDUPED, DedupScope.ALL);
-    static final ModelGroup DEDUPED_IN_LOCATION = group("marked-there", RetrySafety.DEDUPED, DedupScope.LOCATION);
-    static final ModelGroup DEDUPED_IN_CELL = group("marked-in-cell", RetrySafety.DEDUPED, DedupScope.CELL);
+    static final ModelGroup RETRIABLE = group("retriable", RetrySafety.RETRIABLE, DedupScope.ALL);
+    static final ModelGroup NON_RETRIABLE = group("non-retriable", RetrySafety.NON_RETRIABLE, DedupScope.ALL);
+    static final ModelGroup DEDUPED = group("deduped", RetrySafety.DEDUPED, DedupScope.ALL);
+    static final ModelGroup DEDUPED_IN_LOCATION = group("deduped-in-location", RetrySafety.DEDUPED, DedupScope.LOCATION);
+    static final ModelGroup DEDUPED_IN_CELL = group("deduped-in-cell", RetrySafety.DEDUPED, DedupScope.CELL);
     /** Its dedup window closes before the client's deadline. */
-    static final ModelGroup DEDUPED_SHORT_WINDOW = new ModelGroup("marked-briefly", RetrySafety.DEDUPED, DedupScope.ALL, 100, 400, 0, 1000,
-            1, 0.2, false);
-    /** Groups with streamed answers; otherwise like the first two. */
-    static final ModelGroup STREAMED_RETRIABLE = new ModelGroup("told", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1, 0.2,
-            true);
-    static final ModelGroup STREAMED_NON_RETRIABLE = new ModelGroup("signed", RetrySafety.NON_RETRIABLE, DedupScope.ALL, 0, 400, 0, 1000, 1,
-            0.2, true);
+    static final ModelGroup DEDUPED_SHORT_WINDOW = new ModelGroup("deduped-short-window", RetrySafety.DEDUPED, DedupScope.ALL, 100,
+            400, 0, 1000, 1, 0.2, false);
+    /** Groups with streamed answers; otherwise like {@link #RETRIABLE} and {@link #NON_RETRIABLE}. */
+    static final ModelGroup STREAMED_RETRIABLE = new ModelGroup("streamed-retriable", RetrySafety.RETRIABLE, DedupScope.ALL, 0, 400,
+            0, 1000, 1, 0.2, true);
+    static final ModelGroup STREAMED_NON_RETRIABLE = new ModelGroup("streamed-non-retriable", RetrySafety.NON_RETRIABLE, DedupScope.ALL,
+            0, 400, 0, 1000, 1, 0.2, true);
     static final List<ModelGroup> GROUPS = List.of(RETRIABLE, NON_RETRIABLE, DEDUPED, DEDUPED_IN_LOCATION, DEDUPED_IN_CELL,
             DEDUPED_SHORT_WINDOW, STREAMED_RETRIABLE, STREAMED_NON_RETRIABLE);
 
-    private record ScheduledTimer(double at, long id, Object target) { }
+    private record ScheduledTimer(double dueAt, long id, Object target) { }
 
     /** A client that waits for an answer, and records what it receives. */
     final class Client implements AnswerObserver {
@@ -106,10 +106,11 @@
     final List<String> routerFailures = new ArrayList<>();
     final MessageStore messageStore;
     final InferenceCoordinator coordinator;
+    /** Number of forwards that were sent although their inference had its answer. */
     int sentAfterAnswers;
     double now = 1_000_000;
     private final PriorityQueue<ScheduledTimer> timerQueue = new PriorityQueue<>(
-            Comparator.comparingDouble(ScheduledTimer::at).thenComparingLong(ScheduledTimer::id));
+            Comparator.comparingDouble(ScheduledTimer::dueAt).thenComparingLong(ScheduledTimer::id));
     private final Map<Long, ScheduledTimer> activeTimers = new HashMap<>();
     private long nextTimerId;
     /** Milliseconds by which the wall clock differs from the monotonic time. */
@@ -167,14 +168,14 @@
 
     /** Advances the virtual time, firing the timers one by one. */
     void advanceTo(double until) {
-        while (coordinator.hasDeferredEvents() || !timerQueue.isEmpty() && timerQueue.peek().at <= until) {
+        while (coordinator.hasDeferredEvents() || !timerQueue.isEmpty() && timerQueue.peek().dueAt <= until) {
             if (coordinator.hasDeferredEvents()) {
                 runBatch(now, () -> { });
                 continue;
             }
             ScheduledTimer next = timerQueue.poll();
             if (activeTimers.remove(next.id) != null) {
-                runBatch(Math.max(now, next.at), () -> coordinator.onTimer(next.target));
+                runBatch(Math.max(now, next.dueAt), () -> coordinator.onTimer(next.target));
             }
         }
         now = Math.max(now, until);
@@ -290,7 +291,9 @@
         return endpoint != null && coordinator.maySendTo(endpoint, now);
     }
 
+    /** Address and forward id of each inquiry sent. */
     final List<String> inquiries = new ArrayList<>();
+    /** The callback of the latest inquiry. */
     InquiryCallback lastInquiry;
 
     @Override
@@ -323,12 +326,12 @@
     public void closeWhenIdle(ExecutorEndpoint endpoint) { }
 
     @Override
-    public long schedule(double at, Object target) {
+    public long schedule(double dueAt, Object target) {
         if (nextTimerFails) {
             nextTimerFails = false;
             throw new IllegalStateException("injected");
         }
-        ScheduledTimer timer = new ScheduledTimer(Math.max(at, now), nextTimerId++, target);
+        ScheduledTimer timer = new ScheduledTimer(Math.max(dueAt, now), nextTimerId++, target);
         timerQueue.add(timer);
         activeTimers.put(timer.id, timer);
         return timer.id;
@@ -343,11 +346,11 @@
     }
 
     @Override
-    public void onInferenceEnded(InferenceState state, double at) { }
+    public void onInferenceEnded(InferenceState state, double time) { }
 
     @Override
-    public void onRouterFailed(RuntimeException failure, String event, int inferences) {
-        routerFailures.add(event + ": " + failure.getMessage() + ", " + inferences);
+    public void onRouterFailed(RuntimeException failure, String event, int inferenceCount) {
+        routerFailures.add(event + ": " + failure.getMessage() + ", " + inferenceCount);
     }
 
     @Override
--- a/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
+++ b/gateway/src/test/java/gradereach/desk/CrashRecoveryTest.java
@@ -44,14 +44,14 @@
         return client.received();
     }
 
-    private static final List<String> STEPS = List.of("asked", "intent durable", "ran", "answer in", "outcome durable");
+    private static final List<String> STEPS = List.of("asked", "intent durable", "ran", "answer received", "outcome durable");
 
     @ParameterizedTest
     @CsvSource({
         // killed after that number of steps, result of the repeated message, total number of runs
         "0, 1 RETURNED, 1", "1, 1 RETURNED, 1", "2, 1 FAILED, 0", "3, 1 FAILED, 1", "4, 1 FAILED, 1", "5, 1 RETURNED, 1",
     })
-    void neverRunsTwiceWhenKilledBetweenAnyTwoSteps(int steps, String repeatExpected, int runsInAll) {
+    void neverRunsTwiceWhenKilledBetweenAnyTwoSteps(int steps, String repeatExpected, int totalRuns) {
         CoordinatorHarness first = start(1_000_000);
         int runs = 0;
         Client client = null;
@@ -86,7 +86,7 @@
             ledger.commit(second, true);
         }
         assertEquals(repeatExpected, receivedWithinTimeout(second, again));
-        assertEquals(runsInAll, runs);
+        assertEquals(totalRuns, runs);
         if (client != null && !client.answers.isEmpty()) {
             assertEquals(new String(client.answers.get(0).body()), new String(again.answers.get(0).body()));
         }
@@ -222,12 +222,12 @@
 
     @Test
     void recoverySkipsCustomersAndGroupsNotInTheDeployment() {
-        ledger.durable.add(new LedgerRecord.ForwardIntended("gone", "a", 999_000, 1, 0, "booking", "m", "e", "f"));
+        ledger.durable.add(new LedgerRecord.ForwardIntended("gone", "a", 999_000, 1, 0, "non-retriable", "m", "e", "f"));
         ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "b", 999_000, 1, 0, "no-group", "m", "e", "f"));
-        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "c", 999_000, 1, 0, "booking", "m", "e", "f"));
+        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "c", 999_000, 1, 0, "non-retriable", "m", "e", "f"));
         CoordinatorHarness harness = start(1_000_000);
         assertEquals(1, harness.messageStore.size());
-        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "d", 1, 1, 0, "booking", "m", "e", "f"));
+        ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "d", 1, 1, 0, "non-retriable", "m", "e", "f"));
         assertEquals("1 FAILED", receivedWithinTimeout(harness, harness.sendMessage("c", CoordinatorHarness.NON_RETRIABLE, 1)));
         assertNull(harness.messageStore.find(0, "b"));
     }
@@ -246,8 +246,8 @@
         ledger.crash();
         CoordinatorHarness second = start(first.now + 6000);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
-        double askedAt = second.now;
-        second.advanceTo(askedAt + 200);
+        double repeatedAt = second.now;
+        second.advanceTo(repeatedAt + 200);
         assertEquals("0", waiting.received());
         assertEquals(List.of("10.0.0.1:80 " + forwardId), second.inquiries);
         second.runBatch(second.now, () -> second.lastInquiry.onReply(reply, processNumber, "{}".getBytes()));
@@ -257,7 +257,7 @@
         boolean stillUnknown = waitingExpected.equals("0");
         if (stillUnknown) {
             // No reply in time: the client is told that the outcome is unknown while it still waits.
-            second.advanceTo(askedAt + 999);
+            second.advanceTo(repeatedAt + 999);
             assertEquals("1 FAILED", waiting.received());
         }
         // The outcome is durable: after another restart it is known without an inquiry.
@@ -272,21 +272,21 @@
 
     /** An answer by webhook was promised: it is delivered after a restart, with the correct outcome. */
     @ParameterizedTest
-    @CsvSource({"quick, intent, SHED", "booking, none, SHED", "booking, intent, RETURNED", "booking, not-run, SHED",
-        "booking, answer, RETURNED", "booking, delivered, ''"})
+    @CsvSource({"retriable, intent, SHED", "non-retriable, none, SHED", "non-retriable, intent, RETURNED", "non-retriable, not-run, SHED",
+        "non-retriable, answer, RETURNED", "non-retriable, delivered, ''"})
     void promisedAnswerSurvivesARestart(String group, String lastRecord, String kind) {
-        double at = 999_000;
-        ledger.durable.add(new LedgerRecord.DeliveryPromised("yard", "p", at, 1, 0, group));
+        double recordedAt = 999_000;
+        ledger.durable.add(new LedgerRecord.DeliveryPromised("yard", "p", recordedAt, 1, 0, group));
         if (!lastRecord.equals("none")) {
-            ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "p", at, 1, 0, group, "m", "10.0.0.1:80", "f"));
+            ledger.durable.add(new LedgerRecord.ForwardIntended("yard", "p", recordedAt, 1, 0, group, "m", "10.0.0.1:80", "f"));
         }
         if (lastRecord.equals("not-run")) {
-            ledger.durable.add(new LedgerRecord.ProvenNotRun("yard", "p", at));
+            ledger.durable.add(new LedgerRecord.ProvenNotRun("yard", "p", recordedAt));
         }
         if (lastRecord.equals("answer") || lastRecord.equals("delivered")) {
-            ledger.durable.add(new LedgerRecord.Answered("yard", "p", at,
+            ledger.durable.add(new LedgerRecord.Answered("yard", "p", recordedAt,
                     gradereach.message.FinalAnswer.returned("p", "m", "{}".getBytes(), java.time.Instant.EPOCH)));
-            ledger.durable.add(new LedgerRecord.DeliveryAttempted("yard", "p", at, at, 1, lastRecord.equals("delivered")));
+            ledger.durable.add(new LedgerRecord.DeliveryAttempted("yard", "p", recordedAt, recordedAt, 1, lastRecord.equals("delivered")));
         }
         CoordinatorHarness harness = new CoordinatorHarness(1, 100, 1000, UnaryOperator.identity(), ledger, ClaimService.ALONE);
         Client promised = harness.new Client();
--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -179,13 +179,13 @@
     @ParameterizedTest
     @CsvSource({
         // group, how its only forward ends, milliseconds until the repeat, its result: runs again, recorded or unknown answer
-        "quick, TIMED_OUT, 0, again", "quick, TIMED_OUT, 30000, again", "booking, TIMED_OUT, 0, recorded",
-        "booking, TIMED_OUT, 30000, recorded", "marked, TIMED_OUT, 0, again", "marked, TIMED_OUT, 2000, unknown",
-        "marked-there, TIMED_OUT, 0, recorded", "booking, RETURNED, 0, recorded", "quick, RETURNED, 30000, recorded",
-        "quick, RETURNED, 601000, again", "booking, RETURNED, 601000, again",
+        "retriable, TIMED_OUT, 0, again", "retriable, TIMED_OUT, 30000, again", "non-retriable, TIMED_OUT, 0, recorded",
+        "non-retriable, TIMED_OUT, 30000, recorded", "deduped, TIMED_OUT, 0, again", "deduped, TIMED_OUT, 2000, unknown",
+        "deduped-in-location, TIMED_OUT, 0, recorded", "non-retriable, RETURNED, 0, recorded", "retriable, RETURNED, 30000, recorded",
+        "retriable, RETURNED, 601000, again", "non-retriable, RETURNED, 601000, again",
     })
-    void repeatRunsAgainOnlyWhereRule2Allows(String name, Outcome outcome, double delay, String expected) {
-        Client first = harness.sendMessage("a", group(name), 1);
+    void repeatRunsAgainOnlyWhereRule2Allows(String groupName, Outcome outcome, double delay, String expected) {
+        Client first = harness.sendMessage("a", group(groupName), 1);
         InFlightForward forward = harness.awaitForward();
         if (outcome == Outcome.RETURNED) {
             harness.endForward(forward, outcome);
@@ -194,7 +194,7 @@
         }
         assertEquals(1, first.answers.size());
         harness.now += delay;
-        Client again = harness.sendMessage("a", group(name), 1);
+        Client again = harness.sendMessage("a", group(groupName), 1);
         assertEquals(expected.equals("again"), again.answers.isEmpty());
         if (expected.equals("unknown")) {
             assertTrue(first.answers.get(0).repeatHarmless(), "its window was open");
@@ -224,11 +224,11 @@
     @ParameterizedTest
     @CsvSource({
         // group, whether it was forwarded, the result of a repeat after its clients disconnected
-        "quick, true, again", "booking, true, recorded", "booking, false, again", "marked, true, again",
+        "retriable, true, again", "non-retriable, true, recorded", "non-retriable, false, again", "deduped, true, again",
     })
-    void inferenceEndsWhenItsLastClientDisconnects(String name, boolean forwarded, String expected) {
-        Client client = harness.sendMessage("a", group(name), 1);
-        Client second = harness.sendMessage("a", group(name), 1);
+    void inferenceEndsWhenItsLastClientDisconnects(String groupName, boolean forwarded, String expected) {
+        Client client = harness.sendMessage("a", group(groupName), 1);
+        Client second = harness.sendMessage("a", group(groupName), 1);
         if (forwarded) {
             harness.awaitForward();
         }
@@ -238,7 +238,7 @@
         harness.advanceTo(harness.now + 1);
         assertEquals(0, harness.coordinator.openInferenceCount());
         assertEquals(forwarded ? 1 : 0, harness.counts.value("forwards_ended_cancelled"));
-        Client again = harness.sendMessage("a", group(name), 1);
+        Client again = harness.sendMessage("a", group(groupName), 1);
         assertEquals(expected.equals("again") ? "0" : "1 FAILED", again.received());
         assertTrue(client.answers.isEmpty());
     }
@@ -293,12 +293,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"quick, false, 1 SHED", "quick, true, 1 SHED", "booking, false, 1 SHED", "booking, true, 1 FAILED",
-        "marked, true, 1 SHED", "marked-there, true, 1 FAILED"})
-    void routerFailureEndsItsInferencesByTheRules(String name, boolean forwarded, String expected) {
+    @CsvSource({"retriable, false, 1 SHED", "retriable, true, 1 SHED", "non-retriable, false, 1 SHED", "non-retriable, true, 1 FAILED",
+        "deduped, true, 1 SHED", "deduped-in-location, true, 1 FAILED"})
+    void routerFailureEndsItsInferencesByTheRules(String groupName, boolean forwarded, String expected) {
         int[] routersCreated = {0};
         CoordinatorHarness failing = harness(real -> routersCreated[0]++ == 0 ? failingOnCall(real, "onProbeEnded", 1) : real);
-        Client client = failing.sendMessage("a", group(name), 1);
+        Client client = failing.sendMessage("a", group(groupName), 1);
         InFlightForward forward = forwarded ? failing.awaitForward() : null;
         failing.runBatch(failing.now, () -> {
             ExecutorEndpoint endpoint = failing.coordinator.endpoints().iterator().next();
@@ -423,7 +423,10 @@
         assertNull(underTest.forwards.stream().filter(forward -> !forward.ended).findAny().orElse(null));
     }
 
-    /** Guards against a forward for a client that disconnected during the claim; in the bad-day-kills rehearsal one left 55 ms later. */
+    /**
+     * Guards against a forward for a client that disconnected during the claim. In the bad-day-kills rehearsal, one was sent
+     * 55 ms after the disconnect.
+     */
     @ParameterizedTest
     @CsvSource({"GRANTED, true, 0", "GRANTED, false, 1", "HELD_BY_OTHER, true, 0", "UNKNOWN, true, 0"})
     void clientThatDisconnectsDuringTheClaimIsNotServed(ClaimService.ClaimStatus status, boolean disconnects, int forwards) {
@@ -454,10 +457,11 @@
 
     /** A streamed answer that has started has no timeout: it ends as its forward ends, and nothing else is sent for it. */
     @ParameterizedTest
-    @CsvSource({"told, RETURNED, 1 RETURNED", "told, RESET, 1 FAILED", "told, ERROR, 1 FAILED", "signed, RETURNED, 1 RETURNED",
-        "signed, RESET, 1 FAILED"})
-    void startedAnswerHasNoTimeout(String name, Outcome outcome, String expected) {
-        Client client = harness.sendMessage("a", group(name), 1);
+    @CsvSource({"streamed-retriable, RETURNED, 1 RETURNED", "streamed-retriable, RESET, 1 FAILED",
+        "streamed-retriable, ERROR, 1 FAILED", "streamed-non-retriable, RETURNED, 1 RETURNED",
+        "streamed-non-retriable, RESET, 1 FAILED"})
+    void startedAnswerHasNoTimeout(String groupName, Outcome outcome, String expected) {
+        Client client = harness.sendMessage("a", group(groupName), 1);
         InFlightForward forward = harness.awaitForward();
         AnswerStream<String> stream = harness.startAnswer(forward);
         assertSame(stream, client.answerStream);
