--- a/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
+++ b/gateway/src/main/java/gradereach/front/HttpPipeliningHandler.java
@@ -15,10 +15,13 @@
 
 /**
  * Handles pipelined HTTP/1.1 requests. Responses must be sent in the order of the requests (RFC 9112, 9.3.2), but inferences
- * may end in any order, so only one message of a connection is dispatched at a time and later ones are queued. The handler
- * stands directly behind the codec, before any handler that may reject a message, so that rejections of and interim responses
- * to later messages also wait for the earlier answers. Reading continues meanwhile, otherwise a disconnect of the client would
- * go unnoticed; once the queue is full, auto-read is turned off, which blocks the sender.
+ * may end in any order, so only one message of a connection is dispatched at a time and later ones are queued.
+ *
+ * <p>The handler is placed directly behind the codec, before any handler that may reject a message. Rejections of later messages
+ * and interim responses to them therefore also wait for the earlier answers.
+ *
+ * <p>Reading continues meanwhile, since a disconnect of the client would otherwise go unnoticed. Once the queue is full,
+ * auto-read is turned off, which blocks the sender.
  */
 final class HttpPipeliningHandler extends ChannelDuplexHandler {
     /** The number of concurrent streams that HTTP/2 recommends as a minimum (RFC 9113, 6.5.2). */
@@ -64,7 +67,7 @@
         if (part instanceof HttpRequest request) {
             timeoutHandler.beginMessage(ctx);
             if (HttpUtil.is100ContinueExpected(request)) {
-                timeoutHandler.suspendTimer(); // its sender waits for 100 Continue, which is sent in order
+                timeoutHandler.suspendTimer(); // its sender waits for 100 Continue, which is sent after the earlier answers
             }
         }
         if (part instanceof LastHttpContent) {
@@ -109,7 +112,7 @@
                 arrivedAt = queuedArrivals.remove();
             }
             if (part instanceof HttpRequest && queuedArrivals.isEmpty()) {
-                timeoutHandler.restartTimer(ctx); // it is still being received
+                timeoutHandler.restartTimer(ctx); // the rest of this message is still being received
             }
             ctx.fireChannelRead(part);
         }
--- a/gateway/src/main/java/gradereach/front/MessageTimeoutHandler.java
+++ b/gateway/src/main/java/gradereach/front/MessageTimeoutHandler.java
@@ -30,10 +30,12 @@
     /** Complete messages that are not answered yet. */
     private int unansweredMessages;
     private boolean stopped;
+    /** Earliest time at which the first byte of the current message may have arrived. */
     private double firstByteAt;
-    private double lastReadAt;
+    /** Earliest time at which the bytes read last may have arrived. */
+    private double lastBytesArrivedAt;
     private boolean readingPaused;
-    /** Time since when bytes may be unread because this side did not read; NaN if none are. */
+    /** When reading was paused; NaN once everything that may have arrived since then has been read. */
     private double unreadSince = Double.NaN;
     private int consecutiveReads;
     private double idleSince;
@@ -91,7 +93,8 @@
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
         consecutiveReads++;
         // Bytes that arrived while reading was paused may have arrived as early as the pause began.
-        lastReadAt = Double.isNaN(unreadSince) ? earliestArrival.getAsDouble() : Math.min(unreadSince, earliestArrival.getAsDouble());
+        lastBytesArrivedAt = Double.isNaN(unreadSince) ? earliestArrival.getAsDouble()
+                : Math.min(unreadSince, earliestArrival.getAsDouble());
         beginMessage(ctx);
         ctx.fireChannelRead(msg);
     }
@@ -111,7 +114,7 @@
             return;
         }
         messageInProgress = true;
-        firstByteAt = lastReadAt;
+        firstByteAt = lastBytesArrivedAt;
         if (!readingPaused) {
             startTimer(ctx);
         }
@@ -124,7 +127,7 @@
         }, messageTimeoutMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the timing of a completely received message and returns when its first byte arrived. */
+    /** Ends the timing of a complete message and returns the earliest time at which its first byte may have arrived. */
     double endMessage() {
         cancelTimer();
         messageInProgress = false;
@@ -146,7 +149,7 @@
         unansweredMessages = 0;
     }
 
-    /** Stops timing the current message, which waits for this side, until {@link #restartTimer}. */
+    /** Stops timing the current message until {@link #restartTimer}, while its sender waits for this server. */
     void suspendTimer() {
         cancelTimer();
     }
--- a/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
+++ b/gateway/src/main/java/gradereach/front/WebhookRequestHandler.java
@@ -29,8 +29,8 @@
 
 /**
  * Handles one connection (HTTP/1.1) or stream (HTTP/2) of the webhook server: converts each HTTP request to an
- * {@link IncomingMessage} and its final answer to a signed HTTP response. Requests that are no valid inference are rejected here
- * with a 4xx status and never reach the decision thread.
+ * {@link IncomingMessage} and its final answer to a signed HTTP response. Requests that are not valid inferences are rejected
+ * here with a 4xx status and never reach the decision thread.
  */
 final class WebhookRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     static final String PATH = "/v1/inferences";
@@ -130,6 +130,7 @@
         }
     }
 
+    /** Returns the channel of the TCP connection, which is the parent of an HTTP/2 stream. */
     private static Channel connection(ChannelHandlerContext ctx) {
         return ctx.channel().parent() != null && ctx.channel() instanceof io.netty.handler.codec.http2.Http2StreamChannel
                 ? ctx.channel().parent() : ctx.channel();
--- a/gateway/src/main/java/gradereach/front/WebhookServer.java
+++ b/gateway/src/main/java/gradereach/front/WebhookServer.java
@@ -43,8 +43,14 @@
             long idleTimeoutMillis, int maxConcurrentStreams) { }
 
     private static final byte[] HTTP2_PREFACE = "PRI * HTTP/2.0".getBytes(StandardCharsets.US_ASCII);
-    /** Stream resets that a client may send in ten seconds; more is a rapid reset attack (CVE-2023-44487). */
+    /** Stream resets that a client may send in {@link #RESET_WINDOW_SECONDS}; more is a rapid reset attack (CVE-2023-44487). */
     private static final int MAX_RESETS_PER_WINDOW = 400;
+    private static final int RESET_WINDOW_SECONDS = 10;
+    /** Initial window of one stream (RFC 9113, 6.9): a message of usual size fits without a window update. */
+    private static final int FLOW_CONTROL_WINDOW_BYTES = 1 << 18;
+    /** Empty DATA frames in a row that a client may send; more is an empty frames flood (CVE-2019-9518). */
+    private static final int MAX_CONSECUTIVE_EMPTY_DATA_FRAMES = 2;
+    private static final int MAX_REQUEST_LINE_BYTES = 4096;
 
     private final Intake intake;
     private final Outbox outbox;
@@ -122,7 +128,7 @@
         }
 
         private void configureHttp1(ChannelPipeline pipeline) {
-            pipeline.addLast(new HttpServerCodec(new HttpDecoderConfig().setMaxInitialLineLength(4096)
+            pipeline.addLast(new HttpServerCodec(new HttpDecoderConfig().setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
                     .setMaxHeaderSize(limits.maxHeaderBytes)));
             HttpPipeliningHandler pipelining = new HttpPipeliningHandler(timeoutHandler, limits.maxBodyBytes);
             pipeline.addLast(pipelining);
@@ -135,9 +141,9 @@
             pipeline.remove(timeoutHandler);
             pipeline.addLast(Http2FrameCodecBuilder.forServer()
                     .initialSettings(Http2Settings.defaultSettings().maxConcurrentStreams(limits.maxConcurrentStreams)
-                            .maxHeaderListSize(limits.maxHeaderBytes).initialWindowSize(1 << 18))
-                    .decoderEnforceMaxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, 10)
-                    .decoderEnforceMaxConsecutiveEmptyDataFrames(2)
+                            .maxHeaderListSize(limits.maxHeaderBytes).initialWindowSize(FLOW_CONTROL_WINDOW_BYTES))
+                    .decoderEnforceMaxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, RESET_WINDOW_SECONDS)
+                    .decoderEnforceMaxConsecutiveEmptyDataFrames(MAX_CONSECUTIVE_EMPTY_DATA_FRAMES)
                     .gracefulShutdownTimeoutMillis(limits.messageTimeoutMillis)
                     .build());
             pipeline.addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
@@ -155,7 +161,7 @@
         }
     }
 
-    /** Aggregates a message, and fires an exception where its body is too large. */
+    /** Aggregates a message, and fires an exception if its body is too large. */
     private static final class MessageAggregator extends HttpObjectAggregator {
         MessageAggregator(int maxContentLength) {
             super(maxContentLength, true);
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcConnection.java
@@ -19,8 +19,9 @@
     private static final Attributes.Key<GrpcConnection> CONNECTION_ATTRIBUTE = Attributes.Key.create("caller");
     static final Context.Key<GrpcConnection> CURRENT_CONNECTION = Context.key("caller");
     /**
-     * Resets the stream of the call. A status alone would wait behind the messages that its reader does not read. The library
-     * resets a stream only when the deadline of its call has passed, so the context is cancelled with a timeout.
+     * Resets the stream of the call, for a client that has stopped reading: a status would be queued behind the messages that
+     * the client does not read. grpc-java resets a stream only if the deadline of its call has passed, so the context is
+     * cancelled with a {@link TimeoutException}.
      */
     static final Context.Key<Runnable> RESET_STREAM = Context.key("reset");
     static final Context.Key<Metadata> HEADERS = Context.key("headers");
@@ -91,8 +92,8 @@
     /** Puts the headers and the connection into the context of each call. */
     static final ServerInterceptor CONTEXT_INTERCEPTOR = new ServerInterceptor() {
         @Override
-        public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata headers,
-                ServerCallHandler<Q, A> next) {
+        public <ReqT, RespT> ServerCall.Listener<ReqT> interceptCall(ServerCall<ReqT, RespT> call, Metadata headers,
+                ServerCallHandler<ReqT, RespT> next) {
             Context context = Context.current().withValue(HEADERS, headers)
                     .withValue(CURRENT_CONNECTION, call.getAttributes().get(CONNECTION_ATTRIBUTE));
             return Contexts.interceptCall(context, call, headers, next);
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcInferenceService.java
@@ -119,7 +119,7 @@
 
     // ---- inferences ------------------------------------------------------------------------------------------
 
-    /** Thrown for a request that is no valid inference. */
+    /** Thrown for a request that is not a valid inference. */
     static final class CallRejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         final int httpStatus;
@@ -138,16 +138,16 @@
     /**
      * Authenticates and validates a request.
      *
-     * @param bare the request without the parameters that carry its signature
+     * @param unsignedRequest the request without the parameters that carry its signature
      * @param budgetMillis time until the deadline of the call, 0 for none
      */
-    IncomingMessage toIncomingMessage(GrpcConnection connection, String method, SignatureFields signature, ModelInferRequest bare,
-            double budgetMillis, WaitingClient client) throws CallRejectedException {
-        if (bare == LenientRequestParsing.MALFORMED_REQUEST) {
+    IncomingMessage toIncomingMessage(GrpcConnection connection, String method, SignatureFields signature,
+            ModelInferRequest unsignedRequest, double budgetMillis, WaitingClient client) throws CallRejectedException {
+        if (unsignedRequest == LenientRequestParsing.MALFORMED_REQUEST) {
             throw new CallRejectedException(400, "bad-message", "no message of this method");
         }
         double arrivedAt = intake.earliestArrival().getAsDouble();
-        byte[] digest = CallSignature.digest(bare);
+        byte[] digest = CallSignature.digest(unsignedRequest);
         if (connection.hasTooManyBadSignatures()) {
             throw new CallRejectedException(401, "not-signed", "too many bad signatures on this connection");
         }
@@ -162,28 +162,30 @@
                     verification.rejection().detail);
         }
         connection.setLikelyCustomer(verification.customer());
-        ModelCatalog.Entry model = intake.findModel(bare.getModelName());
+        ModelCatalog.Entry model = intake.findModel(unsignedRequest.getModelName());
         if (model == null) {
             throw new CallRejectedException(404, "unknown-model", "model_name: not in this deployment");
         }
         InferenceInput input;
         try {
-            input = intake.toInput(bare);
+            input = intake.toInput(unsignedRequest);
         } catch (InvalidMessageException e) {
             throw new CallRejectedException(400, "bad-message", e.getMessage());
         }
         return new IncomingMessage(verification.customer(), signature.id, Intake.longAt(digest, 0), Intake.longAt(digest, 8), model, input,
-                shorterBudget(budgetMillis, budgetParameter(bare)), arrivedAt, Long.parseLong(signature.timestamp), null, client);
+                shorterBudget(budgetMillis, budgetParameter(unsignedRequest)), arrivedAt, Long.parseLong(signature.timestamp),
+                null, client);
     }
 
     /** Returns the shorter of two budgets, where 0 means none. */
-    private static double shorterBudget(double one, double other) {
-        return one <= 0 ? other : other <= 0 ? one : Math.min(one, other);
+    private static double shorterBudget(double budgetMillis, double otherBudgetMillis) {
+        return budgetMillis <= 0 ? otherBudgetMillis : otherBudgetMillis <= 0 ? budgetMillis
+                : Math.min(budgetMillis, otherBudgetMillis);
     }
 
     /** Returns the budget of a single inference, which may be shorter than the deadline of its call; 0 for none. */
-    private static double budgetParameter(ModelInferRequest bare) throws CallRejectedException {
-        InferParameter parameter = bare.getParametersMap().get(BUDGET_PARAMETER);
+    private static double budgetParameter(ModelInferRequest unsignedRequest) throws CallRejectedException {
+        InferParameter parameter = unsignedRequest.getParametersMap().get(BUDGET_PARAMETER);
         if (parameter == null) {
             return 0;
         }
@@ -268,7 +270,7 @@
                     return; // the client has cancelled the call
                 }
                 writeAnswer(answer);
-                // The library flushes in a task that is queued on this event loop before this one.
+                // grpc-java flushes in a task that is queued on this event loop before this one.
                 eventLoop.execute(() -> intake.recordAnswerWritten(decidedAt));
             });
         }
@@ -297,7 +299,7 @@
         }
     }
 
-    /** Returns the status for an inference that ran but whose output is no inference response of the protocol. */
+    /** Returns the status for an inference that ran but whose output is not an inference response of the protocol. */
     static StatusRuntimeException unconvertibleAnswer(IOException cause) {
         return Status.UNKNOWN.withDescription("the executor's answer is no inference response: " + cause.getMessage())
                 .asRuntimeException();
@@ -339,6 +341,7 @@
         openStreams.forEach(StreamingCall::drain);
     }
 
+    /** Returns the milliseconds until a deadline, at least 1; 0 for none. */
     static double remainingMillis(Deadline deadline) {
         return remainingBudget(deadline);
     }
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcServer.java
@@ -25,9 +25,10 @@
      *
      * @param maxCalls open calls on all connections
      * @param maxCallsPerConnection open calls on one connection
-     * @param maxQueuedBytes answers queued for slow readers, over all streams
-     * @param stalledReaderTimeoutMillis time after which a stream is reset whose reader reads nothing
-     * @param maxConnectionAgeMillis time after which a connection is closed gracefully, so that clients are balanced again
+     * @param maxQueuedBytes bytes of answers queued for slow readers, over all streams
+     * @param stalledReaderTimeoutMillis time after which a stream is reset if its client reads nothing
+     * @param maxConnectionAgeMillis time after which a connection is closed gracefully, so that its client connects anew and a
+     *        load balancer may choose another front end
      * @param connectionAgeGraceMillis time that open calls of such a connection have to end
      */
     public record Limits(int maxCalls, int maxCallsPerConnection, int maxMetadataBytes, int maxMessageBytes, long maxQueuedBytes,
@@ -35,8 +36,9 @@
 
     /** Clients that ping more often are attackers or faulty (gRFC A8 recommends five minutes without calls). */
     private static final long MIN_PING_INTERVAL_SECONDS = 10;
-    /** Stream resets that a client may send in ten seconds (CVE-2023-44487); same limit as on the webhook server. */
+    /** Stream resets that a client may send in {@link #RESET_WINDOW_SECONDS} (CVE-2023-44487); as on the webhook server. */
     private static final int MAX_RESETS_PER_WINDOW = 400;
+    private static final int RESET_WINDOW_SECONDS = 10;
     /** Window of one stream, as on the webhook server: a message of usual size fits without a window update. */
     private static final int FLOW_CONTROL_WINDOW_BYTES = 1 << 18;
 
@@ -68,7 +70,7 @@
                 .directExecutor() // no call blocks its thread
                 .maxConcurrentCallsPerConnection(limits.maxCallsPerConnection).maxInboundMetadataSize(limits.maxMetadataBytes)
                 .maxInboundMessageSize(limits.maxMessageBytes).flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
-                .maxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, 10)
+                .maxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, RESET_WINDOW_SECONDS)
                 .permitKeepAliveTime(MIN_PING_INTERVAL_SECONDS, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
                 .maxConnectionIdle(limits.idleTimeoutMillis, TimeUnit.MILLISECONDS)
                 .maxConnectionAge(limits.maxConnectionAgeMillis, TimeUnit.MILLISECONDS)
--- a/gateway/src/main/java/gradereach/grpcfront/GrpcStatuses.java
+++ b/gateway/src/main/java/gradereach/grpcfront/GrpcStatuses.java
@@ -11,12 +11,14 @@
 
 /**
  * Maps final answers and rejections to gRPC status codes and trailers (docs/grpc.md). gRPC clients retry {@code UNAVAILABLE}
- * automatically, so it is used only for inferences of which nothing ran.
+ * automatically, so it is used only for inferences that have not run at all.
  */
 final class GrpcStatuses {
-    /** gRFC A6, "Pushback". */
+    /** Milliseconds after which a shed inference may be sent again (gRFC A6, "Pushback"). */
     static final Metadata.Key<String> PUSHBACK = Metadata.Key.of("grpc-retry-pushback-ms", Metadata.ASCII_STRING_MARSHALLER);
+    /** Kind of the final answer: {@code shed} or {@code failed}. */
     static final Metadata.Key<String> OUTCOME = Metadata.Key.of("gradereach-outcome", Metadata.ASCII_STRING_MARSHALLER);
+    /** {@code true} if a repeat is harmless: nothing ran, or the inference may run again. */
     static final Metadata.Key<String> REPEAT_HARMLESS = Metadata.Key.of("gradereach-repeat-harmless",
             Metadata.ASCII_STRING_MARSHALLER);
 
@@ -30,13 +32,13 @@
         return switch (answer.kind()) {
             case RETURNED -> Status.Code.OK;
             case SHED -> Status.Code.UNAVAILABLE;
-            // ABORTED if a repeat is harmless (nothing ran, or it may run again); otherwise the code tells what ended the inference.
+            // ABORTED if a repeat is harmless (nothing ran, or it may run again); otherwise what ended the inference.
             case FAILED -> answer.repeatHarmless() ? Status.Code.ABORTED
                     : answer.status() == 502 ? Status.Code.UNKNOWN : Status.Code.DEADLINE_EXCEEDED;
         };
     }
 
-    /** Returns the status of a shed or failed answer, with its trailers. */
+    /** Returns an exception with the status and the trailers of a shed or failed answer. */
     static StatusRuntimeException toException(FinalAnswer answer) {
         com.google.rpc.Status.Builder status = com.google.rpc.Status.newBuilder().setCode(code(answer).value())
                 .setMessage(AnswerBodyReader.detail(answer.body()));
@@ -52,7 +54,11 @@
         return StatusProto.toStatusRuntimeException(status.build(), trailers);
     }
 
-    /** Returns the status of a shed or failed answer; {@code stopping} tells whether this front end shuts down. */
+    /**
+     * Returns an exception with the status and the trailers of a shed or failed answer.
+     *
+     * @param stopping whether this front end shuts down, which adds the trailer {@link #STOPPING}
+     */
     static StatusRuntimeException toException(FinalAnswer answer, boolean stopping) {
         StatusRuntimeException status = toException(answer);
         if (stopping) {
--- a/gateway/src/main/java/gradereach/grpcfront/LenientRequestParsing.java
+++ b/gateway/src/main/java/gradereach/grpcfront/LenientRequestParsing.java
@@ -8,8 +8,8 @@
 import java.io.InputStream;
 
 /**
- * Passes malformed request messages on to the method, which rejects them with a specific status. By default the library would
- * end such a call with a status that reports a server error.
+ * Passes malformed request messages on to the method, which rejects them with a specific status. By default grpc-java ends such
+ * a call with a status that reports a server error.
  */
 final class LenientRequestParsing {
     /** Placeholder for a request that cannot be parsed; compared by identity. */
@@ -24,24 +24,24 @@
         return builder.build();
     }
 
-    private static <Q, A> ServerMethodDefinition<Q, A> wrapMethod(ServerMethodDefinition<Q, A> method) {
-        MethodDescriptor<Q, A> descriptor = method.getMethodDescriptor();
-        MethodDescriptor.Marshaller<Q> strict = descriptor.getRequestMarshaller();
-        MethodDescriptor.Marshaller<Q> marshaller = new MethodDescriptor.Marshaller<>() {
+    private static <ReqT, RespT> ServerMethodDefinition<ReqT, RespT> wrapMethod(ServerMethodDefinition<ReqT, RespT> method) {
+        MethodDescriptor<ReqT, RespT> descriptor = method.getMethodDescriptor();
+        MethodDescriptor.Marshaller<ReqT> strict = descriptor.getRequestMarshaller();
+        MethodDescriptor.Marshaller<ReqT> marshaller = new MethodDescriptor.Marshaller<>() {
             @Override
-            public InputStream stream(Q value) {
+            public InputStream stream(ReqT value) {
                 return strict.stream(value);
             }
 
             @Override
             @SuppressWarnings("unchecked")
-            public Q parse(InputStream in) {
+            public ReqT parse(InputStream in) {
                 try {
                     return strict.parse(in);
                 } catch (StatusRuntimeException e) {
                     if (descriptor.getFullMethodName().equals(GrpcInferenceService.UNARY_METHOD)
                             || descriptor.getFullMethodName().equals(GrpcInferenceService.STREAMING_METHOD)) {
-                        return (Q) MALFORMED_REQUEST;
+                        return (ReqT) MALFORMED_REQUEST;
                     }
                     throw e;
                 }
--- a/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
+++ b/gateway/src/main/java/gradereach/grpcfront/StreamingCall.java
@@ -27,10 +27,10 @@
 /**
  * One streaming call: carries many inferences, each signed individually, and answers them by id in the order in which they
  * end. The number of open inferences is limited: the next request is read only when an answer has been written, so a slow
- * reader delays only itself. A call whose reader stops reading is reset after a timeout.
+ * reader delays only itself. A call whose client stops reading is reset after a timeout.
  *
- * Methods are called by the event loop of the connection, the decision thread and the stall timer. All state is guarded by the
- * monitor of this object, and nothing blocks while holding it.
+ * <p>Methods are called on the event loop of the connection, on those of the connections to executors and on the decision thread.
+ * All state is guarded by the monitor of this object, and nothing blocks while holding it.
  */
 final class StreamingCall implements StreamObserver<ModelInferRequest> {
     /** Open inferences of one call; equals the default number of streams on a connection to an executor. */
@@ -236,7 +236,7 @@
             } else if (inference.pendingEnd != null) {
                 inference.pendingEnd.run();
                 return nextResponse();
-            } // otherwise its end follows
+            } // otherwise its final answer is not decided yet and is sent once it is
         }
         return null;
     }
@@ -254,7 +254,7 @@
     }
 
     /**
-     * Resets the call of a reader that does not read. Its inferences continue if other clients wait for them, and what has run
+     * Resets the call of a client that does not read. Its inferences continue if other clients wait for them, and what has run
      * stays recorded for repeats.
      */
     private void resetStalledStream() {
@@ -318,7 +318,7 @@
             });
         }
 
-        /** Records the answer as written. The library flushes in a task that is queued on the event loop before this one. */
+        /** Records the answer as written. grpc-java flushes in a task that is queued on the event loop before this one. */
         private void recordWrittenAfterFlush(double decidedAt) {
             eventLoop.execute(() -> intake.recordAnswerWritten(decidedAt));
         }
--- a/gateway/src/main/java/gradereach/http2/ExchangeListener.java
+++ b/gateway/src/main/java/gradereach/http2/ExchangeListener.java
@@ -14,15 +14,18 @@
         NOT_CONNECTED,
         /** No stream is available and the queue of waiting requests is full; nothing was written. */
         NO_STREAM,
-        /** Cancelled, or the connection closed, before anything was written, or the request was withdrawn before its last frame was. */
+        /**
+         * Nothing was written, because the request was cancelled or the connection closed before; or the request was withdrawn
+         * before its last frame was written.
+         */
         NOT_WRITTEN,
         /** RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7): the peer has not processed the request. */
         REFUSED,
         /** The stream id is above the last one of a GOAWAY (RFC 9113, 6.8): the peer has not processed the request. */
         ABOVE_GOAWAY,
-        /** RST_STREAM with any other code. */
+        /** RST_STREAM with any other code; the peer may have processed the request. */
         RESET,
-        /** The connection was lost, or a write failed after writing had begun. */
+        /** The connection was lost or a write failed, after writing had begun. */
         LOST,
         /** The response was longer than allowed, or a {@link StreamingListener} could not read it. */
         TOO_LONG,
@@ -36,7 +39,7 @@
      */
     interface StreamingListener extends ExchangeListener {
         /**
-         * Takes the next bytes of the response body; {@link #onEnd} gets no body then.
+         * Receives the next bytes of the response body; {@link #onEnd} then gets an empty one.
          *
          * @return whether to read more at once
          * @throws IOException if the bytes cannot be used; the exchange then ends as TOO_LONG
@@ -44,6 +47,12 @@
         boolean onData(ByteBuf data) throws IOException;
     }
 
-    /** {@code headers}, which include the trailers, and {@code body} are null unless the result is ANSWERED. */
+    /**
+     * The exchange has ended.
+     *
+     * @param status HTTP status of an ANSWERED request, -1 for a response without a valid one; 0 for other results
+     * @param headers response headers and trailers; null unless the result is ANSWERED
+     * @param body response body; null unless the result is ANSWERED
+     */
     void onEnd(ExchangeResult result, int status, Http2Headers headers, byte[] body);
 }
--- a/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
+++ b/gateway/src/main/java/gradereach/http2/Http2ConnectionPool.java
@@ -57,7 +57,7 @@
     public record Limits(int maxConnections, int maxStreamsPerConnection, int connectTimeoutMillis, double idleTimeoutMillis,
             int maxResponseBytes, int streamWindowBytes) { }
 
-    /** Counters shared by all pools of one kind; the kind is the prefix of their names. */
+    /** Counters shared by all pools of one kind, which is the prefix of their names. */
     public static final class Metrics {
         final LongAdder opened;
         final LongAdder connectFailures;
@@ -78,7 +78,7 @@
 
     /** How often a request whose last byte waits for flow control or for the socket is checked. */
     private static final long WRITE_CHECK_INTERVAL_MILLIS = 5;
-    /** A connection silent for this long when a stream on it is cancelled takes no new streams; above any usual pause. */
+    /** A connection silent for this long when a stream on it is cancelled takes no new streams. Longer than any usual pause. */
     private static final double SILENCE_TIMEOUT_MILLIS = 1000;
 
     private final InetSocketAddress peer;
@@ -92,6 +92,11 @@
     private final ArrayDeque<Request> waitingRequests = new ArrayDeque<>();
     private boolean closed;
 
+    /**
+     * Creates a pool without connections; they are opened as requests need them.
+     *
+     * @param clock monotonic time in milliseconds
+     */
     public Http2ConnectionPool(InetSocketAddress peer, EventLoop eventLoop, Class<? extends Channel> channelType, Limits limits,
             Metrics metrics, DoubleSupplier clock) {
         this.peer = peer;
@@ -138,7 +143,7 @@
         private void readNext() {
             if (!finished && streamChannel != null) {
                 streamChannel.read();
-                // If a read is already in progress, the window update is written but not flushed, and the peer would wait forever.
+                // During a read in progress, Netty writes the window update without a flush; the peer would wait for it forever.
                 streamChannel.flush();
             }
         }
--- a/gateway/src/main/java/gradereach/http2/StreamAllocator.java
+++ b/gateway/src/main/java/gradereach/http2/StreamAllocator.java
@@ -20,7 +20,7 @@
         public final C handle;
         private int activeStreams;
         private int maxStreams;
-        private boolean isDraining;
+        private boolean draining;
         private double lastReceivedAt;
         private double idleSince;
 
@@ -31,12 +31,14 @@
             idleSince = now;
         }
 
+        /** Returns the number of open streams. */
         public int activeStreams() {
             return activeStreams;
         }
 
+        /** Returns whether the connection takes no new streams and closes once it has none. */
         public boolean isDraining() {
-            return isDraining;
+            return draining;
         }
     }
 
@@ -50,6 +52,8 @@
     private int waitingCount;
 
     /**
+     * Creates an allocator without connections.
+     *
      * @param idleTimeoutMillis how long a connection without streams stays open
      * @param silenceTimeoutMillis a connection takes no new streams once a stream on it is cancelled that was open for at least
      *        this long and nothing was received on the connection meanwhile
@@ -67,7 +71,7 @@
     public PooledConnection<C> busiestAvailable() {
         PooledConnection<C> best = null;
         for (PooledConnection<C> connection : connections) {
-            if (!connection.isDraining && connection.activeStreams < connection.maxStreams
+            if (!connection.draining && connection.activeStreams < connection.maxStreams
                     && (best == null || connection.activeStreams > best.activeStreams)) {
                 best = connection;
             }
@@ -85,7 +89,7 @@
         }
         int usable = connectingCount;
         for (PooledConnection<C> connection : connections) {
-            usable += connection.isDraining ? 0 : 1;
+            usable += connection.draining ? 0 : 1;
         }
         boolean opensConnection = usable < maxConnections && waitingCount >= connectingCount * maxStreamsPerConnection;
         if (!opensConnection && connectingCount == 0) {
@@ -115,10 +119,12 @@
         return connectingCount == 0 && busiestAvailable() == null;
     }
 
+    /** A stream was started on the connection. */
     public void onStreamStarted(PooledConnection<C> connection) {
         connection.activeStreams++;
     }
 
+    /** A stream on the connection has ended, for whatever reason. */
     public void onStreamEnded(PooledConnection<C> connection, double now) {
         connection.activeStreams--;
         connection.idleSince = now;
@@ -129,13 +135,14 @@
         connection.maxStreams = (int) Math.min(maxStreamsPerConnection, streams);
     }
 
+    /** Something was received on the connection. */
     public void onReceived(PooledConnection<C> connection, double now) {
         connection.lastReceivedAt = now;
     }
 
     /** The connection takes no new streams: it received GOAWAY or is being closed. */
     public void startDraining(PooledConnection<C> connection) {
-        connection.isDraining = true;
+        connection.draining = true;
     }
 
     /**
@@ -144,24 +151,27 @@
      */
     public void onStreamCancelled(PooledConnection<C> connection, double startedAt, double now) {
         if (connection.lastReceivedAt < startedAt && now - Math.max(connection.lastReceivedAt, startedAt) >= silenceTimeoutMillis) {
-            connection.isDraining = true;
+            connection.draining = true;
         }
     }
 
+    /** The connection was closed, by either side. */
     public void onConnectionClosed(PooledConnection<C> connection) {
-        connection.isDraining = true;
+        connection.draining = true;
         connections.remove(connection);
     }
 
     /** Whether the connection can be closed now: it has no streams and is draining or was idle for the idle timeout. */
     public boolean shouldClose(PooledConnection<C> connection, double now) {
-        return connection.activeStreams == 0 && (connection.isDraining || now - connection.idleSince >= idleTimeoutMillis);
+        return connection.activeStreams == 0 && (connection.draining || now - connection.idleSince >= idleTimeoutMillis);
     }
 
+    /** Returns the open connections, including draining ones. */
     public List<PooledConnection<C>> connections() {
         return connections;
     }
 
+    /** Returns the number of connection attempts in progress. */
     public int connectingCount() {
         return connectingCount;
     }
--- a/gateway/src/main/java/gradereach/link/ExchangeOutcomes.java
+++ b/gateway/src/main/java/gradereach/link/ExchangeOutcomes.java
@@ -16,7 +16,7 @@
     /** Outcome of a forward by HTTP/REST. {@code begun} is the {@link #INFERENCE_BEGUN_HEADER}, or null if it is missing. */
     public static Outcome forwardOutcome(ExchangeResult result, int status, CharSequence begun) {
         return switch (result) {
-            case ANSWERED -> answered(status, begun != null && "no".contentEquals(begun));
+            case ANSWERED -> answeredForwardOutcome(status, begun != null && "no".contentEquals(begun));
             case NOT_CONNECTED -> Outcome.CONNECT_FAILED;
             case NO_STREAM, REFUSED -> Outcome.FULL;
             case NOT_WRITTEN, ABOVE_GOAWAY -> Outcome.NEVER_SENT;
@@ -26,7 +26,7 @@
         };
     }
 
-    private static Outcome answered(int status, boolean notBegun) {
+    private static Outcome answeredForwardOutcome(int status, boolean notBegun) {
         if (status >= 200 && status < 300) {
             return Outcome.RETURNED;
         }
--- a/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
+++ b/gateway/src/main/java/gradereach/link/GrpcForwardSender.java
@@ -24,8 +24,9 @@
 import java.util.function.Consumer;
 
 /**
- * Sends forwards by gRPC ("gRPC over HTTP2") over {@link Http2ConnectionPool}. grpc-java does not distinguish REFUSED_STREAM and
- * streams above the last id of a GOAWAY from other failures, and without that no forward could be proven not to have run.
+ * Sends forwards by gRPC ("gRPC over HTTP2") over {@link Http2ConnectionPool}. It does not use grpc-java, which does not
+ * distinguish REFUSED_STREAM and streams above the last id of a GOAWAY from other failures: these two prove that a forward has
+ * not run.
  */
 final class GrpcForwardSender {
     private static final String UNARY_PATH = "/inference.GRPCInferenceService/ModelInfer";
@@ -52,7 +53,7 @@
         unreadableAnswers = counts.counter("answers_unreadable");
     }
 
-    /** Loads the classes that a call needs, so that the first inferences of a process are not delayed by it. */
+    /** Runs the code of a call {@code times} times, so that class loading does not delay the first inferences of a process. */
     static void warmUp(int times) {
         byte[] json = "{\"inputs\":[{\"name\":\"x\",\"shape\":[1],\"datatype\":\"FP32\",\"data\":[1]}],\"parameters\":{\"p\":0.5}}"
                 .getBytes(StandardCharsets.UTF_8);
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Sends a forward as a unary call; nothing is written if {@code writeCondition} is false by then. */
+    /** Sends a forward as a unary call; nothing is written if {@code writeCondition} is false at the time of writing. */
     void sendUnary(Http2ConnectionPool pool, InFlightForward forward, BooleanSupplier writeCondition) {
         ExchangeListener listener = (result, status, headers, body) -> {
             if (result == ExchangeListener.ExchangeResult.GIVEN_UP
--- a/gateway/src/main/java/gradereach/link/GrpcFraming.java
+++ b/gateway/src/main/java/gradereach/link/GrpcFraming.java
@@ -9,6 +9,7 @@
 final class GrpcFraming {
     /** Trailer that holds the status of a call. */
     static final String STATUS_TRAILER = "grpc-status";
+    /** One byte for the compression flag, four for the length. */
     private static final int HEADER_BYTES = 5;
 
     private GrpcFraming() { }
--- a/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
+++ b/gateway/src/main/java/gradereach/link/HttpExecutorTransport.java
@@ -30,10 +30,17 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Talks the Open Inference Protocol (V2, HTTP/REST) to executors over HTTP/2: {@code POST /v2/models/NAME/infer};
- * the model repository extension's {@code load}, with the number of copies as a load parameter (0 is a status query), and
- * {@code unload}; {@code GET /v2/health/ready} as probe. Executors of some kinds get inferences by gRPC instead. Results
- * go to the decision thread as events.
+ * Sends requests to executors by the Open Inference Protocol (V2, HTTP/REST) over HTTP/2:
+ *
+ * <ul>
+ * <li>a forward is {@code POST /v2/models/NAME/infer}; executors of some kinds get it by gRPC instead;
+ * <li>a load order is the model repository extension's {@code load}, with the number of copies as a load parameter (0 for a
+ *     status query); idle copies are unloaded by its {@code unload};
+ * <li>a probe is {@code GET /v2/health/ready};
+ * <li>an outcome inquiry is {@code GET /v2/outcomes/FORWARD}, which is not part of that protocol.
+ * </ul>
+ *
+ * <p>Results go to the decision thread as events.
  */
 public final class HttpExecutorTransport implements ExecutorTransport {
     private static final byte[] EMPTY_BODY = {};
@@ -51,7 +58,7 @@
     private final Map<String, String> inferPaths = new ConcurrentHashMap<>();
 
     /**
-     * @param name sent to executors in the user agent
+     * @param name name of this front end, sent to executors in the user agent
      * @param grpcKinds executors of these kinds take inferences by gRPC and all other requests by HTTP/REST
      * @param streamingLimits of connections that carry streamed answers
      * @param clock monotonic time in milliseconds
@@ -86,7 +93,7 @@
         }
     }
 
-    /** Only called on the decision thread. */
+    /** Returns the pools of an executor, created on first use. Only called on the decision thread. */
     private ExecutorPools poolsOf(ExecutorEndpoint endpoint) {
         ExecutorPools pools = (ExecutorPools) endpoint.connections;
         if (pools == null) {
@@ -105,7 +112,10 @@
         return poolsOf(endpoint).unary;
     }
 
-    /** Separate from the unary pool, since streams stay open and their windows are small. Only called on the decision thread. */
+    /**
+     * Returns the pool for streamed answers, created on first use. It is separate from the unary pool, since streams stay open
+     * and their windows are small. Only called on the decision thread.
+     */
     private Http2ConnectionPool streamingPool(ExecutorEndpoint endpoint) {
         ExecutorPools pools = poolsOf(endpoint);
         if (pools.streaming == null) {
@@ -146,9 +156,9 @@
     }
 
     /**
-     * Whether the forward may still be written after it has waited for a connection or the event loop: its answer is awaited,
-     * its deadline has not passed, and its executor has not been replaced and neither drains nor may have begun to drain
-     * unnoticed.
+     * Whether the forward may still be written after it has waited for a connection or the event loop. Its answer must be
+     * awaited, its send deadline must not have passed, and its executor must be the process that it was meant for and must not
+     * drain. After the send deadline, the forward has timed out or its executor may have begun to drain unnoticed.
      */
     private BooleanSupplier writeCondition(InFlightForward forward) {
         BooleanSupplier ready = endpointStillReady(forward.endpoint);
@@ -157,8 +167,8 @@
     }
 
     /**
-     * Whether the load order may still be written: its reply is awaited, its send deadline has not passed, and its executor is
-     * as for a forward.
+     * Whether the load order may still be written: its reply is awaited, its send deadline has not passed, and its executor
+     * meets the same conditions as for a forward.
      */
     private BooleanSupplier writeCondition(LoadOrder order) {
         BooleanSupplier ready = endpointStillReady(order.endpoint);
@@ -167,7 +177,8 @@
     }
 
     /**
-     * False once an endpoint that is ready now is no longer ready; always true for an endpoint that is not ready now.
+     * Returns a condition that becomes false when an endpoint that is ready now is no longer ready. For an endpoint that is not
+     * ready now, it is always true.
      */
     private static BooleanSupplier endpointStillReady(ExecutorEndpoint endpoint) {
         boolean wasReady = endpoint.isReady();
@@ -218,9 +229,9 @@
         }, "user-agent", userAgent);
     }
 
-    /** Identifies the executor's process in its reply to an inquiry: a number that it chooses at its start. */
+    /** The process number of the executor, in its reply to an inquiry: a random number that the process draws at its start. */
     static final String PROCESS_HEADER = "executor-process";
-    /** With {@code yes}: the process, which replied "never seen", will reject the forward without running it if it still arrives. */
+    /** With {@code yes}, the process, which has not seen the forward, rejects it without running it if it still arrives. */
     static final String FENCED_HEADER = "forward-fenced";
     private static final long INQUIRY_TIMEOUT_MILLIS = 2000;
     /**
@@ -230,13 +241,13 @@
     private static final String NO_FORWARD = "none";
 
     @Override
-    public void inquire(ExecutorEndpoint endpoint, String forward, InquiryCallback callback) {
-        Http2ConnectionPool.Request request = unaryPool(endpoint).send("GET", "/v2/outcomes/" + urlEncode(forward), EMPTY_BODY,
+    public void inquire(ExecutorEndpoint endpoint, String forwardId, InquiryCallback callback) {
+        Http2ConnectionPool.Request request = unaryPool(endpoint).send("GET", "/v2/outcomes/" + urlEncode(forwardId), EMPTY_BODY,
                 (result, status, headers, body) -> {
             InquiryScheduler.OutcomeReply reply = result == ExchangeListener.ExchangeResult.ANSWERED ? outcomeReply(status, headers)
                     : InquiryScheduler.OutcomeReply.NOTHING;
-            double processIdentity = parseProcessIdentity(headers);
-            eventSink.accept(coordinator -> callback.onReply(reply, processIdentity, body));
+            double processNumber = parseProcessNumber(headers);
+            eventSink.accept(coordinator -> callback.onReply(reply, processNumber, body));
         }, "user-agent", userAgent);
         eventLoops.next().schedule(request::cancel, INQUIRY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS); // frees the stream
     }
@@ -257,11 +268,11 @@
 
     @Override
     public void requestProcessNumber(ExecutorEndpoint endpoint, DoubleConsumer callback) {
-        inquire(endpoint, NO_FORWARD, (reply, processIdentity, body) -> callback.accept(processIdentity));
+        inquire(endpoint, NO_FORWARD, (reply, processNumber, body) -> callback.accept(processNumber));
     }
 
-    /** The number that identifies the executor's process, or NaN if the header is missing or malformed. */
-    private static double parseProcessIdentity(Http2Headers headers) {
+    /** Returns the executor's process number, or NaN if the header is missing or malformed. */
+    private static double parseProcessNumber(Http2Headers headers) {
         CharSequence value = ResponseHeaders.header(headers, PROCESS_HEADER);
         return value == null || !value.toString().matches("\\d{1,15}") ? Double.NaN : Long.parseLong(value.toString());
     }
--- a/gateway/src/main/java/gradereach/link/OrcaReportParser.java
+++ b/gateway/src/main/java/gradereach/link/OrcaReportParser.java
@@ -8,10 +8,11 @@
 
 /**
  * Parses the ORCA load report of the response header {@code endpoint-load-metrics} (xds.data.orca.v3 OrcaLoadReport) in
- * its TEXT and JSON formats. Utilisations are fractions, {@code rps_fractional} and {@code eps} are per second. The numbers
- * in flight, queued and of loads, and the answer time in milliseconds, are named metrics.
+ * its TEXT and JSON formats. Utilisations are fractions, {@code rps_fractional} and {@code eps} are per second. The
+ * inferences in flight, the queued ones, the loads and the answer time in milliseconds are named metrics.
  */
 public final class OrcaReportParser {
+    /** Response header that contains the report. */
     public static final String HEADER = "endpoint-load-metrics";
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/gateway/src/main/java/gradereach/link/ResponseHeaders.java
+++ b/gateway/src/main/java/gradereach/link/ResponseHeaders.java
@@ -12,7 +12,7 @@
     static final String COPIES_HEADER = "model-copies";
     /** Load status of the copy that a forward ran on: {@code loaded}, {@code began-load}, {@code waited-for-load}, {@code load-failed}. */
     static final String LOAD_STATUS_HEADER = "model-warmth";
-    /** How many inferences of the same model the executor had when this one arrived. */
+    /** Number of inferences of the same model that the executor had when this one arrived. */
     static final String CONCURRENCY_HEADER = "model-crowd";
 
     private final LongAdder unreadableReports;
--- a/gateway/src/main/java/gradereach/loop/DecisionLoop.java
+++ b/gateway/src/main/java/gradereach/loop/DecisionLoop.java
@@ -18,21 +18,23 @@
 import org.jctools.queues.MpscUnboundedArrayQueue;
 
 /**
- * The decision thread: the one thread that owns an {@link InferenceCoordinator} and its router. Other threads pass events to it:
- * new messages through a bounded queue, which rejects them when it is full, and results of what the coordinator sent through an
- * unbounded queue, which never holds more of them than there are forwards, load orders and probes in flight. All events that
- * are handled in one iteration form one event batch and have the same time.
+ * The decision thread: the one thread that owns an {@link InferenceCoordinator} and its router. All events that are handled in
+ * one iteration form one event batch and have the same time.
+ *
+ * <p>Other threads pass events to it through two queues. New messages go through a bounded queue, which rejects them when it is
+ * full. Results of requests that the coordinator sent go through an unbounded queue; it never holds more results than there are
+ * forwards, load orders and probes in flight.
  */
 public final class DecisionLoop implements Timers, AutoCloseable {
     /** About 2 ms of work, so that timers stay on time under any load. */
     private static final int MAX_EVENTS_PER_BATCH = 512;
-    /** A quarter of the router's shortest tick in use, so that timers fire within one such tick. */
+    /** A quarter of the shortest router tick in use, so that timers fire within one such tick. */
     private static final long WHEEL_TICK_MICROS = 256;
-    private static final int WHEEL_TICKS = 8192; // two seconds a revolution: most timers end within one
-    /** Shortest sleep, and the only one while many timers are set, since the wheel does not know which is next. */
+    private static final int WHEEL_TICKS = 8192; // one revolution takes two seconds, and most timers end within it
+    /** Also the length of every sleep while many timers are set, since the wheel does not know which of them fires next. */
     private static final long MIN_SLEEP_NANOS = 500_000;
     private static final long MAX_SLEEP_NANOS = 50_000_000;
-    /** Up to so many timers are scanned for the next one before a sleep; an idle front end has a handful. */
+    /** Number of timers up to which they are scanned for the next one before a sleep; an idle front end has a handful. */
     private static final int MAX_TIMERS_TO_SCAN = 32;
     /** Checks of the queues before a sleep: about ten microseconds, less than waking a thread costs. */
     private static final int SPINS_BEFORE_SLEEP = 200;
@@ -61,6 +63,9 @@
     private record Timer(double dueAt, Object target) { }
 
     /**
+     * Creates the loop and its coordinator; {@link #start} starts the thread.
+     *
+     * @param name suffix of the thread's name
      * @param messageCapacity how many messages may wait in the bounded queue
      * @param coordinatorFactory creates the coordinator with this loop's timers
      */
@@ -88,6 +93,7 @@
         work.accept(coordinator);
     }
 
+    /** Starts the decision thread. */
     public void start() {
         thread.start();
     }
@@ -158,7 +164,7 @@
         long micros = toMicros(now);
         // A poll advances the wheel by one tick at most.
         do {
-            wheel.poll(micros, (unit, at, id) -> {
+            wheel.poll(micros, (unit, deadline, id) -> {
                 dueTimers.add(timers.remove(id));
                 return true;
             }, MAX_EVENTS_PER_BATCH);
@@ -175,7 +181,7 @@
         }
         boolean hadTimers = !dueTimers.isEmpty();
         dueTimers.clear();
-        // Posted events first: they free lanes and create no new obligations.
+        // Posted events first: they free lanes, which new messages need.
         for (Consumer<InferenceCoordinator> event; count < MAX_EVENTS_PER_BATCH && (event = postedEvents.relaxedPoll()) != null; count++) {
             handle(event);
         }
@@ -233,8 +239,8 @@
     }
 
     @Override
-    public long schedule(double at, Object target) {
-        long deadlineMicros = Math.max(wheel.currentTickTime(), toMicros(at));
+    public long schedule(double dueAt, Object target) {
+        long deadlineMicros = Math.max(wheel.currentTickTime(), toMicros(dueAt));
         long id = wheel.scheduleTimer(deadlineMicros);
         timers.put(id, new Timer(deadlineMicros / 1000.0, target));
         return id;
@@ -250,7 +256,7 @@
         }
     }
 
-    /** Ends the thread. Answers that are still owed are not sent, so call this only when there are none or the process ends. */
+    /** Ends the thread. Open inferences get no answer, so call this only when there are none or the process ends. */
     @Override
     public void close() {
         stopping = true;
--- a/gateway/src/main/java/gradereach/loop/MonotonicClock.java
+++ b/gateway/src/main/java/gradereach/loop/MonotonicClock.java
@@ -9,9 +9,9 @@
     double now();
 
     /**
-     * Returns a clock on the machine's clocks. Monotonic time starts at one month: the start time of an executor that started
-     * before this process must not become negative, which means "long ago" to the router. Each conversion reads the wall
-     * clock anew, so a step of the wall clock affects only later conversions.
+     * Returns a clock that reads the machine's clocks. Monotonic time starts at 30 days, so that the start time of an executor
+     * that started before this process is still positive; 0 or less means "long ago" to the router. Each conversion reads the
+     * wall clock anew, so a step of the wall clock affects only later conversions.
      */
     static MonotonicClock system() {
         return new MonotonicClock() {
--- a/gateway/src/main/java/gradereach/loop/StallDetector.java
+++ b/gateway/src/main/java/gradereach/loop/StallDetector.java
@@ -6,7 +6,7 @@
 /**
  * Detects that the whole process was stalled. What is read right after a stall may have arrived at any time during it, so its
  * client is assumed to have waited since the start of the stall. This guards against spending time on inferences whose clients
- * have given up; a message that really arrived right after a stall loses at most the length of the stall.
+ * have given up. A message that really arrived right after a stall loses at most the length of the stall from its budget.
  */
 public final class StallDetector implements DoubleSupplier, AutoCloseable {
     private static final long CHECK_INTERVAL_NANOS = 5_000_000;
@@ -20,6 +20,11 @@
     private volatile double stallEnd = Double.NEGATIVE_INFINITY;
     private volatile boolean closing;
 
+    /**
+     * Creates a detector; {@link #start} starts it.
+     *
+     * @param clock monotonic time in milliseconds
+     */
     public StallDetector(DoubleSupplier clock) {
         this.clock = clock;
         lastTick = clock.getAsDouble();
@@ -48,7 +53,7 @@
         lastTick = now;
     }
 
-    /** The earliest time at which data that is read now may have arrived; monotonic time. */
+    /** Returns the earliest time at which data that is read now may have arrived, monotonic time in milliseconds. */
     @Override
     public double getAsDouble() {
         double now = clock.getAsDouble();
--- a/gateway/src/main/java/gradereach/loop/StartRetry.java
+++ b/gateway/src/main/java/gradereach/loop/StartRetry.java
@@ -46,7 +46,10 @@
         }
     }
 
-    /** Every failure except that to bind an address that is not this machine's or that the process may not use. */
+    /**
+     * Returns whether a retry may succeed. This is true of every failure except that to bind an address that does not belong to
+     * this machine or that the process may not use.
+     */
     private static boolean isTransient(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof BindException) {
--- a/gateway/src/main/java/gradereach/serve/FaultInjection.java
+++ b/gateway/src/main/java/gradereach/serve/FaultInjection.java
@@ -6,8 +6,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Decorators by which rehearsals and tests make a front end break rules, crash at a given step or see a failing disk; in
- * production {@link #NONE}.
+ * Replaces parts of a front end, so that rehearsals and tests can make it break rules, crash at a given step or see a failing
+ * disk. In production, this is {@link #NONE}.
  *
  * @param routerActions decorates the actions of the router
  * @param executorTransport decorates the transport to the executors
--- a/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
+++ b/gateway/src/main/java/gradereach/serve/FrontEndProcess.java
@@ -23,7 +23,10 @@
         return address.getHostString() + ":" + address.getPort();
     }
 
-    /** Runs a front end and returns the exit code: 0 after a graceful shutdown, 1 on runtime errors, 2 on an invalid deployment file. */
+    /**
+     * Runs a front end and returns the exit code: 0 after a graceful shutdown, 1 on runtime errors and when inferences were left
+     * unanswered, 2 on an invalid deployment file.
+     */
     public static int run(Path file, FaultInjection faults, PrintStream out, PrintStream err)
             throws InterruptedException {
         Deployment deployment;
@@ -51,7 +54,7 @@
                     + (gateway.grpcAddress() == null ? "" : " grpc " + hostAndPort(gateway.grpcAddress())));
             out.flush();
         } catch (BindException e) {
-            err.println(file + ": /listen or /admin: " + e.getMessage());
+            err.println(file + ": cannot bind /listen, /grpc/listen, /peers/listen or /admin: " + e.getMessage());
             gateway.close();
             return 1;
         } catch (IOException e) {
--- a/gateway/src/main/java/gradereach/serve/Gateway.java
+++ b/gateway/src/main/java/gradereach/serve/Gateway.java
@@ -58,13 +58,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One running front end: its listeners, its decision thread, its transport to executors and its roster. Components are created
- * from the inside out and those that face outward are started last, so that no event arrives before there is a component to
+ * One running front end: its listeners, its decision thread, its transport to executors and its roster. The components that
+ * handle events are created before the first listener is opened, so that no event arrives before there is a component to
  * handle it.
  */
 public final class Gateway implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
     private static final double MESSAGE_RETENTION_MILLIS = KeyRing.REPLAY_WINDOW_MILLIS;
+    private static final int MAX_INQUIRIES_IN_FLIGHT = 32;
+    private static final int UNARY_STREAM_WINDOW_BYTES = 1 << 20;
+    /** Connections that peers may open to this front end, beside {@link #SPARE_PEER_CONNECTIONS} for all of them. */
+    private static final int CONNECTIONS_PER_PEER = 4;
+    private static final int SPARE_PEER_CONNECTIONS = 16;
+    private static final int GRPC_WARM_UP_FORWARDS = 1000;
 
     private final Deployment deployment;
     private final Counts counts = new Counts();
@@ -74,7 +80,7 @@
     private final EventLoopGroup workers;
     private final StallDetector stallDetector = new StallDetector(clock::now);
     private final CompactionPlanner compactionPlanner;
-    /** Null if the deployment has none. */
+    /** Null if the deployment has no ledger. */
     private final DiskLedger ledger;
     /** Null without peers. */
     private PeerClaims claims;
@@ -113,7 +119,7 @@
         Http2ConnectionPool.Limits poolLimits = new Http2ConnectionPool.Limits(
                 (int) deployment.executorSetting("connections", 4), streamsPerConnection,
                 deployment.connectTimeoutMillis(), deployment.executorSetting("idle_ms", 15_000),
-                (int) deployment.executorSetting("longest_answer_bytes", 16 << 20), 1 << 20);
+                (int) deployment.executorSetting("longest_answer_bytes", 16 << 20), UNARY_STREAM_WINDOW_BYTES);
         Http2ConnectionPool.Limits streamingPoolLimits = new Http2ConnectionPool.Limits(poolLimits.maxConnections(),
                 streamsPerConnection, poolLimits.connectTimeoutMillis(), poolLimits.idleTimeoutMillis(),
                 poolLimits.maxResponseBytes(), (int) deployment.executorSetting("stream_window_bytes", 1 << 16));
@@ -136,15 +142,16 @@
                             clock::now, this::submit)),
                     timers, new MetricsRecorder(new InferenceLog(customerNames), serviceMetrics, deployment.groups(),
                             customerNames, deployment.overQuotaValue()), clock, messageStore,
-                    ledger == null ? Ledger.NONE : ledger, createPeerClaims(timers),
-                    new InquiryScheduler(deployment.executorSetting("outcomes_kept_ms", 0), 32,
+                    ledger == null ? Ledger.NONE : ledger, createClaimService(timers),
+                    new InquiryScheduler(deployment.executorSetting("outcomes_kept_ms", 0), MAX_INQUIRIES_IN_FLIGHT,
                             (int) deployment.limitSetting("in_question", 10_000)), AnswerFormat.WEBHOOK,
                     new InferenceCoordinator.AdmissionLimits((int) deployment.limitSetting("held", 20_000),
                             (int) deployment.limitSetting("models", 200_000), (int) deployment.limitSetting("waiting_for_one", 8)),
                     deployment.loadingRules(), deployment.forwardRules(), deployment.coldStartRule(), customerNames, counts);
         });
         decisionLoop.setFailureListener(failure -> LOG.error("an event failed; other events are not affected", failure));
-        peerServer = claims == null ? null : new PeerServer(claims, 4 * deployment.peers().size() + 16, counts);
+        peerServer = claims == null ? null : new PeerServer(claims,
+                CONNECTIONS_PER_PEER * deployment.peers().size() + SPARE_PEER_CONNECTIONS, counts);
         outbox = new Outbox(customerNames, deployment.answerEndpoints(), deployment.answerKeys(), ledger == null ? Ledger.NONE : ledger,
                 (int) deployment.limitSetting("outbox", 10_000), Outbox.newSchedulerThread(), clock::now,
                 System::currentTimeMillis, counts);
@@ -174,8 +181,8 @@
                 List.of(new CountsSource(counts, System.currentTimeMillis()), serviceMetrics), System::currentTimeMillis,
                 new Random(seedGenerator.nextLong()));
         membershipRandom = new Random(seedGenerator.nextLong());
-        // Without probes the roster never expires: an outdated one is better than none, as nothing here tells when a drain counts as
-        // announced.
+        // Without probes, the router would reject every inference once the roster has expired, so the roster never expires then:
+        // an outdated one is better than none, as nothing in the gateway tells when a drain counts as announced.
         boolean probesAllowed = deployment.frontEndSettings().probesAllowed();
         rosterWatch = new RosterWatch(rosterTracker, deployment.name(), deployment.rosterServer(), deployment.rosterFile(), clock::now,
                 (confirmedAt, validUntil) -> decisionLoop.post(coordinator ->
@@ -183,8 +190,8 @@
                 counts);
     }
 
-    /** Creates the claim service for this front end and its peers. */
-    private ClaimService createPeerClaims(gradereach.desk.Timers timers) {
+    /** Creates the claim service for this front end and its peers, and sets {@link #claims} if there are peers. */
+    private ClaimService createClaimService(gradereach.desk.Timers timers) {
         if (!deployment.hasPeers()) {
             return ClaimService.ALONE;
         }
@@ -194,6 +201,7 @@
         return claims;
     }
 
+    /** Passes an event to the decision thread. */
     private void submit(java.util.function.Consumer<InferenceCoordinator> event) {
         decisionLoop.post(event);
     }
@@ -209,7 +217,7 @@
     public InetSocketAddress start() throws IOException, InterruptedException {
         WarmUp.run(deployment.grpcListenAddress() != null);
         if (!deployment.grpcExecutorKinds().isEmpty()) {
-            HttpExecutorTransport.warmUp(1000);
+            HttpExecutorTransport.warmUp(GRPC_WARM_UP_FORWARDS);
         }
         return listen();
     }
@@ -217,7 +225,7 @@
     /** Starts to listen without a warm-up, so that the first inferences are delayed by class loading. */
     public InetSocketAddress listen() throws IOException, InterruptedException {
         stallDetector.start();
-        // Listens first: messages that arrive while the ledger is read are queued instead of rejected.
+        // Clients can connect before the ledger is read: messages that arrive meanwhile are queued instead of rejected.
         InetSocketAddress webhookAddress = withRetries("listen on " + deployment.listenAddress(),
                 () -> webhookServer.listen(deployment.listenAddress(), boss, workers, RetryingServerSocketChannel.class));
         if (grpcServer != null) {
@@ -264,7 +272,7 @@
         }
     }
 
-    /** Returns whether the front end is ready: it has a roster, is not stopping and its decision thread runs. */
+    /** Returns whether this front end accepts inferences: it has a roster, is not stopping and its decision thread runs. */
     private boolean acceptsInferences() {
         return rosterReceived && !stopping && decisionLoop.fatalError() == null;
     }
@@ -286,16 +294,17 @@
         result.damage().forEach(damage -> LOG.error("ledger damaged: {}", damage));
         state.anomalies().forEach(anomaly -> LOG.error("ledger: {}", anomaly));
         ledgerClock.resume(deployment.ledgerFolder(), compactionPlanner.latestTimestamp());
-        long damagedUpTo = result.damage().isEmpty() ? Long.MIN_VALUE
+        // Messages signed until then, in Unix seconds, may be missing from the ledger.
+        long damagedUpToSeconds = result.damage().isEmpty() ? Long.MIN_VALUE
                 : result.damagedAt() / 1000 + KeyRing.TOLERANCE_SECONDS;
-        long suspectUpTo = Math.max(damagedUpTo, folder.suspectUpTo());
-        state.markClaimsForgottenUpTo(suspectUpTo);
+        long suspectUpToSeconds = Math.max(damagedUpToSeconds, folder.suspectUpTo());
+        state.markClaimsForgottenUpTo(suspectUpToSeconds);
         if (claims != null) {
             claims.recover(folder.identity(), result.nextSegment(), state, MESSAGE_RETENTION_MILLIS);
         }
         ledger.start(folder, result.nextSegment());
         decisionLoop.runBeforeStart(coordinator -> coordinator.recover(state, clock.now(), MESSAGE_RETENTION_MILLIS,
-                deployment.groups(), suspectUpTo, outbox::recoveredObserver));
+                deployment.groups(), suspectUpToSeconds, outbox::recoveredObserver));
         LOG.atInfo().addKeyValue("messages", state.size()).addKeyValue("records", result.recordCount())
                 .addKeyValue("bytes", result.bytes()).addKeyValue("torn_bytes", result.tornBytes())
                 .addKeyValue("damage", result.damage().size())
@@ -317,7 +326,7 @@
         return membership == null ? null : membership.view();
     }
 
-    /** Returns what became of the samples to push, null if no metrics are pushed. */
+    /** Returns how many samples were pushed, dropped or are pending; null if no metrics are pushed. */
     public Pusher.PushStatistics pushStatistics() {
         return pusher == null ? null : pusher.statistics();
     }
--- a/gateway/src/main/java/gradereach/serve/InferenceLog.java
+++ b/gateway/src/main/java/gradereach/serve/InferenceLog.java
@@ -7,15 +7,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs one line for each inference that ends and one for each failure of the router. Logs no secrets and no payloads. */
+/** Logs each inference that ends, each failure of the router and the router's own log lines. Logs no secrets and no payloads. */
 final class InferenceLog implements InferenceCoordinator.InferenceListener {
     private static final Logger INFERENCE_LOG = LoggerFactory.getLogger("gradereach.inferences");
     private static final Logger MODULE_LOG = LoggerFactory.getLogger("gradereach.module");
 
-    private final List<String> customers;
+    private final List<String> customerNames;
 
-    InferenceLog(List<String> customers) {
-        this.customers = customers;
+    InferenceLog(List<String> customerNames) {
+        this.customerNames = customerNames;
     }
 
     @Override
@@ -26,7 +26,7 @@
         FinalAnswer answer = inference.answer();
         double firstForwardAt = inference.firstForwardSentAt();
         INFERENCE_LOG.atInfo().addKeyValue("id", inference.messageId())
-                .addKeyValue("customer", customers.get(inference.customer()))
+                .addKeyValue("customer", customerNames.get(inference.customer()))
                 .addKeyValue("model", inference.modelName()).addKeyValue("forwards", inference.forwardCount())
                 .addKeyValue("executor", inference.lastExecutorAddress())
                 .addKeyValue("outcome", answer == null ? "left" : answer.kind().name().toLowerCase())
--- a/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
+++ b/gateway/src/main/java/gradereach/serve/MetricsRecorder.java
@@ -15,18 +15,18 @@
     private final InferenceCoordinator.InferenceListener delegate;
     private final ServiceMetrics metrics;
     private final Map<ModelGroup, Integer> groupIndexes = new HashMap<>();
-    private final List<String> customers;
+    private final List<String> customerNames;
     private final long[] customerHashes;
     private final double overQuotaValue;
 
     MetricsRecorder(InferenceCoordinator.InferenceListener delegate, ServiceMetrics metrics, List<ModelGroup> groups,
-            List<String> customers, double overQuotaValue) {
+            List<String> customerNames, double overQuotaValue) {
         this.delegate = delegate;
         this.metrics = metrics;
-        this.customers = customers;
+        this.customerNames = customerNames;
         this.overQuotaValue = overQuotaValue;
         groups.forEach(group -> groupIndexes.put(group, groupIndexes.size()));
-        customerHashes = customers.stream().mapToLong(ModelCatalog::hash).map(MetricsRecorder::mixBits).toArray();
+        customerHashes = customerNames.stream().mapToLong(ModelCatalog::hash).map(MetricsRecorder::mixBits).toArray();
     }
 
     /** Mixes the bits of an FNV hash: its low bits alone would cluster in a hash table. */
@@ -50,7 +50,8 @@
         double elapsed = (Double.isNaN(inference.answerStartedAt()) ? now : inference.answerStartedAt()) - inference.receivedAt();
         boolean inSlo = elapsed <= group.sloTime();
         double returnedValue = endReason != ServiceMetrics.EndReason.RETURNED ? 0 : inSlo ? value : value * group.lateValueFraction();
-        metrics.recordInference(groupIndexes.get(group), customers.get(inference.customer()), customerHashes[inference.customer()],
+        metrics.recordInference(groupIndexes.get(group), customerNames.get(inference.customer()),
+                customerHashes[inference.customer()],
                 inference.modelName(), mixBits(inference.modelId()), endReason, value, returnedValue, inSlo, elapsed,
                 inference.firstForwardSentAt() - inference.receivedAt(), inference.forwardCount());
     }
--- a/gateway/src/main/java/gradereach/serve/WarmUp.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUp.java
@@ -34,16 +34,17 @@
 
     private WarmUp() { }
 
-    /** Runs the warm-up, over gRPC as well if {@code grpc}. A failure is logged and has no other effect. */
-    static void run(boolean grpc) {
+    /** Runs the warm-up, over gRPC as well if {@code usesGrpc}. A failure is logged and has no other effect. */
+    static void run(boolean usesGrpc) {
         long startedAt = System.nanoTime();
         EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         Path rosterFile = null;
         try {
             rosterFile = Files.createTempFile("warm-up", ".json");
-            Files.writeString(rosterFile, rosterJson(eventLoops));
+            Files.writeString(rosterFile, startExecutors(eventLoops));
             String key = WebhookKey.newSecret(new SecureRandom());
-            Gateway gateway = new Gateway(Deployment.of(deployment(rosterFile, key, grpc), rosterFile.getParent()), FaultInjection.NONE);
+            Gateway gateway = new Gateway(Deployment.of(deployment(rosterFile, key, usesGrpc), rosterFile.getParent()),
+                    FaultInjection.NONE);
             try {
                 InetSocketAddress address = gateway.listen();
                 try (WarmUpClients clients = new WarmUpClients(eventLoops, address, gateway.grpcAddress(), WebhookKey.parse(key))) {
@@ -66,11 +67,11 @@
             } catch (IOException e) {
                 LOG.debug("temporary roster of the warm-up not deleted: {}", rosterFile);
             }
-            LOG.atInfo().addKeyValue("took_ms", (System.nanoTime() - startedAt) / 1_000_000).log("warmed up");
+            LOG.atInfo().addKeyValue("took_ms", (System.nanoTime() - startedAt) / 1_000_000).log("warm-up ended");
         }
     }
 
-    private static ObjectNode deployment(Path rosterFile, String key, boolean grpc) {
+    private static ObjectNode deployment(Path rosterFile, String key, boolean usesGrpc) {
         ObjectNode deployment = new ObjectMapper().createObjectNode();
         deployment.put("name", "warm-up").put("listen", "127.0.0.1:0").putObject("roster").put("file", rosterFile.toString());
         deployment.putArray("customers").addObject().put("name", "nobody").putArray("keys").addObject().put("inline", key);
@@ -84,13 +85,14 @@
             }
             models.addObject().put("name", group + "-*").put("group", group).put("lanes", 8);
         }
-        if (grpc) {
+        if (usesGrpc) {
             deployment.putObject("grpc").put("listen", "127.0.0.1:0");
         }
         return deployment;
     }
 
-    private static String rosterJson(EventLoopGroup eventLoops) throws InterruptedException {
+    /** Starts the executors and returns a roster of them as JSON. */
+    private static String startExecutors(EventLoopGroup eventLoops) throws InterruptedException {
         List<String> slices = new ArrayList<>();
         for (int i = 0; i < EXECUTOR_COUNT; i++) {
             slices.add("{\"metadata\":{\"name\":\"slice-" + i + "\"},\"ports\":[{\"port\":" + EchoExecutor.listen(eventLoops)
--- a/gateway/src/main/java/gradereach/serve/WarmUpClients.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUpClients.java
@@ -30,7 +30,7 @@
 
 /**
  * Clients of the warm-up. They send inferences that succeed and some that end in each other way, over every protocol that
- * clients may use: where the first failure over a protocol has to load classes, its answer is late.
+ * clients may use. Without this, the first failure over each protocol would have to load classes, and its answer would be late.
  */
 final class WarmUpClients implements AutoCloseable {
     /** The first answers of a new process take 600 ms, those after a few hundred under 2 ms. */
@@ -42,7 +42,7 @@
     private static final long TIMEOUT_MILLIS = 3000;
     /** Enough for a forward over a new connection, but short, since all unanswered inferences wait that long. */
     private static final int FAILING_BUDGET_MILLIS = 150;
-    /** Time after which some clients cancel. */
+    /** Time after which the clients that cancel do so. */
     private static final long CANCEL_AFTER_MILLIS = 50;
     private static final List<String> FAILURES = List.of(EchoExecutor.ERROR, EchoExecutor.SILENT, EchoExecutor.RESET);
 
@@ -136,7 +136,7 @@
         byte[] body = body(model, budgetMillis);
         long timestamp = unixSeconds();
         Http2ConnectionPool.Request request = pool.send("POST", "/v1/inferences", body,
-                (end, status, headers, content) -> permits.release(), "content-type", "application/json", "webhook-id", id,
+                (result, status, headers, content) -> permits.release(), "content-type", "application/json", "webhook-id", id,
                 "webhook-timestamp", Long.toString(timestamp), "webhook-signature",
                 "v1," + key.sign(badSignature ? "forged" : id, timestamp, body));
         if (cancels) {
@@ -163,30 +163,31 @@
     private void call(String model, long budgetMillis, boolean streamed, boolean badSignature, boolean cancels)
             throws InterruptedException {
         permits.acquire();
-        ModelInferRequest bare = ModelInferRequest.newBuilder().setModelName(model).setId(nextId())
+        ModelInferRequest unsignedRequest = ModelInferRequest.newBuilder().setModelName(model).setId(nextId())
                 .putParameters("gradereach-budget-ms", InferParameter.newBuilder().setInt64Param(budgetMillis).build()).build();
         long timestamp = unixSeconds();
         String method = (streamed ? GRPCInferenceServiceGrpc.getModelStreamInferMethod()
                 : GRPCInferenceServiceGrpc.getModelInferMethod()).getFullMethodName();
-        String signature = "v1," + key.sign(badSignature ? "forged" : bare.getId(), timestamp,
-                CallSignature.signedContent(method, CallSignature.digest(bare)));
+        String signature = "v1," + key.sign(badSignature ? "forged" : unsignedRequest.getId(), timestamp,
+                CallSignature.signedContent(method, CallSignature.digest(unsignedRequest)));
         GRPCInferenceServiceGrpc.GRPCInferenceServiceStub stub = GRPCInferenceServiceGrpc.newStub(channel)
                 .withDeadlineAfter(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         CallObserver<?> observer;
         if (streamed) {
             CallObserver<ModelStreamInferResponse> streamObserver = new CallObserver<>();
             StreamObserver<ModelInferRequest> requests = stub.modelStreamInfer(streamObserver);
-            requests.onNext(bare.toBuilder().putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(timestamp)))
+            requests.onNext(unsignedRequest.toBuilder()
+                    .putParameters(CallSignature.TIMESTAMP, stringParameter(Long.toString(timestamp)))
                     .putParameters(CallSignature.SIGNATURE, stringParameter(signature)).build());
             requests.onCompleted();
             observer = streamObserver;
         } else {
             Metadata headers = new Metadata();
-            Map.of(CallSignature.ID, bare.getId(), CallSignature.TIMESTAMP, Long.toString(timestamp), CallSignature.SIGNATURE,
-                    signature).forEach((name, value) -> headers.put(
+            Map.of(CallSignature.ID, unsignedRequest.getId(), CallSignature.TIMESTAMP, Long.toString(timestamp),
+                    CallSignature.SIGNATURE, signature).forEach((name, value) -> headers.put(
                             Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER), value));
             CallObserver<ModelInferResponse> unaryObserver = new CallObserver<>();
-            stub.withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers)).modelInfer(bare, unaryObserver);
+            stub.withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers)).modelInfer(unsignedRequest, unaryObserver);
             observer = unaryObserver;
         }
         if (cancels) {
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
@@ -63,7 +63,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The gRPC server on loopback sockets, with the library's own client and stand-in executors. */
+/** The gRPC server on loopback sockets, with grpc-java's own client and stand-in executors. */
 @Timeout(60)
 class GrpcServerTest {
     private final String secret = WebhookKey.newSecret(new SecureRandom());
@@ -301,8 +301,8 @@
 
     // ---- streams ---------------------------------------------------------------------------------------------
 
-    private ModelInferRequest signedStreamRequest(String id, String model, double work) {
-        return GrpcTestSupport.signedRequest(key, id, request(model, work));
+    private ModelInferRequest signedStreamRequest(String id, String model, double workMillis) {
+        return GrpcTestSupport.signedRequest(key, id, request(model, workMillis));
     }
 
     private StreamObserver<ModelInferRequest> openStream(RecordingClient client) {
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcTestSupport.java
@@ -33,22 +33,23 @@
 
     /** Returns a request for a streaming call, which carries its signature in its parameters. */
     static ModelInferRequest signedRequest(WebhookKey key, String id, ModelInferRequest request) {
-        ModelInferRequest bare = request.toBuilder().setId(id).build();
+        ModelInferRequest unsignedRequest = request.toBuilder().setId(id).build();
         long now = System.currentTimeMillis() / 1000;
-        return bare.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
+        return unsignedRequest.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
                 .putParameters("webhook-signature", stringParameter("v1," + key.sign(id, now,
-                        CallSignature.signedContent(GrpcInferenceService.STREAMING_METHOD, CallSignature.digest(bare))))).build();
+                        CallSignature.signedContent(GrpcInferenceService.STREAMING_METHOD,
+                                CallSignature.digest(unsignedRequest))))).build();
     }
 
-    /** Client of a streaming call that records the responses and the final status. Without {@code readsAll} it reads one response only. */
+    /** Client of a streaming call that records the responses and the final status. It reads either all responses or only one. */
     static final class RecordingClient implements ClientResponseObserver<ModelInferRequest, ModelStreamInferResponse> {
         final List<ModelStreamInferResponse> answers = Collections.synchronizedList(new ArrayList<>());
         final CompletableFuture<Status> endStatus = new CompletableFuture<>();
         private final boolean readsAll;
         ClientCallStreamObserver<ModelInferRequest> call;
 
-        RecordingClient(boolean reads) {
-            this.readsAll = reads;
+        RecordingClient(boolean readsAll) {
+            this.readsAll = readsAll;
         }
 
         @Override
--- a/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/StreamedAnswersTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Streamed answers from one stand-in executor over gRPC through the front end to the library's client. */
+/** Streamed answers from one stand-in executor over gRPC through the front end to grpc-java's client. */
 @Timeout(60)
 class StreamedAnswersTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -154,7 +154,10 @@
         assertEquals(1, fleet.closeAndCountRuns().get("yard/p"));
     }
 
-    /** A streamed answer too long to be recorded: a repeat runs again if retriable, otherwise it is told that the parts were not kept. */
+    /**
+     * A streamed answer is too long to be recorded. A repeat of a retriable message runs again; a repeat of any other is
+     * answered with the statement that the parts were not kept.
+     */
     @ParameterizedTest
     @CsvSource({"tell-1, 2", "sign-1, 1"})
     void anUnrecordedAnswerRunsAgainOnlyIfRetriable(String model, int runs) throws Exception {
@@ -194,8 +197,9 @@
     }
 
     /**
-     * An answer that its client does not read is not read from its executor either, others are not delayed, and it is complete
-     * once the client reads on. Guards against window updates that are never flushed, which made an executor wait forever.
+     * An answer that its client does not read is not read from its executor either. Other answers are not delayed, and the
+     * slow one is complete once its client reads on. Guards against window updates that are never flushed, for which an
+     * executor would wait forever.
      */
     @Test
     void aSlowReaderSlowsOnlyItsOwnExecutorStream() throws Exception {
@@ -269,7 +273,7 @@
         for (int i = 0; i < 4; i++) {
             assertTrue(summary(client, "t" + i).endsWith("50 final 50"));
         }
-        // Once all answers have started, none is far ahead of another.
+        // While all answers are in progress, none is far ahead of another.
         int[] received = new int[4];
         int maxLead = 0;
         for (ModelStreamInferResponse answer : client.answers) {
--- a/gateway/src/test/java/gradereach/http2/Http2ConnectionPoolTest.java
+++ b/gateway/src/test/java/gradereach/http2/Http2ConnectionPoolTest.java
@@ -103,6 +103,7 @@
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
+    /** Responds to the request of one stream as its path tells. */
     private static final class ScriptedStreamHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
@@ -157,7 +158,7 @@
         assertEquals(0, results.size());
     }
 
-    /** As when the executor began to drain, or the client disconnected, while the connection was being established. */
+    /** As if the executor had begun to drain, or the client had disconnected, while the connection was being established. */
     @Test
     void requestNotWrittenWhenWriteConditionIsFalse() throws InterruptedException {
         pool.send(() -> false, "GET", "/ok", new byte[0], (result, status, headers, body) -> results.add(result + ""));
@@ -196,7 +197,10 @@
         assertEquals("/never GIVEN_UP", results.take());
     }
 
-    /** The peer allows two streams a connection and the pool two connections; a request beyond that fails and proves not to have run. */
+    /**
+     * The peer allows two streams per connection and the pool two connections. A request beyond that fails, and its result
+     * proves that it has not run.
+     */
     @Test
     void respectsLimitsOfPeerAndPool() throws InterruptedException {
         send(pool, "/x");
@@ -209,7 +213,7 @@
             Thread.onSpinWait();
         }
         send(pool, "/full");
-        // If the second connection's SETTINGS have not arrived yet, the peer refuses the stream. Both prove that it never ran.
+        // The peer refuses the stream if the second connection's SETTINGS have not arrived yet. Both prove that it never ran.
         assertTrue(Set.of("/full NO_STREAM", "/full REFUSED").contains(results.take()));
         open.get(0).cancel();
         assertEquals("/never GIVEN_UP", results.take());
--- a/gateway/src/test/java/gradereach/http2/StalledPeerTest.java
+++ b/gateway/src/test/java/gradereach/http2/StalledPeerTest.java
@@ -138,7 +138,10 @@
         assertEquals("reset", framesSeen.poll(20, TimeUnit.SECONDS));
     }
 
-    /** Guards against the same when the peer does not read for a while; the request is cancelled or its deadline passes. */
+    /**
+     * Guards against a body that is written late because the peer did not read from its socket for a while. Meanwhile the
+     * request is cancelled, or its deadline passes.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void bodyWaitingForSocketIsNeverWrittenLate(boolean cancelled) throws Exception {
--- a/gateway/src/test/java/gradereach/http2/StreamAllocatorTest.java
+++ b/gateway/src/test/java/gradereach/http2/StreamAllocatorTest.java
@@ -115,7 +115,7 @@
                 default -> {
                     if (!allocator.connections().isEmpty() && random.nextInt(10) == 0) {
                         PooledConnection<String> closed = allocator.connections().get(random.nextInt(allocator.connections().size()));
-                        streams.removeIf(s -> s == closed);
+                        streams.removeIf(connection -> connection == closed);
                         allocator.onConnectionClosed(closed);
                     }
                 }
@@ -125,9 +125,10 @@
                 streams.add(allocator.busiestAvailable());
                 allocator.onStreamStarted(streams.get(streams.size() - 1));
             }
-            long usable = allocator.connections().stream().filter(s -> !s.isDraining()).count() + allocator.connectingCount();
+            long usable = allocator.connections().stream().filter(connection -> !connection.isDraining()).count()
+                    + allocator.connectingCount();
             assertTrue(usable <= 2, "at step " + step);
-            assertTrue(allocator.connections().stream().allMatch(s -> s.activeStreams() <= 3));
+            assertTrue(allocator.connections().stream().allMatch(connection -> connection.activeStreams() <= 3));
             assertEquals(streams.size(), allocator.connections().stream().mapToInt(PooledConnection::activeStreams).sum());
         }
     }
--- a/gateway/src/test/java/gradereach/loop/DecisionLoopTest.java
+++ b/gateway/src/test/java/gradereach/loop/DecisionLoopTest.java
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Guards against an idle front end that uses a part of a core. */
+    /** Guards against an idle front end whose decision thread keeps waking up and uses a part of a core. */
     @Test
     void sleepsWhileOnlyDistantTimersAreSet() throws InterruptedException {
         Counts counts = new Counts();
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Ten wake-ups a second cost almost nothing; the loop sleeps for up to 50 ms at a time. */
+    /** The loop sleeps for up to 50 ms at a time; twice as many wake-ups as that needs still cost almost nothing. */
     private static final int SHORTEST_IDLE_SLEEP_MILLIS = 25;
 
     /** A coordinator that is given no work. */
--- a/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayRosterOutageTest.java
@@ -33,12 +33,14 @@
 class GatewayRosterOutageTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MODELS = 6;
-    /** How long the roster stays valid after a failure, the drain grace, and the duration of a failed attempt before it. */
+    /** How long the roster stays valid after it could not be read. */
     private static final double ROSTER_VALIDITY_MILLIS = 4000;
+    /** How long an executor may still be used after its drain was announced. */
     private static final double DRAIN_GRACE_MILLIS = 500;
+    /** How long the front end tries to read the roster before the attempt fails. */
     private static final double FAILED_ATTEMPT_MILLIS = 600;
     private static final double OUTAGE_MILLIS = 8000;
-    /** Allows for the way of the last forward and the recording of both events, which use the clock of one machine. */
+    /** Time for the last forward to arrive and for the recording of both events, which use the clock of the same machine. */
     private static final double SLACK_MILLIS = 50;
 
     private final String secret = WebhookKey.newSecret(new SecureRandom());
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -404,8 +404,8 @@
     }
 
     /**
-     * Retriable inferences are forwarded again to the other executor. Models are placed by the executors' ports, which differ
-     * from run to run, so models are requested until one has been sent to the broken executor.
+     * Retriable inferences are forwarded again to the other executor. Which executor gets a model depends on the executors'
+     * ports, which differ from run to run, so models are requested until one has been sent to the broken executor.
      */
     @Test
     void retriableInferencesAreRetriedOnAnotherExecutor() throws Exception {
--- a/gateway/src/test/java/gradereach/serve/WarmUpTest.java
+++ b/gateway/src/test/java/gradereach/serve/WarmUpTest.java
@@ -61,6 +61,7 @@
             }
             Process frontEnd = startFrontEnd(deployment(silentExecutors.stream().mapToInt(ServerSocket::getLocalPort).toArray()));
             try (BufferedReader output = frontEnd.inputReader()) {
+                // listening HOST:PORT admin HOST:PORT grpc HOST:PORT
                 String[] listeningLine = output.readLine().split(" ");
                 awaitReady("http://" + listeningLine[3] + "/readyz");
                 List<String> before = loadedClasses();
@@ -140,16 +141,18 @@
     }
 
     private String call(ManagedChannel channel, String model) {
-        ModelInferRequest bare = request(model + "-u", model);
+        ModelInferRequest unsignedRequest = request(model + "-u", model);
         long now = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
-        headers.put(Metadata.Key.of("webhook-id", Metadata.ASCII_STRING_MARSHALLER), bare.getId());
+        headers.put(Metadata.Key.of("webhook-id", Metadata.ASCII_STRING_MARSHALLER), unsignedRequest.getId());
         headers.put(Metadata.Key.of("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
-        headers.put(Metadata.Key.of("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + key.sign(bare.getId(), now,
-                CallSignature.signedContent("inference.GRPCInferenceService/ModelInfer", CallSignature.digest(bare))));
+        headers.put(Metadata.Key.of("webhook-signature", Metadata.ASCII_STRING_MARSHALLER),
+                "v1," + key.sign(unsignedRequest.getId(), now,
+                        CallSignature.signedContent("inference.GRPCInferenceService/ModelInfer",
+                                CallSignature.digest(unsignedRequest))));
         try {
             GRPCInferenceServiceGrpc.newBlockingStub(channel)
-                    .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers)).modelInfer(bare);
+                    .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers)).modelInfer(unsignedRequest);
             return "OK";
         } catch (StatusRuntimeException e) {
             return e.getStatus().getCode().name();
@@ -157,7 +160,7 @@
     }
 
     private String stream(ManagedChannel channel, String model) throws Exception {
-        ModelInferRequest bare = request(model + "-s", model);
+        ModelInferRequest unsignedRequest = request(model + "-s", model);
         long now = System.currentTimeMillis() / 1000;
         CompletableFuture<ModelStreamInferResponse> response = new CompletableFuture<>();
         StreamObserver<ModelInferRequest> requests = GRPCInferenceServiceGrpc.newStub(channel).modelStreamInfer(new StreamObserver<>() {
@@ -174,9 +177,10 @@
             @Override
             public void onCompleted() { }
         });
-        requests.onNext(bare.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
-                .putParameters("webhook-signature", stringParameter("v1," + key.sign(bare.getId(), now,
-                        CallSignature.signedContent("inference.GRPCInferenceService/ModelStreamInfer", CallSignature.digest(bare)))))
+        requests.onNext(unsignedRequest.toBuilder().putParameters("webhook-timestamp", stringParameter(Long.toString(now)))
+                .putParameters("webhook-signature", stringParameter("v1," + key.sign(unsignedRequest.getId(), now,
+                        CallSignature.signedContent("inference.GRPCInferenceService/ModelStreamInfer",
+                                CallSignature.digest(unsignedRequest)))))
                 .build());
         requests.onCompleted();
         return response.get(10, TimeUnit.SECONDS).getInferResponse().getParametersOrThrow("grpc-status").getStringParam();
