--- a/gateway/src/main/java/gradereach/front/WebhookServer.java
+++ b/gateway/src/main/java/gradereach/front/WebhookServer.java
@@ -38,7 +38,13 @@
  * (HTTP/2 with prior knowledge, RFC 9113, 3.3).
  */
 public final class WebhookServer implements AutoCloseable {
-    /** Limits of the listener. */
+    /**
+     * Limits of the listener.
+     *
+     * @param messageTimeoutMillis time within which a message must be received completely
+     * @param idleTimeoutMillis time after which a connection is closed on which nothing is received or answered
+     * @param maxConcurrentStreams open streams of one HTTP/2 connection
+     */
     public record Limits(int maxConnections, int maxHeaderBytes, int maxBodyBytes, long messageTimeoutMillis,
             long idleTimeoutMillis, int maxConcurrentStreams) { }
 
--- a/gateway/src/main/java/gradereach/loop/DecisionLoop.java
+++ b/gateway/src/main/java/gradereach/loop/DecisionLoop.java
@@ -22,8 +22,8 @@
  * one iteration form one event batch and have the same time.
  *
  * <p>Other threads pass events to it through two queues. New messages go through a bounded queue, which rejects them when it is
- * full. Results of requests that the coordinator sent go through an unbounded queue; it never holds more results than there are
- * forwards, load orders and probes in flight.
+ * full. All other events go through an unbounded queue, for instance disconnects of clients, roster updates and results of
+ * requests that the coordinator sent. It never holds more such results than there are forwards, load orders and probes in flight.
  */
 public final class DecisionLoop implements Timers, AutoCloseable {
     /** About 2 ms of work, so that timers stay on time under any load. */
@@ -49,10 +49,12 @@
     private final LongAdder wakeUps;
     private final LongAdder eventsHandled;
     private final DeadlineTimerWheel wheel;
+    /** Set timers by their id in the wheel. */
     private final Long2ObjectHashMap<Timer> timers = new Long2ObjectHashMap<>();
     private final List<Timer> dueTimers = new ArrayList<>();
     private final InferenceCoordinator coordinator;
     private final Thread thread;
+    /** The thread sleeps or is about to, so that whoever queues an event has to wake it. */
     private volatile boolean asleep;
     private volatile boolean stopping;
     private volatile Throwable fatalError;
@@ -108,7 +110,7 @@
         return true;
     }
 
-    /** Queues the result of something that the coordinator sent, a client's disconnect or a roster update; never rejected. */
+    /** Queues any other event, such as the result of a request that the coordinator sent or a roster update; never rejected. */
     public void post(Consumer<InferenceCoordinator> event) {
         postedEvents.offer(event);
         wakeUp();
--- a/gateway/src/main/java/gradereach/serve/WarmUpClients.java
+++ b/gateway/src/main/java/gradereach/serve/WarmUpClients.java
@@ -66,7 +66,10 @@
         channel = grpcAddress == null ? null : NettyChannelBuilder.forAddress(grpcAddress).usePlaintext().disableRetry().build();
     }
 
-    /** Sends inferences of one group that succeed, and some with bad signatures, so that rejections are warmed up as well. */
+    /**
+     * Sends inferences of one group that succeed, and some with bad signatures, so that rejections are warmed up as well. Some
+     * answers contain a tensor, and some inferences are sent over HTTP/1.1.
+     */
     void runSuccessful(String group) throws InterruptedException, IOException {
         long deadline = newDeadline();
         for (int i = 0; i < SUCCESSFUL_WEBHOOKS && System.nanoTime() < deadline; i++) {
--- a/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
@@ -103,7 +103,7 @@
         }
     }
 
-    private static <T> Metadata.Key<T> key(String name, Metadata.AsciiMarshaller<T> marshaller) {
+    private static <T> Metadata.Key<T> metadataKey(String name, Metadata.AsciiMarshaller<T> marshaller) {
         return Metadata.Key.of(name, marshaller);
     }
 
@@ -111,9 +111,9 @@
             WebhookKey signingKey) {
         long now = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
-        headers.put(key("webhook-id", Metadata.ASCII_STRING_MARSHALLER), id);
-        headers.put(key("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
-        headers.put(key("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + signingKey.sign(id, now,
+        headers.put(metadataKey("webhook-id", Metadata.ASCII_STRING_MARSHALLER), id);
+        headers.put(metadataKey("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
+        headers.put(metadataKey("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + signingKey.sign(id, now,
                 CallSignature.signedContent(GrpcInferenceService.UNARY_METHOD, CallSignature.digest(request))));
         return GRPCInferenceServiceGrpc.newBlockingStub(channel)
                 .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
--- a/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
+++ b/gateway/src/test/java/gradereach/link/GrpcExecutorsTest.java
@@ -58,6 +58,10 @@
         assertThrows(IOException.class, () -> GrpcFraming.decodeResponse(java.util.HexFormat.of().parseHex(hex)));
     }
 
+    /**
+     * A non-retriable inference runs at most once at a gRPC executor, although its forward is refused or its stream is reset
+     * before, during or after the work, and its client repeats it until the outcome is known.
+     */
     @Test
     void webhookInferenceRunsAtGrpcExecutor() throws Exception {
         SmallFleet fleet = new SmallFleet(folder, 1);
@@ -79,7 +83,7 @@
                         "{\"kind\":\"" + fault + "\",\"ex\":0,\"for_ms\":400}")).build(), HttpResponse.BodyHandlers.discarding());
                 assertEquals(200, faultSet.statusCode());
                 firstStatuses.put(fault, sendInference(url, fault, "book-1").statusCode() + "");
-                // Repeated until the outcome is known: an inference that ran gets its answer, one that did not run continues.
+                // Repeated until the outcome is known: an inference that ran gets its answer, another one is forwarded again.
                 while (!fault.equals("reset_before") && sendInference(url, fault, "book-1").statusCode() != 200) {
                     Thread.sleep(5);
                 }
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -141,7 +141,7 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        // text replaced in a valid header | replacement | expected status | expected error code
+        // text to replace in a valid request head | replacement | expected status | expected error code
         "POST /v1/inferences | POST /v2/inferences | 404 | no-such-path", "POST | GET | 405 | not-post",
         "application/json | text/plain | 415 | wrong-type", "webhook-id: x | webhook-id: y | 401 | not-signed",
         "webhook-id: x\\r\\n | `` | 400 | no-id", "v1, | v7, | 400 | no-signature",
--- a/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
+++ b/gateway/src/test/java/gradereach/serve/MetricsPushTest.java
@@ -49,7 +49,7 @@
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(), HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
-    /** The series at the receiver match the inferences served, even if it drops half of the requests. */
+    /** The series at the receiver match the inferences served, even if it drops half of the requests or takes only version 1. */
     @ParameterizedTest
     @ValueSource(strings = {"none", "drop-half", "only-one"})
     void pushedSeriesMatchTheServedInferences(String fault) throws Exception {
