--- a/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
+++ b/gateway/src/test/java/gradereach/grpcfront/GrpcServerTest.java
@@ -63,7 +63,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The gRPC server on loopback sockets, with the library's own client and stand-in executors. */
+/** The gRPC server on loopback sockets, with grpc-java's own client and stand-in executors. */
 @Timeout(60)
 class GrpcServerTest {
     private final String secret = WebhookKey.newSecret(new SecureRandom());
@@ -103,7 +103,7 @@
         }
     }
 
-    private static <T> Metadata.Key<T> key(String name, Metadata.AsciiMarshaller<T> marshaller) {
+    private static <T> Metadata.Key<T> metadataKey(String name, Metadata.AsciiMarshaller<T> marshaller) {
         return Metadata.Key.of(name, marshaller);
     }
 
@@ -111,9 +111,9 @@
             WebhookKey signingKey) {
         long now = System.currentTimeMillis() / 1000;
         Metadata headers = new Metadata();
-        headers.put(key("webhook-id", Metadata.ASCII_STRING_MARSHALLER), id);
-        headers.put(key("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
-        headers.put(key("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + signingKey.sign(id, now,
+        headers.put(metadataKey("webhook-id", Metadata.ASCII_STRING_MARSHALLER), id);
+        headers.put(metadataKey("webhook-timestamp", Metadata.ASCII_STRING_MARSHALLER), Long.toString(now));
+        headers.put(metadataKey("webhook-signature", Metadata.ASCII_STRING_MARSHALLER), "v1," + signingKey.sign(id, now,
                 CallSignature.signedContent(GrpcInferenceService.UNARY_METHOD, CallSignature.digest(request))));
         return GRPCInferenceServiceGrpc.newBlockingStub(channel)
                 .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
@@ -301,8 +301,8 @@
 
     // ---- streams ---------------------------------------------------------------------------------------------
 
-    private ModelInferRequest signedStreamRequest(String id, String model, double work) {
-        return GrpcTestSupport.signedRequest(key, id, request(model, work));
+    private ModelInferRequest signedStreamRequest(String id, String model, double workMillis) {
+        return GrpcTestSupport.signedRequest(key, id, request(model, workMillis));
     }
 
     private StreamObserver<ModelInferRequest> openStream(RecordingClient client) {
