--- a/standins/src/main/java/gradereach/standins/ForwardOutcomes.java
+++ b/standins/src/main/java/gradereach/standins/ForwardOutcomes.java
@@ -15,7 +15,7 @@
  * threads.
  */
 final class ForwardOutcomes {
-    private static final long RETENTION_MILLIS = 60_000; // how long an outcome is kept after the end of its forward
+    private static final long RETENTION_MILLIS = 60_000; // time for which an outcome is kept after its forward has ended
     private static final int MAX_FENCES = 100_000;
 
     /**
@@ -31,9 +31,9 @@
     private final int maxFences;
     /** Random id of this process; up to 15 digits make it practically unique. */
     private final long processId = new SecureRandom().nextLong(1_000_000_000_000_000L);
-    /** Answers by forward; empty while the forward runs. */
+    /** Answers by forward id; empty while the forward runs. */
     private final Map<String, String> outputs = new HashMap<>();
-    /** Fences are never removed, since a forward may be delivered at any time. */
+    /** Ids of the fenced forwards; they are never removed, since a forward may be delivered at any time. */
     private final Set<String> fencedForwards = new HashSet<>();
 
     /** @param upSince start of the process in Unix milliseconds, by the clock of its machine */
@@ -57,37 +57,37 @@
     }
 
     /** Starts a forward; returns false if it is fenced and must not run. */
-    synchronized boolean tryStart(String forward) {
-        if (fencedForwards.contains(forward)) {
+    synchronized boolean tryStart(String forwardId) {
+        if (fencedForwards.contains(forwardId)) {
             return false;
         }
-        outputs.put(forward, "");
+        outputs.put(forwardId, "");
         return true;
     }
 
-    synchronized void complete(String forward, String output) {
-        outputs.put(forward, output);
-        loop.schedule(() -> remove(forward), RETENTION_MILLIS, TimeUnit.MILLISECONDS);
+    synchronized void complete(String forwardId, String output) {
+        outputs.put(forwardId, output);
+        loop.schedule(() -> remove(forwardId), RETENTION_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Removes a forward that was rejected or whose retention has ended. */
-    synchronized void remove(String forward) {
-        outputs.remove(forward);
+    synchronized void remove(String forwardId) {
+        outputs.remove(forwardId);
     }
 
     /** Looks up the outcome of a forward; an unknown forward is fenced unless the limit of fences is reached. */
-    synchronized ForwardLookup findOrFence(String forward) {
-        String output = outputs.get(forward);
+    synchronized ForwardLookup findOrFence(String forwardId) {
+        String output = outputs.get(forwardId);
         if (output == null) {
-            return new ForwardLookup(404, "{}", tryFence(forward));
+            return new ForwardLookup(404, "{}", tryFence(forwardId));
         }
         return output.isEmpty() ? new ForwardLookup(202, "{}", false) : new ForwardLookup(200, output, false);
     }
 
-    private boolean tryFence(String forward) {
+    private boolean tryFence(String forwardId) {
         if (fencedForwards.size() < maxFences) {
-            fencedForwards.add(forward);
+            fencedForwards.add(forwardId);
         }
-        return fencedForwards.contains(forward);
+        return fencedForwards.contains(forwardId);
     }
 }
--- a/standins/src/main/java/gradereach/standins/ReservedPort.java
+++ b/standins/src/main/java/gradereach/standins/ReservedPort.java
@@ -43,12 +43,12 @@
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), number());
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).childHandler(connectionHandler);
-        ChannelFuture bound = bootstrap.bind(address).await();
-        for (int tries = 1; bound.cause() instanceof BindException && tries < MAX_BIND_ATTEMPTS; tries++) {
+        ChannelFuture bindFuture = bootstrap.bind(address).await();
+        for (int attempts = 1; bindFuture.cause() instanceof BindException && attempts < MAX_BIND_ATTEMPTS; attempts++) {
             Thread.sleep(BIND_RETRY_MILLIS);
-            bound = bootstrap.bind(address).await();
+            bindFuture = bootstrap.bind(address).await();
         }
-        return bound.sync().channel();
+        return bindFuture.sync().channel();
     }
 
     @Override
--- a/standins/src/main/java/gradereach/standins/RosterServer.java
+++ b/standins/src/main/java/gradereach/standins/RosterServer.java
@@ -38,7 +38,7 @@
     private final Transcript transcript;
     private final Map<String, ObjectNode> slices = new LinkedHashMap<>();
     private final CopyOnWriteArrayList<Watcher> watchers = new CopyOnWriteArrayList<>();
-    private long version = 1;
+    private long resourceVersion = 1;
     /** Whether open watches end and every request is answered 503. */
     volatile boolean unavailable;
     /** Whether slices contain a uid, which a later executor at the same address does not share. */
@@ -56,12 +56,16 @@
         return server.getAddress().getPort();
     }
 
-    /** @param state ready, draining or gone (removed) */
+    /**
+     * Lists an executor with its state, or removes it, and sends the change to all open watches.
+     *
+     * @param state {@code ready}, {@code draining}, or {@code gone} to remove the executor
+     */
     synchronized void publish(StandInExecutor executor, String state) {
         String name = executor.instance();
         ObjectNode slice = JSON.createObjectNode();
         ObjectNode metadata = slice.putObject("metadata").put("name", name).put("namespace", "rehearsal")
-                .put("resourceVersion", Long.toString(++version));
+                .put("resourceVersion", Long.toString(++resourceVersion));
         if (executor.startedAt > 0) {
             metadata.putObject("annotations").put("gradereach.io/started-at",
                     Instant.ofEpochMilli((long) executor.startedAt).toString());
@@ -77,8 +81,8 @@
         if (includeUids) {
             endpoint.putObject("targetRef").put("uid", name);
         }
-        boolean listed = slices.containsKey(name);
-        if (!listed && state.equals("gone")) {
+        boolean wasListed = slices.containsKey(name);
+        if (!wasListed && state.equals("gone")) {
             return;
         }
         if (state.equals("gone")) {
@@ -87,7 +91,7 @@
             slices.put(name, slice);
         }
         ObjectNode event = JSON.createObjectNode().put("type",
-                state.equals("gone") ? "DELETED" : listed ? "MODIFIED" : "ADDED");
+                state.equals("gone") ? "DELETED" : wasListed ? "MODIFIED" : "ADDED");
         event.set("object", slice);
         watchers.forEach(watcher -> watcher.events.add(event));
     }
@@ -104,7 +108,7 @@
             byte[] list;
             synchronized (this) {
                 ObjectNode endpointSliceList = JSON.createObjectNode().put("kind", "EndpointSliceList");
-                endpointSliceList.putObject("metadata").put("resourceVersion", Long.toString(version));
+                endpointSliceList.putObject("metadata").put("resourceVersion", Long.toString(resourceVersion));
                 ArrayNode items = endpointSliceList.putArray("items");
                 slices.values().forEach(items::add);
                 list = JSON.writeValueAsBytes(endpointSliceList);
@@ -117,8 +121,8 @@
         }
         Watcher watcher = new Watcher(frontEnd, new LinkedBlockingQueue<>());
         synchronized (this) {
-            String since = exchange.getRequestURI().getQuery().replaceAll(".*resourceVersion=(\\d+).*", "$1");
-            if (!since.equals(Long.toString(version))) {
+            String requestedVersion = exchange.getRequestURI().getQuery().replaceAll(".*resourceVersion=(\\d+).*", "$1");
+            if (!requestedVersion.equals(Long.toString(resourceVersion))) {
                 ObjectNode expired = JSON.createObjectNode().put("type", "ERROR");
                 expired.putObject("object").put("kind", "Status").put("code", 410);
                 watcher.events.add(expired);
@@ -145,7 +149,7 @@
         }
     }
 
-    /** The requested duration of a watch. */
+    /** The requested duration of a watch in seconds. */
     private static long timeoutSeconds(String query) {
         return query.contains("timeoutSeconds=") ? Long.parseLong(query.replaceAll(".*timeoutSeconds=(\\d+).*", "$1"))
                 : DEFAULT_WATCH_SECONDS;
--- a/standins/src/main/java/gradereach/standins/SimulatedMachine.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedMachine.java
@@ -18,15 +18,28 @@
  * protocol; used by one event loop only.
  */
 final class SimulatedMachine {
-    /** Capacity and limits of a machine; memory in MB, times in milliseconds. */
+    /**
+     * Capacity and limits of a machine; memory in MB, times in milliseconds.
+     *
+     * @param maxQueuedJobs inferences that may wait for the lanes of one model
+     * @param idleTimeoutMillis time without use after which a copy is evicted
+     * @param startFraction fraction of its capacity that a cold machine has at its start
+     * @param warmUpMillis time until a cold machine has its full capacity; 0 if it has it from the start
+     * @param overloadMultiple multiple of the current capacity at which a cold machine crashes; 0 for never
+     * @param overloadWindowMillis window within which the arriving work is compared with the capacity
+     */
     record MachineConfig(double cores, double memoryMb, int maxQueuedJobs, int maxConcurrentLoads, double idleTimeoutMillis,
             double startFraction, double warmUpMillis, double overloadMultiple, double overloadWindowMillis) { }
 
     /** Properties of a model; memory in MB, times in milliseconds. */
     record ModelSpec(String name, String group, String retrySafety, double memoryMb, int lanes, double loadMillis, double workMillis) { }
 
-    /** Receives the end of a job; {@code loadStatus} is the value of the protocol's {@code model-warmth} header. */
+    /** Receives the end of a job. */
     interface JobListener {
+        /**
+         * @param loadStatus value of the protocol's {@code model-warmth} header
+         * @param concurrency number of other inferences of the model when this one arrived
+         */
         void onCompleted(String loadStatus, int concurrency);
 
         void onModelUnavailable(boolean loadFailed);
@@ -34,20 +47,20 @@
         void onQueueFull();
     }
 
-    /** One inference; {@code work} and {@code remainingWork} are milliseconds on an unshared core. */
+    /** One inference; its work is measured in milliseconds on an unshared core. */
     final class Job {
         final JobListener listener;
-        final double work;
+        final double workMillis;
         final HostedModel model;
         final int concurrency;
         String loadStatus = "loaded";
-        double remainingWork;
+        double remainingWorkMillis;
         boolean running;
 
-        Job(JobListener listener, double work, HostedModel model, int concurrency) {
+        Job(JobListener listener, double workMillis, HostedModel model, int concurrency) {
             this.listener = listener;
-            this.work = work;
-            this.remainingWork = work;
+            this.workMillis = workMillis;
+            this.remainingWorkMillis = workMillis;
             this.model = model;
             this.concurrency = concurrency;
         }
@@ -68,24 +81,28 @@
         }
     }
 
-    /** A load order that waits until {@code copies} copies are loaded or a load fails. */
-    private record PendingLoadOrder(int copies, BiConsumer<Integer, Integer> answer) { }
+    /** A load order that waits until {@code requiredCopies} copies are loaded or a load fails. */
+    private record PendingLoadOrder(int requiredCopies, BiConsumer<Integer, Integer> answer) { }
 
     private final EventLoop loop;
     private final MachineConfig config;
     private final SimulatedModelStore modelStore;
+    /** Receives the transcript event of a crash. */
     private final Consumer<String> eventSink;
     private final Map<String, HostedModel> hostedModels = new LinkedHashMap<>();
     private final List<Job> runningJobs = new ArrayList<>();
     private final ArrayDeque<HostedModel> loadQueue = new ArrayDeque<>();
-    /** Arrival time and usual work of each inference within the overload window. */
+    /** Arrival time and usual work, both in milliseconds, of each inference within the overload window. */
     private final ArrayDeque<double[]> recentWork = new ArrayDeque<>();
-    private double recentWorkSum;
+    private double recentWorkMillis;
     private int activeLoads;
+    /** Time up to which the work of the running jobs has been counted. */
     private double advancedAt;
     private ScheduledFuture<?> nextCompletion;
     private final double startedAt;
+    /** Factor by which work and loads take longer than usual. */
     double slowdown = 1;
+    /** Time of {@link #now} until which no work is done. */
     double stalledUntil;
     boolean overloaded;
 
@@ -100,13 +117,14 @@
         loop.scheduleWithFixedDelay(this::evictIdleCopies, 200, 200, TimeUnit.MILLISECONDS);
     }
 
+    /** Milliseconds of the monotonic clock. */
     static double now() {
         return System.nanoTime() / 1e6;
     }
 
-    private double capacityFraction(double at) {
+    private double capacityFraction(double time) {
         return config.warmUpMillis <= 0 ? 1
-                : Math.min(1, config.startFraction + (1 - config.startFraction) * (at - startedAt) / config.warmUpMillis);
+                : Math.min(1, config.startFraction + (1 - config.startFraction) * (time - startedAt) / config.warmUpMillis);
     }
 
     // ---- work --------------------------------------------------------------------------------------------
@@ -118,18 +136,19 @@
             return;
         }
         recentWork.add(new double[] {now, spec.workMillis});
-        recentWorkSum += spec.workMillis;
+        recentWorkMillis += spec.workMillis;
         while (recentWork.peek()[0] < now - config.overloadWindowMillis) {
-            recentWorkSum -= recentWork.poll()[1];
+            recentWorkMillis -= recentWork.poll()[1];
         }
         if (config.overloadMultiple > 0
-                && recentWorkSum > config.overloadMultiple * capacityFraction(now) * config.cores * config.overloadWindowMillis) {
+                && recentWorkMillis > config.overloadMultiple * capacityFraction(now) * config.cores
+                * config.overloadWindowMillis) {
             overloaded = true;
             eventSink.accept("fell");
         }
     }
 
-    void submit(ModelSpec spec, double work, JobListener listener) {
+    void submit(ModelSpec spec, double workMillis, JobListener listener) {
         recordRecentWork(spec);
         HostedModel hosted = hostedModels.get(spec.name());
         if (hosted == null || hosted.copies + hosted.loadingCopies == 0) {
@@ -140,7 +159,7 @@
             listener.onQueueFull();
             return;
         }
-        Job job = new Job(listener, work, hosted, hosted.runningJobs + hosted.queue.size());
+        Job job = new Job(listener, workMillis, hosted, hosted.runningJobs + hosted.queue.size());
         job.loadStatus = hosted.copies > 0 ? "loaded" : "waited-for-load";
         hosted.queue.add(job);
         startQueuedJobs(hosted);
@@ -158,19 +177,21 @@
         scheduleNextCompletion();
     }
 
-    private double workRate(double at) {
-        if (runningJobs.isEmpty() || at < stalledUntil) {
+    /** Work done for each running job, in milliseconds of work per millisecond. */
+    private double workRate(double time) {
+        if (runningJobs.isEmpty() || time < stalledUntil) {
             return 0;
         }
-        return Math.min(1, config.cores * capacityFraction(at) / runningJobs.size()) / slowdown;
+        return Math.min(1, config.cores * capacityFraction(time) / runningJobs.size()) / slowdown;
     }
 
+    /** Subtracts the work done since the last call from the remaining work of the running jobs. */
     private void advance() {
         double now = now();
-        double from = Math.max(advancedAt, Math.min(now, stalledUntil));
-        double done = (now - from) * workRate(now);
+        double runningSince = Math.max(advancedAt, Math.min(now, stalledUntil));
+        double doneMillis = (now - runningSince) * workRate(now);
         for (Job job : runningJobs) {
-            job.remainingWork -= done;
+            job.remainingWorkMillis -= doneMillis;
         }
         advancedAt = now;
     }
@@ -183,14 +204,14 @@
         if (runningJobs.isEmpty()) {
             return;
         }
-        double leastRemaining = Double.POSITIVE_INFINITY;
+        double leastRemainingMillis = Double.POSITIVE_INFINITY;
         for (Job job : runningJobs) {
-            leastRemaining = Math.min(leastRemaining, job.remainingWork);
+            leastRemainingMillis = Math.min(leastRemainingMillis, job.remainingWorkMillis);
         }
         double now = now();
         double rate = workRate(now);
         // The rate changes during a stall or a warm-up, so check again within 20 ms then.
-        double delayMillis = rate == 0 ? 20 : leastRemaining / rate;
+        double delayMillis = rate == 0 ? 20 : leastRemainingMillis / rate;
         delayMillis = capacityFraction(now) < 1 ? Math.min(20, delayMillis) : delayMillis;
         nextCompletion = loop.schedule(this::completeFinishedJobs, (long) (Math.max(0.05, delayMillis) * 1000), TimeUnit.MICROSECONDS);
     }
@@ -199,7 +220,7 @@
         advance();
         List<Job> finished = new ArrayList<>();
         for (Job job : runningJobs) {
-            if (job.remainingWork <= 1e-6) {
+            if (job.remainingWorkMillis <= 1e-6) {
                 finished.add(job);
             }
         }
@@ -230,7 +251,7 @@
             return;
         }
         while (hosted.copies + hosted.loadingCopies < copies) {
-            if (loadQueue.size() >= 2 * config.maxConcurrentLoads || !makeRoom(spec.memoryMb())) {
+            if (loadQueue.size() >= 2 * config.maxConcurrentLoads || !evictUntilFree(spec.memoryMb())) {
                 answer.accept(503, hosted.copies);
                 return;
             }
@@ -241,38 +262,39 @@
         startQueuedLoads();
     }
 
-    private boolean makeRoom(double requiredMb) {
-        while (usedMemory() + requiredMb > config.memoryMb) {
-            HostedModel oldest = null;
+    /** Evicts the least recently used idle copies until the required memory is free; returns false if that is impossible. */
+    private boolean evictUntilFree(double requiredMb) {
+        while (usedMemoryMb() + requiredMb > config.memoryMb) {
+            HostedModel leastRecentlyUsed = null;
             for (HostedModel hosted : hostedModels.values()) {
                 boolean idle = hosted.copies > 0 && hosted.runningJobs < hosted.copies * hosted.spec.lanes() && hosted.runningJobs == 0;
-                if (idle && (oldest == null || hosted.lastUsedAt < oldest.lastUsedAt)) {
-                    oldest = hosted;
+                if (idle && (leastRecentlyUsed == null || hosted.lastUsedAt < leastRecentlyUsed.lastUsedAt)) {
+                    leastRecentlyUsed = hosted;
                 }
             }
-            if (oldest == null) {
+            if (leastRecentlyUsed == null) {
                 return false;
             }
-            oldest.copies--;
+            leastRecentlyUsed.copies--;
         }
         return true;
     }
 
-    private double usedMemory() {
-        double sum = 0;
+    private double usedMemoryMb() {
+        double usedMb = 0;
         for (HostedModel hosted : hostedModels.values()) {
-            sum += (hosted.copies + hosted.loadingCopies) * hosted.spec.memoryMb();
+            usedMb += (hosted.copies + hosted.loadingCopies) * hosted.spec.memoryMb();
         }
-        return sum;
+        return usedMb;
     }
 
     private void startQueuedLoads() {
         while (activeLoads < config.maxConcurrentLoads && !loadQueue.isEmpty()) {
             HostedModel hosted = loadQueue.poll();
             // Half of the load time is the fetch from the store, half the start of the copy.
-            double fetch = modelStore.startFetch(hosted.spec.loadMillis() / 2);
-            if (fetch < 0) {
-                loadFinished(hosted, false);
+            double fetchMillis = modelStore.startFetch(hosted.spec.loadMillis() / 2);
+            if (fetchMillis < 0) {
+                finishLoad(hosted, false);
                 continue;
             }
             activeLoads++;
@@ -280,22 +302,22 @@
                 modelStore.endFetch();
                 loop.schedule(() -> {
                     activeLoads--;
-                    loadFinished(hosted, true);
+                    finishLoad(hosted, true);
                     startQueuedLoads();
                 }, (long) (hosted.spec.loadMillis() / 2 * slowdown), TimeUnit.MILLISECONDS);
-            }, (long) fetch, TimeUnit.MILLISECONDS);
+            }, (long) fetchMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void loadFinished(HostedModel hosted, boolean ok) {
+    private void finishLoad(HostedModel hosted, boolean succeeded) {
         hosted.loadingCopies = Math.max(0, hosted.loadingCopies - 1);
-        hosted.copies += ok ? 1 : 0;
+        hosted.copies += succeeded ? 1 : 0;
         hosted.lastUsedAt = now();
         for (PendingLoadOrder order : List.copyOf(hosted.pendingLoadOrders)) {
-            boolean ready = hosted.copies >= order.copies;
-            if (ready || hosted.copies + hosted.loadingCopies < order.copies) {
+            boolean sufficient = hosted.copies >= order.requiredCopies;
+            if (sufficient || hosted.copies + hosted.loadingCopies < order.requiredCopies) {
                 hosted.pendingLoadOrders.remove(order);
-                order.answer.accept(ready ? 200 : 500, hosted.copies);
+                order.answer.accept(sufficient ? 200 : 500, hosted.copies);
             }
         }
         if (hosted.copies + hosted.loadingCopies == 0) {
@@ -306,6 +328,7 @@
         startQueuedJobs(hosted);
     }
 
+    /** Unloads the copies of a model that its running jobs do not need. */
     void unloadIdle(String model) {
         HostedModel hosted = hostedModels.get(model);
         if (hosted != null) {
@@ -315,9 +338,9 @@
 
     /** Unloads the idle copies of a fraction of the models, like a new release of these models. */
     void unloadIdleFraction(double fraction) {
-        int n = 0;
+        int index = 0;
         for (HostedModel hosted : hostedModels.values()) {
-            if (n++ < hostedModels.size() * fraction) {
+            if (index++ < hostedModels.size() * fraction) {
                 unloadIdle(hosted.spec.name());
             }
         }
@@ -335,6 +358,7 @@
 
     // ---- reports -----------------------------------------------------------------------------------------
 
+    /** Load report in the text format of ORCA. */
     String loadReport() {
         int queued = 0;
         for (HostedModel hosted : hostedModels.values()) {
--- a/standins/src/main/java/gradereach/standins/SimulatedModelStore.java
+++ b/standins/src/main/java/gradereach/standins/SimulatedModelStore.java
@@ -5,8 +5,10 @@
     private final int fullSpeedFetches;
     private final int maxFetches;
     private int activeFetches;
+    /** Factor by which fetches take longer than usual. */
     volatile double slowdown = 1;
 
+    /** @param fullSpeedFetches number of concurrent fetches that do not slow each other down */
     SimulatedModelStore(int fullSpeedFetches, int maxFetches) {
         this.fullSpeedFetches = fullSpeedFetches;
         this.maxFetches = maxFetches;
--- a/standins/src/main/java/gradereach/standins/StandInExecutor.java
+++ b/standins/src/main/java/gradereach/standins/StandInExecutor.java
@@ -38,12 +38,29 @@
  */
 final class StandInExecutor {
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final int MAX_CONCURRENT_STREAMS = 1000;
+    private static final int MAX_REQUEST_BYTES = 16 << 20;
+    /** Compression flag and length before each gRPC message. */
+    private static final int GRPC_PREFIX_BYTES = 5;
+    private static final int OUTCOMES_PATH_LENGTH = 13; // of /v2/outcomes/
+    private static final int MODELS_PATH_LENGTH = 11; // of /v2/models/
+    private static final int REPOSITORY_PATH_LENGTH = 22; // of /v2/repository/models/
+    private static final int INFER_SUFFIX_LENGTH = 6; // of /infer
+    private static final int LOAD_SUFFIX_LENGTH = 5; // of /load
+    private static final int UNLOAD_SUFFIX_LENGTH = 7; // of /unload
 
     /** Injected faults of this executor, set through the control port. */
     static final class Faults {
+        /** Customer whose inferences are rejected as if the executor were full; null for none. */
         volatile String fullForCustomer;
+        /** Model group whose inferences are neither run nor answered; null for none. */
         volatile String unansweredGroup;
         volatile boolean refuseConnections;
+        /**
+         * When the stream of an inference is reset: {@code before}, {@code within} or {@code after} its run; for a streamed
+         * answer after its {@code head} or within a {@code part}, or {@code status} to end it with an error status. Null for
+         * never.
+         */
         volatile String resetPoint;
         /** Reports itself as not ready, while the roster shows no drain; requests that arrive anyway are accepted. */
         volatile boolean unannouncedDrain;
@@ -60,7 +77,8 @@
     private final EventLoop loop;
     private final SimulatedMachine.MachineConfig machineConfig;
     private final SimulatedModelStore modelStore;
-    private final Function<String, SimulatedMachine.ModelSpec> modelSpecs;
+    /** Finds a model by its name; null if it is unknown. */
+    private final Function<String, SimulatedMachine.ModelSpec> modelLookup;
     private final Transcript transcript;
     /** Answers of the deduped inferences that ran anywhere in the fleet, by dedup key. */
     private final Map<String, byte[]> dedupAnswers;
@@ -72,16 +90,17 @@
     private volatile String instance;
     /** Forward outcomes of the current process. */
     private volatile ForwardOutcomes forwardOutcomes;
+    /** Unix time of the last cold start in milliseconds; 0 for a process that counts as started long ago. */
     volatile double startedAt;
     volatile boolean running;
 
     StandInExecutor(String zone, EventLoop loop, SimulatedMachine.MachineConfig machineConfig, SimulatedModelStore modelStore,
-            Function<String, SimulatedMachine.ModelSpec> modelSpecs, Transcript transcript, Map<String, byte[]> dedupAnswers) {
+            Function<String, SimulatedMachine.ModelSpec> modelLookup, Transcript transcript, Map<String, byte[]> dedupAnswers) {
         this.zone = zone;
         this.loop = loop;
         this.machineConfig = machineConfig;
         this.modelStore = modelStore;
-        this.modelSpecs = modelSpecs;
+        this.modelLookup = modelLookup;
         this.transcript = transcript;
         this.dedupAnswers = dedupAnswers;
         openConnections = new DefaultChannelGroup(loop);
@@ -95,6 +114,11 @@
         return instance;
     }
 
+    /**
+     * Starts a new process.
+     *
+     * @param cold whether its machine has just started; false for one that has been running for long
+     */
     void start(boolean cold) throws InterruptedException {
         machine = new SimulatedMachine(loop, machineConfig, modelStore, cold, event -> {
             transcript.write(event, "ex", address());
@@ -122,12 +146,12 @@
                 }
                 openConnections.add(ch);
                 ch.pipeline().addLast(Http2FrameCodecBuilder.forServer().initialSettings(
-                        Http2Settings.defaultSettings().maxConcurrentStreams(1000)).build());
+                        Http2Settings.defaultSettings().maxConcurrentStreams(MAX_CONCURRENT_STREAMS)).build());
                 ch.pipeline().addLast(new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel stream) {
                         stream.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(true),
-                                new HttpObjectAggregator(16 << 20), new InferenceStreamHandler());
+                                new HttpObjectAggregator(MAX_REQUEST_BYTES), new InferenceStreamHandler());
                     }
                 }));
             }
@@ -149,9 +173,9 @@
         kill();
         listener.closeFuture().sync();
         terminated.listener.closeFuture().sync();
-        ReservedPort own = reservedPort;
+        ReservedPort ownPort = reservedPort;
         reservedPort = terminated.reservedPort;
-        terminated.reservedPort = own;
+        terminated.reservedPort = ownPort;
         listen();
         running = true;
         transcript.write("start", "ex", address(), "cold", false, "zone", zone);
@@ -173,6 +197,7 @@
         reservedPort.close();
     }
 
+    /** Changes the machine on its event loop. */
     void runOnMachine(java.util.function.Consumer<SimulatedMachine> change) {
         loop.execute(() -> {
             change.accept(machine);
@@ -182,11 +207,12 @@
 
     /** Handles the request of one HTTP/2 stream. */
     private final class InferenceStreamHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private String forward = "";
+        private String forwardId = "";
         private String dedupKey = "";
         private boolean grpc;
         /** The streamed answer; null if the answer is a single message. */
         private StreamedAnswer streamedAnswer;
+        /** Machine and outcomes of the process that received the request; a restart gives the executor new ones. */
         private SimulatedMachine servingMachine;
         private ForwardOutcomes servingOutcomes;
 
@@ -197,20 +223,20 @@
             String path = request.uri();
             String frontEnd = request.headers().get("user-agent", "").replace("gradereach/", "");
             if (path.startsWith("/v2/outcomes/")) {
-                answerInquiry(ctx, URLDecoder.decode(path.substring(13), StandardCharsets.UTF_8));
+                answerInquiry(ctx, URLDecoder.decode(path.substring(OUTCOMES_PATH_LENGTH), StandardCharsets.UTF_8));
             } else if (path.equals("/v2/health/ready")) {
                 respond(ctx, faults.unannouncedDrain ? 503 : 200, "{}", null);
             } else if (path.startsWith("/v2/repository/models/")) {
                 handleLoadOrder(ctx, path, request, frontEnd);
             } else if (path.startsWith("/v2/models/") && path.endsWith("/infer")) {
                 JsonNode input = JSON.readTree(ByteBufUtil.getBytes(request.content()));
-                handleInference(ctx, modelName(path, 11, 6), input.path("parameters").path("work_ms").asDouble(Double.NaN), request,
-                        frontEnd);
+                handleInference(ctx, modelName(path, MODELS_PATH_LENGTH, INFER_SUFFIX_LENGTH),
+                        input.path("parameters").path("work_ms").asDouble(Double.NaN), request, frontEnd);
             } else if (path.startsWith("/inference.GRPCInferenceService/Model")) {
                 grpc = true;
-                // One gRPC message, after its compression flag and length.
                 ModelInferRequest message = ModelInferRequest.parseFrom(
-                        ByteBufUtil.getBytes(request.content(), 5, request.content().readableBytes() - 5));
+                        ByteBufUtil.getBytes(request.content(), GRPC_PREFIX_BYTES,
+                                request.content().readableBytes() - GRPC_PREFIX_BYTES));
                 InferParameter work = message.getParametersMap().get("work_ms");
                 if (path.endsWith("/ModelStreamInfer")) {
                     streamedAnswer = new StreamedAnswer(message, intParameter(message, "parts", 4), intParameter(message, "part_bytes", 32),
@@ -224,9 +250,9 @@
         }
 
         /** Answers an inquiry about a forward: finished (200, with its answer), running (202) or unknown to this process (404). */
-        private void answerInquiry(ChannelHandlerContext ctx, String inquiredForward) {
-            ForwardOutcomes.ForwardLookup found = servingOutcomes.findOrFence(inquiredForward);
-            transcript.write("asked-about", "ex", address(), "fwd", inquiredForward, "finished", found.status() == 200);
+        private void answerInquiry(ChannelHandlerContext ctx, String inquiredForwardId) {
+            ForwardOutcomes.ForwardLookup found = servingOutcomes.findOrFence(inquiredForwardId);
+            transcript.write("asked-about", "ex", address(), "fwd", inquiredForwardId, "finished", found.status() == 200);
             FullHttpResponse response = jsonResponse(found.status(), found.output());
             response.headers().set("executor-up-since", servingOutcomes.upSince()).set("executor-process", servingOutcomes.processId())
                     .set("forward-fenced", found.fenced() ? "yes" : "no");
@@ -240,7 +266,8 @@
         private void handleLoadOrder(ChannelHandlerContext ctx, String path, FullHttpRequest request, String frontEnd)
                 throws IOException {
             boolean unload = path.endsWith("/unload");
-            SimulatedMachine.ModelSpec spec = modelSpecs.apply(modelName(path, 22, unload ? 7 : 5));
+            SimulatedMachine.ModelSpec spec = modelLookup.apply(modelName(path, REPOSITORY_PATH_LENGTH,
+                    unload ? UNLOAD_SUFFIX_LENGTH : LOAD_SUFFIX_LENGTH));
             if (spec == null) {
                 respond(ctx, 404, "{\"error\":\"unknown model\"}", null);
                 return;
@@ -257,12 +284,12 @@
             servingMachine.ensureLoaded(spec, copies, (status, loadedCopies) -> respond(ctx, status, "{}", loadedCopies));
         }
 
-        private void handleInference(ChannelHandlerContext ctx, String model, double requestedWork, FullHttpRequest request,
+        private void handleInference(ChannelHandlerContext ctx, String model, double requestedWorkMillis, FullHttpRequest request,
                 String frontEnd) throws IOException {
-            forward = request.headers().get("x-request-id", "");
+            forwardId = request.headers().get("x-request-id", "");
             dedupKey = request.headers().get("idempotency-key", "");
-            SimulatedMachine.ModelSpec spec = modelSpecs.apply(model);
-            transcript.write("arrived", "ex", address(), "fe", frontEnd, "fwd", forward, "mark", dedupKey, "model", model);
+            SimulatedMachine.ModelSpec spec = modelLookup.apply(model);
+            transcript.write("arrived", "ex", address(), "fe", frontEnd, "fwd", forwardId, "mark", dedupKey, "model", model);
             String customer = dedupKey.substring(0, Math.max(0, dedupKey.indexOf('/')));
             if ("before".equals(faults.resetPoint)) {
                 resetStream(ctx);
@@ -275,32 +302,32 @@
             if (spec.group().equals(faults.unansweredGroup)) {
                 return;
             }
-            double work = Double.isNaN(requestedWork) ? spec.workMillis() : requestedWork;
+            double workMillis = Double.isNaN(requestedWorkMillis) ? spec.workMillis() : requestedWorkMillis;
             boolean deduped = spec.retrySafety().equals("deduped");
             byte[] earlierAnswer = deduped ? dedupAnswers.get(dedupKey) : null;
             if (earlierAnswer != null && streamedAnswer == null) {
-                transcript.write("dropped", "ex", address(), "fwd", forward, "mark", dedupKey);
-                ctx.writeAndFlush(grpc ? grpcInferResponse(model, work)
+                transcript.write("dropped", "ex", address(), "fwd", forwardId, "mark", dedupKey);
+                ctx.writeAndFlush(grpc ? grpcInferResponse(model, workMillis)
                         : jsonResponse(200, new String(earlierAnswer, StandardCharsets.UTF_8)));
                 return;
             }
             String output = "{\"model_name\":" + JSON.writeValueAsString(model) + ",\"outputs\":[{\"name\":\"out\","
-                    + "\"shape\":[1],\"datatype\":\"FP32\",\"data\":[" + work + "]}]}";
-            if (!servingOutcomes.tryStart(forward)) {
+                    + "\"shape\":[1],\"datatype\":\"FP32\",\"data\":[" + workMillis + "]}]}";
+            if (!servingOutcomes.tryStart(forwardId)) {
                 reject(ctx, 409, false);
                 return;
             }
-            servingMachine.submit(spec, work, new SimulatedMachine.JobListener() {
+            servingMachine.submit(spec, workMillis, new SimulatedMachine.JobListener() {
                 @Override
                 public void onCompleted(String loadStatus, int concurrency) {
                     if (!running || machine != servingMachine) {
                         return; // the process was killed meanwhile
                     }
-                    servingOutcomes.complete(forward, output);
+                    servingOutcomes.complete(forwardId, output);
                     if (deduped && dedupAnswers.putIfAbsent(dedupKey, output.getBytes(StandardCharsets.UTF_8)) != null) {
-                        transcript.write("dropped", "ex", address(), "fwd", forward, "mark", dedupKey);
+                        transcript.write("dropped", "ex", address(), "fwd", forwardId, "mark", dedupKey);
                     } else {
-                        transcript.write("ran", "ex", address(), "fwd", forward, "mark", dedupKey, "model", model);
+                        transcript.write("ran", "ex", address(), "fwd", forwardId, "mark", dedupKey, "model", model);
                     }
                     if (faults.dropAnswers) {
                         return;
@@ -310,11 +337,11 @@
                         return;
                     }
                     if (streamedAnswer != null) {
-                        streamedAnswer.start(ctx, new StreamedAnswer.AnswerSource(address(), forward, servingMachine,
+                        streamedAnswer.start(ctx, new StreamedAnswer.AnswerSource(address(), forwardId, servingMachine,
                                 () -> running && machine == servingMachine), loadStatus, concurrency);
                         return;
                     }
-                    FullHttpResponse response = grpc ? grpcInferResponse(model, work) : jsonResponse(200, output);
+                    FullHttpResponse response = grpc ? grpcInferResponse(model, workMillis) : jsonResponse(200, output);
                     response.headers().set("model-warmth", loadStatus);
                     response.headers().set("model-crowd", concurrency);
                     ctx.writeAndFlush(response);
@@ -322,13 +349,13 @@
 
                 @Override
                 public void onModelUnavailable(boolean loadFailed) {
-                    servingOutcomes.remove(forward);
+                    servingOutcomes.remove(forwardId);
                     reject(ctx, 404, loadFailed);
                 }
 
                 @Override
                 public void onQueueFull() {
-                    servingOutcomes.remove(forward);
+                    servingOutcomes.remove(forwardId);
                     reject(ctx, 503, false);
                 }
             });
@@ -358,11 +385,11 @@
         }
 
         private void resetStream(ChannelHandlerContext ctx) {
-            StreamedAnswer.reset(ctx, transcript, address(), forward);
+            StreamedAnswer.reset(ctx, transcript, address(), forwardId);
         }
 
         private void reject(ChannelHandlerContext ctx, int status, boolean loadFailed) {
-            transcript.write("refused", "ex", address(), "fwd", forward, "mark", dedupKey, "status", status);
+            transcript.write("refused", "ex", address(), "fwd", forwardId, "mark", dedupKey, "status", status);
             FullHttpResponse response = grpc ? grpcResponse(grpcStatus(status), new byte[0])
                     : jsonResponse(status, "{\"error\":\"not begun\"}");
             response.headers().set("inference-begun", "no");
@@ -381,23 +408,26 @@
             };
         }
 
-        private void respond(ChannelHandlerContext ctx, int status, String body, Integer copies) {
+        /** @param loadedCopies value of the {@code model-copies} header; null for none */
+        private void respond(ChannelHandlerContext ctx, int status, String body, Integer loadedCopies) {
             if (!running || machine != servingMachine) {
                 return;
             }
             FullHttpResponse response = jsonResponse(status, body);
-            if (copies != null) {
-                response.headers().set("model-copies", copies);
+            if (loadedCopies != null) {
+                response.headers().set("model-copies", loadedCopies);
             }
             ctx.writeAndFlush(response);
         }
 
-        private FullHttpResponse grpcInferResponse(String model, double work) {
+        private FullHttpResponse grpcInferResponse(String model, double workMillis) {
             ModelInferResponse.Builder builder = ModelInferResponse.newBuilder().setModelName(model);
-            builder.addOutputsBuilder().setName("out").setDatatype("FP32").addShape(1).getContentsBuilder().addFp32Contents((float) work);
+            builder.addOutputsBuilder().setName("out").setDatatype("FP32").addShape(1).getContentsBuilder()
+                    .addFp32Contents((float) workMillis);
             byte[] message = builder.build().toByteArray();
             return grpcResponse(0,
-                    java.nio.ByteBuffer.allocate(5 + message.length).put((byte) 0).putInt(message.length).put(message).array());
+                    java.nio.ByteBuffer.allocate(GRPC_PREFIX_BYTES + message.length).put((byte) 0).putInt(message.length)
+                            .put(message).array());
         }
 
         /** A gRPC response, with {@code status} in the trailers. */
@@ -424,6 +454,7 @@
         }
     }
 
+    /** Creates the store of answers by dedup key that all executors of a fleet share. */
     static Map<String, byte[]> newDedupStore() {
         return new ConcurrentHashMap<>();
     }
--- a/standins/src/main/java/gradereach/standins/StandInFleet.java
+++ b/standins/src/main/java/gradereach/standins/StandInFleet.java
@@ -27,6 +27,11 @@
  */
 public final class StandInFleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** Makes a crashed executor restart after its removal from the roster. */
+    private static final long RESTART_MARGIN_MILLIS = 50;
+    /** Time between the crash of a drained executor and its restart. */
+    private static final long DRAINED_DOWNTIME_MILLIS = 200;
+    private static final int RESET_PREFIX_LENGTH = 6; // of the fault kinds reset_*
 
     private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2, work -> {
@@ -40,12 +45,14 @@
     private final HttpServer controlServer;
     private final SimulatedMachine.MachineConfig machineConfig;
     private final Map<String, SimulatedMachine.ModelSpec> modelsByName = new HashMap<>();
+    /** Models whose names end with {@code *}; each stands for all models with this prefix. */
     private final List<SimulatedMachine.ModelSpec> modelPatterns = new ArrayList<>();
+    /** Models found by a pattern, by their full names. */
     private final Map<String, SimulatedMachine.ModelSpec> resolvedModels = new ConcurrentHashMap<>();
     private final Map<String, byte[]> dedupAnswers = StandInExecutor.newDedupStore();
     private final List<StandInExecutor> executors = new ArrayList<>();
     /** Time from a crash to the removal of the executor from the roster. */
-    private final double noticeMillis;
+    private final double removalDelayMillis;
 
     /**
      * Starts the fleet. docs/rehearsal.md describes {@code fleet}; its {@code models} and {@code model_groups} are those of a
@@ -59,7 +66,7 @@
                 machine.path("start_share").asDouble(0.2), machine.path("warm_within_ms").asDouble(0),
                 machine.path("fall_multiple").asDouble(0), machine.path("fall_ms").asDouble(3000));
         modelStore = new SimulatedModelStore(fleet.path("store").path("at_full_pace").asInt(8), fleet.path("store").path("most").asInt(40));
-        noticeMillis = fleet.path("notice_ms").asDouble(0);
+        removalDelayMillis = fleet.path("notice_ms").asDouble(0);
         Map<String, String> retrySafetyByGroup = new HashMap<>();
         fleet.path("model_groups").forEach(g -> retrySafetyByGroup.put(g.path("name").asText(), g.path("repeat").asText()));
         for (JsonNode model : fleet.path("models")) {
@@ -76,16 +83,16 @@
         roster = new RosterServer(transcript);
         roster.includeUids = fleet.path("uids").asBoolean(false);
         JsonNode zones = fleet.path("zones");
-        int count = fleet.path("executors").asInt(4);
-        int listed = fleet.path("listed").asInt(count);
-        for (int i = 0; i < count; i++) {
+        int executorCount = fleet.path("executors").asInt(4);
+        int listedCount = fleet.path("listed").asInt(executorCount);
+        for (int i = 0; i < executorCount; i++) {
             StandInExecutor executor = new StandInExecutor(zones.isEmpty() ? "" : zones.path(i % zones.size()).asText(),
                     eventLoops.next(), machineConfig, modelStore, this::findModel, transcript, dedupAnswers);
             executor.faults.clockAheadMillis = fleet.path("clock_ahead_ms").asDouble(0);
             executor.faults.clockAtStart = fleet.path("shown_at_start_ms").asDouble(Double.NaN);
             executor.start(false);
             executors.add(executor);
-            if (i < listed) {
+            if (i < listedCount) {
                 roster.publish(executor, "ready");
             }
         }
@@ -125,9 +132,9 @@
         return executors.stream().map(StandInExecutor::address).toList();
     }
 
-    /** Completes with the pairs of the next transcript event of this type whose {@code name} equals {@code value}. */
-    public CompletableFuture<Map<String, Object>> nextEvent(String event, String name, Object value) {
-        return transcript.nextEvent(event, name, value);
+    /** Completes with the pairs of the next transcript event of this type whose value for {@code key} equals {@code value}. */
+    public CompletableFuture<Map<String, Object>> nextEvent(String event, String key, Object value) {
+        return transcript.nextEvent(event, key, value);
     }
 
     private void receiveWebhook(HttpExchange exchange) throws IOException {
@@ -153,25 +160,29 @@
 
     /**
      * Injects one fault. Fields: {@code kind}, {@code part} (fraction of the executors, or {@code ex} for the index of a
-     * single one), {@code for_ms}, {@code size}.
+     * single one), {@code for_ms} (duration), and {@code size} (a factor, or milliseconds for the kind {@code clock}). Some kinds
+     * have further fields.
+     *
+     * @throws IllegalArgumentException if the kind or the executor does not exist
      */
     public void injectFault(JsonNode fault) throws InterruptedException {
         String kind = fault.path("kind").asText();
         long durationMillis = fault.path("for_ms").asLong(1000);
         double size = fault.path("size").asDouble(5);
         transcript.write("fault", "kind", kind, "for", durationMillis, "size", size);
-        int first = fault.path("ex").asInt(0);
+        int firstIndex = fault.path("ex").asInt(0);
         int count = fault.has("ex") ? 1 : (int) Math.ceil(fault.path("part").asDouble(1) * executors.size());
-        if (first + count > executors.size()) {
-            throw new IllegalArgumentException("no such executor");
+        if (firstIndex + count > executors.size()) {
+            throw new IllegalArgumentException("the fault addresses an executor that does not exist");
         }
-        List<StandInExecutor> affected = executors.subList(first, first + count);
+        List<StandInExecutor> affected = executors.subList(firstIndex, firstIndex + count);
         switch (kind) {
             case "store_slow" -> {
                 modelStore.slowdown = size;
                 schedule(durationMillis, () -> modelStore.slowdown = 1);
             }
-            case "flush" -> affected.forEach(executor -> executor.runOnMachine(m -> m.unloadIdleFraction(fault.path("models").asDouble(1))));
+            case "flush" -> affected.forEach(executor -> executor.runOnMachine(
+                    m -> m.unloadIdleFraction(fault.path("models").asDouble(1))));
             case "slow" -> {
                 affected.forEach(executor -> executor.runOnMachine(m -> m.slowdown = size));
                 schedule(durationMillis, () -> affected.forEach(executor -> executor.runOnMachine(m -> m.slowdown = 1)));
@@ -191,7 +202,7 @@
                 schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.refuseConnections = false));
             }
             case "reset_before", "reset_within", "reset_after", "reset_head", "reset_part", "reset_status" -> {
-                affected.forEach(executor -> executor.faults.resetPoint = kind.substring(6));
+                affected.forEach(executor -> executor.faults.resetPoint = kind.substring(RESET_PREFIX_LENGTH));
                 schedule(durationMillis, () -> affected.forEach(executor -> executor.faults.resetPoint = null));
             }
             case "drain_unheard" -> {
@@ -213,12 +224,12 @@
             case "crash" -> affected.forEach(executor -> crash(executor, durationMillis));
             case "drain" -> {
                 // One executor after the other drains, crashes, and restarts cold at the same address.
-                long gap = durationMillis / Math.max(1, affected.size());
+                long gapMillis = durationMillis / Math.max(1, affected.size());
                 for (int i = 0; i < affected.size(); i++) {
                     StandInExecutor executor = affected.get(i);
-                    schedule(i * gap, () -> {
+                    schedule(i * gapMillis, () -> {
                         roster.publish(executor, "draining");
-                        schedule(fault.path("drain_ms").asLong(1500), () -> crash(executor, 200));
+                        schedule(fault.path("drain_ms").asLong(1500), () -> crash(executor, DRAINED_DOWNTIME_MILLIS));
                     });
                 }
             }
@@ -226,14 +237,15 @@
         }
     }
 
+    /** Kills an executor, removes it from the roster after a delay, and restarts it cold after {@code durationMillis} more. */
     private void crash(StandInExecutor executor, long durationMillis) {
         executor.kill();
-        schedule((long) noticeMillis, () -> {
+        schedule((long) removalDelayMillis, () -> {
             if (!executor.running) {
                 roster.publish(executor, "gone");
             }
         });
-        schedule(durationMillis + (long) noticeMillis + 50, () -> {
+        schedule(durationMillis + (long) removalDelayMillis + RESTART_MARGIN_MILLIS, () -> {
             try {
                 executor.start(true);
                 roster.publish(executor, "ready");
--- a/standins/src/main/java/gradereach/standins/StandInWarmUp.java
+++ b/standins/src/main/java/gradereach/standins/StandInWarmUp.java
@@ -34,7 +34,7 @@
  */
 final class StandInWarmUp {
     private static final int ROUNDS = 40;
-    private static final long MAX_WAIT_MILLIS = 5000;
+    private static final long MAX_WAIT_MILLIS = 5000; // for the responses of one round
     private static final String INPUT_JSON = "{\"inputs\":[],\"parameters\":{\"work_ms\":0.1}}";
     private static final String FLEET_JSON = """
             {"executors": 1, "model_groups": [{"name": "r", "repeat": "retriable"}, {"name": "d", "repeat": "deduped"}],
@@ -69,7 +69,7 @@
     }
 
     private static void sendAll(Channel connection, int round) throws InterruptedException {
-        byte[] json = INPUT_JSON.getBytes(StandardCharsets.UTF_8);
+        byte[] inputJson = INPUT_JSON.getBytes(StandardCharsets.UTF_8);
         byte[] emptyJson = "{}".getBytes(StandardCharsets.UTF_8);
         byte[] grpc = ModelInferRequest.newBuilder().setModelName("r-0").build().toByteArray();
         byte[] framedGrpc = ByteBuffer.allocate(5 + grpc.length).put((byte) 0).putInt(grpc.length).put(grpc).array();
@@ -77,8 +77,9 @@
                 new WarmUpRequest("/v2/outcomes/warm-up-" + round, emptyJson),
                 new WarmUpRequest("/v2/repository/models/r-0/load", emptyJson),
                 new WarmUpRequest("/v2/repository/models/d-0/load", emptyJson),
-                new WarmUpRequest("/v2/models/r-0/infer", json), new WarmUpRequest("/v2/models/d-0/infer", json),
-                new WarmUpRequest("/v2/models/unknown/infer", json), new WarmUpRequest("/v2/repository/models/r-0/unload", emptyJson),
+                new WarmUpRequest("/v2/models/r-0/infer", inputJson), new WarmUpRequest("/v2/models/d-0/infer", inputJson),
+                new WarmUpRequest("/v2/models/unknown/infer", inputJson),
+                new WarmUpRequest("/v2/repository/models/r-0/unload", emptyJson),
                 new WarmUpRequest("/inference.GRPCInferenceService/ModelInfer", framedGrpc),
                 new WarmUpRequest("/inference.GRPCInferenceService/ModelStreamInfer", framedGrpc));
         CountDownLatch pendingResponses = new CountDownLatch(requests.size());
--- a/standins/src/main/java/gradereach/standins/StreamedAnswer.java
+++ b/standins/src/main/java/gradereach/standins/StreamedAnswer.java
@@ -22,6 +22,10 @@
     /** The executor process that gives the answer; {@code isAlive} is false once the process was killed. */
     record AnswerSource(String address, String forwardId, SimulatedMachine machine, BooleanSupplier isAlive) { }
 
+    private static final int GRPC_INTERNAL = 13; // gRPC status code
+    /** Compression flag and length before each gRPC message. */
+    private static final int GRPC_PREFIX_BYTES = 5;
+
     private final ModelInferRequest request;
     private final int partCount;
     private final int partBytes;
@@ -46,6 +50,7 @@
         this.transcript = transcript;
     }
 
+    /** Sends the head of the answer and starts to send its parts. */
     void start(ChannelHandlerContext ctx, AnswerSource answerSource, String loadStatus, int concurrency) {
         source = answerSource;
         DefaultHttpResponse responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -66,7 +71,7 @@
         if (partsSent == partCount) {
             finished = true;
             DefaultLastHttpContent end = new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER);
-            end.trailingHeaders().set("grpc-status", "status".equals(faults.resetPoint) ? 13 : 0)
+            end.trailingHeaders().set("grpc-status", "status".equals(faults.resetPoint) ? GRPC_INTERNAL : 0)
                     .set("endpoint-load-metrics", source.machine().loadReport());
             transcript.write("stream-ended", "ex", source.address(), "fwd", source.forwardId(), "parts", partsSent);
             ctx.writeAndFlush(end);
@@ -77,10 +82,11 @@
                 .setDatatype("BYTES").addShape(1).getContentsBuilder()
                 .addBytesContents(ByteString.copyFromUtf8("x".repeat(partBytes)));
         byte[] message = part.build().toByteArray();
-        ByteBuf framedMessage = Unpooled.buffer(5 + message.length).writeByte(0).writeInt(message.length).writeBytes(message);
+        ByteBuf framedMessage = Unpooled.buffer(GRPC_PREFIX_BYTES + message.length).writeByte(0).writeInt(message.length)
+                .writeBytes(message);
         if ("part".equals(faults.resetPoint) && partsSent > 0) {
             finished = true;
-            ctx.writeAndFlush(new DefaultHttpContent(framedMessage.slice(0, 5 + message.length / 2)));
+            ctx.writeAndFlush(new DefaultHttpContent(framedMessage.slice(0, GRPC_PREFIX_BYTES + message.length / 2)));
             reset(ctx, transcript, source.address(), source.forwardId());
             return;
         }
@@ -101,6 +107,7 @@
         }
     }
 
+    /** Continues once the channel is writable again. */
     void writabilityChanged(ChannelHandlerContext ctx) {
         if (waitingForWritable && ctx.channel().isWritable()) {
             waitingForWritable = false;
@@ -116,8 +123,9 @@
         }
     }
 
-    static void reset(ChannelHandlerContext ctx, Transcript transcript, String address, String forward) {
-        transcript.write("reset", "ex", address, "fwd", forward);
+    /** Resets the stream of a forward. */
+    static void reset(ChannelHandlerContext ctx, Transcript transcript, String address, String forwardId) {
+        transcript.write("reset", "ex", address, "fwd", forwardId);
         ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.INTERNAL_ERROR));
     }
 }
--- a/standins/src/main/java/gradereach/standins/Transcript.java
+++ b/standins/src/main/java/gradereach/standins/Transcript.java
@@ -18,7 +18,7 @@
 /** Writes events as JSON lines: {@code t} in Unix milliseconds with fractions, the event type {@code ev}, then key-value pairs. */
 public final class Transcript implements Closeable {
     /** A caller that waits for an event. */
-    private record EventWaiter(String event, String name, Object value, CompletableFuture<Map<String, Object>> result) { }
+    private record EventWaiter(String event, String key, Object value, CompletableFuture<Map<String, Object>> result) { }
 
     private final JsonGenerator generator;
     private final List<EventWaiter> waiters = new ArrayList<>();
@@ -33,7 +33,7 @@
         generator.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
     }
 
-    /** A transcript that discards all events, for the time before a rehearsal day starts. */
+    /** A transcript that discards all events, for a warm-up that is not recorded. */
     public static Transcript discarding() {
         try {
             return new Transcript(Writer.nullWriter());
@@ -48,9 +48,9 @@
         return now.getEpochSecond() * 1000d + now.getNano() / 1e6;
     }
 
-    /** Completes with the pairs of the next event of this type whose {@code name} equals {@code value}. */
-    public synchronized CompletableFuture<Map<String, Object>> nextEvent(String event, String name, Object value) {
-        EventWaiter waiter = new EventWaiter(event, name, value, new CompletableFuture<>());
+    /** Completes with the pairs of the next event of this type whose value for {@code key} equals {@code value}. */
+    public synchronized CompletableFuture<Map<String, Object>> nextEvent(String event, String key, Object value) {
+        EventWaiter waiter = new EventWaiter(event, key, value, new CompletableFuture<>());
         waiters.add(waiter);
         return waiter.result;
     }
@@ -83,7 +83,7 @@
         for (int i = 0; i < pairs.length; i += 2) {
             valuesByKey.put((String) pairs[i], pairs[i + 1]);
         }
-        waiters.removeIf(waiter -> waiter.event.equals(event) && waiter.value.equals(valuesByKey.get(waiter.name))
+        waiters.removeIf(waiter -> waiter.event.equals(event) && waiter.value.equals(valuesByKey.get(waiter.key))
                 && waiter.result.complete(valuesByKey));
     }
 
--- a/standins/src/main/java/gradereach/standins/faults/ConnectionEvent.java
+++ b/standins/src/main/java/gradereach/standins/faults/ConnectionEvent.java
@@ -20,7 +20,7 @@
         SHUT_DOWN,
         /** The process closed the connection or exited normally. */
         CLOSED,
-        /** The process writes long after the writing thread last read the clock, because it was stopped in between. */
+        /** The process wrote long after the writing thread had last read the clock, as it does if it was stopped in between. */
         HELD_UP
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/FaultShim.java
+++ b/standins/src/main/java/gradereach/standins/faults/FaultShim.java
@@ -45,36 +45,37 @@
     }
 
     /**
-     * Configures a process that is about to be started to preload the library and to inject these faults.
+     * Configures a process, before it is started, to preload the library and to inject these faults.
      *
-     * @param counts file in which the shim counts the injected faults; a file beside it records the connections of the process
+     * @param countsFile file in which the shim counts the injected faults; a file beside it records the connections of the
+     *        process
      */
-    public void preload(ProcessBuilder process, List<SystemFault> faults, long seed, Path counts) {
+    public void preload(ProcessBuilder process, List<SystemFault> faults, long seed, Path countsFile) {
         process.environment().put("LD_PRELOAD", library.toString());
         process.environment().put("GRADEREACH_FAULTS", faults.stream().map(SystemFault::toRule).collect(Collectors.joining(";")));
         process.environment().put("GRADEREACH_FAULT_SEED", Long.toUnsignedString(seed));
-        process.environment().put("GRADEREACH_FAULT_COUNTS", counts.toAbsolutePath().toString());
-        process.environment().put("GRADEREACH_FAULT_CONNECTIONS", connectionsFile(counts).toAbsolutePath().toString());
+        process.environment().put("GRADEREACH_FAULT_COUNTS", countsFile.toAbsolutePath().toString());
+        process.environment().put("GRADEREACH_FAULT_CONNECTIONS", connectionsFile(countsFile).toAbsolutePath().toString());
     }
 
-    private static Path connectionsFile(Path counts) {
-        return counts.resolveSibling(counts.getFileName() + ".connections");
+    private static Path connectionsFile(Path countsFile) {
+        return countsFile.resolveSibling(countsFile.getFileName() + ".connections");
     }
 
     /** The connection events of the process that counts its faults in this file; empty if it has not started yet. */
-    public static List<ConnectionEvent> connectionEvents(Path counts) throws IOException {
-        return ConnectionRecords.read(connectionsFile(counts));
+    public static List<ConnectionEvent> connectionEvents(Path countsFile) throws IOException {
+        return ConnectionRecords.read(connectionsFile(countsFile));
     }
 
     /** How often each of these faults was injected, in their order; zeros if the process has not started yet. */
-    public static long[] faultCounts(Path counts, List<SystemFault> faults) throws IOException {
-        long[] injected = new long[faults.size()];
-        if (Files.exists(counts)) {
-            ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(counts)).order(ByteOrder.nativeOrder());
-            for (int i = 0; i < injected.length && bytes.remaining() >= Long.BYTES; i++) {
-                injected[i] = bytes.getLong();
+    public static long[] faultCounts(Path countsFile, List<SystemFault> faults) throws IOException {
+        long[] counts = new long[faults.size()];
+        if (Files.exists(countsFile)) {
+            ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(countsFile)).order(ByteOrder.nativeOrder());
+            for (int i = 0; i < counts.length && bytes.remaining() >= Long.BYTES; i++) {
+                counts[i] = bytes.getLong();
             }
         }
-        return injected;
+        return counts;
     }
 }
--- a/standins/src/main/java/gradereach/standins/faults/SystemFault.java
+++ b/standins/src/main/java/gradereach/standins/faults/SystemFault.java
@@ -18,12 +18,15 @@
         return new SystemFault(call, Integer.toString(error.number), rate, fromMillis, toMillis);
     }
 
-    /** The call transfers fewer bytes than requested. */
+    /** The call, a read or write, transfers fewer bytes than requested. */
     public static SystemFault shortTransfer(FaultyCall call, double rate, long fromMillis, long toMillis) {
         return new SystemFault(call, SHORT, rate, fromMillis, toMillis);
     }
 
-    /** The process sends itself SIGSTOP before the call and makes the call once it is continued. */
+    /**
+     * The process sends itself SIGSTOP before the call, a read or write of a TCP socket, and makes the call once it is
+     * continued.
+     */
     public static SystemFault stop(FaultyCall call, double rate, long fromMillis, long toMillis) {
         return new SystemFault(call, STOP, rate, fromMillis, toMillis);
     }
@@ -33,6 +36,7 @@
         return new SystemFault(FaultyCall.CLOCK, Long.toString(stepMillis), 1, fromMillis, toMillis);
     }
 
+    /** The fault in the form that the shim parses. */
     String toRule() {
         return call.ruleName + ":" + effect + ":" + rate + ":" + fromMillis + ":" + toMillis;
     }
--- a/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
+++ b/standins/src/main/java/gradereach/standins/frames/ChangelogServer.java
@@ -19,15 +19,17 @@
 /** A scripted change log server that publishes instance events to all front ends of a run. */
 public final class ChangelogServer {
     private static final long HEARTBEAT_MILLIS = 1000;
+    /** Protocol: an event counts as delivered at the latest this long after watches were closed. */
     private static final double DELIVERED_AFTER_DISCONNECT_MILLIS = 2000;
+    /** The same after watches became silent or were moved to another address. */
     private static final double DELIVERED_AFTER_SILENCE_MILLIS = 4000;
 
     /** Addresses at which the server listens. */
     public final List<String> addresses = new ArrayList<>();
     private final PeerEventLoops loops;
     private final List<String> events = new ArrayList<>();
-    /** The events that are well-formed. */
-    private final List<String> readableEventList = new ArrayList<>();
+    /** The events without the truncated ones. */
+    private final List<String> wellFormedEvents = new ArrayList<>();
     private volatile double disconnectedAt = Double.NEGATIVE_INFINITY;
     private volatile double silencedAt = Double.NEGATIVE_INFINITY;
     private volatile double addressChangedAt = Double.NEGATIVE_INFINITY;
@@ -38,7 +40,7 @@
     private final List<PeerListener> listeners = new ArrayList<>();
     private volatile Outage outage;
 
-    /** A front end requested the events that it lacks, on a connection from local port {@code port}. */
+    /** A request of a front end for the events that it lacks; {@code port} is the local port of its connection. */
     public record ResyncRequest(int port, double receivedAt) { }
 
     /** Listens on one port. */
@@ -101,9 +103,9 @@
         listeners.forEach(listener -> listener.connections().forEach(Channel::close));
     }
 
-    /** All well-formed events so far, in the form of the front end configuration. */
+    /** All well-formed events so far and the last sequence number, as JSON for the configuration of a front end. */
     public synchronized String readableEventsJson() {
-        return "{\"seq\":" + events.size() + ",\"results\":[" + String.join(",", readableEventList) + "]}";
+        return "{\"seq\":" + events.size() + ",\"results\":[" + String.join(",", wellFormedEvents) + "]}";
     }
 
     /** All resync requests of all front ends. */
@@ -124,7 +126,7 @@
      */
     public synchronized Map<Integer, Long> publish(String instances, boolean reset) {
         String event = nextEventJson(instances, reset);
-        readableEventList.add(event);
+        wellFormedEvents.add(event);
         return publish(event);
     }
 
@@ -152,13 +154,13 @@
     }
 
     /**
-     * When an event published at {@code publishedAt} counts as delivered: later if watches were closed, became silent or moved
-     * to another address before.
+     * The time at which an event counts as delivered. It is later than {@code publishedAt} if watches were closed, became silent
+     * or moved to another address shortly before.
      */
     public double deliveredAt(double publishedAt) {
-        double deliveringAgainAt = Math.max(disconnectedAt + DELIVERED_AFTER_DISCONNECT_MILLIS,
+        double deliveryRestoredAt = Math.max(disconnectedAt + DELIVERED_AFTER_DISCONNECT_MILLIS,
                 Math.max(silencedAt, addressChangedAt) + DELIVERED_AFTER_SILENCE_MILLIS);
-        return Math.max(publishedAt, deliveringAgainAt);
+        return Math.max(publishedAt, deliveryRestoredAt);
     }
 
     /** Keeps the open watches open without sending anything more to them. */
@@ -173,13 +175,14 @@
         watches.forEach(Channel::close);
     }
 
-    /** Sends the last sequence number, in the form used by the bench. */
+    /** Sends the last sequence number as JSON, in the form that the simulator uses. */
     private synchronized void sendHeartbeat() {
         watches.forEach(watch -> writeLine(watch, "{\"seq\":" + events.size() + "}"));
     }
 
-    private synchronized void startWatch(Channel watch, int since) {
-        for (String event : events.subList(Math.min(since, events.size()), events.size())) {
+    /** Sends the events after a sequence number and the current sequence number, then all later events. */
+    private synchronized void startWatch(Channel watch, int lastSequenceNumber) {
+        for (String event : events.subList(Math.min(lastSequenceNumber, events.size()), events.size())) {
             writeLine(watch, event);
         }
         writeLine(watch, events.size() + "");
--- a/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
+++ b/standins/src/main/java/gradereach/standins/frames/ColdStartCheck.java
@@ -6,19 +6,22 @@
 import java.util.Map;
 
 /**
- * Checks rule 4: an executor that has just started fails under more than {@code N + 2 sqrt(N) + 2} requests (for N below 30:
- * {@code N + 3 sqrt(N) + 3}) within the window of the rule. Front ends are to blame if more than two thirds of the requests came
- * from front ends to which its start had been delivered. N is the number of requests that one core can process in the window,
- * times the fraction of the capacity available when the last of them arrives, times the overload multiple of the rule. Every
- * request counts the same, also a rejected one. Only the first overload of a process counts.
+ * Checks the rule against overloading cold executors (rule 4). An executor that has just started fails under more than
+ * {@code N + 2 sqrt(N) + 2} requests (for N below 30: {@code N + 3 sqrt(N) + 3}) within the window of the rule. N is the number
+ * of requests that one core can process in the window, times the fraction of the capacity that is available when the last of
+ * them arrives, times the overload multiple of the rule. Every request counts the same, also a rejected one. Front ends are to
+ * blame if more than two thirds of the requests came from front ends to which the start had been delivered. Only the first
+ * overload of a process counts.
  */
 public final class ColdStartCheck {
+    /** Subtracted from the window for the delay of the sockets. */
     private static final double SOCKET_SLACK_MILLIS = 50;
-    private static final double SMALL_LIMIT = 30;
+    private static final double SMALL_N = 30;
+    /** Fraction of the requests beyond which front ends are to blame. */
     private static final double BLAMED_FRACTION = 2.0 / 3;
 
     /**
-     * Parameters of the rule, from the settings.
+     * Parameters of the rule, from the settings of the front ends.
      *
      * @param startFraction fraction of its capacity that a process has at its start
      * @param warmUpMillis time until the process has its full capacity
@@ -28,13 +31,14 @@
      */
     public record ColdStartParameters(double startFraction, double warmUpMillis, double overloadMultiple, double windowMillis,
             double meanWorkMillis) {
-        /** No load is too high. */
+        /** Parameters under which no load is too high. */
         static final ColdStartParameters NONE = new ColdStartParameters(1, 1, Double.POSITIVE_INFINITY, 1, 1);
 
+        /** The highest permitted number of requests in the window. */
         double maxRequests(double ageMillis) {
             double capacityFraction = Math.min(1, startFraction + (1 - startFraction) * ageMillis / warmUpMillis);
             double n = overloadMultiple * windowMillis * capacityFraction / meanWorkMillis;
-            return n < SMALL_LIMIT ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
+            return n < SMALL_N ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
         }
     }
 
@@ -72,24 +76,28 @@
     }
 
     /** Records the cold start of a process. */
-    public synchronized void processStarted(String executor, double at) {
-        ProcessStart start = new ProcessStart(at);
+    public synchronized void processStarted(String executor, double startedAt) {
+        ProcessStart start = new ProcessStart(startedAt);
         latestStarts.put(executor, start);
         allStarts.add(Map.entry(executor, start));
     }
 
-    /** Records the time from which the start counts as delivered to front ends. */
-    public synchronized void startDelivered(String executor, double at, Map<Integer, Long> bytesByWatch) {
+    /**
+     * Records the time from which the start counts as delivered to front ends.
+     *
+     * @param bytesByWatch bytes written to each watch up to and including the start, by the port of the watch
+     */
+    public synchronized void startDelivered(String executor, double deliveredAt, Map<Integer, Long> bytesByWatch) {
         ProcessStart start = latestStarts.get(executor);
-        start.deliveredAt = at;
+        start.deliveredAt = deliveredAt;
         start.bytesByWatch = Map.copyOf(bytesByWatch);
     }
 
-    /** Records a request that was read at {@code at} and arrived at {@code earliest} or later. */
-    synchronized void requestArrived(String executor, double earliest, double at, Object frontEnd) {
+    /** Records a request that was read at {@code readAt} and arrived at {@code earliestAt} or later. */
+    synchronized void requestArrived(String executor, double earliestAt, double readAt, Object frontEnd) {
         ProcessStart start = latestStarts.get(executor);
-        if (start != null && at - start.startedAt < parameters.warmUpMillis) {
-            start.arrivals.add(new Arrival(earliest, at, frontEnd));
+        if (start != null && readAt - start.startedAt < parameters.warmUpMillis) {
+            start.arrivals.add(new Arrival(earliestAt, readAt, frontEnd));
         }
     }
 
@@ -102,25 +110,26 @@
 
     private void addFirstOverload(String executor, ProcessStart start, Map<Object, FrontEndConnectionLog> connectionLogs,
             List<Overload> overloads) {
-        for (Arrival last : start.arrivals) {
-            double limit = parameters.maxRequests(last.readAt - start.startedAt);
-            double from = last.readAt - parameters.windowMillis + SOCKET_SLACK_MILLIS;
+        for (Arrival lastArrival : start.arrivals) {
+            double limit = parameters.maxRequests(lastArrival.readAt - start.startedAt);
+            double windowStart = lastArrival.readAt - parameters.windowMillis + SOCKET_SLACK_MILLIS;
             List<Arrival> inWindow = start.arrivals.stream()
-                    .filter(arrival -> arrival.readAt > from && arrival.readAt <= last.readAt).toList();
+                    .filter(arrival -> arrival.readAt > windowStart && arrival.readAt <= lastArrival.readAt).toList();
             highestLoadRatio = Math.max(highestLoadRatio, inWindow.size() / limit);
             if (inWindow.size() > limit) {
-                double blamed = BLAMED_FRACTION * inWindow.size();
+                double blameThreshold = BLAMED_FRACTION * inWindow.size();
                 long notified = inWindow.stream()
                         .filter(arrival -> start.wasDeliveredTo(arrival.frontEnd, arrival.readAt, connectionLogs)).count();
                 long certainlyNotified = inWindow.stream()
                         .filter(arrival -> start.wasDeliveredTo(arrival.frontEnd, arrival.earliestAt, connectionLogs)).count();
-                long certainlyInWindow = inWindow.stream().filter(arrival -> arrival.earliestAt > from).count();
-                if (notified > blamed) {
+                long certainlyInWindow = inWindow.stream().filter(arrival -> arrival.earliestAt > windowStart).count();
+                if (notified > blameThreshold) {
                     overloads.add(new Overload(executor + ", started " + Math.round(start.startedAt)
-                            + ", told " + Math.round(start.deliveredAt) + ": "
+                            + ", start delivered " + Math.round(start.deliveredAt) + ": "
                             + inWindow.size() + " requests within " + Math.round(parameters.windowMillis) + " ms at "
-                            + Math.round(last.readAt) + ", falls beyond " + Math.round(limit) + "; " + notified
-                            + " from front ends that had been told", certainlyInWindow > limit && certainlyNotified > blamed));
+                            + Math.round(lastArrival.readAt) + ", limit " + Math.round(limit) + "; " + notified
+                            + " from front ends that had been notified",
+                            certainlyInWindow > limit && certainlyNotified > blameThreshold));
                 }
                 return;
             }
--- a/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrameExecutor.java
@@ -16,15 +16,17 @@
 
 /** A scripted executor that answers most requests after random delays and reports everything that arrives to the auditor. */
 public final class FrameExecutor {
-    /** How long after the start of its drain an executor still accepts requests; those of the bench do so for 0.4 to 0.75 s. */
+    /** Time after the start of its drain for which an executor accepts requests; those of the simulator do for 0.4 to 0.75 s. */
     private static final double REJECT_AFTER_DRAIN_MILLIS = 600;
     private static final double BACKLOG_READ_MILLIS = 50; // time within which the backlog of a socket is read after a pause
     private static final int MIN_WORK_MILLIS = 5;
     private static final int WORK_RANGE_MILLIS = 40;
-    private static final int MIN_DELAY_MILLIS = 600;
-    private static final int DELAY_RANGE_MILLIS = 1000;
-    /** One in this many delayed probe answers is sent twice, the second time up to DUPLICATE_DELAY_RANGE_MILLIS later. */
+    // Extra delay of answers, or of probe answers, during an interval in which they are delayed.
+    private static final int MIN_EXTRA_DELAY_MILLIS = 600;
+    private static final int EXTRA_DELAY_RANGE_MILLIS = 1000;
+    /** One in this many delayed probe answers is sent twice. */
     private static final int DUPLICATE_ONE_IN = 4;
+    /** The second copy of a probe answer is sent up to this much later. */
     private static final int DUPLICATE_DELAY_RANGE_MILLIS = 300;
     private static final int MIN_LOAD_MILLIS = 20;
     private static final int LOAD_RANGE_MILLIS = 40;
@@ -47,10 +49,10 @@
     private volatile boolean terminated;
     private final AtomicInteger missCount = new AtomicInteger();
     private final PeerListener listener;
-    /** When the copy of each ordered function is ready; null for a process in which every function is loaded from the start. */
+    /** When the copy of each ordered model is ready; null for a process in which every model is loaded from the start. */
     private final Map<String, Double> copyReadyAt;
 
-    /** Listens on a port of its own, with every function loaded. */
+    /** Listens on a port of its own, with every model loaded. */
     public FrameExecutor(PeerEventLoops loops, RequestAuditor auditor, String instanceId, long seed) throws InterruptedException {
         this.loops = loops;
         this.auditor = auditor;
@@ -142,7 +144,7 @@
         probeDelayMillis = millis;
     }
 
-    /** Number of requests for functions that were not loaded. */
+    /** Number of requests for models that were not loaded. */
     public int missCount() {
         return missCount.get();
     }
@@ -175,8 +177,8 @@
         }
         auditor.attemptAccepted(processName, requestId);
         double draw = random.nextDouble();
-        long extraDelay = loops.now() < answerDelaysUntil ? MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS) : 0;
-        long delayMillis = extraDelay + millisUntilReady(command.textField("asset")) + MIN_WORK_MILLIS + random.nextInt(WORK_RANGE_MILLIS);
+        long extraDelayMillis = loops.now() < answerDelaysUntil ? MIN_EXTRA_DELAY_MILLIS + random.nextInt(EXTRA_DELAY_RANGE_MILLIS) : 0;
+        long delayMillis = extraDelayMillis + millisUntilReady(command.textField("asset")) + MIN_WORK_MILLIS + random.nextInt(WORK_RANGE_MILLIS);
         if (draw < faultRate / 3) {
             return; // no answer
         }
@@ -189,24 +191,24 @@
         channel.eventLoop().schedule(() -> sendAnswer(channel, command, corrupted, duplicated), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private boolean isLoadedOrLoading(String function) {
-        return copyReadyAt == null || copyReadyAt.containsKey(function);
+    private boolean isLoadedOrLoading(String model) {
+        return copyReadyAt == null || copyReadyAt.containsKey(model);
     }
 
     /** Milliseconds until the ordered copy is ready. */
-    private long millisUntilReady(String function) {
-        return copyReadyAt == null ? 0 : Math.max(0, Math.round(copyReadyAt.get(function) - loops.now()));
+    private long millisUntilReady(String model) {
+        return copyReadyAt == null ? 0 : Math.max(0, Math.round(copyReadyAt.get(model) - loops.now()));
     }
 
-    private void load(String function) {
+    private void load(String model) {
         if (copyReadyAt != null) {
-            copyReadyAt.putIfAbsent(function, loops.now() + MIN_LOAD_MILLIS + random.nextInt(LOAD_RANGE_MILLIS));
+            copyReadyAt.putIfAbsent(model, loops.now() + MIN_LOAD_MILLIS + random.nextInt(LOAD_RANGE_MILLIS));
         }
     }
 
-    private void unload(String function) {
+    private void unload(String model) {
         if (copyReadyAt != null) {
-            copyReadyAt.remove(function);
+            copyReadyAt.remove(model);
         }
     }
 
@@ -220,7 +222,7 @@
             writeProbeAnswer(channel, answer, probe);
             return;
         }
-        long delayMillis = MIN_DELAY_MILLIS + random.nextInt(DELAY_RANGE_MILLIS);
+        long delayMillis = MIN_EXTRA_DELAY_MILLIS + random.nextInt(EXTRA_DELAY_RANGE_MILLIS);
         if (random.nextInt(DUPLICATE_ONE_IN) == 0) {
             ByteBuf copy = answer.copy();
             channel.eventLoop().schedule(() -> writeProbeAnswer(channel, copy, probe),
@@ -238,7 +240,7 @@
         String body = instanceId + " made " + new String(command.body(), StandardCharsets.US_ASCII);
         byte[] frame = Frames.encode(Frames.OK, command.id(), "n2=ready", body.getBytes(StandardCharsets.US_ASCII));
         if (corrupted) {
-            frame[frame.length - 5] ^= 1;
+            frame[frame.length - 5] ^= 1; // the last byte before the checksum
         }
         auditor.executorAnswered("%016x".formatted(command.id()), body);
         channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
@@ -316,17 +318,17 @@
         }
 
         private void handleLoadOrder(Channel channel, Frames.Command command) {
-            String function = command.textField("asset");
-            if (command.numberField("n", 0) == 0) {
-                boolean loaded = isLoadedOrLoading(function) && millisUntilReady(function) == 0;
+            String model = command.textField("asset");
+            if (command.numberField("n", 0) == 0) { // a status query
+                boolean loaded = isLoadedOrLoading(model) && millisUntilReady(model) == 0;
                 sendProbeAnswer(channel, Frames.encodeWithoutBody(Frames.OK, command.id(), loaded ? "n=1" : "n=0"),
                         auditor.probeHistory.recordProbe(processName, sender, loops.now(), loaded ? "copies" : "no copy"));
                 return;
             }
             auditor.loadOrderReceived(processName, arrivedAt(), sender);
-            load(function);
+            load(model);
             ByteBuf readyAnswer = Frames.encodeWithoutBody(Frames.OK, command.id(), "n=1");
-            long delayMillis = millisUntilReady(function);
+            long delayMillis = millisUntilReady(model);
             if (delayMillis == 0) {
                 channel.writeAndFlush(readyAnswer);
             } else {
--- a/standins/src/main/java/gradereach/standins/frames/FrontEndConnectionLog.java
+++ b/standins/src/main/java/gradereach/standins/frames/FrontEndConnectionLog.java
@@ -82,13 +82,15 @@
         return Math.max(publishedAt, Math.min(brokenAt + DELIVERED_AFTER_DISCONNECT_MILLIS, resyncAt));
     }
 
-    /** How long a write on this connection was delayed by a stop of the process shortly before {@code at}; 0 if none was. */
-    double writeStallMillis(int localPort, double at) {
-        return latestEvent(event -> event.kind() == Kind.HELD_UP && event.localPort() == localPort && timeMillis(event) <= at
-                && at - timeMillis(event) <= MAX_TRANSIT_MILLIS).map(ConnectionEvent::detail).orElse(0);
+    /**
+     * How long a stop of the process delayed a write on this connection that the peer read at {@code readAt}; 0 if it did not.
+     */
+    double writeStallMillis(int localPort, double readAt) {
+        return latestEvent(event -> event.kind() == Kind.HELD_UP && event.localPort() == localPort && timeMillis(event) <= readAt
+                && readAt - timeMillis(event) <= MAX_TRANSIT_MILLIS).map(ConnectionEvent::detail).orElse(0);
     }
 
-    /** The broken connection that kept the front end from reading the event; empty if it was read or no fault was the cause. */
+    /** The fault that kept the front end from reading the event; empty if it read the event, or if no fault was the cause. */
     private Optional<ConnectionEvent> watchBrokenBefore(double publishedAt, Map<Integer, Long> bytesByWatch) {
         Optional<ConnectionEvent> watch = latestEvent(event -> event.kind() == Kind.CONNECTED && isChangelogConnection(event)
                 && bytesByWatch.containsKey(event.localPort()) && timeMillis(event) <= publishedAt);
--- a/standins/src/main/java/gradereach/standins/frames/PeerEventLoops.java
+++ b/standins/src/main/java/gradereach/standins/frames/PeerEventLoops.java
@@ -21,6 +21,7 @@
     private static final int THREADS = 2;
     private static final long SHUTDOWN_MILLIS = 500;
     private static final double NANOS_PER_MILLI = 1e6;
+    /** Period of the tasks that measure the lag of the event loops. */
     private static final long TICK_NANOS = 5_000_000;
     /** The range lies below the ports that Linux assigns to outgoing connections (32768 and above). */
     private static final int FIRST_PORT = 20_000;
@@ -46,9 +47,7 @@
         }
     }
 
-    /**
-     * The longest lag of an event loop, in milliseconds. Times reported to the auditor can be late by this much.
-     */
+    /** The longest lag of an event loop, in milliseconds. Times reported to the auditor can be late by this much. */
     public double longestLagMillis() {
         return lagIntervals.longestMillis();
     }
@@ -84,7 +83,7 @@
         for (int i = 0;; i++) {
             try {
                 return listen(FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT), connectionHandler);
-            } catch (Exception e) {
+            } catch (Exception e) { // Netty throws the checked BindException without declaring it
                 if (!(e instanceof BindException) || i == MAX_PORT_ATTEMPTS) {
                     throw e;
                 }
@@ -97,7 +96,7 @@
         for (int i = 0;; i++) {
             try {
                 return listen(port, connectionHandler);
-            } catch (Exception e) {
+            } catch (Exception e) { // Netty throws the checked BindException without declaring it
                 if (!(e instanceof BindException) || i == MAX_PORT_ATTEMPTS) {
                     throw e;
                 }
--- a/standins/src/main/java/gradereach/standins/frames/ProbeHistory.java
+++ b/standins/src/main/java/gradereach/standins/frames/ProbeHistory.java
@@ -29,28 +29,29 @@
             this.reply = reply;
         }
 
-        private String describeRelativeTo(double at) {
-            return "asked " + Math.round(receivedAt - at) + " answered " + reply + " "
-                    + answeredAt.stream().map(time -> Math.round(time - at) + "").toList();
+        private String describeRelativeTo(double sendReceivedAt) {
+            return "received " + Math.round(receivedAt - sendReceivedAt) + " answered " + reply + " "
+                    + answeredAt.stream().map(time -> Math.round(time - sendReceivedAt) + "").toList();
         }
     }
 
     /** Records a probe; {@code reply} is the state at its arrival, which may be sent later. */
-    synchronized Probe recordProbe(String executor, RequestAuditor.Sender sender, double at, String reply) {
-        Probe probe = new Probe(sender, at, reply);
+    synchronized Probe recordProbe(String executor, RequestAuditor.Sender sender, double receivedAt, String reply) {
+        Probe probe = new Probe(sender, receivedAt, reply);
         probes.computeIfAbsent(executor, name -> new ArrayList<>()).add(probe);
         return probe;
     }
 
-    synchronized void recordAnswer(Probe probe, double at) {
-        probe.answeredAt.add(at);
+    synchronized void recordAnswer(Probe probe, double answeredAt) {
+        probe.answeredAt.add(answeredAt);
     }
 
-    /** Describes the probes of the sender's front end shortly before {@code at}, with times relative to {@code at}. */
-    synchronized String describe(String executor, RequestAuditor.Sender sender, double at) {
+    /** Describes the probes of the sender's front end shortly before a send, with times relative to the send. */
+    synchronized String describe(String executor, RequestAuditor.Sender sender, double sendReceivedAt) {
         return probes.getOrDefault(executor, List.of()).stream()
-                .filter(probe -> probe.sender.isSameFrontEnd(sender) && probe.receivedAt <= at
-                        && probe.receivedAt > at - SHOWN_BEFORE_MILLIS)
-                .map(probe -> probe.describeRelativeTo(at)).collect(Collectors.joining(", ", "; its probes, by ms from then: ", ""));
+                .filter(probe -> probe.sender.isSameFrontEnd(sender) && probe.receivedAt <= sendReceivedAt
+                        && probe.receivedAt > sendReceivedAt - SHOWN_BEFORE_MILLIS)
+                .map(probe -> probe.describeRelativeTo(sendReceivedAt))
+                .collect(Collectors.joining(", ", "; probes, in ms relative to the send: ", ""));
     }
 }
--- a/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestAuditor.java
@@ -10,17 +10,25 @@
 import java.util.function.DoublePredicate;
 
 /**
- * Checks front ends against the rules of the protocol, from the traffic that was observed on the sockets of their clients,
- * executors and change log only; nothing that a front end reports about itself is used. All times are milliseconds of one
- * clock. The slack added to each limit is defined by the protocol.
+ * Checks front ends against the rules of the protocol. It uses only the traffic that was observed on the sockets of their
+ * clients, executors and change log, and nothing that a front end reports about itself. All times are milliseconds of one clock.
+ * The slack added to each limit is defined by the protocol.
  */
 public final class RequestAuditor {
     /** Ways in which a front end can break the protocol. */
     public enum Violation {
-        NO_ANSWER, SECOND_ANSWER, WRONG_ANSWER, LATE_ATTEMPT, AFTER_DRAIN,
+        /** A request had no answer long after the deadline of its client. */
+        NO_ANSWER,
+        SECOND_ANSWER,
+        /** An answer whose body no executor sent for the request. */
+        WRONG_ANSWER,
+        /** An attempt that arrived after its request had ended: answered, cancelled, or beyond its deadline. */
+        LATE_ATTEMPT,
+        /** A request or load order that was sent to an executor after its drain grace. */
+        AFTER_DRAIN,
         /** A request that must not run more than once was accepted by executors more than once. */
         DUPLICATE,
-        /** An attempt was given a timeout beyond the deadline of its client. */
+        /** An attempt whose timeout ends after the deadline of its client. */
         LONG_DEADLINE,
         /** An attempt with an id that no client sent. */
         UNKNOWN_REQUEST,
@@ -45,9 +53,9 @@
     /** One violation, with a description of what was observed. */
     public record Finding(Violation violation, String description) { }
 
-    /** A missing answer is a violation only this long after the client's deadline; a late answer before that merely earns nothing. */
+    /** A missing answer is a violation only this long after the client's deadline; a late answer before that is permitted. */
     private static final double ANSWER_SLACK_MILLIS = 500;
-    /** How long after a request has ended or its client has cancelled it an attempt may still begin. */
+    /** Time after the end or the cancellation of a request in which an attempt may still begin. */
     private static final double CANCEL_SLACK_MILLIS = 100;
     /** How far the deadline passed on with an attempt may exceed the deadline of its client. */
     private static final double DEADLINE_SLACK_MILLIS = 150;
@@ -90,13 +98,16 @@
     private static final class Request {
         private final Object frontEnd;
         private final double sentAt;
+        /** Time after {@code sentAt} at which the client's deadline is. */
         private final double budgetMillis;
+        /** Whether the request may run more than once. */
         private final boolean repeatable;
         private int acceptedAttempts;
         private double cancelledAt = Double.POSITIVE_INFINITY;
         private double answeredAt = Double.POSITIVE_INFINITY;
         private double connectionEndedAt = Double.NaN;
         private FrontEndConnectionLog.UnansweredRequest unansweredRequest;
+        /** Whether the request needs no answer. */
         private boolean excused;
         private boolean succeeded;
         private final List<String> executorAnswers = new ArrayList<>(1);
@@ -110,8 +121,8 @@
 
         @Override
         public String toString() {
-            return "of " + frontEnd + ", asked " + Math.round(sentAt) + ", budget " + Math.round(budgetMillis)
-                    + ", left " + formatTime(cancelledAt)
+            return "of " + frontEnd + ", sent " + Math.round(sentAt) + ", budget " + Math.round(budgetMillis)
+                    + ", cancelled " + formatTime(cancelledAt)
                     + ", answered " + formatTime(answeredAt);
         }
 
@@ -119,13 +130,13 @@
             return millis < Double.POSITIVE_INFINITY ? Long.toString(Math.round(millis)) : "never";
         }
 
-        private double endedAtMillis() {
+        private double endedAt() {
             return Math.min(sentAt + budgetMillis, Math.min(cancelledAt, answeredAt));
         }
     }
 
     private final double drainGraceMillis;
-    private final Map<String, Request> requestCount = new LinkedHashMap<>();
+    private final Map<String, Request> requestsById = new LinkedHashMap<>();
     private final StallIntervals stallIntervals = new StallIntervals();
     private final Map<String, Drain> drainingExecutors = new HashMap<>();
     private final List<LateSend> lateSends = new ArrayList<>();
@@ -138,7 +149,7 @@
     private final List<DatedFinding> longDeadlines = new ArrayList<>();
     private final List<Finding> inconclusiveFindings = new ArrayList<>();
     private final LagIntervals lagIntervals;
-    /** Checks rule 4; whoever starts executor processes has to report the starts to it. */
+    /** Checks the rule against overloading cold executors (rule 4). Starts of executor processes must be reported to it. */
     public final ColdStartCheck coldStartCheck;
     /** Recent probes, quoted in the findings that they explain. */
     final ProbeHistory probeHistory = new ProbeHistory();
@@ -148,12 +159,12 @@
         this(drainGraceMillis, new LagIntervals());
     }
 
-    /** @param lagIntervals when the observing threads ran late; findings which that may explain are inconclusive */
+    /** @param lagIntervals when the observing threads did not run; findings that these intervals may explain are inconclusive */
     public RequestAuditor(double drainGraceMillis, LagIntervals lagIntervals) {
         this(drainGraceMillis, lagIntervals, ColdStartCheck.ColdStartParameters.NONE);
     }
 
-    /** @param coldStart load that a process may get after its start */
+    /** @param coldStart parameters of the load that a process may get after its start */
     public RequestAuditor(double drainGraceMillis, LagIntervals lagIntervals, ColdStartCheck.ColdStartParameters coldStart) {
         this.drainGraceMillis = drainGraceMillis;
         this.lagIntervals = lagIntervals;
@@ -162,7 +173,7 @@
 
     /** Number of requests sent so far. */
     public synchronized int requestCount() {
-        return requestCount.size();
+        return requestsById.size();
     }
 
     /**
@@ -170,16 +181,16 @@
      *
      * @param repeatable whether the request may run more than once
      */
-    public synchronized void requestSent(String id, Object frontEnd, double at, double budgetMillis, boolean repeatable) {
-        Request request = new Request(frontEnd, at, budgetMillis, repeatable);
-        request.excused = hasExited(frontEnd, at);
-        requestCount.put(id, request);
+    public synchronized void requestSent(String id, Object frontEnd, double sentAt, double budgetMillis, boolean repeatable) {
+        Request request = new Request(frontEnd, sentAt, budgetMillis, repeatable);
+        request.excused = hasExited(frontEnd, sentAt);
+        requestsById.put(id, request);
     }
 
     /** Records that a front end process was killed: the requests that it had not answered by then need no answer. */
-    public synchronized void frontEndKilled(Object frontEnd, double at) {
-        for (Request request : requestCount.values()) {
-            if (request.frontEnd.equals(frontEnd) && request.sentAt <= at && request.answeredAt > at) {
+    public synchronized void frontEndKilled(Object frontEnd, double killedAt) {
+        for (Request request : requestsById.values()) {
+            if (request.frontEnd.equals(frontEnd) && request.sentAt <= killedAt && request.answeredAt > killedAt) {
                 request.excused = true;
             }
         }
@@ -189,8 +200,8 @@
      * Records that a front end process has exited. A request written later on a connection that is still open reaches no
      * process and needs no answer. Ends with {@link #frontEndListening}.
      */
-    public synchronized void frontEndExited(Object frontEnd, double at) {
-        exitTimes.put(frontEnd, at);
+    public synchronized void frontEndExited(Object frontEnd, double exitedAt) {
+        exitTimes.put(frontEnd, exitedAt);
     }
 
     /** Records that a process listens at the address of the front end again. */
@@ -198,19 +209,19 @@
         exitTimes.remove(frontEnd);
     }
 
-    private boolean hasExited(Object frontEnd, double at) {
+    private boolean hasExited(Object frontEnd, double time) {
         Double exitedAt = exitTimes.get(frontEnd);
-        return exitedAt != null && at >= exitedAt;
+        return exitedAt != null && time >= exitedAt;
     }
 
     /** Records that a front end got no processor time: answers due in this interval or right after it are excused. */
-    public synchronized void frontEndStalled(Object frontEnd, double from, double to) {
-        stallIntervals.add(frontEnd, from, to);
+    public synchronized void frontEndStalled(Object frontEnd, double startedAt, double endedAt) {
+        stallIntervals.add(frontEnd, startedAt, endedAt);
     }
 
     /** Records that the client closed the connection before the answer. */
-    public synchronized void requestCancelled(String id, double at) {
-        requestCount.get(id).cancelledAt = at;
+    public synchronized void requestCancelled(String id, double cancelledAt) {
+        requestsById.get(id).cancelledAt = cancelledAt;
     }
 
     /**
@@ -219,19 +230,20 @@
      * @param clientPort local port of the client on this connection
      * @param bytesWrittenBefore bytes that the client had written on this connection before the request
      */
-    public synchronized void connectionEnded(String id, double at, int clientPort, long bytesWrittenBefore) {
-        Request request = requestCount.get(id);
-        request.connectionEndedAt = at;
-        request.unansweredRequest = new FrontEndConnectionLog.UnansweredRequest(clientPort, bytesWrittenBefore, request.sentAt, at);
+    public synchronized void connectionEnded(String id, double endedAt, int clientPort, long bytesWrittenBefore) {
+        Request request = requestsById.get(id);
+        request.connectionEndedAt = endedAt;
+        request.unansweredRequest = new FrontEndConnectionLog.UnansweredRequest(clientPort, bytesWrittenBefore, request.sentAt,
+                endedAt);
     }
 
-    /** Adds the system calls recorded for a front end; without them no allowance is made. */
+    /** Adds the connection events recorded for a front end; without them no allowance is made. */
     public synchronized void addConnectionLog(Object frontEnd, FrontEndConnectionLog connectionLog) {
         connectionLogs.put(frontEnd, connectionLog);
     }
 
     /**
-     * Apparent violations whose time was read by a thread that ran late, so that the event may have been in time. Filled by
+     * Apparent violations that were observed by a lagging thread, so that the event may have happened in time. Filled by
      * {@link #findings(double)}.
      */
     public synchronized List<Finding> inconclusiveFindings() {
@@ -248,18 +260,20 @@
         return new EnumMap<>(allowanceCounts);
     }
 
-    /** The request needs no answer: its front end was killed, or closed the connection while the request was on its way. */
+    /**
+     * Marks a request as needing no answer: its front end was killed, or closed the connection while the request was on its way.
+     */
     public synchronized void excuse(String id) {
-        requestCount.get(id).excused = true;
+        requestsById.get(id).excused = true;
     }
 
     /** Records that the client received a complete answer. */
-    public synchronized void answerReceived(String id, int status, String body, double at) {
-        Request request = requestCount.get(id);
+    public synchronized void answerReceived(String id, int status, String body, double receivedAt) {
+        Request request = requestsById.get(id);
         if (request.answeredAt < Double.POSITIVE_INFINITY) {
             findings.add(new Finding(Violation.SECOND_ANSWER, id));
         }
-        request.answeredAt = at;
+        request.answeredAt = receivedAt;
         request.succeeded = status == 200;
         if (status == 200 && !request.executorAnswers.contains(body)) {
             findings.add(new Finding(Violation.WRONG_ANSWER, id + ": " + body));
@@ -268,7 +282,7 @@
 
     /** Records the body with which an executor answered the request. */
     public synchronized void executorAnswered(String id, String body) {
-        Request request = requestCount.get(id);
+        Request request = requestsById.get(id);
         if (request != null) {
             request.executorAnswers.add(body);
         }
@@ -279,75 +293,77 @@
      *
      * @param timeoutMillis the timeout that was passed on with the request
      */
-    public synchronized void attemptReceived(String executor, String id, double at, double timeoutMillis) {
-        attemptReceived(executor, id, at, timeoutMillis, new Sender(0));
+    public synchronized void attemptReceived(String executor, String id, double receivedAt, double timeoutMillis) {
+        attemptReceived(executor, id, receivedAt, timeoutMillis, new Sender(0));
     }
 
     /** Records that a request arrived completely on a connection of {@code sender}. */
-    synchronized void attemptReceived(String executor, String id, double at, double timeoutMillis, Sender sender) {
-        Request request = requestCount.get(id);
+    synchronized void attemptReceived(String executor, String id, double receivedAt, double timeoutMillis, Sender sender) {
+        Request request = requestsById.get(id);
         if (request == null) {
             findings.add(new Finding(Violation.UNKNOWN_REQUEST, id + " on " + executor));
             return;
         }
-        double excessMillis = at + timeoutMillis - (request.sentAt + request.budgetMillis);
+        double excessMillis = receivedAt + timeoutMillis - (request.sentAt + request.budgetMillis);
         if (excessMillis > DEADLINE_SLACK_MILLIS + SOCKET_SLACK_MILLIS) {
             longDeadlines.add(new DatedFinding(new Finding(Violation.LONG_DEADLINE, id + " on " + executor + ": " + Math.round(excessMillis)
-                    + " ms beyond its client's time; " + request + stallIntervals.describeAll(request.frontEnd)), at,
+                    + " ms beyond its client's deadline; " + request + stallIntervals.describeAll(request.frontEnd)), receivedAt,
                     request.sentAt + request.budgetMillis - timeoutMillis + DEADLINE_SLACK_MILLIS + SOCKET_SLACK_MILLIS));
         }
-        if (at > request.endedAtMillis() + CANCEL_SLACK_MILLIS + SOCKET_SLACK_MILLIS) {
-            lateAttempts.add(new LateAttempt(id + " at " + Math.round(at) + " on " + executor + ": "
-                    + Math.round(at - request.endedAtMillis()) + " ms after its end; " + request
-                    + stallIntervals.describeAll(request.frontEnd), at,
-                    request.endedAtMillis() + CANCEL_SLACK_MILLIS + SOCKET_SLACK_MILLIS, sender));
+        if (receivedAt > request.endedAt() + CANCEL_SLACK_MILLIS + SOCKET_SLACK_MILLIS) {
+            lateAttempts.add(new LateAttempt(id + " at " + Math.round(receivedAt) + " on " + executor + ": "
+                    + Math.round(receivedAt - request.endedAt()) + " ms after the end of its request; " + request
+                    + stallIntervals.describeAll(request.frontEnd), receivedAt,
+                    request.endedAt() + CANCEL_SLACK_MILLIS + SOCKET_SLACK_MILLIS, sender));
         }
         sender.frontEnd = request.frontEnd;
-        checkDrainGrace(executor, "request " + id, at, sender);
+        checkDrainGrace(executor, "request " + id, receivedAt, sender);
     }
 
     /** Records that an executor did not reject the request: it runs, or may have run. */
     public synchronized void attemptAccepted(String executor, String id) {
-        Request request = requestCount.get(id);
+        Request request = requestsById.get(id);
         if (request != null && ++request.acceptedAttempts > 1 && !request.repeatable) {
-            findings.add(new Finding(Violation.DUPLICATE, id + ": taken " + request.acceptedAttempts + " times, last by " + executor));
+            findings.add(new Finding(Violation.DUPLICATE,
+                    id + ": accepted " + request.acceptedAttempts + " times, last by " + executor));
         }
     }
 
     /**
      * Counts a request towards the load of a process that may have just started.
      *
-     * @param earliest the earliest time at which the request can have arrived
-     * @param at when the request was read
+     * @param earliestAt the earliest time at which the request can have arrived
+     * @param readAt when the request was read
      */
-    synchronized void countForColdStart(String executor, double earliest, double at, Sender sender) {
-        coldStartCheck.requestArrived(executor, Math.min(earliest, lagIntervals.earliestArrival(at)), at, sender.frontEnd);
+    synchronized void countForColdStart(String executor, double earliestAt, double readAt, Sender sender) {
+        coldStartCheck.requestArrived(executor, Math.min(earliestAt, lagIntervals.earliestArrival(readAt)), readAt,
+                sender.frontEnd);
     }
 
     /** Records that a load order arrived completely at an executor. */
-    public synchronized void loadOrderReceived(String executor, double at) {
-        loadOrderReceived(executor, at, new Sender(0));
+    public synchronized void loadOrderReceived(String executor, double receivedAt) {
+        loadOrderReceived(executor, receivedAt, new Sender(0));
     }
 
-    /** Records a load order from a {@code sender} whose front end may become known later. */
-    synchronized void loadOrderReceived(String executor, double at, Sender sender) {
-        checkDrainGrace(executor, "load order", at, sender);
+    /** Records a load order from a sender whose front end may become known later. */
+    synchronized void loadOrderReceived(String executor, double receivedAt, Sender sender) {
+        checkDrainGrace(executor, "load order", receivedAt, sender);
     }
 
-    private void checkDrainGrace(String executor, String description, double at, Sender sender) {
+    private void checkDrainGrace(String executor, String description, double receivedAt, Sender sender) {
         Drain drain = drainingExecutors.get(executor);
-        if (drain != null && isAfterGrace(at, drain.announcedAt)) {
-            lateSends.add(new LateSend(executor, description, at, drain, sender));
+        if (drain != null && isAfterGrace(receivedAt, drain.announcedAt)) {
+            lateSends.add(new LateSend(executor, description, receivedAt, drain, sender));
         }
     }
 
-    private boolean isAfterGrace(double at, double drainAnnouncedAt) {
-        return at > drainAnnouncedAt + drainGraceMillis + SOCKET_SLACK_MILLIS;
+    private boolean isAfterGrace(double receivedAt, double drainAnnouncedAt) {
+        return receivedAt > drainAnnouncedAt + drainGraceMillis + SOCKET_SLACK_MILLIS;
     }
 
     /** Records the time from which front ends count as notified that the executor drains or was removed. */
-    public synchronized void executorDraining(String executor, double at) {
-        drainingExecutors.put(executor, new Drain(at));
+    public synchronized void executorDraining(String executor, double announcedAt) {
+        drainingExecutors.put(executor, new Drain(announcedAt));
     }
 
     /**
@@ -365,17 +381,19 @@
     }
 
     /** Fraction of the requests sent at matching times that were answered with success; NaN if there were none. */
-    public synchronized double successRate(DoublePredicate sentAt) {
-        return requestCount.values().stream().filter(request -> sentAt.test(request.sentAt))
+    public synchronized double successRate(DoublePredicate sentTimeFilter) {
+        return requestsById.values().stream().filter(request -> sentTimeFilter.test(request.sentAt))
                 .mapToInt(request -> request.succeeded ? 1 : 0).average().orElse(Double.NaN);
     }
 
     private String describeWriteStall(LateAttempt late) {
         FrontEndConnectionLog connectionLog = connectionLogs.get(late.sender.frontEnd);
-        double millis = connectionLog == null ? 0 : connectionLog.writeStallMillis(late.sender.port, late.receivedAt);
-        return millis > 0 ? "; stopped for " + Math.round(millis) + " ms between its last look at the clock and the write" : "";
+        double stallMillis = connectionLog == null ? 0 : connectionLog.writeStallMillis(late.sender.port, late.receivedAt);
+        return stallMillis > 0
+                ? "; stopped for " + Math.round(stallMillis) + " ms between its last reading of the clock and the write" : "";
     }
 
+    /** Whether an injected fault explains the send; if so, counts the allowance. */
     private boolean isAllowed(LateSend send) {
         FrontEndConnectionLog connectionLog = connectionLogs.get(send.sender.frontEnd);
         boolean inTime = connectionLog != null && !isAfterGrace(send.receivedAt,
@@ -383,50 +401,54 @@
         return inTime && countAllowance(Allowance.BROKEN_WATCH);
     }
 
-    private boolean crossedClose(Request request) {
+    /** Whether the request and the close of its connection crossed on the way; if so, counts the allowance. */
+    private boolean isCrossedClose(Request request) {
         FrontEndConnectionLog connectionLog = connectionLogs.get(request.frontEnd);
         boolean crossed = connectionLog != null && request.unansweredRequest != null
                 && connectionLog.isCrossedClose(request.unansweredRequest);
         return crossed && countAllowance(Allowance.CROSSED_CLOSE);
     }
 
+    /** Counts an allowance; always true, to end the condition of an allowance. */
     private boolean countAllowance(Allowance allowance) {
         allowanceCounts.merge(allowance, 1, Integer::sum);
         return true;
     }
 
     /**
-     * All violations. Call it once no event of a request sent {@code before} can follow.
+     * All violations. To be called once no further event of a request sent before {@code sentBefore} can occur.
      *
-     * @param before only requests sent before this time are checked for a missing answer
+     * @param sentBefore only requests sent before this time are checked for a missing answer
      */
-    public synchronized List<Finding> findings(double before) {
-        List<Finding> all = new ArrayList<>(findings);
+    public synchronized List<Finding> findings(double sentBefore) {
+        List<Finding> violations = new ArrayList<>(findings);
         allowanceCounts.clear();
         inconclusiveFindings.clear();
-        longDeadlines.forEach(dated -> addFinding(all, dated));
-        lateAttempts.forEach(late -> addFinding(all, new DatedFinding(
+        longDeadlines.forEach(dated -> addFinding(violations, dated));
+        lateAttempts.forEach(late -> addFinding(violations, new DatedFinding(
                 new Finding(Violation.LATE_ATTEMPT, late.description + describeWriteStall(late)), late.receivedAt, late.limit)));
-        lateSends.stream().filter(send -> !isAllowed(send)).forEach(send -> addFinding(all, new DatedFinding(
+        lateSends.stream().filter(send -> !isAllowed(send)).forEach(send -> addFinding(violations, new DatedFinding(
                 new Finding(Violation.AFTER_DRAIN, send.description + " to " + send.executor + " by " + send.sender.frontEnd + ": "
-                        + Math.round(send.receivedAt - send.drain.announcedAt) + " ms after"
+                        + Math.round(send.receivedAt - send.drain.announcedAt) + " ms after the drain was announced"
                         + probeHistory.describe(send.executor, send.sender, send.receivedAt)),
                 send.receivedAt, send.drain.announcedAt + drainGraceMillis + SOCKET_SLACK_MILLIS)));
-        coldStartCheck.findOverloads(connectionLogs).forEach(overload -> (overload.conclusive() ? all : inconclusiveFindings).add(
-                new Finding(Violation.COLD_FALL, overload.description())));
-        requestCount.forEach((id, request) -> {
-            double latest = request.sentAt + request.budgetMillis + ANSWER_SLACK_MILLIS + SOCKET_SLACK_MILLIS;
-            if (request.sentAt < before && !request.excused && !stallIntervals.isStalledOrRecovering(request.frontEnd, latest)
-                    && Math.min(request.cancelledAt, request.answeredAt) > latest && !crossedClose(request)) {
-                Finding finding = new Finding(Violation.NO_ANSWER, id + ": asked at " + Math.round(request.sentAt) + ", "
+        coldStartCheck.findOverloads(connectionLogs).forEach(overload ->
+                (overload.conclusive() ? violations : inconclusiveFindings).add(
+                        new Finding(Violation.COLD_FALL, overload.description())));
+        requestsById.forEach((id, request) -> {
+            double answerLimit = request.sentAt + request.budgetMillis + ANSWER_SLACK_MILLIS + SOCKET_SLACK_MILLIS;
+            if (request.sentAt < sentBefore && !request.excused
+                    && !stallIntervals.isStalledOrRecovering(request.frontEnd, answerLimit)
+                    && Math.min(request.cancelledAt, request.answeredAt) > answerLimit && !isCrossedClose(request)) {
+                Finding finding = new Finding(Violation.NO_ANSWER, id + ": sent at " + Math.round(request.sentAt) + ", "
                         + (request.answeredAt < Double.POSITIVE_INFINITY
-                        ? Math.round(request.answeredAt - latest) + " ms too late"
+                        ? Math.round(request.answeredAt - answerLimit) + " ms too late"
                         : Double.isNaN(request.connectionEndedAt) ? "never answered"
                         : "connection ended after " + Math.round(request.connectionEndedAt - request.sentAt) + " ms")
-                        + " by " + request.frontEnd + stallIntervals.describeLastBefore(request.frontEnd, latest));
-                addFinding(all, new DatedFinding(finding, Math.min(request.cancelledAt, request.answeredAt), latest));
+                        + " by " + request.frontEnd + stallIntervals.describeLastBefore(request.frontEnd, answerLimit));
+                addFinding(violations, new DatedFinding(finding, Math.min(request.cancelledAt, request.answeredAt), answerLimit));
             }
         });
-        return all;
+        return violations;
     }
 }
--- a/standins/src/main/java/gradereach/standins/frames/RequestClient.java
+++ b/standins/src/main/java/gradereach/standins/frames/RequestClient.java
@@ -20,6 +20,7 @@
 public final class RequestClient {
     private static final AtomicLong LAST_ID = new AtomicLong();
     private static final int MODELS = 6;
+    // The budget of a request is the time that its client gives the front end.
     private static final int MIN_BUDGET_MILLIS = 200;
     private static final int BUDGET_RANGE_MILLIS = 1300;
     private static final int LONG_BODY_LENGTH = 8000;
@@ -29,7 +30,10 @@
     /** One in this many requests is cancelled within its budget; the others are waited for beyond it. */
     private static final int CANCEL_ONE_IN = 8;
     private static final int WAIT_AFTER_BUDGET_MILLIS = 600;
-    /** How long clients still open new connections after a front end was told to stop. */
+    /** Offsets of the status code in {@code HTTP/1.1 200}. */
+    private static final int STATUS_START = 9;
+    private static final int STATUS_END = 12;
+    /** Time for which clients still open new connections after their front end was told to stop. */
     private static final double CONNECT_AFTER_RETIRE_MILLIS = 300;
 
     private final PeerEventLoops loops;
@@ -102,8 +106,9 @@
         private String pendingId;
         private final StringBuilder received = new StringBuilder();
         private int localPort;
-        /** Bytes of all requests before the latest one, and of all requests. */
+        /** Bytes of all requests on this connection before the latest one. */
         private long bytesWrittenBefore;
+        /** Bytes of all requests on this connection. */
         private long bytesWritten;
 
         @Override
@@ -146,17 +151,17 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             received.append(bytes.toString(StandardCharsets.ISO_8859_1));
-            int end = received.indexOf("\r\n\r\n");
-            if (end < 0 || pendingId == null) {
+            int headEnd = received.indexOf("\r\n\r\n");
+            if (headEnd < 0 || pendingId == null) {
                 return;
             }
-            String head = received.substring(0, end).toLowerCase();
-            int length = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
-            if (received.length() < end + 4 + length) {
+            String head = received.substring(0, headEnd).toLowerCase();
+            int bodyLength = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
+            if (received.length() < headEnd + 4 + bodyLength) {
                 return;
             }
-            auditor.answerReceived(pendingId, Integer.parseInt(head.substring(9, 12)), received.substring(end + 4, end + 4 + length),
-                    loops.now());
+            auditor.answerReceived(pendingId, Integer.parseInt(head.substring(STATUS_START, STATUS_END)),
+                    received.substring(headEnd + 4, headEnd + 4 + bodyLength), loops.now());
             pendingId = null;
             if (head.contains("connection: close")) {
                 ctx.close();
--- a/standins/src/main/java/gradereach/standins/prometheus/Expression.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/Expression.java
@@ -21,7 +21,10 @@
             "\\s*([a-zA-Z_:][a-zA-Z0-9_:]*|[0-9]+(?:ms|s|m|h)\\b|[0-9]*\\.?[0-9]+(?:[eE][-+]?[0-9]+)?"
             + "|\"[^\"]*\"|==|!=|>=|<=|[-+*/(){}\\[\\],=<>])");
 
-    /** An instant vector (values by labels, without the metric name) or a scalar. */
+    /** A gap of more mean intervals than this is extrapolated by half an interval only. */
+    private static final double MAX_EXTRAPOLATED_INTERVALS = 1.1;
+
+    /** An instant vector (values by labels, without the metric name) or a scalar; the other one is null. */
     record Value(Map<Map<String, String>, Double> vector, Double scalar) {
         static Value of(double number) {
             return new Value(null, number);
@@ -33,8 +36,14 @@
         Value evaluate(SampleStore store, long now);
     }
 
-    /** A selector; {@code rangeMillis} is 0 for an instant selector. */
-    private record RangeSelector(String name, List<String[]> matchers, long rangeMillis) {
+    /**
+     * A selector.
+     *
+     * @param matchers label, operator ({@code =} or {@code !=}) and value of each matcher
+     * @param rangeMillis 0 for an instant selector
+     */
+    private record Selector(String name, List<String[]> matchers, long rangeMillis) {
+        /** The samples of the matching series within a window before {@code now}, by labels. */
         Map<Map<String, String>, List<SampleStore.Sample>> samples(SampleStore store, long now, long windowMillis) {
             Map<Map<String, String>, List<SampleStore.Sample>> matching = new HashMap<>();
             store.samplesBetween(name, now - windowMillis, now).forEach((labels, samples) -> {
@@ -52,6 +61,7 @@
 
     private final String text;
     private final List<String> tokens = new ArrayList<>();
+    /** Position of each token in the text. */
     private final List<Integer> positions = new ArrayList<>();
     private final long lookbackMillis;
     private int nextToken;
@@ -71,13 +81,13 @@
         int position = 0;
         while (position < text.length() && !text.substring(position).isBlank()) {
             if (!matcher.find(position) || matcher.start() != position) {
-                throw new IllegalArgumentException("at " + position + " of " + text + ": not understood");
+                throw new IllegalArgumentException("position " + position + " of " + text + ": unrecognized token");
             }
             tokens.add(matcher.group(1));
             positions.add(matcher.start(1));
             position = matcher.end();
         }
-        root = conjunction();
+        root = parseConjunction();
         if (nextToken < tokens.size()) {
             throw unexpected();
         }
@@ -90,35 +100,40 @@
     }
 
     private IllegalArgumentException unexpected() {
-        return new IllegalArgumentException("at " + (nextToken < positions.size() ? positions.get(nextToken) : text.length())
-                + " of " + text + ": " + (nextToken < tokens.size() ? tokens.get(nextToken) : "its end") + " not expected");
+        return new IllegalArgumentException("position "
+                + (nextToken < positions.size() ? positions.get(nextToken) : text.length())
+                + " of " + text + ": "
+                + (nextToken < tokens.size() ? tokens.get(nextToken) : "end of the expression") + " is not expected here");
     }
 
+    /** Consumes the next token if it is this one. */
     private boolean accept(String token) {
         boolean matches = nextToken < tokens.size() && tokens.get(nextToken).equals(token);
         nextToken += matches ? 1 : 0;
         return matches;
     }
 
+    /** Consumes the next token, which must be this one. */
     private void expect(String token) {
         if (!accept(token)) {
             throw unexpected();
         }
     }
 
-    private Node conjunction() {
-        Node left = comparison();
+    private Node parseConjunction() {
+        Node left = parseComparison();
         while (accept("and")) {
-            Set<String> on = accept("on") ? labelNames() : null;
-            Node first = left;
-            Node second = comparison();
+            Set<String> matchingLabels = accept("on") ? parseLabelNames() : null;
+            Node leftOperand = left;
+            Node rightOperand = parseComparison();
             left = (store, now) -> {
-                Value a = first.evaluate(store, now);
+                Value leftValue = leftOperand.evaluate(store, now);
                 Set<Map<String, String>> presentLabels = new java.util.HashSet<>();
-                second.evaluate(store, now).vector.keySet().forEach(labels -> presentLabels.add(retainLabels(labels, on)));
+                rightOperand.evaluate(store, now).vector.keySet()
+                        .forEach(labels -> presentLabels.add(retainLabels(labels, matchingLabels)));
                 Map<Map<String, String>, Double> intersection = new LinkedHashMap<>();
-                a.vector.forEach((labels, value) -> {
-                    if (presentLabels.contains(retainLabels(labels, on))) {
+                leftValue.vector.forEach((labels, value) -> {
+                    if (presentLabels.contains(retainLabels(labels, matchingLabels))) {
                         intersection.put(labels, value);
                     }
                 });
@@ -128,6 +143,7 @@
         return left;
     }
 
+    /** The labels with these names; all labels if {@code names} is null. */
     private static Map<String, String> retainLabels(Map<String, String> labels, Set<String> names) {
         if (names == null) {
             return labels;
@@ -137,75 +153,77 @@
         return retained;
     }
 
-    private Node comparison() {
-        Node left = sum();
+    private Node parseComparison() {
+        Node left = parseSum();
         while (nextToken < tokens.size() && Set.of(">", "<", ">=", "<=", "==", "!=").contains(tokens.get(nextToken))) {
             String operator = tokens.get(nextToken++);
-            left = binary(left, sum(), operator);
+            left = binaryOperation(left, parseSum(), operator);
         }
         return left;
     }
 
-    private Node sum() {
-        Node left = product();
+    private Node parseSum() {
+        Node left = parseProduct();
         while (nextToken < tokens.size() && Set.of("+", "-").contains(tokens.get(nextToken))) {
             String operator = tokens.get(nextToken++);
-            left = binary(left, product(), operator);
+            left = binaryOperation(left, parseProduct(), operator);
         }
         return left;
     }
 
-    private Node product() {
-        Node left = primary();
+    private Node parseProduct() {
+        Node left = parsePrimary();
         while (nextToken < tokens.size() && Set.of("*", "/").contains(tokens.get(nextToken))) {
             String operator = tokens.get(nextToken++);
-            left = binary(left, primary(), operator);
+            left = binaryOperation(left, parsePrimary(), operator);
         }
         return left;
     }
 
-    private static Node binary(Node left, Node right, String operator) {
+    private static Node binaryOperation(Node left, Node right, String operator) {
         return (store, now) -> {
-            Value a = left.evaluate(store, now);
-            Value b = right.evaluate(store, now);
-            if (a.scalar != null && b.scalar != null) {
-                return Value.of(apply(operator, a.scalar, b.scalar));
+            Value leftValue = left.evaluate(store, now);
+            Value rightValue = right.evaluate(store, now);
+            if (leftValue.scalar != null && rightValue.scalar != null) {
+                return Value.of(apply(operator, leftValue.scalar, rightValue.scalar));
             }
             Map<Map<String, String>, Double> result = new LinkedHashMap<>();
             // Without on(), elements with the same labels are matched; a scalar is matched with every element.
-            (a.vector != null ? a.vector : b.vector).forEach((labels, value) -> {
-                Double x = a.vector != null ? value : a.scalar;
-                Double y = b.vector != null ? b.vector.get(labels) : b.scalar;
-                if (x == null || y == null) {
+            (leftValue.vector != null ? leftValue.vector : rightValue.vector).forEach((labels, value) -> {
+                Double leftOperand = leftValue.vector != null ? value : leftValue.scalar;
+                Double rightOperand = rightValue.vector != null ? rightValue.vector.get(labels) : rightValue.scalar;
+                if (leftOperand == null || rightOperand == null) {
                     return;
                 }
-                double applied = apply(operator, x, y);
+                double applied = apply(operator, leftOperand, rightOperand);
                 if ("+-*/".contains(operator)) {
                     result.put(labels, applied);
                 } else if (applied == 1) {
-                    result.put(labels, a.vector != null ? x : y); // a comparison keeps the matching elements
+                    // A comparison keeps the matching elements.
+                    result.put(labels, leftValue.vector != null ? leftOperand : rightOperand);
                 }
             });
             return new Value(result, null);
         };
     }
 
-    private static double apply(String operator, double x, double y) {
+    /** Applies an operator; a comparison gives 1 if it holds, otherwise 0. */
+    private static double apply(String operator, double left, double right) {
         return switch (operator) {
-            case "+" -> x + y;
-            case "-" -> x - y;
-            case "*" -> x * y;
-            case "/" -> x / y;
-            case ">" -> x > y ? 1 : 0;
-            case "<" -> x < y ? 1 : 0;
-            case ">=" -> x >= y ? 1 : 0;
-            case "<=" -> x <= y ? 1 : 0;
-            case "==" -> x == y ? 1 : 0;
-            default -> x != y ? 1 : 0;
+            case "+" -> left + right;
+            case "-" -> left - right;
+            case "*" -> left * right;
+            case "/" -> left / right;
+            case ">" -> left > right ? 1 : 0;
+            case "<" -> left < right ? 1 : 0;
+            case ">=" -> left >= right ? 1 : 0;
+            case "<=" -> left <= right ? 1 : 0;
+            case "==" -> left == right ? 1 : 0;
+            default -> left != right ? 1 : 0;
         };
     }
 
-    private Set<String> labelNames() {
+    private Set<String> parseLabelNames() {
         Set<String> names = new TreeSet<>();
         expect("(");
         while (!accept(")")) {
@@ -215,12 +233,12 @@
         return names;
     }
 
-    private Node primary() {
+    private Node parsePrimary() {
         if (nextToken >= tokens.size()) {
             throw unexpected();
         }
         if (accept("(")) {
-            Node inner = conjunction();
+            Node inner = parseConjunction();
             expect(")");
             return inner;
         }
@@ -234,22 +252,22 @@
             throw unexpected();
         }
         return switch (token) {
-            case "sum", "max" -> aggregation(token);
-            case "rate", "increase" -> function(token);
-            case "absent" -> absent();
+            case "sum", "max" -> parseAggregation(token);
+            case "rate", "increase" -> parseRangeFunction(token);
+            case "absent" -> parseAbsent();
             default -> {
-                RangeSelector range = selector();
-                if (range.rangeMillis > 0) {
+                Selector selector = parseSelector();
+                if (selector.rangeMillis > 0) {
                     throw unexpected();
                 }
-                yield (store, now) -> instantValue(range, store, now);
+                yield (store, now) -> instantValue(selector, store, now);
             }
         };
     }
 
-    private Value instantValue(RangeSelector range, SampleStore store, long now) {
+    private Value instantValue(Selector selector, SampleStore store, long now) {
         Map<Map<String, String>, Double> values = new LinkedHashMap<>();
-        range.samples(store, now, lookbackMillis).forEach((labels, samples) -> {
+        selector.samples(store, now, lookbackMillis).forEach((labels, samples) -> {
             SampleStore.Sample last = samples.get(samples.size() - 1);
             if (!last.isStale()) {
                 values.put(withoutName(labels), last.value());
@@ -264,40 +282,40 @@
         return unnamed;
     }
 
-    private Node aggregation(String operator) {
+    private Node parseAggregation(String operator) {
         nextToken++;
-        Set<String> by = accept("by") ? labelNames() : Set.of();
+        Set<String> groupLabels = accept("by") ? parseLabelNames() : Set.of();
         expect("(");
-        Node inner = conjunction();
+        Node inner = parseConjunction();
         expect(")");
         return (store, now) -> {
             Map<Map<String, String>, Double> groups = new LinkedHashMap<>();
-            inner.evaluate(store, now).vector.forEach((labels, value) -> groups.merge(retainLabels(labels, by), value,
+            inner.evaluate(store, now).vector.forEach((labels, value) -> groups.merge(retainLabels(labels, groupLabels), value,
                     operator.equals("sum") ? Double::sum : Math::max));
             return new Value(groups, null);
         };
     }
 
-    private Node absent() {
+    private Node parseAbsent() {
         nextToken++;
         expect("(");
-        Node inner = conjunction();
+        Node inner = parseConjunction();
         expect(")");
         return (store, now) -> new Value(inner.evaluate(store, now).vector.isEmpty() ? Map.of(Map.of(), 1.0) : Map.of(), null);
     }
 
     /** {@code rate} and {@code increase}, with counter resets and the extrapolation to the ends of the range as documented. */
-    private Node function(String name) {
+    private Node parseRangeFunction(String name) {
         nextToken++;
         expect("(");
-        RangeSelector range = selector();
-        if (range.rangeMillis == 0) {
+        Selector selector = parseSelector();
+        if (selector.rangeMillis == 0) {
             throw unexpected();
         }
         expect(")");
         return (store, now) -> {
             Map<Map<String, String>, Double> values = new LinkedHashMap<>();
-            range.samples(store, now, range.rangeMillis).forEach((labels, allSamples) -> {
+            selector.samples(store, now, selector.rangeMillis).forEach((labels, allSamples) -> {
                 List<SampleStore.Sample> samples = allSamples.stream().filter(s -> !s.isStale()).toList();
                 if (samples.size() < 2) {
                     return;
@@ -311,22 +329,22 @@
                 SampleStore.Sample last = samples.get(samples.size() - 1);
                 double coveredMillis = last.timestamp() - first.timestamp();
                 double meanIntervalMillis = coveredMillis / (samples.size() - 1);
-                double gapBefore = first.timestamp() - (now - range.rangeMillis);
+                double gapBefore = first.timestamp() - (now - selector.rangeMillis);
                 double gapAfter = now - last.timestamp();
                 // A counter is never negative, so extrapolate back no further than to the time at which it would have been zero.
                 gapBefore = observedIncrease > 0 && first.value() >= 0
                         ? Math.min(gapBefore, coveredMillis * first.value() / observedIncrease) : gapBefore;
                 double extrapolatedMillis = coveredMillis
-                        + (gapBefore < meanIntervalMillis * 1.1 ? gapBefore : meanIntervalMillis / 2)
-                        + (gapAfter < meanIntervalMillis * 1.1 ? gapAfter : meanIntervalMillis / 2);
+                        + (gapBefore < meanIntervalMillis * MAX_EXTRAPOLATED_INTERVALS ? gapBefore : meanIntervalMillis / 2)
+                        + (gapAfter < meanIntervalMillis * MAX_EXTRAPOLATED_INTERVALS ? gapAfter : meanIntervalMillis / 2);
                 double increase = observedIncrease * extrapolatedMillis / coveredMillis;
-                values.put(withoutName(labels), name.equals("rate") ? increase / (range.rangeMillis / 1000.0) : increase);
+                values.put(withoutName(labels), name.equals("rate") ? increase / (selector.rangeMillis / 1000.0) : increase);
             });
             return new Value(values, null);
         };
     }
 
-    private RangeSelector selector() {
+    private Selector parseSelector() {
         String name = tokens.get(nextToken++);
         if (!name.matches("[a-zA-Z_:].*") || nextToken < tokens.size() && tokens.get(nextToken).equals("(")) {
             nextToken--;
@@ -350,14 +368,14 @@
             millis = parseDurationMillis(tokens.get(nextToken++));
             expect("]");
         }
-        return new RangeSelector(name, matchers, millis);
+        return new Selector(name, matchers, millis);
     }
 
     /** Parses a duration with a single unit, such as {@code 5m}, to milliseconds. */
     public static long parseDurationMillis(String text) {
         Matcher matcher = Pattern.compile("([0-9]+)(ms|s|m|h)").matcher(text);
         if (!matcher.matches()) {
-            throw new IllegalArgumentException(text + ": no duration");
+            throw new IllegalArgumentException(text + " is not a duration");
         }
         return Long.parseLong(matcher.group(1)) * switch (matcher.group(2)) {
             case "ms" -> 1L;
--- a/standins/src/main/java/gradereach/standins/prometheus/RemoteWriteServer.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RemoteWriteServer.java
@@ -43,7 +43,8 @@
     /** Retry-After of the answers with the fault {@code 429}. */
     public volatile int retryAfterSeconds = 1;
     private final AtomicInteger requestCount = new AtomicInteger();
-    private final List<long[]> arrivalTimes = new ArrayList<>();
+    /** Arrival time in milliseconds and body length in bytes of each request. */
+    private final List<long[]> arrivals = new ArrayList<>();
     private long acceptedBytes;
     private long acceptedSamples;
     private long version1Requests;
@@ -66,7 +67,7 @@
         int requestNumber = requestCount.incrementAndGet();
         byte[] body = exchange.getRequestBody().readAllBytes();
         synchronized (this) {
-            arrivalTimes.add(new long[] {System.nanoTime() / 1_000_000, body.length});
+            arrivals.add(new long[] {System.nanoTime() / 1_000_000, body.length});
         }
         String currentFault = fault;
         boolean isVersion2 = exchange.getRequestHeaders().getFirst("Content-Type").contains("io.prometheus.write.v2.Request");
@@ -108,6 +109,7 @@
         exchange.close();
     }
 
+    /** Stores the samples of a request of version 1.0 and returns the number of rejected ones. */
     private int storeVersion1(byte[] body) throws IOException {
         int rejected = 0;
         for (TimeSeries series : WriteRequest.parseFrom(Snappy.uncompress(body)).getTimeseriesList()) {
@@ -120,10 +122,11 @@
         return rejected;
     }
 
+    /** Stores the samples of a request of version 2.0 and returns the number of rejected ones. */
     private int storeVersion2(HttpExchange exchange, byte[] body) throws IOException {
         Request request = Request.parseFrom(Snappy.uncompress(body));
-        int samples = 0;
-        int histograms = 0;
+        int writtenSamples = 0;
+        int writtenHistograms = 0;
         int rejected = 0;
         for (var series : request.getTimeseriesList()) {
             Map<String, String> labels = new TreeMap<>();
@@ -132,29 +135,30 @@
             }
             for (var sample : series.getSamplesList()) {
                 boolean accepted = addSample(labels, sample.getTimestamp(), sample.getValue());
-                samples += accepted ? 1 : 0;
+                writtenSamples += accepted ? 1 : 0;
                 rejected += accepted ? 0 : 1;
             }
             for (Histogram histogram : series.getHistogramsList()) {
                 // Stored as its count only, which is enough to show that the histogram arrived complete.
-                long sum = histogram.getZeroCountInt();
+                long totalCount = histogram.getZeroCountInt();
                 long bucketCount = 0;
                 for (long delta : histogram.getPositiveDeltasList()) {
                     bucketCount += delta;
-                    sum += bucketCount;
+                    totalCount += bucketCount;
                 }
-                boolean accepted = sum == histogram.getCountInt()
+                boolean accepted = totalCount == histogram.getCountInt()
                         && addSample(labels, histogram.getTimestamp(), histogram.getCountInt());
-                histograms += accepted ? 1 : 0;
+                writtenHistograms += accepted ? 1 : 0;
                 rejected += accepted ? 0 : 1;
             }
         }
-        exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Samples-Written", Integer.toString(samples));
-        exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Histograms-Written", Integer.toString(histograms));
+        exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Samples-Written", Integer.toString(writtenSamples));
+        exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Histograms-Written", Integer.toString(writtenHistograms));
         exchange.getResponseHeaders().set("X-Prometheus-Remote-Write-Exemplars-Written", "0");
         return rejected;
     }
 
+    /** Stores a sample; returns false if it is rejected. */
     private boolean addSample(Map<String, String> labels, long timestamp, double value) {
         if (fault.equals("400-one") && rejectedName.equals(labels.get("__name__")) || !store.add(labels, timestamp, value)) {
             return false;
@@ -175,19 +179,19 @@
         return acceptedSamples;
     }
 
-    /** Bytes of the bodies of the requests that were not failed by a fault, as received. */
+    /** Compressed size in bytes of the requests whose samples were read, also if some samples were rejected. */
     public synchronized long acceptedBytes() {
         return acceptedBytes;
     }
 
-    /** Number of accepted requests of version 1.0 and of version 2.0. */
+    /** Numbers of the requests of version 1.0 and of version 2.0 whose samples were read, also if some were rejected. */
     public synchronized long[] requestsByVersion() {
         return new long[] {version1Requests, version2Requests};
     }
 
     /** Arrival time of each request, in milliseconds of {@link System#nanoTime}. */
     public synchronized long[] arrivalTimes() {
-        return arrivalTimes.stream().mapToLong(arrival -> arrival[0]).toArray();
+        return arrivals.stream().mapToLong(arrival -> arrival[0]).toArray();
     }
 
     @Override
--- a/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/RuleEvaluator.java
@@ -16,7 +16,13 @@
  * it has been pending for its {@code for} duration.
  */
 public final class RuleEvaluator {
-    /** A recording rule, or an alert with its {@code for} duration; the other name is null. */
+    /**
+     * A recording rule or an alert.
+     *
+     * @param record name of the recorded series; null for an alert
+     * @param alert name of the alert; null for a recording rule
+     * @param forMillis how long an alert is pending before it fires
+     */
     private record Rule(String record, String alert, Expression expression, long forMillis) { }
 
     /** An alert, with the time in milliseconds at which it first fired. */
@@ -24,11 +30,15 @@
 
     private final List<Rule> rules = new ArrayList<>();
     private final long intervalMillis;
+    /** Time since which each alert is pending, by the name of the alert and by labels. */
     private final Map<String, Map<Map<String, String>, Long>> pendingSince = new HashMap<>();
     private final Map<String, FiredAlert> firedAlerts = new LinkedHashMap<>();
     private final SampleStore store;
 
     /**
+     * Parses the rules.
+     *
+     * @param yaml text of the rules file
      * @param lookbackMillis maximum age of a sample in instant selectors: five minutes, or less if all durations of the rules are
      *        scaled down
      */
--- a/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
+++ b/standins/src/main/java/gradereach/standins/prometheus/SampleStore.java
@@ -18,8 +18,9 @@
         }
     }
 
+    /** Samples by label set; the metric name is the label {@code __name__}. */
     private final Map<Map<String, String>, List<Sample>> series = new HashMap<>();
-    private final Map<String, List<Map<String, String>>> byName = new HashMap<>();
+    private final Map<String, List<Map<String, String>>> labelSetsByName = new HashMap<>();
     private long sampleCount;
     private long outOfOrderCount;
 
@@ -30,7 +31,7 @@
     public synchronized boolean add(Map<String, String> labels, long timestamp, double value) {
         Map<String, String> key = new TreeMap<>(labels);
         List<Sample> samples = series.computeIfAbsent(key, k -> {
-            byName.computeIfAbsent(k.get("__name__"), n -> new ArrayList<>()).add(k);
+            labelSetsByName.computeIfAbsent(k.get("__name__"), n -> new ArrayList<>()).add(k);
             return new ArrayList<>();
         });
         if (!samples.isEmpty() && samples.get(samples.size() - 1).timestamp >= timestamp) {
@@ -44,21 +45,21 @@
         return true;
     }
 
-    /** The series with this name that have samples in (from, to], with these samples. */
-    synchronized Map<Map<String, String>, List<Sample>> samplesBetween(String name, long from, long to) {
+    /** The series with this name that have samples after {@code after} and up to {@code until}, with these samples. */
+    synchronized Map<Map<String, String>, List<Sample>> samplesBetween(String name, long after, long until) {
         Map<Map<String, String>, List<Sample>> found = new HashMap<>();
-        for (Map<String, String> labels : byName.getOrDefault(name, List.of())) {
-            List<Sample> all = series.get(labels);
-            int end = all.size();
-            while (end > 0 && all.get(end - 1).timestamp > to) {
+        for (Map<String, String> labels : labelSetsByName.getOrDefault(name, List.of())) {
+            List<Sample> samples = series.get(labels);
+            int end = samples.size();
+            while (end > 0 && samples.get(end - 1).timestamp > until) {
                 end--;
             }
             int start = end;
-            while (start > 0 && all.get(start - 1).timestamp > from) {
+            while (start > 0 && samples.get(start - 1).timestamp > after) {
                 start--;
             }
             if (start < end) {
-                found.put(labels, List.copyOf(all.subList(start, end)));
+                found.put(labels, List.copyOf(samples.subList(start, end)));
             }
         }
         return found;
@@ -85,7 +86,7 @@
      * @param labels names and values in turn; the series may have more labels
      */
     public synchronized double lastValue(String name, String... labels) {
-        for (Map<String, String> key : byName.getOrDefault(name, List.of())) {
+        for (Map<String, String> key : labelSetsByName.getOrDefault(name, List.of())) {
             boolean matches = true;
             for (int i = 0; i < labels.length; i += 2) {
                 matches &= labels[i + 1].equals(key.get(labels[i]));
@@ -100,6 +101,6 @@
 
     /** Number of series that end with a stale marker. */
     public synchronized long endedSeriesCount() {
-        return series.values().stream().filter(all -> all.get(all.size() - 1).isStale()).count();
+        return series.values().stream().filter(samples -> samples.get(samples.size() - 1).isStale()).count();
     }
 }
--- a/standins/src/main/resources/gradereach/standins/faults/fault_shim.c
+++ b/standins/src/main/resources/gradereach/standins/faults/fault_shim.c
@@ -5,8 +5,8 @@
  * GRADEREACH_FAULTS holds rules separated by ';', each CALL:FAULT:RATE:FROM:TO
  *   CALL   accept, connect, socket, read, write (TCP sockets), read.out, write.out (TCP sockets that this process connected),
  *          wait (epoll_wait), sync (fsync, fdatasync), file (writes to regular files), clock (CLOCK_REALTIME)
- *   FAULT  an errno number, "short" (a partial read or write), or "stop" (the process sends itself SIGSTOP before the call
- *          and makes the call once it is continued); for clock the step in milliseconds
+ *   FAULT  an errno number; "short" (a partial read or write); for TCP sockets also "stop" (the process sends itself SIGSTOP
+ *          before the read or write and makes the call once it is continued); for clock the step in milliseconds
  *   RATE   probability of the fault in one call, 0 to 1
  *   FROM, TO  milliseconds since the process loaded this library, on the monotonic clock
  * GRADEREACH_FAULT_SEED seeds the random numbers. GRADEREACH_FAULT_COUNTS names a file that counts the faults injected by
@@ -44,20 +44,20 @@
 
 struct rule {
     enum call call;
-    long fault;
+    long fault; /* an errno, SHORT or STOP; for CLOCK the step in milliseconds */
     double rate;
-    int64_t from;
-    int64_t to;
+    int64_t from_millis;
+    int64_t to_millis;
 };
 
 static struct rule rules[MAX_RULES];
 static int rule_count;
 static _Atomic uint64_t *counts;
-static _Atomic uint64_t draws;
+static _Atomic uint64_t random_count; /* random numbers drawn so far */
 static uint64_t seed;
-static int64_t loaded_at;
+static int64_t loaded_at_millis;
 /* Whether this process made the connection behind the descriptor with connect(). */
-static _Atomic char connected[MAX_DESCRIPTORS];
+static _Atomic char connected_by_process[MAX_DESCRIPTORS];
 
 enum event { CONNECTED = 1, ACCEPTED, BROKEN, SHUT_DOWN, CLOSED, HELD_UP };
 
@@ -74,10 +74,10 @@
     uint32_t event;
 };
 
-/* The count includes the records that were dropped because all was full. */
+/* The count includes the records that were dropped because the array was full. */
 struct records {
     _Atomic int64_t count;
-    struct record all[MAX_RECORDS];
+    struct record entries[MAX_RECORDS];
 };
 
 /* The TCP connection of a descriptor; a remote port of 0 means that there is none. */
@@ -89,31 +89,32 @@
 
 static struct records *records;
 /* When this thread last read the monotonic clock, in nanoseconds; 0 before the first time. */
-static __thread int64_t clock_read_at;
+static __thread int64_t clock_read_at_nanos;
 static struct connection connections[MAX_DESCRIPTORS];
 
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
 
+/* Declares real, the replaced function of the C library, and looks it up at the first call. */
 #define REAL(name) \
     static __typeof__(name) *real; \
     if (real == NULL) { \
         real = (__typeof__(name) *) dlsym(RTLD_NEXT, #name); \
     }
 
-static int64_t milliseconds(void) {
+static int64_t monotonic_millis(void) {
     struct timespec now;
     real_clock_gettime(CLOCK_MONOTONIC, &now);
     return now.tv_sec * 1000LL + now.tv_nsec / 1000000;
 }
 
-static int64_t nanoseconds(void) {
+static int64_t monotonic_nanos(void) {
     struct timespec now;
     real_clock_gettime(CLOCK_MONOTONIC, &now);
     return now.tv_sec * 1000000000LL + now.tv_nsec;
 }
 
 static uint64_t random_bits(void) {
-    uint64_t z = seed + 0x9e3779b97f4a7c15ULL * (1 + atomic_fetch_add(&draws, 1));
+    uint64_t z = seed + 0x9e3779b97f4a7c15ULL * (1 + atomic_fetch_add(&random_count, 1));
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return z ^ (z >> 31);
@@ -143,8 +144,8 @@
     }
     rule->fault = strcmp(fault, "short") == 0 ? SHORT : strcmp(fault, "stop") == 0 ? STOP : atol(fault);
     rule->rate = atof(rate);
-    rule->from = atoll(from);
-    rule->to = atoll(to);
+    rule->from_millis = atoll(from);
+    rule->to_millis = atoll(to);
 }
 
 /* Maps the file, or returns NULL if there is no file name or the file cannot be opened or mapped. */
@@ -158,9 +159,10 @@
     return mapping == MAP_FAILED ? NULL : mapping;
 }
 
+/* Reads the configuration from the environment. */
 __attribute__((constructor)) static void load(void) {
     real_clock_gettime = (int (*)(clockid_t, struct timespec *)) dlsym(RTLD_NEXT, "clock_gettime");
-    loaded_at = milliseconds();
+    loaded_at_millis = monotonic_millis();
     const char *seed_text = getenv("GRADEREACH_FAULT_SEED");
     seed = seed_text == NULL ? 1 : strtoull(seed_text, NULL, 10);
     const char *text = getenv("GRADEREACH_FAULTS");
@@ -178,6 +180,7 @@
     counts = mapping == NULL ? unshared_counts : mapping;
 }
 
+/* Records an event of the connection of a descriptor; does nothing if there is none. */
 static void record(int fd, enum event event, int detail) {
     struct connection *connection = &connections[fd];
     uint16_t remote_port = atomic_load(&connection->remote_port);
@@ -188,7 +191,7 @@
     ioctl(fd, FIONREAD, &unread);
     int64_t index = atomic_fetch_add(&records->count, 1);
     if (index < MAX_RECORDS) {
-        records->all[index] = (struct record) {nanoseconds(), atomic_load(&connection->received), unread, detail,
+        records->entries[index] = (struct record) {monotonic_nanos(), atomic_load(&connection->received), unread, detail,
             connection->local_port, remote_port, event};
     }
 }
@@ -227,6 +230,7 @@
     }
 }
 
+/* Adds the bytes of a read to those received on its connection, and returns them. */
 static ssize_t count_received(int fd, ssize_t bytes) {
     if (bytes > 0 && fd >= 0 && fd < MAX_DESCRIPTORS) {
         atomic_fetch_add(&connections[fd].received, bytes);
@@ -244,8 +248,8 @@
         if (rule->call != call) {
             continue;
         }
-        int64_t now = milliseconds() - loaded_at;
-        if (now < rule->from || now >= rule->to) {
+        int64_t now = monotonic_millis() - loaded_at_millis;
+        if (now < rule->from_millis || now >= rule->to_millis) {
             continue;
         }
         if ((double) (random_bits() >> 11) / (double) (1ULL << 53) < rule->rate) {
@@ -267,13 +271,13 @@
     return getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
 }
 
-static int is_connected_by_us(int fd) {
-    return fd >= 0 && fd < MAX_DESCRIPTORS && atomic_load(&connected[fd]);
+static int is_connected_by_process(int fd) {
+    return fd >= 0 && fd < MAX_DESCRIPTORS && atomic_load(&connected_by_process[fd]);
 }
 
-static void mark_connected(int fd, int by_us) {
+static void set_connected_by_process(int fd, int value) {
     if (fd >= 0 && fd < MAX_DESCRIPTORS) {
-        atomic_store(&connected[fd], by_us);
+        atomic_store(&connected_by_process[fd], value);
     }
 }
 
@@ -293,7 +297,7 @@
         return NONE;
     }
     long fault = draw_fault(any_socket);
-    if (fault == NONE && is_connected_by_us(fd)) {
+    if (fault == NONE && is_connected_by_process(fd)) {
         fault = draw_fault(own_connection);
     }
     if (fault == STOP) {
@@ -310,6 +314,7 @@
     return fault;
 }
 
+/* A random length for a partial transfer: at least 1, and less than the requested length if that is above 1. */
 static size_t random_prefix_length(size_t length) {
     return length < 2 ? length : 1 + random_bits() % (length - 1);
 }
@@ -330,7 +335,7 @@
         return -1;
     }
     int new_fd = real(fd, address, length);
-    mark_connected(new_fd, 0);
+    set_connected_by_process(new_fd, 0);
     connection_accepted(new_fd);
     return new_fd;
 }
@@ -343,7 +348,7 @@
         return -1;
     }
     int new_fd = real(fd, address, length, flags);
-    mark_connected(new_fd, 0);
+    set_connected_by_process(new_fd, 0);
     connection_accepted(new_fd);
     return new_fd;
 }
@@ -359,7 +364,7 @@
         return -1;
     }
     int result = real(fd, address, length);
-    mark_connected(fd, 1);
+    set_connected_by_process(fd, 1);
     int error = errno;
     connection_opened(fd, port_of((const struct sockaddr_storage *) address), CONNECTED);
     errno = error;
@@ -380,20 +385,20 @@
         }
     }
     int new_fd = real(domain, type, protocol);
-    mark_connected(new_fd, 0);
+    set_connected_by_process(new_fd, 0);
     return new_fd;
 }
 
 int close(int fd) {
     REAL(close)
-    mark_connected(fd, 0);
+    set_connected_by_process(fd, 0);
     connection_closed(fd);
     return real(fd);
 }
 
 int dup2(int from, int to) {
     REAL(dup2)
-    mark_connected(to, 0);
+    set_connected_by_process(to, 0);
     connection_closed(to);
     return real(from, to);
 }
@@ -446,8 +451,8 @@
  * there may be outdated.
  */
 static void record_stalled_write(int fd) {
-    int64_t stall_millis = clock_read_at == 0 ? 0 : (nanoseconds() - clock_read_at) / 1000000;
-    if (stall_millis > MIN_WRITE_STALL_MILLIS && is_connected_by_us(fd)) {
+    int64_t stall_millis = clock_read_at_nanos == 0 ? 0 : (monotonic_nanos() - clock_read_at_nanos) / 1000000;
+    if (stall_millis > MIN_WRITE_STALL_MILLIS && is_connected_by_process(fd)) {
         record(fd, HELD_UP, (int) stall_millis);
     }
 }
@@ -515,18 +520,18 @@
 }
 
 /* Milliseconds that the rules add to the wall clock now. */
-static int64_t clock_step(void) {
-    int64_t step = 0;
+static int64_t clock_step_millis(void) {
+    int64_t step_millis = 0;
     for (int i = 0; i < rule_count; i++) {
         if (rules[i].call == CLOCK) {
-            int64_t now = milliseconds() - loaded_at;
-            if (now >= rules[i].from && now < rules[i].to) {
-                step += rules[i].fault;
+            int64_t now = monotonic_millis() - loaded_at_millis;
+            if (now >= rules[i].from_millis && now < rules[i].to_millis) {
+                step_millis += rules[i].fault;
                 atomic_fetch_add(&counts[i], 1);
             }
         }
     }
-    return step;
+    return step_millis;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
@@ -535,12 +540,12 @@
     }
     int result = real_clock_gettime(clock, time);
     if (result == 0 && clock == CLOCK_MONOTONIC) {
-        clock_read_at = time->tv_sec * 1000000000LL + time->tv_nsec;
+        clock_read_at_nanos = time->tv_sec * 1000000000LL + time->tv_nsec;
     }
     if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t step = clock_step();
-        int64_t nanos = time->tv_nsec + step % 1000 * 1000000;
-        time->tv_sec += step / 1000 + (nanos < 0 ? -1 : nanos / 1000000000);
+        int64_t step_millis = clock_step_millis();
+        int64_t nanos = time->tv_nsec + step_millis % 1000 * 1000000;
+        time->tv_sec += step_millis / 1000 + (nanos < 0 ? -1 : nanos / 1000000000);
         time->tv_nsec = nanos < 0 ? nanos + 1000000000 : nanos % 1000000000;
     }
     return result;
--- a/standins/src/test/java/gradereach/standins/faults/FaultShimTest.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultShimTest.java
@@ -17,6 +17,7 @@
 /** Checks that a process observes each kind of fault that the shim injects into it. */
 @Timeout(60)
 class FaultShimTest {
+    /** Longer than any of the processes runs, in milliseconds. */
     private static final long ALWAYS = 1_000_000;
     private static final long STEP_MILLIS = 3_600_000;
     private static final long STOPPED_MILLIS = 100;
@@ -56,6 +57,7 @@
         String output = run(faults);
         long[] counts = FaultShim.faultCounts(folder.resolve("counts"), faults);
         for (int i = 0; i < counts.length; i++) {
+            // FaultedProcess reads from accepted connections only. It may open its last socket before the fault of SOCKET starts.
             boolean mayBeZero = faults.get(i).call() == FaultyCall.READ_CONNECTED || faults.get(i).call() == FaultyCall.SOCKET;
             assertTrue(counts[i] > 0 || mayBeZero, faults.get(i) + " was not injected");
         }
@@ -65,7 +67,8 @@
         }
     }
 
-    private static long number(String output, String name) {
+    /** The number that the process printed after {@code name=}; a dot ends it. */
+    private static long printedNumber(String output, String name) {
         int start = output.indexOf(name + "=") + name.length() + 1;
         return Long.parseLong(output.substring(start, output.indexOf('.', start)));
     }
@@ -77,9 +80,9 @@
         long before = System.currentTimeMillis();
         String output = run(List.of(SystemFault.clockStep(step, from, from + ALWAYS)));
         long after = System.currentTimeMillis();
-        long unix = number(output, "unix") - expectedShift;
+        long unix = printedNumber(output, "unix") - expectedShift;
         assertTrue(before <= unix && unix <= after, output);
-        assertTrue(number(output, "monotonic") <= after - before, output);
+        assertTrue(printedNumber(output, "monotonic") <= after - before, output);
         assertTrue(output.contains("errors=[]") && output.contains("short=false,false"), output);
     }
 
--- a/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
@@ -33,7 +33,7 @@
                 process.transfer(listener);
             }
         }
-        process.file(Path.of(args[0]));
+        process.writeAndSync(Path.of(args[0]));
         try (Selector selector = Selector.open()) {
             for (int i = 0; i < ROUNDS; i++) {
                 selector.select(1);
@@ -65,7 +65,7 @@
         }
     }
 
-    private void file(Path path) throws IOException {
+    private void writeAndSync(Path path) throws IOException {
         try (FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             for (int i = 0; i < ROUNDS; i++) {
                 try {
--- a/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
+++ b/standins/src/test/java/gradereach/standins/frames/KilledFrontEndTest.java
@@ -27,19 +27,21 @@
     /** A client whose event loop is not blocked sends its next request within this time after an answer. */
     private static final long NEXT_REQUEST_WITHIN_MILLIS = 100;
     private static final int MAX_ATTEMPTS = 20;
+    /** Number of event loops of {@link PeerEventLoops}. */
+    private static final int EVENT_LOOPS = 2;
 
     /**
      * Blocks every event loop of the peers twice. Tasks that are due at the second time run before the event loop reads from the
      * connection again.
      */
     private static final class EventLoopBlock {
-        private final CountDownLatch firstBlocked = new CountDownLatch(2);
+        private final CountDownLatch firstBlocked = new CountDownLatch(EVENT_LOOPS);
         private final CountDownLatch firstReleased = new CountDownLatch(1);
-        private final CountDownLatch secondBlocked = new CountDownLatch(2);
+        private final CountDownLatch secondBlocked = new CountDownLatch(EVENT_LOOPS);
         private final CountDownLatch secondReleased = new CountDownLatch(1);
 
         EventLoopBlock(PeerEventLoops loops) {
-            for (int i = 0; i < 2; i++) {
+            for (int i = 0; i < EVENT_LOOPS; i++) {
                 var loop = loops.next();
                 loop.execute(() -> {
                     loop.schedule(() -> await(secondBlocked, secondReleased), 0, TimeUnit.MILLISECONDS);
@@ -80,7 +82,7 @@
             Socket connection = frontEnd.accept();
             readRequest(connection);
             connection.getOutputStream().write(ANSWER);
-            while (!answered(auditor)) {
+            while (!allAnswered(auditor)) {
                 if (auditor.requestCount() > 1) {
                     return false; // the next request was sent before the event loop was blocked
                 }
@@ -98,7 +100,7 @@
             auditor.frontEndKilled(address, loops.now());
             auditor.frontEndExited(address, loops.now());
             block.secondReleased.countDown();
-            for (int i = 0; i < 2; i++) {
+            for (int i = 0; i < EVENT_LOOPS; i++) {
                 loops.next().submit(() -> { }).sync(); // wait until the due tasks have run
             }
             client.stop();
@@ -110,7 +112,7 @@
     }
 
     /** Whether every request so far has its answer; a missing answer is a finding. */
-    private static boolean answered(RequestAuditor auditor) {
+    private static boolean allAnswered(RequestAuditor auditor) {
         return auditor.findings(Double.POSITIVE_INFINITY).isEmpty();
     }
 
--- a/standins/src/test/java/gradereach/standins/frames/RequestAuditorTest.java
+++ b/standins/src/test/java/gradereach/standins/frames/RequestAuditorTest.java
@@ -12,7 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks that every kind of violation is found, and that behaviour just within the slack is not reported. */
+/**
+ * Checks that every kind of violation is found, and that behaviour just within the slack is not reported. Times are
+ * milliseconds. The slack is 500 ms for an answer, 100 ms for an attempt after the end of its request, and 150 ms for the
+ * deadline of an attempt, each with 50 ms for the sockets; the drain grace is 500 ms.
+ */
 class RequestAuditorTest {
     private final RequestAuditor auditor = new RequestAuditor(500);
 
--- a/standins/src/test/java/gradereach/standins/prometheus/ExpressionTest.java
+++ b/standins/src/test/java/gradereach/standins/prometheus/ExpressionTest.java
@@ -85,18 +85,18 @@
             totals[7] += state.equals("ledger") ? 1 : 0;
             totals[8] += state.equals("outbox") ? 0 : 1;
             totals[9] += state.equals("module") ? 1 : 0;
-            counter(samples, now, "gradereach_group_inferences", totals[0], "group", "lookup");
-            counter(samples, now, "gradereach_group_value_asked", totals[0], "group", "lookup");
-            counter(samples, now, "gradereach_group_value_in_slo", totals[1], "group", "lookup");
-            counter(samples, now, "gradereach_group_inferences_ended", totals[2], "group", "lookup", "outcome", "shed");
-            counter(samples, now, "gradereach_group_inferences_ended", totals[3], "group", "lookup", "outcome", "failed");
-            counter(samples, now, "gradereach_load_orders_sent", totals[4]);
-            counter(samples, now, "gradereach_load_orders_milliseconds", totals[5]);
-            counter(samples, now, "gradereach_inferences_taken", totals[0]);
-            counter(samples, now, "gradereach_roster_failures", totals[6]);
-            counter(samples, now, "gradereach_shed_for_the_ledger", totals[7]);
-            counter(samples, now, "gradereach_answers_delivered", totals[8]);
-            counter(samples, now, "gradereach_module_failures", totals[9]);
+            addCounter(samples, now, "gradereach_group_inferences", totals[0], "group", "lookup");
+            addCounter(samples, now, "gradereach_group_value_asked", totals[0], "group", "lookup");
+            addCounter(samples, now, "gradereach_group_value_in_slo", totals[1], "group", "lookup");
+            addCounter(samples, now, "gradereach_group_inferences_ended", totals[2], "group", "lookup", "outcome", "shed");
+            addCounter(samples, now, "gradereach_group_inferences_ended", totals[3], "group", "lookup", "outcome", "failed");
+            addCounter(samples, now, "gradereach_load_orders_sent", totals[4]);
+            addCounter(samples, now, "gradereach_load_orders_milliseconds", totals[5]);
+            addCounter(samples, now, "gradereach_inferences_taken", totals[0]);
+            addCounter(samples, now, "gradereach_roster_failures", totals[6]);
+            addCounter(samples, now, "gradereach_shed_for_the_ledger", totals[7]);
+            addCounter(samples, now, "gradereach_answers_delivered", totals[8]);
+            addCounter(samples, now, "gradereach_module_failures", totals[9]);
             samples.add(Map.of("__name__", "gradereach_limit_present", "instance", "fe", "limit", "answers_in_outbox"), now, 3);
             samples.add(Map.of("__name__", "gradereach_limit_present", "instance", "fe", "limit", "inferences_held"), now,
                     state.equals("limit") ? 90 : 10);
@@ -108,7 +108,7 @@
         assertTrue(rules.firedAlerts().stream().allMatch(alert -> alert.firedAt() > 1_000_000_000 + 60 * 60_000), "fired before its fault");
     }
 
-    private static void counter(SampleStore store, long now, String name, double value, String... labels) {
+    private static void addCounter(SampleStore store, long now, String name, double value, String... labels) {
         Map<String, String> allLabels = new java.util.HashMap<>(Map.of("__name__", name + "_total", "instance", "fe"));
         for (int i = 0; i < labels.length; i += 2) {
             allLabels.put(labels[i], labels[i + 1]);
--- a/standins/src/test/java/gradereach/standins/prometheus/PusherTest.java
+++ b/standins/src/test/java/gradereach/standins/prometheus/PusherTest.java
@@ -29,7 +29,7 @@
     private static final SendQueue.Limits LIMITS = new SendQueue.Limits(2000, 1 << 20, 50, 1 << 16, 10, 60_000, 5, 50);
     private final AtomicLong counter = new AtomicLong();
 
-    private Pusher pusher(String name, String url, String version, SendQueue.Limits limits, int intervalMillis,
+    private Pusher newPusher(String name, String url, String version, SendQueue.Limits limits, int intervalMillis,
             MetricFamily.Source... moreSources) {
         MetricFamily.Source counterSource = families -> families.add(new MetricFamily("c", MetricFamily.Type.COUNTER, "", "help",
                 List.of(new MetricFamily.Point(List.of("x", "1"), counter.incrementAndGet(), null, 5))));
@@ -62,7 +62,7 @@
             receiver.delayMillis = 1000;
             receiver.rejectedName = "c_total";
             receiver.fault = fault;
-            Pusher pusher = pusher("fe", receiver.url(), version, LIMITS, 20);
+            Pusher pusher = newPusher("fe", receiver.url(), version, LIMITS, 20);
             pusher.start();
             waitUntil(() -> pusher.statistics().requests() >= 12 || fault.equals("429") && pusher.statistics().requests() >= 1
                     || fault.equals("hang") && pusher.statistics().failures() >= 2);
@@ -102,7 +102,7 @@
             if (receiverKind.equals("nobody")) {
                 silent.close();
             }
-            Pusher pusher = pusher("fe", url, "2.0", small, 10);
+            Pusher pusher = newPusher("fe", url, "2.0", small, 10);
             pusher.start();
             waitUntil(() -> dropped(pusher.statistics()) > 300);
             assertSamplesAddUp(pusher.statistics());
@@ -121,7 +121,7 @@
     void restartContinuesSameSeries() throws Exception {
         try (RemoteWriteServer receiver = new RemoteWriteServer()) {
             for (int i = 0; i < 2; i++) {
-                Pusher pusher = pusher("fe", receiver.url(), "2.0", LIMITS, 20);
+                Pusher pusher = newPusher("fe", receiver.url(), "2.0", LIMITS, 20);
                 pusher.start();
                 long before = receiver.store.sampleCount();
                 waitUntil(() -> receiver.store.sampleCount() > before + 40);
@@ -143,7 +143,7 @@
                     1, 1, true, 5, 1, 1);
         }
         try (RemoteWriteServer receiver = new RemoteWriteServer()) {
-            Pusher pusher = pusher("fe", receiver.url(), "2.0", LIMITS, 50, service);
+            Pusher pusher = newPusher("fe", receiver.url(), "2.0", LIMITS, 50, service);
             pusher.start();
             waitUntil(() -> receiver.store.sampleCount() > 1000);
             pusher.close();
