--- a/telemetry/src/main/java/gradereach/alerts/AlertRuleFile.java
+++ b/telemetry/src/main/java/gradereach/alerts/AlertRuleFile.java
@@ -13,21 +13,22 @@
  * Burn rates follow the SRE workbook, "Alerting on SLOs": a fast and a slow pair of windows.
  */
 public final class AlertRuleFile {
-    /** Objective of a model group that sets none: one in twenty may miss the SLO, as in the users' benchmarks. */
+    /** Objective of a model group that sets none: one in twenty may miss the SLO, as the benchmarks allow. */
     public static final double DEFAULT_OBJECTIVE = 0.95;
     /** A load is slow if it takes three times the load time that the models declare. */
     public static final double SLOW_LOAD_FACTOR = 3;
     /** Burn rates that use 2% of a month's error budget in an hour, or 5% in six hours. */
     private static final double FAST_BURN_RATE = 14.4;
     private static final double SLOW_BURN_RATE = 6;
-    /** A miss ratio of one half always raises the alert: for a low objective the burn rates alone would exceed 1. */
+    /** Highest threshold of a miss ratio: for a low objective, the burn rate alone would give one above 1, which is never reached. */
     private static final double MAX_MISSED_RATIO = 0.5;
-    /** Ratios above which an operator should look; the router sheds little unless capacity is short. */
+    /** Ratios above which an alert is raised; the router sheds little unless capacity is short. */
     private static final double SHED_RATIO = 0.05;
     private static final double FAILED_RATIO = 0.02;
     private static final double LOADS_FAILED_RATIO = 0.2;
     private static final double BROKEN_FORWARDS_RATIO = 0.05;
     private static final double LIMIT_USED_RATIO = 0.8;
+    private static final double EVALUATION_INTERVAL_MINUTES = 0.5;
 
     private final Map<String, Double> objectives;
     private final double slowLoadMillis;
@@ -38,7 +39,7 @@
      * @param objectives part of the requested value that is to be returned within the SLO time, by model group
      * @param slowLoadMillis mean load time above which the model store counts as slow
      * @param millisPerMinute length of a minute in the rules: 60,000, or less for a rehearsal in accelerated time
-     * @param runbookPage where the operators' page is
+     * @param runbookPage address of the runbook page; each alert links to its section there, whose anchor is the alert's name
      */
     public AlertRuleFile(Map<String, Double> objectives, double slowLoadMillis, double millisPerMinute, String runbookPage) {
         this.objectives = objectives;
@@ -47,22 +48,24 @@
         this.runbookPage = runbookPage;
     }
 
-    /** A number of minutes as a Prometheus duration: a whole number of one unit. */
+    /** Formats a number of minutes as a Prometheus duration: a whole number of the largest unit that divides it. */
     private String duration(double minutes) {
         long millis = Math.round(minutes * millisPerMinute);
         return millis % 3_600_000 == 0 ? millis / 3_600_000 + "h" : millis % 60_000 == 0 ? millis / 60_000 + "m"
                 : millis % 1000 == 0 ? millis / 1000 + "s" : millis + "ms";
     }
 
-    /** The text of the rules file. */
+    /** Returns the rules file. */
     public String toYaml() {
         ObjectMapper yaml = new ObjectMapper(new YAMLFactory().enable(YAMLGenerator.Feature.MINIMIZE_QUOTES)
                 .disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER).disable(YAMLGenerator.Feature.SPLIT_LINES));
         ObjectNode file = yaml.createObjectNode();
         ArrayNode groups = file.putArray("groups");
-        ObjectNode recorded = groups.addObject().put("name", "gradereach-recorded").put("interval", duration(0.5));
+        ObjectNode recorded = groups.addObject().put("name", "gradereach-recorded")
+                .put("interval", duration(EVALUATION_INTERVAL_MINUTES));
         addRecordingRules(recorded.putArray("rules"));
-        ObjectNode alerts = groups.addObject().put("name", "gradereach-alerts").put("interval", duration(0.5));
+        ObjectNode alerts = groups.addObject().put("name", "gradereach-alerts")
+                .put("interval", duration(EVALUATION_INTERVAL_MINUTES));
         addAlerts(alerts.putArray("rules"));
         try {
             return yaml.writeValueAsString(file);
@@ -72,10 +75,10 @@
     }
 
     private void addRecordingRules(ArrayNode rules) {
-        for (double window : new double[] {5, 30, 60, 360}) {
-            rules.addObject().put("record", "gradereach:missed:ratio_" + (int) window + "m").put("expr",
-                    "1 - sum by (group) (rate(gradereach_group_value_in_slo_total[" + duration(window) + "])) / "
-                    + "sum by (group) (rate(gradereach_group_value_asked_total[" + duration(window) + "]))");
+        for (double windowMinutes : new double[] {5, 30, 60, 360}) {
+            rules.addObject().put("record", "gradereach:missed:ratio_" + (int) windowMinutes + "m").put("expr",
+                    "1 - sum by (group) (rate(gradereach_group_value_in_slo_total[" + duration(windowMinutes) + "])) / "
+                    + "sum by (group) (rate(gradereach_group_value_asked_total[" + duration(windowMinutes) + "]))");
         }
         for (String outcome : new String[] {"shed", "failed"}) {
             rules.addObject().put("record", "gradereach:" + outcome + ":ratio_5m").put("expr",
@@ -135,11 +138,12 @@
         addAlert(rules, "GradereachSilent", "absent(gradereach_inferences_taken_total)", 2, "critical", "no front end is heard");
     }
 
-    private void addBurnRateAlert(ArrayNode rules, String group, double objective, String pace, int shortWindow, int longWindow,
-            double burnRate, double forMinutes, String severity) {
+    private void addBurnRateAlert(ArrayNode rules, String group, double objective, String pace, int shortWindowMinutes,
+            int longWindowMinutes, double burnRate, double forMinutes, String severity) {
         String threshold = String.format(java.util.Locale.ROOT, "%.6f", Math.min(MAX_MISSED_RATIO, burnRate * (1 - objective)));
-        addAlert(rules, "GradereachService" + pace + "Burn", "gradereach:missed:ratio_" + shortWindow + "m{group=\"" + group + "\"} > "
-                + threshold + " and gradereach:missed:ratio_" + longWindow + "m{group=\"" + group + "\"} > " + threshold,
+        addAlert(rules, "GradereachService" + pace + "Burn",
+                "gradereach:missed:ratio_" + shortWindowMinutes + "m{group=\"" + group + "\"} > " + threshold
+                + " and gradereach:missed:ratio_" + longWindowMinutes + "m{group=\"" + group + "\"} > " + threshold,
                 forMinutes, severity,
                 "{{ $labels.group }} misses its objective of " + objective + " at " + burnRate + " times the allowed rate");
     }
--- a/telemetry/src/main/java/gradereach/measures/CounterTable.java
+++ b/telemetry/src/main/java/gradereach/measures/CounterTable.java
@@ -20,12 +20,13 @@
         }
     }
 
+    /** Adds an amount to one counter; for the writing thread. */
     public void add(int row, int column, long amount) {
         int i = row * columns + column;
         cells.lazySet(i, cells.getPlain(i) + amount);
     }
 
-    /** Adds the counts of a row to row 0 and resets the row, whose slot gets another name. */
+    /** Adds the counts of a row to row 0 and resets the row, so that its slot can be given to another name. */
     public void moveToOthers(int row, long nowMillis) {
         for (int c = 0; c < columns; c++) {
             int i = row * columns + c;
@@ -36,6 +37,7 @@
         createdMillis.lazySet(row, nowMillis);
     }
 
+    /** Returns the count of one counter; for any thread. */
     public long get(int row, int column) {
         return cells.get(row * columns + column);
     }
--- a/telemetry/src/main/java/gradereach/measures/DurationHistogram.java
+++ b/telemetry/src/main/java/gradereach/measures/DurationHistogram.java
@@ -5,11 +5,14 @@
 
 /**
  * An exponential histogram of durations with four buckets per power of two (schema 2), from a microsecond to an hour. One thread
- * records without allocating, any thread reads. Recording takes the exponent and a few comparisons. The Prometheus client's own
- * histogram is made for many writers (the benchmark Recording compares the two).
+ * records without allocating, any thread reads. The bucket of a duration is found from its binary exponent and a few comparisons. The
+ * Prometheus client's own histogram is made for many writers, which costs more (the benchmark Recording compares the two).
  */
 public final class DurationHistogram {
+    /** Schema of a Prometheus native histogram: 2^2 buckets per power of two. */
     public static final int SCHEMA = 2;
+    /** Shorter durations are counted as zero. */
+    public static final double ZERO_THRESHOLD_SECONDS = 1e-6;
     private static final int BUCKETS_PER_DOUBLING = 1 << SCHEMA;
     /** Buckets end at 2^(i/4) seconds: from 2^-20 (a microsecond) to 2^12 (an hour and more). */
     private static final int FIRST_BUCKET = -20 * BUCKETS_PER_DOUBLING;
@@ -30,7 +33,7 @@
     public void record(double millis) {
         double seconds = millis / 1000;
         sumNanos.lazySet(sumNanos.getPlain() + (long) (millis * 1e6));
-        if (seconds < 1e-6) {
+        if (seconds < ZERO_THRESHOLD_SECONDS) {
             zeroCount.lazySet(zeroCount.getPlain() + 1);
             return;
         }
@@ -51,19 +54,20 @@
     public MetricFamily.Buckets snapshot() {
         long[] all = new long[BUCKET_COUNT];
         long count = zeroCount.get();
-        int from = BUCKET_COUNT;
-        int to = 0;
+        int firstNonEmpty = BUCKET_COUNT;
+        int endNonEmpty = 0;
         for (int i = 0; i < BUCKET_COUNT; i++) {
             all[i] = counts.get(i);
             count += all[i];
             if (all[i] > 0) {
-                from = Math.min(from, i);
-                to = i + 1;
+                firstNonEmpty = Math.min(firstNonEmpty, i);
+                endNonEmpty = i + 1;
             }
         }
-        long[] nonEmptyRange = from < to ? java.util.Arrays.copyOfRange(all, from, to) : new long[0];
-        return new MetricFamily.Buckets(SCHEMA, count, sumNanos.get() / 1e9, from < to ? FIRST_BUCKET + from : 0, nonEmptyRange,
-                zeroCount.get());
+        long[] nonEmptyRange = firstNonEmpty < endNonEmpty ? java.util.Arrays.copyOfRange(all, firstNonEmpty, endNonEmpty)
+                : new long[0];
+        return new MetricFamily.Buckets(SCHEMA, count, sumNanos.get() / 1e9,
+                firstNonEmpty < endNonEmpty ? FIRST_BUCKET + firstNonEmpty : 0, nonEmptyRange, zeroCount.get());
     }
 
     /** Unix time at which counting began. */
--- a/telemetry/src/main/java/gradereach/measures/MetricFamily.java
+++ b/telemetry/src/main/java/gradereach/measures/MetricFamily.java
@@ -3,8 +3,10 @@
 import java.util.List;
 
 /**
- * All points of one metric at one time. Names of counters are without {@code _total}.
+ * All points of one metric at one time.
  *
+ * @param name for a counter without the suffix {@code _total}
+ * @param unit as in Prometheus, for example {@code seconds}; empty for none
  * @param points one for each label set
  */
 public record MetricFamily(String name, Type type, String unit, String help, List<Point> points) {
@@ -24,6 +26,9 @@
     /**
      * An exponential histogram (Prometheus native histograms): {@code counts[i]} counts the values in
      * (base^(firstIndex+i-1), base^(firstIndex+i)], base = 2^(2^-schema).
+     *
+     * @param count all values, those below the zero threshold included
+     * @param zeroCount values below the zero threshold
      */
     public record Buckets(int schema, long count, double sum, int firstIndex, long[] counts, long zeroCount) { }
 
--- a/telemetry/src/main/java/gradereach/measures/ServiceMetrics.java
+++ b/telemetry/src/main/java/gradereach/measures/ServiceMetrics.java
@@ -11,9 +11,13 @@
  * and model, and the answer times. The decision thread records without allocating or locking.
  */
 public final class ServiceMetrics implements MetricFamily.Source {
-    /** How an inference ended; the constants are label values, and their order is that of the columns. */
+    /**
+     * How an inference ended; {@code LEFT}: without an answer, because its client left. The constants are label values, and their
+     * order is that of the columns.
+     */
     public enum EndReason { RETURNED, SHED, FAILED, LEFT }
 
+    // Columns of the counter tables after those of the end reasons, which are the ordinals 0 to 3.
     private static final int REQUESTED = 4;
     private static final int VALUE_REQUESTED = 5;
     private static final int VALUE_IN_SLO = 6;
@@ -33,7 +37,7 @@
     private final DurationHistogram[] answerTimes;
     private final DurationHistogram[] queueTimes;
 
-    /** @param maxNames customers, and models, that get series of their own */
+    /** @param maxNames number of customers, and of models, that get series of their own */
     public ServiceMetrics(List<String> groups, int maxNames, LongSupplier unixMillis) {
         this.groups = List.copyOf(groups);
         this.unixMillis = unixMillis;
--- a/telemetry/src/main/java/gradereach/measures/TopNames.java
+++ b/telemetry/src/main/java/gradereach/measures/TopNames.java
@@ -8,10 +8,10 @@
  * are halved periodically. So a scan through a million names evicts nothing. One thread writes; any thread reads and compares
  * {@link #version} before and after.
  *
- * A plain map would grow with the number of names, and an LRU cache would let a scan evict everything.
+ * <p>A plain map would grow with the number of names, and an LRU cache would let a scan evict everything.
  */
 public final class TopNames {
-    /** Called before a slot gets another name: its counts then belong to slot 0. */
+    /** Is called before a slot is given to another name, so that the counts of the old name can be moved to slot 0. */
     public interface EvictionListener {
         void onEvicted(int slot);
     }
@@ -138,7 +138,7 @@
             i = i + 1 & tableMask;
         }
         slotTable[i] = slot;
-        versions.set(slot, versions.get(slot) + 1);
+        versions.set(slot, versions.get(slot) + 1); // even: stable
     }
 
     /** Removes an entry and closes the gap in its probe sequence (Knuth, 6.4, algorithm R). */
--- a/telemetry/src/main/java/gradereach/remotewrite/Pusher.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Pusher.java
@@ -31,6 +31,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Pusher.class);
     private static final String CONTENT_TYPE_V1 = "application/x-protobuf";
     private static final String CONTENT_TYPE_V2 = CONTENT_TYPE_V1 + ";proto=io.prometheus.write.v2.Request";
+    private static final long MAX_CONNECT_TIMEOUT_MILLIS = 5000;
     private static final String WRITTEN_HEADER_PREFIX = "X-Prometheus-Remote-Write-";
 
     /**
@@ -61,11 +62,15 @@
     private Map<List<String>, SeriesSample> lastSamples = new LinkedHashMap<>();
 
     // Written by the push thread only; fields that other threads read are volatile.
-    private long collectedAt;
+    /** Timestamp of the last collection, in Unix milliseconds. */
+    private long collectedAtMillis;
     private boolean stopping;
     private double stopDeadline;
+    /** Time during which batches were in flight since the last collection, summed over all shards. */
     private double sendingMillis;
+    /** Whether the last request failed in a way that may pass, so that its batch is sent again. */
     private boolean failing;
+    /** Totals at the last collection. */
     private long lastAdded;
     private long lastSent;
     private volatile PushStatistics statistics = new PushStatistics(0, 0, new long[DropReason.values().length], 0, 0, 1, 0, 0);
@@ -92,7 +97,7 @@
         versionSelector = new ProtocolVersionSelector(receiver.onlyVersion1);
         startedMillis = unixMillis.getAsLong();
         client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(httpExecutor)
-                .connectTimeout(Duration.ofMillis(Math.min(5000, receiver.timeoutMillis))).build();
+                .connectTimeout(Duration.ofMillis(Math.min(MAX_CONNECT_TIMEOUT_MILLIS, receiver.timeoutMillis))).build();
     }
 
     private static Thread daemonThread(Runnable work, String name) {
@@ -106,6 +111,7 @@
         thread.start();
     }
 
+    /** Monotonic time in milliseconds. */
     private static double now() {
         return System.nanoTime() / 1e6;
     }
@@ -138,11 +144,11 @@
         List<SeriesSample> samples = collectSamples();
         Map<List<String>, SeriesSample> present = new LinkedHashMap<>();
         samples.forEach(sample -> present.put(sample.labels(), sample));
-        long timestamp = collectedAt;
-        // A series that is gone has ended, for example that of a model that lost its slot.
-        lastSamples.forEach((labels, last) -> {
+        long timestamp = collectedAtMillis;
+        // A series without a sample in this collection has ended, for example that of a model that lost its slot.
+        lastSamples.forEach((labels, lastSample) -> {
             if (!present.containsKey(labels)) {
-                shards.add(last.toStaleMarker(timestamp), now());
+                shards.add(lastSample.toStaleMarker(timestamp), now());
             }
         });
         lastSamples = present;
@@ -162,7 +168,7 @@
             source.collect(families);
         }
         long timestamp = schedule.nextTimestamp(unixMillis.getAsLong());
-        collectedAt = timestamp;
+        collectedAtMillis = timestamp;
         List<SeriesSample> samples = new ArrayList<>();
         families.forEach(family -> SeriesSample.addSamples(family, receiver.commonLabels, timestamp, samples));
         return samples;
@@ -287,10 +293,10 @@
     public void close() {
         events.add(() -> {
             if (!stopping) {
-                List<SeriesSample> last = collectSamples();
-                last.forEach(sample -> shards.add(sample, now()));
+                List<SeriesSample> finalSamples = collectSamples();
+                finalSamples.forEach(sample -> shards.add(sample, now()));
                 long timestamp = schedule.nextTimestamp(unixMillis.getAsLong()); // after the last sample of its series
-                last.forEach(sample -> shards.add(sample.toStaleMarker(timestamp), now()));
+                finalSamples.forEach(sample -> shards.add(sample.toStaleMarker(timestamp), now()));
                 stopDeadline = now() + receiver.stopTimeoutMillis;
                 shards.flush();
                 stopping = true;
--- a/telemetry/src/main/java/gradereach/remotewrite/RemoteWriteEncoder.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/RemoteWriteEncoder.java
@@ -1,5 +1,6 @@
 package gradereach.remotewrite;
 
+import gradereach.measures.DurationHistogram;
 import gradereach.measures.MetricFamily;
 import gradereach.protocol.remotewrite1.Label;
 import gradereach.protocol.remotewrite1.MetricMetadata;
@@ -56,7 +57,8 @@
     private static Histogram histogram(SeriesSample sample) {
         MetricFamily.Buckets buckets = sample.histogram();
         Histogram.Builder histogram = Histogram.newBuilder().setCountInt(buckets.count()).setSum(buckets.sum()).setSchema(buckets.schema())
-                .setZeroThreshold(1e-6).setZeroCountInt(buckets.zeroCount()).setTimestamp(sample.timestampMillis());
+                .setZeroThreshold(DurationHistogram.ZERO_THRESHOLD_SECONDS).setZeroCountInt(buckets.zeroCount())
+                .setTimestamp(sample.timestampMillis());
         int spanEnd = 0; // index after the last span; the offset of the first span is its index
         long previousCount = 0;
         BucketSpan.Builder span = null;
@@ -99,6 +101,12 @@
         return compress(request.build().toByteArray());
     }
 
+    /**
+     * Adds a series with one sample.
+     *
+     * @param suffix of the metric name, null for none
+     * @param le value of the label {@code le}, the upper bound of a bucket; null for none
+     */
     private static void addSample(WriteRequest.Builder request, List<String> labels, String suffix, String le, double value,
             long timestampMillis) {
         var series = request.addTimeseriesBuilder();
--- a/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/SendQueue.java
@@ -8,24 +8,24 @@
 import java.util.Random;
 
 /**
- * The samples of one shard that wait to be sent, and the account of what became of them: no I/O, no clock. One batch is in flight
+ * The samples of one shard that wait to be sent, and counts of those accepted and dropped. No I/O, no clock. One batch is in flight
  * at a time, so that every series stays in order. The queue is bounded in samples and bytes and drops the oldest first, since the
- * newest show the present state. A batch that failed for a passing reason is sent again after a jittered backoff, or after the
+ * newest show the present state. A batch that met a transient failure is sent again after a jittered backoff, or after the
  * delay that the receiver requested, until its samples are too old.
  *
  * Invariant: added = accepted + dropped + pending.
  */
 public final class SendQueue {
     /**
-     * Limits of a queue; times in milliseconds.
+     * Limits of a queue.
      *
-     * @param maxBatchDelayMillis after which a batch is sent although it is not full
-     * @param maxAgeMillis after which a sample is dropped
+     * @param maxBatchDelayMillis age of the oldest sample at which a batch is sent although it is not full
+     * @param maxAgeMillis age at which a sample is dropped
      */
-    public record Limits(int maxSamples, long maxBytes, int maxBatchSamples, long maxBatchBytes, double maxBatchDelayMillis, double maxAgeMillis,
-            double initialBackoffMillis, double maxBackoffMillis) { }
+    public record Limits(int maxSamples, long maxBytes, int maxBatchSamples, long maxBatchBytes, double maxBatchDelayMillis,
+            double maxAgeMillis, double initialBackoffMillis, double maxBackoffMillis) { }
 
-    /** Why a sample was dropped. */
+    /** Why a sample was dropped; {@code REFUSED}: the receiver rejected it. The constants are label values. */
     public enum DropReason { FULL, TOO_OLD, REFUSED, STOPPED }
 
     /** The result of sending a batch. */
@@ -45,6 +45,7 @@
     /** A batch in flight. */
     public static final class Batch {
         private final List<QueuedSample> queuedSamples;
+        /** Earlier attempts at this batch, all of which failed. */
         public final int failedAttempts;
 
         private Batch(List<QueuedSample> queuedSamples, int failedAttempts) {
@@ -128,10 +129,10 @@
             return null;
         }
         List<QueuedSample> batch = new ArrayList<>();
-        long size = 0;
+        long batchBytes = 0;
         while (!queue.isEmpty() && batch.size() < limits.maxBatchSamples
-                && (batch.isEmpty() || size + queue.peek().sample.estimatedBytes() <= limits.maxBatchBytes)) {
-            size += queue.peek().sample.estimatedBytes();
+                && (batch.isEmpty() || batchBytes + queue.peek().sample.estimatedBytes() <= limits.maxBatchBytes)) {
+            batchBytes += queue.peek().sample.estimatedBytes();
             batch.add(queue.poll());
         }
         inFlight = batch;
@@ -155,8 +156,9 @@
         if (queue.isEmpty()) {
             return Double.POSITIVE_INFINITY;
         }
-        boolean full = flushing || queue.size() >= limits.maxBatchSamples || bytes >= limits.maxBatchBytes;
-        return Math.max(notBefore, full ? Double.NEGATIVE_INFINITY : queue.peek().addedAt + limits.maxBatchDelayMillis);
+        boolean sendAtOnce = flushing || queue.size() >= limits.maxBatchSamples || bytes >= limits.maxBatchBytes;
+        return Math.max(notBefore,
+                sendAtOnce ? Double.NEGATIVE_INFINITY : queue.peek().addedAt + limits.maxBatchDelayMillis);
     }
 
     private void dropExpired(double now) {
@@ -194,8 +196,12 @@
         dropped.merge(DropReason.REFUSED, batch.size() - acceptedCount, Long::sum);
     }
 
-    /** Removes and returns all pending samples, oldest first, for another queue; no batch may be in flight. */
-    List<SeriesSample> drain(List<Double> addedAt) {
+    /**
+     * Removes and returns all pending samples, oldest first, for another queue; no batch may be in flight.
+     *
+     * @param addedAtTimes receives the time at which each of the samples was added
+     */
+    List<SeriesSample> drain(List<Double> addedAtTimes) {
         if (inFlight != null) {
             throw new IllegalStateException("a batch is in flight");
         }
@@ -205,7 +211,7 @@
         retryBatch = null;
         bytes = 0;
         added -= all.size();
-        all.forEach(queued -> addedAt.add(queued.addedAt));
+        all.forEach(queued -> addedAtTimes.add(queued.addedAt));
         return all.stream().map(QueuedSample::sample).toList();
     }
 
@@ -228,6 +234,7 @@
         return inFlight != null;
     }
 
+    /** Samples added, without those that were moved to another queue. */
     public long added() {
         return added;
     }
@@ -245,6 +252,7 @@
         return sampleCount();
     }
 
+    /** Estimated size of the pending samples. */
     public long bytes() {
         return bytes;
     }
--- a/telemetry/src/main/java/gradereach/remotewrite/SeriesSample.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/SeriesSample.java
@@ -24,7 +24,8 @@
     static void addSamples(MetricFamily family, List<String> commonLabels, long timestampMillis, List<SeriesSample> samples) {
         String name = family.type() == MetricFamily.Type.COUNTER ? family.name() + "_total" : family.name();
         for (MetricFamily.Point point : family.points()) {
-            List<String> labels = labels(name, commonLabels, point.labels());
+            List<String> labels = mergeLabels(name, commonLabels, point.labels());
+            // About 30 bytes besides the labels' text; a histogram adds 40 bytes and 3 bytes per bucket.
             int estimatedBytes = 30 + labels.stream().mapToInt(String::length).sum()
                     + (point.histogram() == null ? 0 : 40 + 3 * point.histogram().counts().length);
             samples.add(new SeriesSample(labels, family.type(), family.unit(), family.help(), timestampMillis, point.value(),
@@ -32,7 +33,7 @@
         }
     }
 
-    private static List<String> labels(String name, List<String> commonLabels, List<String> pointLabels) {
+    private static List<String> mergeLabels(String name, List<String> commonLabels, List<String> pointLabels) {
         record Pair(String name, String value) { }
         List<Pair> pairs = new ArrayList<>();
         pairs.add(new Pair(NAME_LABEL, name));
--- a/telemetry/src/main/java/gradereach/remotewrite/Shards.java
+++ b/telemetry/src/main/java/gradereach/remotewrite/Shards.java
@@ -44,10 +44,10 @@
         record Pending(SeriesSample sample, double addedAt) { }
         List<Pending> all = new ArrayList<>();
         for (SendQueue queue : queues) {
-            List<Double> times = new ArrayList<>();
-            List<SeriesSample> samples = queue.drain(times);
+            List<Double> addedAtTimes = new ArrayList<>();
+            List<SeriesSample> samples = queue.drain(addedAtTimes);
             for (int i = 0; i < samples.size(); i++) {
-                all.add(new Pending(samples.get(i), times.get(i)));
+                all.add(new Pending(samples.get(i), addedAtTimes.get(i)));
             }
             added += queue.added();
             accepted += queue.accepted();
@@ -58,12 +58,14 @@
         queues = new ArrayList<>();
         for (int i = 0; i < targetSize; i++) {
             queues.add(new SendQueue(new SendQueue.Limits(Math.max(1, limits.maxSamples() / targetSize),
-                    Math.max(1, limits.maxBytes() / targetSize), limits.maxBatchSamples(), limits.maxBatchBytes(), limits.maxBatchDelayMillis(),
-                    limits.maxAgeMillis(), limits.initialBackoffMillis(), limits.maxBackoffMillis()), random));
+                    Math.max(1, limits.maxBytes() / targetSize), limits.maxBatchSamples(), limits.maxBatchBytes(),
+                    limits.maxBatchDelayMillis(), limits.maxAgeMillis(), limits.initialBackoffMillis(), limits.maxBackoffMillis()),
+                    random));
         }
         all.forEach(pending -> add(pending.sample, pending.addedAt));
     }
 
+    /** The number of shards at present. */
     public int size() {
         return queues.size();
     }
@@ -109,6 +111,7 @@
         return queues.stream().mapToLong(SendQueue::pending).sum();
     }
 
+    /** Estimated size of the pending samples of all shards. */
     public long bytes() {
         return queues.stream().mapToLong(SendQueue::bytes).sum();
     }
--- a/telemetry/src/test/java/gradereach/measures/TopNamesTest.java
+++ b/telemetry/src/test/java/gradereach/measures/TopNamesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Assignment of slots to frequent names, and the histogram of durations. */
+/** Tests {@link TopNames} with a {@link CounterTable}, and {@link DurationHistogram}. */
 class TopNamesTest {
     private static long hash(String name) {
         long hash = name.hashCode() * 0x9e3779b97f4a7c15L;
--- a/telemetry/src/test/java/gradereach/remotewrite/SendQueueTest.java
+++ b/telemetry/src/test/java/gradereach/remotewrite/SendQueueTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Send queues, their shards and the push schedule, on a simulated clock. */
+/** Tests {@link SendQueue}, {@link Shards}, {@link ShardCalculator} and {@link PushSchedule} on a simulated clock. */
 class SendQueueTest {
+    /** Batches of 10 samples or 1000 bytes, or after 50 ms; samples are kept for 5 s; backoff of 100 ms to 2 s. */
     private static final Limits LIMITS = new Limits(100, 10_000, 10, 1000, 50, 5000, 100, 2000);
 
     private static SeriesSample sample(String series, long timestamp) {
