--- a/client/src/main/java/gradereach/client/AttemptOutcome.java
+++ b/client/src/main/java/gradereach/client/AttemptOutcome.java
@@ -5,7 +5,7 @@
  *
  * @param retryAfterMillis delay that the front end requests before a retry, 0 for none
  * @param retrySafe whether the front end reports that the same message may be sent again
- * @param frontEndDraining whether that front end accepts no more inferences, so that another should be tried
+ * @param frontEndDraining whether that front end accepts no more inferences or could not be reached, so that another should be tried
  * @param answer the answer in the transport's form if one was returned, else null
  * @param detail why no answer was returned, else null
  */
--- a/client/src/main/java/gradereach/client/FrontEndSelector.java
+++ b/client/src/main/java/gradereach/client/FrontEndSelector.java
@@ -9,9 +9,9 @@
  * skipped for a random time within a backoff window, so that many clients that lost it together do not reconnect together.
  */
 final class FrontEndSelector {
-    /** Backoff window after the first failure; users require it to spread the reconnects of a thousand clients. */
+    /** Backoff window after the first failure: spreads the reconnects of a thousand clients to about a hundred a second. */
     static final double INITIAL_BACKOFF_MILLIS = 10_000;
-    private static final double MAX_BACKOFF_MILLIS = 60_000; // limits retries of a front end that stays down to one per client and minute
+    private static final double MAX_BACKOFF_MILLIS = 60_000; // about two tries per client and minute while a front end stays down
 
     /** One front end and its backoff state. */
     static final class Target {
--- a/client/src/main/java/gradereach/client/GradereachClient.java
+++ b/client/src/main/java/gradereach/client/GradereachClient.java
@@ -37,7 +37,7 @@
         ONCE
     }
 
-    /** Open inferences of one client: as many as a front end holds by default. Further ones are rejected, not queued. */
+    /** Open inferences of one client, as many as a front end holds by default. Beyond them, inferences are rejected, not queued. */
     private static final int MAX_OPEN_INFERENCES = 20_000;
 
     /** An inference without an answer: the outcome of its last attempt, which shows whether it may have taken effect. */
@@ -52,7 +52,10 @@
             this.attempts = attempts;
         }
 
-        /** The outcome of the last attempt that tells most about the inference. */
+        /**
+         * The outcome of the last attempt. An outcome {@code LOST} is kept if later attempts were never sent, since it shows that the
+         * inference may have taken effect.
+         */
         public AttemptOutcome lastOutcome() {
             return lastOutcome;
         }
@@ -128,6 +131,7 @@
         return UUID.randomUUID().toString();
     }
 
+    /** Monotonic time in milliseconds. */
     private static double now() {
         return System.nanoTime() / 1e6;
     }
@@ -137,6 +141,8 @@
     }
 
     /**
+     * Starts an inference; the future completes with the answer, or with {@link NotReturned}.
+     *
      * @param parts receives the parts of a streamed answer, null for a unary call
      * @param partsReceived number of parts that have arrived
      */
@@ -200,9 +206,9 @@
                     : transport.stream(target.address, inference, deadline - now(), parts, onOutcome);
         }
 
-        private void scheduleAttempt(double at) {
-            if (at < deadline) {
-                scheduler.schedule(this::send, (long) Math.max(0, (at - now()) * 1e6), TimeUnit.NANOSECONDS);
+        private void scheduleAttempt(double attemptAt) {
+            if (attemptAt < deadline) {
+                scheduler.schedule(this::send, (long) Math.max(0, (attemptAt - now()) * 1e6), TimeUnit.NANOSECONDS);
             } else {
                 fail();
             }
@@ -218,14 +224,14 @@
                 return;
             }
             currentAttempt = null;
-            // An earlier attempt that may have run still counts when a later one was never sent.
+            // A lost attempt may have run; a later one that was never sent does not change that.
             lastOutcome = lastOutcome.kind() == AttemptOutcome.Kind.LOST && outcome.kind() == AttemptOutcome.Kind.NEVER_SENT
                     ? lastOutcome : outcome;
             if (outcome.kind() == AttemptOutcome.Kind.RETURNED) {
                 answer.complete(outcome.answer());
                 return;
             }
-            // Parts that the caller has received cannot be taken back.
+            // No retry after the first part, since the caller would receive parts twice.
             double retryAt = partsReceived.get() > 0 ? Double.NaN : retryPolicy.nextAttemptAt(outcome, now());
             if (Double.isNaN(retryAt)) {
                 fail();
@@ -237,7 +243,7 @@
         private void onDeadline() {
             if (currentAttempt != null) {
                 currentAttempt.cancel();
-                // A reachable front end answers in time, at least with an error: prefer the others from now on.
+                // A reachable front end answers in time, at least with an error, so this one is skipped for a while.
                 frontEnds.markUnavailable(currentFrontEnd, now());
                 lastOutcome = AttemptOutcome.notReturned(AttemptOutcome.Kind.LOST, "no answer within its time");
             }
--- a/client/src/main/java/gradereach/client/GrpcTransport.java
+++ b/client/src/main/java/gradereach/client/GrpcTransport.java
@@ -25,8 +25,9 @@
 import java.util.function.Function;
 
 /**
- * Calls the Open Inference Protocol's gRPC service: unary calls are signed in metadata, streaming calls of one inference in the
- * message. gRPC itself retries only calls that a server proves not to have processed (transparent retries).
+ * Calls the Open Inference Protocol's gRPC service. The signature is in the metadata of a unary call, and in the message of a
+ * streaming call, which carries one inference. gRPC itself retries only calls that a server proves not to have processed
+ * (transparent retries).
  */
 final class GrpcTransport implements FrontEndTransport {
     private static final String UNARY_METHOD = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
@@ -147,8 +148,8 @@
         return InferParameter.newBuilder().setStringParam(value).build();
     }
 
-    private static String parameter(ModelInferResponse from, String name) {
-        return from.containsParameters(name) ? from.getParametersOrThrow(name).getStringParam() : null;
+    private static String parameter(ModelInferResponse response, String name) {
+        return response.containsParameters(name) ? response.getParametersOrThrow(name).getStringParam() : null;
     }
 
     /**
@@ -170,14 +171,16 @@
         }
     }
 
-    /** A status without the trailers of a front end comes from gRPC or from a proxy and proves nothing about the inference. */
+    /** Converts a status. One without a front end's trailers comes from gRPC or a proxy and says nothing about the inference. */
     private static AttemptOutcome toOutcome(Status status, Metadata trailers, boolean headersSent) {
         Metadata trailersOrEmpty = trailers == null ? new Metadata() : trailers;
         return toOutcome(status.getCode().name(), status.getDescription(), trailersOrEmpty::get, headersSent);
     }
 
     /**
-     * @param details returns the front end's metadata beside the status, null for a key that is absent
+     * Converts a status.
+     *
+     * @param details returns the metadata that a front end adds to the status, null for a key that is absent
      * @param headersSent whether the call's headers were written, so that the front end may have run it
      */
     private static AttemptOutcome toOutcome(String code, String description, Function<Metadata.Key<String>, String> details,
--- a/client/src/main/java/gradereach/client/RetryBudget.java
+++ b/client/src/main/java/gradereach/client/RetryBudget.java
@@ -5,11 +5,13 @@
  * one. It keeps retries from adding to an overload when most attempts fail.
  */
 final class RetryBudget {
-    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.1; // retries add at most 10% over time, which a fleet near its limit can bear
+    /** Retries add at most 10% over time, which a fleet near its capacity can still serve. */
+    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.1;
     private static final double MAX_TOKENS = 10; // lets the inferences that are open during a short fault be retried
     private double tokens = MAX_TOKENS;
     private long rejected;
 
+    /** Adds a part of a token for the first attempt of an inference. */
     void recordFirstAttempt() {
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_FIRST_ATTEMPT);
     }
--- a/client/src/main/java/gradereach/client/RetryPolicy.java
+++ b/client/src/main/java/gradereach/client/RetryPolicy.java
@@ -10,7 +10,7 @@
  */
 final class RetryPolicy {
     private static final double INITIAL_BACKOFF_MILLIS = 50; // a front end's own second forward takes about 10 ms
-    private static final double MAX_BACKOFF_MILLIS = 5_000; // longer than most deadlines, so only long-running inferences reach it
+    private static final double MAX_BACKOFF_MILLIS = 5_000; // exceeds most deadlines, so only long-running inferences reach it
     /** An attempt with less time than this is not sent: it would only cost the front end work. */
     private static final double MIN_ATTEMPT_MILLIS = 20;
 
@@ -44,13 +44,13 @@
         double delay = random.nextDouble()
                 * Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(20, retries++)));
         if (!outcome.frontEndDraining()) {
-            // Up to a quarter more: all clients were given the same delay and would return together.
+            // Up to a quarter longer than requested: clients that were given the same delay would otherwise retry together.
             delay += outcome.retryAfterMillis() * (1 + random.nextDouble() / 4);
         } // a draining front end is not used again, so its delay does not apply
         if (now + delay + MIN_ATTEMPT_MILLIS > deadline) {
             return Double.NaN;
         }
-        // An attempt that was not sent, or that a draining front end shed, cost no work and no token.
+        // An attempt that was not sent, or that a draining front end shed, cost no work, so its retry takes no token.
         return outcome.frontEndDraining() || retryBudget.tryAcquire() ? now + delay : Double.NaN;
     }
 }
--- a/client/src/test/java/gradereach/client/GradereachClientTest.java
+++ b/client/src/test/java/gradereach/client/GradereachClientTest.java
@@ -85,7 +85,7 @@
                         Duration.ofMillis(timeoutMillis));
     }
 
-    /** Guards against calls that time out one after the other at a front end whose machine is down. */
+    /** Guards against calls that time out one after the other at a front end that does not answer, as when its machine is down. */
     @ParameterizedTest
     @ValueSource(strings = {"webhooks", "grpc"})
     void silentFrontEndIsNotTriedNext(String transport) throws Exception {
@@ -137,7 +137,7 @@
         }
         Map<String, Integer> runs = fleet.closeAndCountRuns();
         assertTrue(returned > 150 && runs.size() >= returned, returned + " returned, " + runs.size() + " ran");
-        assertTrue(runs.values().stream().allMatch(n -> n == 1), "twice");
+        assertTrue(runs.values().stream().allMatch(n -> n == 1), "an inference ran twice");
     }
 
     /**
--- a/client/src/test/java/gradereach/client/RetryPolicyTest.java
+++ b/client/src/test/java/gradereach/client/RetryPolicyTest.java
@@ -17,7 +17,7 @@
 class RetryPolicyTest {
     @ParameterizedTest
     @CsvSource({
-        // effect, outcome, retry safe, retry after; retried, and not before
+        // effect, outcome, retry safe, retry after in ms; whether it is retried, and not before which ms
         "NONE, SHED, true, 0, true, 0", "NONE, LOST, false, 0, true, 0", "NONE, FAILED, true, 0, true, 0",
         "ONCE, SHED, true, 700, true, 700", "ONCE, NEVER_SENT, true, 0, true, 0", "ONCE, FAILED, false, 0, false, 0",
         "ONCE, FAILED, true, 0, true, 0", "ONCE, LOST, false, 0, false, 0", "ONCE_REMEMBERED, LOST, false, 0, true, 0",
@@ -26,10 +26,10 @@
     })
     void onlySafeRetriesAndNotBeforeRetryAfter(Effect effect, AttemptOutcome.Kind kind, boolean retrySafe,
             double retryAfterMillis, boolean retried, double notBefore) {
-        double at = new RetryPolicy(effect, 2000, new Random(1), new RetryBudget()).nextAttemptAt(
+        double retryAt = new RetryPolicy(effect, 2000, new Random(1), new RetryBudget()).nextAttemptAt(
                 new AttemptOutcome(kind, retryAfterMillis, retrySafe, kind == AttemptOutcome.Kind.NEVER_SENT, null, ""), 0);
-        assertEquals(retried, !Double.isNaN(at));
-        assertTrue(!retried || at >= notBefore && at < 2000, "at " + at);
+        assertEquals(retried, !Double.isNaN(retryAt));
+        assertTrue(!retried || retryAt >= notBefore && retryAt < 2000, "at " + retryAt);
     }
 
     /** When every attempt fails, retries stay at a tenth of the first attempts. */
@@ -69,13 +69,14 @@
             double now = 0;
             for (int i = 0; i < 50; i++) {
                 boolean draining = random.nextBoolean();
-                double at = policy.nextAttemptAt(new AttemptOutcome(draining ? AttemptOutcome.Kind.NEVER_SENT : AttemptOutcome.Kind.SHED,
-                        random.nextInt(3) * 500, true, draining, null, ""), now);
-                if (Double.isNaN(at)) {
+                double retryAt = policy.nextAttemptAt(new AttemptOutcome(
+                        draining ? AttemptOutcome.Kind.NEVER_SENT : AttemptOutcome.Kind.SHED, random.nextInt(3) * 500, true,
+                        draining, null, ""), now);
+                if (Double.isNaN(retryAt)) {
                     break;
                 }
-                assertTrue(at >= now && at < deadline);
-                now = at;
+                assertTrue(retryAt >= now && retryAt < deadline);
+                now = retryAt;
             }
         }
     }
--- a/signing/src/main/java/gradereach/webhook/KeyRing.java
+++ b/signing/src/main/java/gradereach/webhook/KeyRing.java
@@ -11,7 +11,7 @@
 public final class KeyRing {
     /** Tolerated clock difference in both directions, as the specification recommends. */
     public static final long TOLERANCE_SECONDS = 300;
-    /** How long a message can be replayed: its timestamp may be ahead by the tolerance, and stays valid as long after it. */
+    /** How long a message can be replayed: its timestamp may be ahead by the tolerance, and is valid until it is as far behind. */
     public static final double REPLAY_WINDOW_MILLIS = 2000d * TOLERANCE_SECONDS;
     /** Longer ids are rejected: an id is stored for as long as its message can be replayed. */
     static final int MAX_ID_LENGTH = 128;
@@ -23,25 +23,26 @@
 
     private record ParsedSignature(boolean hmac, byte[] bytes) { }
 
-    private final List<List<WebhookKey>> keysOf;
+    private final List<List<WebhookKey>> keysByCustomer;
 
-    /** @param keysOf keys by customer index */
-    public KeyRing(List<List<WebhookKey>> keysOf) {
-        this.keysOf = keysOf.stream().map(List::copyOf).toList();
+    /** @param keysByCustomer keys by customer index */
+    public KeyRing(List<List<WebhookKey>> keysByCustomer) {
+        this.keysByCustomer = keysByCustomer.stream().map(List::copyOf).toList();
     }
 
     /** All keys of a customer, in the order in which they are tried. */
     public List<WebhookKey> keysOf(int customer) {
-        return keysOf.get(customer);
+        return keysByCustomer.get(customer);
     }
 
     /**
      * Verifies one message by the Standard Webhooks specification.
      *
+     * @param signatures value of {@code webhook-signature}
      * @param nowSeconds the current Unix time
-     * @param likely the customer to try first, -1 for none
+     * @param likelyCustomer the customer to try first, -1 for none
      */
-    public VerificationResult verify(String id, String timestamp, String signatures, byte[] body, long nowSeconds, int likely) {
+    public VerificationResult verify(String id, String timestamp, String signatures, byte[] body, long nowSeconds, int likelyCustomer) {
         if (!isValidId(id)) {
             return rejected(SignatureRejection.NO_ID);
         }
@@ -59,21 +60,21 @@
         if (parsedSignatures.isEmpty()) {
             return rejected(SignatureRejection.NO_SIGNATURE);
         }
-        if (likely >= 0 && signedBy(likely, parsedSignatures, id, timestampSeconds, body, nowSeconds)) {
-            return new VerificationResult(likely, null);
+        if (likelyCustomer >= 0 && isSignedBy(likelyCustomer, parsedSignatures, id, timestampSeconds, body, nowSeconds)) {
+            return new VerificationResult(likelyCustomer, null);
         }
-        for (int customer = 0; customer < keysOf.size(); customer++) {
-            if (customer != likely && signedBy(customer, parsedSignatures, id, timestampSeconds, body, nowSeconds)) {
+        for (int customer = 0; customer < keysByCustomer.size(); customer++) {
+            if (customer != likelyCustomer && isSignedBy(customer, parsedSignatures, id, timestampSeconds, body, nowSeconds)) {
                 return new VerificationResult(customer, null);
             }
         }
         return rejected(SignatureRejection.NOT_SIGNED);
     }
 
-    private boolean signedBy(int customer, List<ParsedSignature> parsedSignatures, String id, long timestampSeconds, byte[] body,
-            long now) {
-        for (WebhookKey key : keysOf.get(customer)) {
-            if (!key.isValidAt(now)) {
+    private boolean isSignedBy(int customer, List<ParsedSignature> parsedSignatures, String id, long timestampSeconds, byte[] body,
+            long nowSeconds) {
+        for (WebhookKey key : keysByCustomer.get(customer)) {
+            if (!key.isValidAt(nowSeconds)) {
                 continue;
             }
             boolean hmac = key.scheme().equals("v1");
--- a/signing/src/main/java/gradereach/webhook/SignatureRejection.java
+++ b/signing/src/main/java/gradereach/webhook/SignatureRejection.java
@@ -9,6 +9,7 @@
     TOO_NEW("webhook-timestamp is more than the tolerance in the future"),
     NOT_SIGNED("webhook-signature is none of a known key over this message");
 
+    /** The reason in words, as it is sent to the client. */
     public final String detail;
 
     SignatureRejection(String detail) {
--- a/signing/src/main/java/gradereach/webhook/WebhookKey.java
+++ b/signing/src/main/java/gradereach/webhook/WebhookKey.java
@@ -23,9 +23,13 @@
         }
     });
 
+    /** Shared secret; null for an Ed25519 key. */
     private final SecretKeySpec secret;
+    /** Private part of an Ed25519 key; null if only the public key is known, and for a shared secret. */
     private final byte[] seed;
+    /** Null for a shared secret. */
     private final byte[] publicKey;
+    // In Unix seconds, the end excluded.
     private final long validFrom;
     private final long validUntil;
 
@@ -41,7 +45,7 @@
         this(secret, seed, publicKey, Long.MIN_VALUE, Long.MAX_VALUE);
     }
 
-    /** This key with a validity period in Unix seconds, the end excluded; old and new keys overlap during a rotation. */
+    /** Returns this key with a validity period in Unix seconds, the end excluded. Old and new keys overlap during a rotation. */
     public WebhookKey withValidityPeriod(long fromSecond, long untilSecond) {
         return new WebhookKey(secret, seed, publicKey, fromSecond, untilSecond);
     }
@@ -75,7 +79,7 @@
             }
             case "whpk" -> {
                 require(raw.length == Ed25519Keys.SIZE, "whpk_ key holds " + raw.length + " bytes, not 32");
-                require(Ed25519Keys.isValidPublicKey(raw), "whpk_ key is no point that a key can be");
+                require(Ed25519Keys.isValidPublicKey(raw), "whpk_ key is not a valid Ed25519 public key");
                 return new WebhookKey(null, null, raw);
             }
             default -> {
--- a/signing/src/test/java/gradereach/webhook/KeyRingTest.java
+++ b/signing/src/test/java/gradereach/webhook/KeyRingTest.java
@@ -86,7 +86,8 @@
     @ParameterizedTest
     @CsvSource({"49, true, false, 1", "50, true, true, 2", "99, true, true, 2", "100, false, true, 1"})
     void keyRotationHasNoGap(long now, boolean oldKeyValid, boolean newKeyValid, int signatures) {
-        List<WebhookKey> keys = List.of(olderSecret.withValidityPeriod(Long.MIN_VALUE, 100), secret.withValidityPeriod(50, Long.MAX_VALUE));
+        List<WebhookKey> keys = List.of(olderSecret.withValidityPeriod(Long.MIN_VALUE, 100),
+                secret.withValidityPeriod(50, Long.MAX_VALUE));
         KeyRing rotating = new KeyRing(List.of(keys));
         String timestamp = Long.toString(now);
         assertEquals(oldKeyValid,
