--- a/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/DecisionPath.java
@@ -51,7 +51,10 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time of an inference's decisions, from the message to the forward and from the executor's answer to the client's; no sockets. */
+/**
+ * Measures the time of the decisions for one inference: from the message to the forward, and from the executor's answer to the
+ * client's. No sockets.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -74,10 +77,11 @@
         public void onRejected(int status, String code, String detail) { }
     };
     private InferenceCoordinator coordinator;
+    /** Simulated monotonic time in milliseconds. */
     private double now = 1e9;
-    private long id;
+    private long nextId;
     private DecisionLoop loop;
-    private volatile long hopCount;
+    private volatile long handledEvents;
 
     private InferenceCoordinator coordinator(Timers timers, Counts counts) {
         LoadingRules loading = new LoadingRules(true, false, 1e9, 3000, 0, List.of());
@@ -117,8 +121,8 @@
             public void onInferenceEnded(InferenceState inference, double endedAt) { }
 
             @Override
-            public void onRouterFailed(RuntimeException failure, String during, int inferences) {
-                throw failure;
+            public void onRouterFailed(RuntimeException cause, String event, int endedInferences) {
+                throw cause;
             }
 
             @Override
@@ -155,7 +159,7 @@
         for (int i = 0; i < 100; i++) {
             inference();
         }
-        loop = new DecisionLoop("hops", MonotonicClock.system(), 1024, new Counts(), timers -> coordinator(timers, new Counts()));
+        loop = new DecisionLoop("benchmark", MonotonicClock.system(), 1024, new Counts(), timers -> coordinator(timers, new Counts()));
         loop.start();
     }
 
@@ -169,7 +173,7 @@
     public void inference() {
         now += 0.1;
         coordinator.beginBatch(now);
-        coordinator.onMessage(new IncomingMessage(0, "i" + id++, 1, 1, model, new InferenceInput(new byte[0], null), 0, now, 1000, null,
+        coordinator.onMessage(new IncomingMessage(0, "i" + nextId++, 1, 1, model, new InferenceInput(new byte[0], null), 0, now, 1000, null,
                 ignoringObserver));
         coordinator.endBatch();
         for (LoadOrder order : List.copyOf(orders)) {
@@ -188,10 +192,10 @@
 
     /** Posts an event to the loop from another thread and waits until it has run. */
     @Benchmark
-    public void hop() {
-        long before = hopCount;
-        loop.post(ignored -> hopCount = before + 1);
-        while (hopCount == before) {
+    public void postToDecisionThread() {
+        long before = handledEvents;
+        loop.post(ignored -> handledEvents = before + 1);
+        while (handledEvents == before) {
             Thread.onSpinWait();
         }
     }
--- a/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/LedgerStores.java
@@ -23,18 +23,20 @@
 import org.h2.mvstore.MVStore;
 
 /**
- * Compares the ledger's append-only log with an embedded store (H2 MVStore) that also uses group commit, in one run: records per
- * second, time until a record is durable at 2,000 per second, and time to read a million records. Arguments: a folder, number of
- * records to read.
+ * Compares the ledger's append-only log with an embedded store (H2 MVStore) that also uses group commit, in one run. Prints records
+ * per second, the time until a record is durable at 2,000 per second, and the time to read many records. Arguments: a folder, the
+ * number of records to read (a million by default).
  */
 public final class LedgerStores {
     private static final byte[] BODY = new byte[300];
+    private static final long THROUGHPUT_RUN_NANOS = 4_000_000_000L;
+    private static final long MAX_SLEEP_NANOS = 50_000;
 
     private LedgerStores() { }
 
     /** A store that makes records durable and reports when they are. */
     private interface Store extends AutoCloseable {
-        void append(LedgerRecord record, Runnable durable) throws InterruptedException;
+        void append(LedgerRecord record, Runnable onDurable) throws InterruptedException;
 
         @Override
         void close() throws IOException;
@@ -103,7 +105,7 @@
         Semaphore permits = new Semaphore(maxPending);
         long start = System.nanoTime();
         int count = 0;
-        while (System.nanoTime() - start < 4_000_000_000L) {
+        while (System.nanoTime() - start < THROUGHPUT_RUN_NANOS) {
             permits.acquire();
             store.append(record(count++), permits::release);
         }
@@ -112,11 +114,11 @@
         double perSecond = count / ((System.nanoTime() - start) / 1e9);
         Recorder durableTimes = new Recorder(3);
         long startedAt = System.nanoTime();
-        int rate = 2000;
-        for (int i = 0; i < rate * 5; i++) {
-            long dueAt = startedAt + i * 1_000_000_000L / rate;
+        int recordsPerSecond = 2000;
+        for (int i = 0; i < recordsPerSecond * 5; i++) { // five seconds
+            long dueAt = startedAt + i * 1_000_000_000L / recordsPerSecond;
             while (System.nanoTime() < dueAt) {
-                LockSupport.parkNanos(50_000);
+                LockSupport.parkNanos(MAX_SLEEP_NANOS);
             }
             permits.acquire();
             store.append(record(i), () -> {
@@ -145,12 +147,12 @@
         ledger.start(new LedgerFolder(folder), 1);
         return new Store() {
             @Override
-            public void append(LedgerRecord record, Runnable durable) {
+            public void append(LedgerRecord record, Runnable onDurable) {
                 ledger.append(record, success -> {
                     if (!success) {
                         throw new IllegalStateException("not durable");
                     }
-                    durable.run();
+                    onDurable.run();
                 });
             }
 
@@ -164,7 +166,7 @@
     private static Store openMvStore(Path file) {
         MVStore store = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open();
         MVMap<Long, byte[]> map = store.openMap("records");
-        record Pending(byte[] frame, Runnable durable) { }
+        record Pending(byte[] frame, Runnable onDurable) { }
         ArrayBlockingQueue<Pending> queue = new ArrayBlockingQueue<>(65_536);
         boolean[] closing = new boolean[1];
         Thread writer = new Thread(() -> {
@@ -183,7 +185,7 @@
                     }
                     store.commit();
                     store.sync();
-                    batch.forEach(pending -> pending.durable.run());
+                    batch.forEach(pending -> pending.onDurable.run());
                     batch.clear();
                 }
             } catch (InterruptedException e) {
@@ -193,8 +195,8 @@
         writer.start();
         return new Store() {
             @Override
-            public void append(LedgerRecord record, Runnable durable) throws InterruptedException {
-                queue.put(new Pending(RecordCodec.encode(record), durable));
+            public void append(LedgerRecord record, Runnable onDurable) throws InterruptedException {
+                queue.put(new Pending(RecordCodec.encode(record), onDurable));
             }
 
             @Override
--- a/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Recording.java
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time that the decision thread takes to record the end of an inference, compared with simpler methods. */
+/** Measures what it costs the decision thread to record the end of an inference, and compares the parts with simpler methods. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,10 +32,10 @@
     private final long[] hashes = new long[NAMES];
     private final int[] nameIndexes = new int[1 << 16];
     private int nextDraw;
-    private ServiceMetrics service;
+    private ServiceMetrics serviceMetrics;
     private TopNames frequentNames;
     private Map<String, long[]> plainCounts;
-    private DurationHistogram times;
+    private DurationHistogram durationHistogram;
     private Histogram prometheusHistogram;
 
     @Setup
@@ -49,10 +49,10 @@
         for (int i = 0; i < nameIndexes.length; i++) {
             nameIndexes[i] = (int) Math.min(NAMES - 1, Math.exp(random.nextDouble() * Math.log(NAMES))); // Zipf with exponent 1
         }
-        service = new ServiceMetrics(List.of("a", "b"), 50, System::currentTimeMillis);
+        serviceMetrics = new ServiceMetrics(List.of("a", "b"), 50, System::currentTimeMillis);
         frequentNames = new TopNames(50, slot -> { });
         plainCounts = new HashMap<>();
-        times = new DurationHistogram(0);
+        durationHistogram = new DurationHistogram(0);
         prometheusHistogram = Histogram.builder().name("h").nativeOnly().nativeInitialSchema(2).build();
     }
 
@@ -61,10 +61,10 @@
     }
 
     @Benchmark
-    public void inferencesEnd() {
+    public void recordInference() {
         int n = nextNameIndex();
-        service.recordInference(n & 1, names[n & 15], hashes[n & 15], names[n], hashes[n], ServiceMetrics.EndReason.RETURNED, 1, 1, true,
-                12.5, 0.4, 1);
+        serviceMetrics.recordInference(n & 1, names[n & 15], hashes[n & 15], names[n], hashes[n],
+                ServiceMetrics.EndReason.RETURNED, 1, 1, true, 12.5, 0.4, 1);
     }
 
     @Benchmark
@@ -79,12 +79,12 @@
     }
 
     @Benchmark
-    public void times() {
-        times.record(nextNameIndex() * 0.01);
+    public void durationHistogram() {
+        durationHistogram.record(nextNameIndex() * 0.01);
     }
 
     @Benchmark
-    public void clientsHistogram() {
+    public void prometheusHistogram() {
         prometheusHistogram.observe(nextNameIndex() * 0.00001);
     }
 }
--- a/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/Signatures.java
@@ -20,7 +20,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time to verify and parse a message before it reaches the decision thread. */
+/** Measures the time to verify and parse a message before it reaches the decision thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -36,8 +36,8 @@
     private final WebhookKey hmac = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
     private final WebhookKey keyPair = WebhookKey.parse(WebhookKey.newPrivateKey(new SecureRandom()));
     private KeyRing ring;
-    private String v1;
-    private String v1a;
+    private String hmacHeader;
+    private String ed25519Header;
 
     @org.openjdk.jmh.annotations.Setup
     public void start() {
@@ -47,27 +47,27 @@
         }
         keys.add(List.of(hmac, keyPair));
         ring = new KeyRing(keys);
-        v1 = "v1," + hmac.sign("id", 1000, body);
-        v1a = "v1a," + keyPair.sign("id", 1000, body);
+        hmacHeader = "v1," + hmac.sign("id", 1000, body);
+        ed25519Header = "v1a," + keyPair.sign("id", 1000, body);
     }
 
     @Benchmark
     public KeyRing.VerificationResult hmacOfTheLikelyCustomer() {
-        return ring.verify("id", "1000", v1, body, 1000, customers - 1);
+        return ring.verify("id", "1000", hmacHeader, body, 1000, customers - 1);
     }
 
     @Benchmark
     public KeyRing.VerificationResult hmacOfAnyCustomer() {
-        return ring.verify("id", "1000", v1, body, 1000, -1);
+        return ring.verify("id", "1000", hmacHeader, body, 1000, -1);
     }
 
     @Benchmark
     public KeyRing.VerificationResult ed25519() {
-        return ring.verify("id", "1000", v1a, body, 1000, customers - 1);
+        return ring.verify("id", "1000", ed25519Header, body, 1000, customers - 1);
     }
 
     @Benchmark
-    public InferenceMessage body() throws InvalidMessageException {
+    public InferenceMessage parseBody() throws InvalidMessageException {
         return InferenceMessage.parse(body);
     }
 }
--- a/benchmarks/src/main/java/gradereach/benchmarks/TenMillionIds.java
+++ b/benchmarks/src/main/java/gradereach/benchmarks/TenMillionIds.java
@@ -7,10 +7,15 @@
 /** Compares {@link ExpiringIdTable} with a hash map at ten million ids: bytes per id, time to add and to find. Needs -Xmx6g. */
 public final class TenMillionIds {
     private static final int COUNT = 10_000_000;
+    private static final double RETENTION_MILLIS = 600_000;
+    /** Ten million ids in ten minutes. */
+    private static final double MILLIS_PER_ID = 0.06;
+    /** Time of the lookups, before the first id expires. */
+    private static final double LOOKUP_MILLIS = 599_000;
 
     private record Key(int customer, String id) { }
 
-    private record StoredId(long digestHigh, long digestLow, double until) { }
+    private record StoredId(long digestHigh, long digestLow, double expiresAt) { }
 
     private TenMillionIds() { }
 
@@ -28,24 +33,24 @@
 
     private static void measureIdTable() {
         long before = usedHeapBytes();
-        ExpiringIdTable table = new ExpiringIdTable(600_000, COUNT);
+        ExpiringIdTable table = new ExpiringIdTable(RETENTION_MILLIS, COUNT);
         long start = System.nanoTime();
         for (int i = 0; i < COUNT; i++) {
-            table.add(mix(i), mix(~i), i, i * 0.06);
+            table.add(mix(i), mix(~i), i, i * MILLIS_PER_ID);
         }
         double addNanos = (System.nanoTime() - start) / (double) COUNT;
         start = System.nanoTime();
         int found = 0;
         for (int i = 0; i < COUNT; i += 10) {
-            found += table.find(mix(i), mix(~i), i, 599_000) == ExpiringIdTable.Lookup.SAME_DIGEST ? 1 : 0;
+            found += table.find(mix(i), mix(~i), i, LOOKUP_MILLIS) == ExpiringIdTable.Lookup.SAME_DIGEST ? 1 : 0;
         }
         double findNanos = (System.nanoTime() - start) / (COUNT / 10d);
         start = System.nanoTime();
         for (int i = 0; i < COUNT; i += 10) {
-            found += table.find(mix(-i - 5L), 7, i, 599_000) == ExpiringIdTable.Lookup.SAME_DIGEST ? 1 : 0;
+            found += table.find(mix(-i - 5L), 7, i, LOOKUP_MILLIS) == ExpiringIdTable.Lookup.SAME_DIGEST ? 1 : 0;
         }
         double missNanos = (System.nanoTime() - start) / (COUNT / 10d);
-        System.out.printf("wheel: %.0f bytes an id, add %.0f ns, find %.0f ns, find nothing %.0f ns (%d found)%n",
+        System.out.printf("id table: %.0f bytes an id, add %.0f ns, find %.0f ns, find nothing %.0f ns (%d found)%n",
                 (usedHeapBytes() - before) / (double) COUNT, addNanos, findNanos, missNanos, found);
         if (table.size() != COUNT) {
             throw new IllegalStateException();
--- a/cli/src/main/java/gradereach/cli/AlertsCommand.java
+++ b/cli/src/main/java/gradereach/cli/AlertsCommand.java
@@ -13,14 +13,17 @@
 /** Prints and checks the Prometheus rules file of a deployment. */
 @Command(name = "alerts", mixinStandardHelpOptions = true, description = "Alert rules for a deployment's objectives (docs/alerts.md).")
 final class AlertsCommand {
+    private static final double MILLIS_PER_MINUTE = 60_000;
+
     @Option(names = "--page", defaultValue = "docs/alerts.md", scope = picocli.CommandLine.ScopeType.INHERIT,
             description = "where the operators' page is served: alerts link to it (${DEFAULT-VALUE})")
     private String page;
 
+    /** Returns the text of the rules file. */
     private String ruleFileFor(Path file) throws InvalidDeploymentException {
         Deployment deployment = Deployment.read(file);
-        return new AlertRuleFile(deployment.objectives(), AlertRuleFile.SLOW_LOAD_FACTOR * deployment.maxLoadMillis(), 60_000, page)
-                .toYaml();
+        return new AlertRuleFile(deployment.objectives(), AlertRuleFile.SLOW_LOAD_FACTOR * deployment.maxLoadMillis(),
+                MILLIS_PER_MINUTE, page).toYaml();
     }
 
     @Command(name = "print", mixinStandardHelpOptions = true, description = "Print the rules file.")
--- a/cli/src/main/java/gradereach/cli/LogSetup.java
+++ b/cli/src/main/java/gradereach/cli/LogSetup.java
@@ -13,7 +13,7 @@
 
 /** Configures logging of a front end: JSON or plain lines on standard error, written asynchronously. */
 final class LogSetup {
-    /** About a second of inference lines; when the queue is full, lines are dropped rather than waited for. */
+    /** Lines that wait to be written, about a second of inference lines; further lines are dropped, so that logging never blocks. */
     private static final int QUEUE_CAPACITY = 8192;
 
     private LogSetup() { }
--- a/cli/src/main/java/gradereach/cli/Main.java
+++ b/cli/src/main/java/gradereach/cli/Main.java
@@ -49,7 +49,7 @@
             Main.Rehearse.class, Main.MeasureCommand.class, Main.Bench.class, LedgerCommand.class, AlertsCommand.class,
             MembersCommand.class, Main.VersionCommand.class, Main.Completion.class})
 public final class Main implements Runnable {
-    /** Exit code of a run that found no violation but could not decide every rule. */
+    /** Exit code of a rehearsal or soak that found no violation but could not check every rule. */
     static final int EXIT_INCONCLUSIVE = 3;
 
     @Spec
@@ -87,11 +87,11 @@
         @Spec
         private CommandSpec spec;
         @Option(names = "--log", defaultValue = "json", description = "json or plain, on standard error (${DEFAULT-VALUE})")
-        private LogForm log;
+        private LogFormat log;
         @Option(names = "--log-level", defaultValue = "info", description = "error, warn, info, debug (${DEFAULT-VALUE})")
         private String level;
         @Option(names = "--no-lives", description = "no line for each inference")
-        private boolean noLives;
+        private boolean noInferenceLines;
 
         @Override
         public Integer call() throws InterruptedException {
@@ -102,12 +102,13 @@
                 }
                 return PlatformProcess.run(System.getenv(), System.out);
             }
-            LogSetup.configure(log == LogForm.json, level, !noLives);
+            LogSetup.configure(log == LogFormat.json, level, !noInferenceLines);
             return FrontEndProcess.run(file, gradereach.serve.FaultInjection.NONE, System.out, System.err);
         }
     }
 
-    enum LogForm { json, plain }
+    /** Constants as they are given on the command line. */
+    enum LogFormat { json, plain }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
             description = "Check a deployment file; prints each error with its path.")
@@ -175,7 +176,7 @@
             if ("grpc".equals(url.getScheme())) {
                 return new GrpcCall(signer, model, inputJson, messageId, budget, System.out).run(url, stream);
             }
-            // A given id may be a repeat, whose bytes must be the same: its timestamp is constant.
+            // A message with a given id may be a repeat, which must have the same bytes, so its timestamp is constant.
             var message = json.createObjectNode().put("type", "inference.requested")
                     .put("timestamp", (id == null ? Instant.now() : Instant.EPOCH).toString());
             var data = message.putObject("data").put("model", model);
@@ -216,21 +217,21 @@
     static final class Keys {
         @Command(name = "make", mixinStandardHelpOptions = true, description = "Write a new key into a file that only its owner can read.")
         int make(@Parameters(paramLabel = "FILE") Path file,
-                @Option(names = "--ed25519", description = "a whsk_ key pair instead of a shared whsec_ secret") boolean pair)
+                @Option(names = "--ed25519", description = "a whsk_ key pair instead of a shared whsec_ secret") boolean ed25519)
                 throws IOException {
-            String key = pair ? WebhookKey.newPrivateKey(new SecureRandom()) : WebhookKey.newSecret(new SecureRandom());
+            String key = ed25519 ? WebhookKey.newPrivateKey(new SecureRandom()) : WebhookKey.newSecret(new SecureRandom());
             if (Files.exists(file)) {
                 System.err.println(file + ": is there already; nothing was written");
                 return 1;
             }
             Files.createFile(file, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
             Files.writeString(file, key + "\n");
-            System.out.println(pair ? WebhookKey.parse(key).publicKeyText() : file.toString());
+            System.out.println(ed25519 ? WebhookKey.parse(key).publicKeyText() : file.toString());
             return 0;
         }
 
         @Command(name = "public", mixinStandardHelpOptions = true, description = "Print the whpk_ part of a whsk_ key.")
-        int show(@Parameters(paramLabel = "FILE") Path file) throws IOException {
+        int printPublicKey(@Parameters(paramLabel = "FILE") Path file) throws IOException {
             String publicKey;
             try {
                 publicKey = WebhookKey.parse(Files.readString(file)).publicKeyText();
@@ -258,9 +259,9 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             JsonNode fleetConfig = new ObjectMapper().readTree(fleet.toFile());
-            try (StandInFleet running = new StandInFleet(fleetConfig, transcript)) {
-                System.out.println("roster http://127.0.0.1:" + running.rosterPort() + "\ncontrol http://127.0.0.1:"
-                        + running.controlPort() + "\nexecutors " + String.join(" ", running.addresses()));
+            try (StandInFleet standIns = new StandInFleet(fleetConfig, transcript)) {
+                System.out.println("roster http://127.0.0.1:" + standIns.rosterPort() + "\ncontrol http://127.0.0.1:"
+                        + standIns.controlPort() + "\nexecutors " + String.join(" ", standIns.addresses()));
                 while (System.in.read() >= 0) { }
             }
             return 0;
--- a/cli/src/main/java/gradereach/cli/MembersCommand.java
+++ b/cli/src/main/java/gradereach/cli/MembersCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Prints the front ends that a front end sees as members. */
+/** Prints the members that one front end knows, from its admin listener. */
 @Command(name = "members", mixinStandardHelpOptions = true,
         description = "Ask a front end's admin listener who is there and what its part is.")
 final class MembersCommand implements Callable<Integer> {
--- a/cli/src/main/java/gradereach/cli/SoakCommand.java
+++ b/cli/src/main/java/gradereach/cli/SoakCommand.java
@@ -21,7 +21,7 @@
         footer = {"", "Exits with 0 only when no rule was broken and nothing crashed; with 3 where that is so and not all can be told. "
             + "Needs a C compiler (cc)."})
 final class SoakCommand implements Callable<Integer> {
-    private static final String FRONT_END = "gradereach.platform.serve.PlatformProcess";
+    private static final String FRONT_END_CLASS = "gradereach.platform.serve.PlatformProcess";
 
     @Option(names = "--seed", defaultValue = "1", description = "the first one (${DEFAULT-VALUE})")
     private long seed;
@@ -71,7 +71,7 @@
     }
 
     private SoakReport runSoak(long seed, Set<SoakFault> faults) throws IOException, InterruptedException {
-        SoakPlan plan = new SoakPlan(seed, seconds, nodes, faults, Rehearsal.javaCommand(FRONT_END));
+        SoakPlan plan = new SoakPlan(seed, seconds, nodes, faults, Rehearsal.javaCommand(FRONT_END_CLASS));
         try (Soak soak = new Soak(plan, Files.createTempDirectory("soak"))) {
             SoakReport report = soak.run();
             System.out.println("seed " + seed + ": " + report);
