--- a/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
+++ b/gateway/src/main/java/gradereach/claims/ClaimCoordinator.java
@@ -34,7 +34,8 @@
         private final Set<String> contacted = new TreeSet<>();
         private final Set<String> granted = new TreeSet<>();
         private final Set<String> replied = new TreeSet<>();
-        private final Map<String, Integer> holders = new HashMap<>();
+        /** How many replicas named each holder. */
+        private final Map<String, Integer> replicaCountByHolder = new HashMap<>();
         private ClaimResult result;
 
         private Round(long number, MessageIdentity message) {
@@ -47,8 +48,8 @@
             return result;
         }
 
-        private ReplicaRequest request(String replica, boolean release) {
-            return new ReplicaRequest(replica, release, message, number);
+        private ReplicaRequest request(String replica, boolean isRelease) {
+            return new ReplicaRequest(replica, isRelease, message, number);
         }
     }
 
@@ -64,15 +65,15 @@
         lastRound = firstRound;
     }
 
-    /** Starts a round and adds the requests to be sent to {@code out}. */
-    public Round startRound(MessageIdentity message, List<ReplicaRequest> out) {
+    /** Starts a round; the requests to be sent are added to {@code requests}. */
+    public Round startRound(MessageIdentity message, List<ReplicaRequest> requests) {
         Round round = new Round(++lastRound, message);
         for (FrontEndSet frontEndSet : frontEndSets) {
             List<String> replicas = frontEndSet.replicas(message.customer(), message.id());
             round.replicaSets.add(replicas);
             round.contacted.addAll(replicas);
         }
-        round.contacted.forEach(replica -> out.add(round.request(replica, false)));
+        round.contacted.forEach(replica -> requests.add(round.request(replica, false)));
         return round;
     }
 
@@ -80,19 +81,20 @@
      * Handles a replica's reply.
      *
      * @param holder who holds the claim instead; null if it was granted, or if the replica is full, refused or was not reached
+     * @param requests receives the releases to be sent
      */
-    public void handleReply(Round round, String replica, boolean granted, String holder, List<ReplicaRequest> out) {
+    public void handleReply(Round round, String replica, boolean granted, String holder, List<ReplicaRequest> requests) {
         if (!round.replied.add(replica)) {
             return;
         }
         if (granted) {
             round.granted.add(replica);
         } else if (holder != null) {
-            round.holders.merge(holder, 1, Integer::sum);
+            round.replicaCountByHolder.merge(holder, 1, Integer::sum);
         }
         if (round.result != null) {
             if (granted && round.result.status() != ClaimStatus.GRANTED) {
-                out.add(round.request(replica, true));
+                requests.add(round.request(replica, true));
             }
             return;
         }
@@ -111,24 +113,25 @@
         if (won) {
             round.result = new ClaimResult(ClaimStatus.GRANTED, null);
         } else if (lost) {
-            endWithoutMajority(round, out);
+            endWithoutMajority(round, requests);
         }
     }
 
-    /** Ends the round on a timeout; a claim that was not won by then is not won at all. */
-    public void handleTimeout(Round round, List<ReplicaRequest> out) {
+    /** Ends the round on a timeout: a claim that has no majority by then is released. */
+    public void handleTimeout(Round round, List<ReplicaRequest> requests) {
         if (round.result == null) {
-            endWithoutMajority(round, out);
+            endWithoutMajority(round, requests);
         }
     }
 
-    private void endWithoutMajority(Round round, List<ReplicaRequest> out) {
+    private void endWithoutMajority(Round round, List<ReplicaRequest> requests) {
+        // The holder that most replicas named; the first by name if several were named equally often.
         String holder = null;
-        for (Map.Entry<String, Integer> entry : new java.util.TreeMap<>(round.holders).entrySet()) {
-            holder = holder == null || entry.getValue() > round.holders.get(holder) ? entry.getKey() : holder;
+        for (Map.Entry<String, Integer> entry : new java.util.TreeMap<>(round.replicaCountByHolder).entrySet()) {
+            holder = holder == null || entry.getValue() > round.replicaCountByHolder.get(holder) ? entry.getKey() : holder;
         }
         round.result = new ClaimResult(holder != null ? ClaimStatus.HELD_BY_OTHER : ClaimStatus.UNKNOWN, holder);
         // Also to replicas that have not replied: their grant may be in flight.
-        round.contacted.forEach(replica -> out.add(round.request(replica, true)));
+        round.contacted.forEach(replica -> requests.add(round.request(replica, true)));
     }
 }
--- a/gateway/src/main/java/gradereach/claims/PeerClaims.java
+++ b/gateway/src/main/java/gradereach/claims/PeerClaims.java
@@ -56,6 +56,7 @@
     public record Peer(String name, InetSocketAddress peerAddress, InetSocketAddress clientAddress) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** Two connections of 500 streams; 250 ms to connect, 30 s idle at most; responses up to 16 MiB, stream windows of 1 MiB. */
     private static final Http2ConnectionPool.Limits POOL_LIMITS = new Http2ConnectionPool.Limits(2, 500, 250, 30_000, 16 << 20, 1 << 20);
     private static final Logger LOG = LoggerFactory.getLogger(PeerClaims.class);
     private static final String SIGNED_AT = "signed_at";
@@ -65,7 +66,7 @@
     private static final double RELAY_MARGIN_MILLIS = 20; // the answer still has to reach the client
 
     private final String ownName;
-    private final List<Long> digests;
+    private final List<Long> frontEndSetDigests;
     private final List<FrontEndSet> frontEndSets;
     private final WebhookKey key;
     private final KeyRing keyRing;
@@ -88,13 +89,17 @@
     private String claimant;
     private long messagesSent;
 
-    /** @param frontEndSets the active sets of front ends, which place the claims */
+    /**
+     * @param frontEndSets the active sets of front ends, which determine the replicas of each claim
+     * @param clock monotonic time in milliseconds
+     * @param decisionThread runs an action on the decision thread
+     */
     public PeerClaims(String ownName, List<Peer> peers, List<FrontEndSet> frontEndSets, WebhookKey key, Ledger ledger,
             ClaimTable claimTable, Timers timers, DoubleSupplier clock, LongSupplier unixMillis, EventLoopGroup loops,
             Class<? extends Channel> channelType, Consumer<Consumer<InferenceCoordinator>> decisionThread, Counts counts) {
         this.ownName = ownName;
         this.frontEndSets = frontEndSets;
-        this.digests = frontEndSets.stream().map(FrontEndSet::digest).toList();
+        this.frontEndSetDigests = frontEndSets.stream().map(FrontEndSet::digest).toList();
         this.key = key;
         this.keyRing = new KeyRing(List.of(List.of(key)));
         this.ledger = ledger;
@@ -130,7 +135,7 @@
      */
     public void recover(String ledgerIdentity, long run, LedgerState ledgerState, double retention) {
         claimant = ownName + "/" + ledgerIdentity;
-        coordinator = new ClaimCoordinator(frontEndSets, run << 32);
+        coordinator = new ClaimCoordinator(frontEndSets, run << 32); // 2^32 rounds for each run
         for (LedgerState.Claim claim : ledgerState.claims()) {
             double now = clock.getAsDouble();
             double grantedAt = ledger.time().toMonotonic(claim.grantedAt());
@@ -183,8 +188,8 @@
     private void send(List<ReplicaRequest> requests, Round round, ClaimCallback callback) {
         for (ReplicaRequest request : requests) {
             if (request.replica().equals(ownName)) {
-                handleAsReplica(request.isRelease(), request.message(), new Claimant(claimant, ledger.position()), request.round(),
-                        reply -> decisionThread.accept(
+                handleAsReplica(request.isRelease(), request.message(), new Claimant(claimant, ledger.position()),
+                        request.round(), reply -> decisionThread.accept(
                                 inferences -> handleReply(round, callback, ownName, reply.granted(), reply.holder())));
                 continue;
             }
@@ -192,7 +197,7 @@
                     .put("customer", request.message().customer()).put("id", request.message().id()).put("round", request.round())
                     .put("digest_high", request.message().digestHigh()).put("digest_low", request.message().digestLow())
                     .put(SIGNED_AT, request.message().signedAt()).put(POSITION, ledger.position());
-            digests.forEach(body.putArray("lists")::add);
+            frontEndSetDigests.forEach(body.putArray("lists")::add);
             post(request.replica(), PeerServer.CLAIMS_PATH, body, (result, status, headers, replyBody) -> {
                 if (request.isRelease()) {
                     return;
@@ -274,11 +279,11 @@
 
     /** Handles a peer's claim or release; {@code reply} gets the HTTP status and the body. Called from any thread. */
     void handleRequest(JsonNode request, java.util.function.BiConsumer<Integer, String> reply) {
-        boolean sameSet = false;
+        boolean hasCommonSet = false;
         for (JsonNode digest : request.path("lists")) {
-            sameSet |= digests.contains(digest.asLong());
+            hasCommonSet |= frontEndSetDigests.contains(digest.asLong());
         }
-        if (!sameSet) {
+        if (!hasCommonSet) {
             refused.increment();
             reply.accept(412, "{\"refused\":\"another list of front ends\"}");
             return;
@@ -306,10 +311,11 @@
      */
     private record Claimant(String name, long position) { }
 
-    private void handleAsReplica(boolean release, MessageIdentity message, Claimant requester, long round, Consumer<ClaimReply> reply) {
+    private void handleAsReplica(boolean isRelease, MessageIdentity message, Claimant requester, long round,
+            Consumer<ClaimReply> reply) {
         double now = clock.getAsDouble();
         claimTable.recordPosition(requester.name, requester.position);
-        if (release) {
+        if (isRelease) {
             claimTable.release(message.customer(), message.id(), requester.name, round);
             reply.accept(new ClaimReply(true, null, false));
             return;
@@ -322,7 +328,7 @@
             reply.accept(claimReply);
             return;
         }
-        // Also if it was granted before: that record may not be durable yet.
+        // A claim that was granted before is recorded again, since its record may not be durable yet.
         ledger.append(new LedgerRecord.ClaimGranted(message.customer(), message.id(), ledger.time().fromMonotonic(now),
                 message.digestHigh(), message.digestLow(), requester.name, message.withDefaultSignedAt(latestSignedAt).signedAt(),
                 requester.position), durable -> {
@@ -346,13 +352,13 @@
     public void relayToHolder(IncomingMessage message, String holder) {
         Http2ConnectionPool holderPool = clientPools.get(holder.substring(0, Math.max(0, holder.indexOf('/'))));
         if (holderPool == null) {
-            // The holder is of a front end set that is no longer active, or is this front end with a ledger that it lost.
+            // The holder belongs to a front end set that is no longer active, or is this front end with a lost ledger.
             message.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true));
             return;
         }
         IncomingMessage.SignedBody signedBody = message.signedBody();
         if (signedBody == null) {
-            // It came by gRPC, and only webhooks are relayed: its client reaches the holder by repeating the message.
+            // Only webhooks are relayed. This message came by gRPC; its client reaches the holder by repeating the message.
             message.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HELD_ELSEWHERE + holder, true));
             return;
         }
--- a/gateway/src/main/java/gradereach/ledger/CommitDelay.java
+++ b/gateway/src/main/java/gradereach/ledger/CommitDelay.java
@@ -2,7 +2,7 @@
 
 import gradereach.delay.RecentDelay;
 
-/** How long a commit may take. The deadline of whatever must be durable before it is sent is moved forward by as much. */
+/** Estimates how long a commit may take. Whatever must be durable before it is sent has to be decided earlier by this margin. */
 public final class CommitDelay extends RecentDelay {
     private static final double DECAY_MILLIS = 10_000; // a disk is slow for some seconds at a time
     private static final double MAX_MILLIS = 500; // with a larger margin no message could be accepted
--- a/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
+++ b/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
@@ -16,10 +16,13 @@
 public final class CompactionPlanner {
     private record Key(String customer, String id) { }
 
-    /** The records that still determine an open message, and the oldest segment that holds one of them. */
+    /** The records that determine the state of an open message, and the oldest segment that holds one of them. */
     private static final class OpenMessage {
         final List<LedgerRecord> records = new ArrayList<>(2);
-        long segment;
+        long oldestSegment;
+        /**
+         * Whether it is settled but for its delivery: proven not run, returned, or answered in any way while a delivery is due.
+         */
         boolean ended;
         double promisedAt = Double.NEGATIVE_INFINITY;
         double deliveredPromiseAt = Double.NEGATIVE_INFINITY;
@@ -27,7 +30,7 @@
 
     private final double retention;
     private final int maxOpenMessages;
-    private final Map<Key, OpenMessage> openMessageCount = new LinkedHashMap<>();
+    private final Map<Key, OpenMessage> openMessages = new LinkedHashMap<>();
     private final TreeMap<Long, Double> latestTimestamps = new TreeMap<>();
     private final Map<Long, Long> latestSignedAt = new HashMap<>();
     private final Map<Long, Long> latestClaimSignedAt = new HashMap<>();
@@ -42,7 +45,7 @@
         this.maxOpenMessages = maxOpenMessages;
     }
 
-    /** Takes note of a record that was written to a segment. */
+    /** Called when a record has been written to a segment. */
     public void onRecordWritten(LedgerRecord record, long segment) {
         latestTimestamps.merge(segment, record.timestamp(), Math::max);
         if (record instanceof LedgerRecord.ForwardIntended intended) {
@@ -53,22 +56,24 @@
             return; // claims have the same retention as messages and are never rewritten
         }
         Key key = new Key(record.customer(), record.id());
-        OpenMessage message = openMessageCount.computeIfAbsent(key, k -> {
+        OpenMessage message = openMessages.computeIfAbsent(key, newKey -> {
             OpenMessage opened = new OpenMessage();
-            opened.segment = segment;
+            opened.oldestSegment = segment;
             return opened;
         });
         if (record instanceof LedgerRecord.ProvenNotRun) {
             message.records.removeIf(earlier -> earlier instanceof LedgerRecord.ForwardIntended);
             message.ended = true;
-        } else if (record instanceof LedgerRecord.Answered r) {
+        } else if (record instanceof LedgerRecord.Answered answered) {
             message.records.removeIf(earlier -> earlier instanceof LedgerRecord.Answered);
-            message.ended |= r.answer().kind() == FinalAnswer.Kind.RETURNED || message.promisedAt > message.deliveredPromiseAt;
-            message.records.add(r);
-        } else if (record instanceof LedgerRecord.DeliveryAttempted r) {
+            message.ended |= answered.answer().kind() == FinalAnswer.Kind.RETURNED
+                    || message.promisedAt > message.deliveredPromiseAt;
+            message.records.add(answered);
+        } else if (record instanceof LedgerRecord.DeliveryAttempted attempted) {
             message.records.removeIf(earlier -> earlier instanceof LedgerRecord.DeliveryAttempted);
-            message.deliveredPromiseAt = r.finished() ? Math.max(message.deliveredPromiseAt, r.promisedAt()) : message.deliveredPromiseAt;
-            message.records.add(r);
+            message.deliveredPromiseAt = attempted.finished() ? Math.max(message.deliveredPromiseAt, attempted.promisedAt())
+                    : message.deliveredPromiseAt;
+            message.records.add(attempted);
         } else {
             message.ended = false;
             message.promisedAt = record instanceof LedgerRecord.DeliveryPromised ? Math.max(message.promisedAt, record.timestamp())
@@ -76,17 +81,17 @@
             message.records.add(record);
         }
         if (message.ended && message.promisedAt <= message.deliveredPromiseAt) {
-            openMessageCount.remove(key);
-        } else if (openMessageCount.size() > maxOpenMessages) {
-            openMessageCount.remove(openMessageCount.keySet().iterator().next());
+            openMessages.remove(key);
+        } else if (openMessages.size() > maxOpenMessages) {
+            openMessages.remove(openMessages.keySet().iterator().next());
             discardedOpenMessageCount++;
         }
     }
 
     /** The oldest segment if it can be removed now, -1 otherwise; never the current one. */
-    public long oldestRemovableSegment(double now, long current) {
+    public long oldestRemovableSegment(double now, long currentSegment) {
         Map.Entry<Long, Double> oldest = latestTimestamps.firstEntry();
-        return oldest != null && oldest.getKey() < current && oldest.getValue() < now - retention ? oldest.getKey() : -1;
+        return oldest != null && oldest.getKey() < currentSegment && oldest.getValue() < now - retention ? oldest.getKey() : -1;
     }
 
     /** Milliseconds for which messages are remembered. */
@@ -99,12 +104,15 @@
         return latestTimestamps.values().stream().mapToDouble(timestamp -> timestamp).max().orElse(Double.NEGATIVE_INFINITY);
     }
 
-    /** The records that must be rewritten to the current segment before that segment is removed. */
-    public List<LedgerRecord> recordsToRewrite(long segment, long current) {
+    /**
+     * Returns the records that must be rewritten to the current segment before {@code segment} is removed. From then on, their
+     * messages count as held by the current segment.
+     */
+    public List<LedgerRecord> recordsToRewrite(long segment, long currentSegment) {
         List<LedgerRecord> records = new ArrayList<>();
-        for (OpenMessage message : openMessageCount.values()) {
-            if (message.segment <= segment) {
-                message.segment = current;
+        for (OpenMessage message : openMessages.values()) {
+            if (message.oldestSegment <= segment) {
+                message.oldestSegment = currentSegment;
                 records.addAll(message.records);
             }
         }
@@ -121,7 +129,7 @@
         return latestClaimSignedAt.getOrDefault(segment, Long.MIN_VALUE);
     }
 
-    /** Takes note that a segment was removed. */
+    /** Called when a segment has been removed. */
     public void onSegmentRemoved(long segment) {
         latestClaimSignedAt.remove(segment);
         latestTimestamps.remove(segment);
@@ -130,7 +138,7 @@
 
     /** The number of messages whose outcome is unknown or whose delivery is pending. */
     public int openMessageCount() {
-        return openMessageCount.size();
+        return openMessages.size();
     }
 
     /** How many open messages were discarded because there were too many. */
--- a/gateway/src/main/java/gradereach/ledger/LedgerRecord.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerRecord.java
@@ -23,17 +23,17 @@
     /** The message's {@code webhook-id}. */
     String id();
 
-    /** When it was written, in ledger time. */
+    /** When the record was written, in ledger time. */
     double timestamp();
 
     /**
-     * A forward is about to be sent: from here on it may have run.
+     * A forward is about to be sent: from here on the message may have run.
      *
      * @param signedAt the message's signed timestamp, in Unix seconds
      */
     record ForwardIntended(String customer, String id, double timestamp, long digestHigh, long digestLow, String group, String model,
             Recipient recipient, String forwardId, long signedAt) implements LedgerRecord {
-        /** As written by versions that did not record processes and signed timestamps. */
+        /** An intent as written by earlier versions, which recorded neither the executor's process nor the signed timestamp. */
         public ForwardIntended(String customer, String id, double timestamp, long digestHigh, long digestLow, String group, String model,
                 String address, String forwardId) {
             this(customer, id, timestamp, digestHigh, digestLow, group, model, new Recipient("", address, Double.NaN), forwardId,
@@ -69,7 +69,7 @@
      */
     record ClaimGranted(String customer, String id, double timestamp, long digestHigh, long digestLow, String claimant, long signedAt,
             long claimantPosition) implements LedgerRecord {
-        /** As written by versions that did not record signed timestamps and positions. */
+        /** A claim as written by earlier versions, which recorded neither the signed timestamp nor the position. */
         public ClaimGranted(String customer, String id, double timestamp, long digestHigh, long digestLow, String claimant) {
             this(customer, id, timestamp, digestHigh, digestLow, claimant, latestPossibleSignedAt(timestamp), LedgerPosition.UNKNOWN);
         }
--- a/gateway/src/main/java/gradereach/ledger/LedgerState.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerState.java
@@ -14,7 +14,7 @@
 public final class LedgerState {
     /** The state of a message after a crash. */
     public enum MessageState {
-        /** Only promised an answer: no forward was sent. */
+        /** An answer was promised, and no forward was sent. */
         TAKEN,
         /** The intent of a forward is durable and nothing after it: the forward may have run. */
         MAY_HAVE_RUN,
@@ -53,7 +53,7 @@
             this.id = id;
         }
 
-        /** Its state as of the last record. */
+        /** Its state after the last record. */
         public MessageState state() {
             return state;
         }
@@ -88,7 +88,7 @@
             return lastRecordedAt;
         }
 
-        /** The timestamp of the first intent that was not proven not to have run; NaN for none. */
+        /** The timestamp of the first forward's intent since the last proof that no forward has run; NaN for none. */
         public double mayHaveRunSince() {
             return mayHaveRunSince;
         }
@@ -170,30 +170,31 @@
     /** Applies the next record. */
     public void apply(LedgerRecord record) {
         Key key = new Key(record.customer(), record.id());
-        if (record instanceof LedgerRecord.ClaimGranted r) {
-            claimantPositions.merge(r.claimant(), r.claimantPosition(), Math::max);
-            claims.put(key, new Claim(r.customer(), r.id(), r.timestamp(), r.digestHigh(), r.digestLow(), r.claimant(), r.signedAt()));
+        if (record instanceof LedgerRecord.ClaimGranted granted) {
+            claimantPositions.merge(granted.claimant(), granted.claimantPosition(), Math::max);
+            claims.put(key, new Claim(granted.customer(), granted.id(), granted.timestamp(), granted.digestHigh(),
+                    granted.digestLow(), granted.claimant(), granted.signedAt()));
             return;
         }
-        Message message = messages.computeIfAbsent(key, k -> new Message(k.customer, k.id));
+        Message message = messages.computeIfAbsent(key, newKey -> new Message(newKey.customer, newKey.id));
         message.firstRecordedAt = Double.isNaN(message.firstRecordedAt) ? record.timestamp()
                 : Math.min(message.firstRecordedAt, record.timestamp());
         double lastRecordedBefore = message.lastRecordedAt;
         message.lastRecordedAt = Math.max(message.lastRecordedAt, record.timestamp());
-        if (record instanceof LedgerRecord.ForwardIntended r) {
-            // Not for a record that is read twice: an interrupted compaction leaves both copies.
+        if (record instanceof LedgerRecord.ForwardIntended intended) {
+            // A record that is read twice is no anomaly: an interrupted compaction leaves both copies.
             if (message.state == MessageState.ANSWERED && message.answer.kind() == FinalAnswer.Kind.RETURNED
-                    && r.timestamp() >= lastRecordedBefore) {
-                anomalies.add(r.customer() + "/" + r.id() + ": intent of a forward after the answer was returned");
+                    && intended.timestamp() >= lastRecordedBefore) {
+                anomalies.add(intended.customer() + "/" + intended.id() + ": intent of a forward after the answer was returned");
             }
             message.state = MessageState.MAY_HAVE_RUN;
-            message.digestHigh = r.digestHigh();
-            message.digestLow = r.digestLow();
-            message.group = r.group();
-            message.model = r.model();
-            message.signedAt = Math.max(message.signedAt, r.signedAt());
-            message.mayHaveRunSince = Double.isNaN(message.mayHaveRunSince) ? r.timestamp() : message.mayHaveRunSince;
-            UnresolvedForward forward = new UnresolvedForward(r.recipient(), r.forwardId(), r.timestamp());
+            message.digestHigh = intended.digestHigh();
+            message.digestLow = intended.digestLow();
+            message.group = intended.group();
+            message.model = intended.model();
+            message.signedAt = Math.max(message.signedAt, intended.signedAt());
+            message.mayHaveRunSince = Double.isNaN(message.mayHaveRunSince) ? intended.timestamp() : message.mayHaveRunSince;
+            UnresolvedForward forward = new UnresolvedForward(intended.recipient(), intended.forwardId(), intended.timestamp());
             // Forward ids are reused after a restart, so the id alone does not identify a forward.
             if (!message.unresolvedForwards.contains(forward)) {
                 message.unresolvedForwards.add(forward);
@@ -203,22 +204,23 @@
             message.mayHaveRunSince = Double.NaN;
             message.unresolvedForwards.clear();
             message.answer = null;
-        } else if (record instanceof LedgerRecord.Answered r) {
+        } else if (record instanceof LedgerRecord.Answered answered) {
             // A returned answer is never replaced by a less certain one.
             if (message.state != MessageState.ANSWERED || message.answer.kind() != FinalAnswer.Kind.RETURNED) {
                 message.state = MessageState.ANSWERED;
-                message.answer = r.answer();
+                message.answer = answered.answer();
             }
-        } else if (record instanceof LedgerRecord.DeliveryPromised r) {
-            message.deliveryAttempts = r.timestamp() > message.promisedAt ? 0 : message.deliveryAttempts;
-            message.promisedAt = Math.max(message.promisedAt, r.timestamp());
-            message.digestHigh = r.digestHigh();
-            message.digestLow = r.digestLow();
-            message.group = r.group();
-        } else if (record instanceof LedgerRecord.DeliveryAttempted r) {
-            message.deliveryAttempts = r.promisedAt() == message.promisedAt ? Math.max(message.deliveryAttempts, r.attempts())
-                    : message.deliveryAttempts;
-            message.deliveredPromiseAt = r.finished() ? Math.max(message.deliveredPromiseAt, r.promisedAt()) : message.deliveredPromiseAt;
+        } else if (record instanceof LedgerRecord.DeliveryPromised promised) {
+            message.deliveryAttempts = promised.timestamp() > message.promisedAt ? 0 : message.deliveryAttempts;
+            message.promisedAt = Math.max(message.promisedAt, promised.timestamp());
+            message.digestHigh = promised.digestHigh();
+            message.digestLow = promised.digestLow();
+            message.group = promised.group();
+        } else if (record instanceof LedgerRecord.DeliveryAttempted attempted) {
+            message.deliveryAttempts = attempted.promisedAt() == message.promisedAt
+                    ? Math.max(message.deliveryAttempts, attempted.attempts()) : message.deliveryAttempts;
+            message.deliveredPromiseAt = attempted.finished() ? Math.max(message.deliveredPromiseAt, attempted.promisedAt())
+                    : message.deliveredPromiseAt;
         }
     }
 
--- a/gateway/src/main/java/gradereach/ledger/LedgerTime.java
+++ b/gateway/src/main/java/gradereach/ledger/LedgerTime.java
@@ -1,15 +1,15 @@
 package gradereach.ledger;
 
-/** The clock of a ledger's records, in milliseconds, and its relation to the monotonic time of this process. */
+/** The clock of a ledger's records (ledger time), in milliseconds, and its relation to the monotonic time of this process. */
 @FunctionalInterface
 public interface LedgerTime {
-    /** Monotonic time itself, for a ledger that does not outlive the process. */
+    /** Timestamps that are monotonic time itself, for a ledger that does not outlive the process; {@link #now} returns NaN. */
     LedgerTime MONOTONIC = () -> Double.NaN;
 
-    /** The present time. Called from any thread. */
+    /** The present ledger time. Called from any thread. */
     double now();
 
-    /** From when on durations are known: an earlier record may be of any age. */
+    /** The ledger time from which on durations are known: an earlier record may be of any age. */
     default double durationsKnownSince() {
         return Double.NEGATIVE_INFINITY;
     }
--- a/gateway/src/main/java/gradereach/ledger/RecordCodec.java
+++ b/gateway/src/main/java/gradereach/ledger/RecordCodec.java
@@ -7,8 +7,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * Encodes records as frames: u32 payload length, u32 CRC-32C (RFC 3720, appendix B.4) over length and payload, payload; big-endian.
- * The checksum covers the length, so that a flipped bit in it is detected and not taken for another length.
+ * Encodes records as frames: u32 payload length, u32 CRC-32C (RFC 3720, appendix B.4) over length and payload, payload;
+ * big-endian. The checksum covers the length, so that a flipped bit in it is detected and not taken for another length. A payload
+ * is a type byte, the timestamp, the customer, the id and the fields of the record. Texts are UTF-8 with two bytes of length; an
+ * answer's kind is its ordinal, so the order of {@link FinalAnswer.Kind} is part of the format.
  */
 public final class RecordCodec {
     /** Length and checksum of a frame. */
@@ -16,6 +18,18 @@
     /** Enough for an answer with its customer and id; a frame with a longer payload counts as damaged. */
     static final int MAX_PAYLOAD_BYTES = 32 << 20;
 
+    private static final int MIN_PAYLOAD_BYTES = 9; // type and timestamp
+    private static final int MAX_FIXED_FIELDS_BYTES = 64; // of any record, with the lengths of its texts
+    // Types of records: the first byte of a payload.
+    private static final int FORWARD_INTENDED_WITHOUT_PROCESS = 1; // of earlier versions
+    private static final int PROVEN_NOT_RUN = 2;
+    private static final int ANSWERED = 3;
+    private static final int DELIVERY_PROMISED = 4;
+    private static final int DELIVERY_ATTEMPTED = 5;
+    private static final int CLAIM_GRANTED_WITHOUT_SIGNED_AT = 6; // of earlier versions
+    private static final int FORWARD_INTENDED = 7;
+    private static final int CLAIM_GRANTED = 8;
+
     /** Bytes that are no valid frame. */
     public static final class InvalidFrameException extends Exception {
         private static final long serialVersionUID = 1L;
@@ -37,28 +51,28 @@
         out.put((byte) type(record)).putDouble(record.timestamp());
         writeText(out, record.customer());
         writeText(out, record.id());
-        if (record instanceof LedgerRecord.ForwardIntended r) {
-            out.putLong(r.digestHigh()).putLong(r.digestLow());
-            writeText(out, r.group());
-            writeText(out, r.model());
-            writeText(out, r.recipient().address());
-            writeText(out, r.forwardId());
-            writeText(out, r.recipient().instance());
-            out.putDouble(r.recipient().processNumber());
-            out.putLong(r.signedAt());
-        } else if (record instanceof LedgerRecord.Answered r) {
-            FinalAnswer a = r.answer();
-            out.put((byte) a.kind().ordinal()).putShort((short) a.status()).putDouble(a.retryAfterMillis())
-                    .put((byte) (a.repeatHarmless() ? 1 : 0)).putInt(a.body().length).put(a.body());
-        } else if (record instanceof LedgerRecord.DeliveryPromised r) {
-            out.putLong(r.digestHigh()).putLong(r.digestLow());
-            writeText(out, r.group());
-        } else if (record instanceof LedgerRecord.DeliveryAttempted r) {
-            out.putDouble(r.promisedAt()).putInt(r.attempts()).put((byte) (r.finished() ? 1 : 0));
-        } else if (record instanceof LedgerRecord.ClaimGranted r) {
-            out.putLong(r.digestHigh()).putLong(r.digestLow());
-            writeText(out, r.claimant());
-            out.putLong(r.signedAt()).putLong(r.claimantPosition());
+        if (record instanceof LedgerRecord.ForwardIntended intended) {
+            out.putLong(intended.digestHigh()).putLong(intended.digestLow());
+            writeText(out, intended.group());
+            writeText(out, intended.model());
+            writeText(out, intended.recipient().address());
+            writeText(out, intended.forwardId());
+            writeText(out, intended.recipient().instance());
+            out.putDouble(intended.recipient().processNumber());
+            out.putLong(intended.signedAt());
+        } else if (record instanceof LedgerRecord.Answered answered) {
+            FinalAnswer answer = answered.answer();
+            out.put((byte) answer.kind().ordinal()).putShort((short) answer.status()).putDouble(answer.retryAfterMillis())
+                    .put((byte) (answer.repeatHarmless() ? 1 : 0)).putInt(answer.body().length).put(answer.body());
+        } else if (record instanceof LedgerRecord.DeliveryPromised promised) {
+            out.putLong(promised.digestHigh()).putLong(promised.digestLow());
+            writeText(out, promised.group());
+        } else if (record instanceof LedgerRecord.DeliveryAttempted attempted) {
+            out.putDouble(attempted.promisedAt()).putInt(attempted.attempts()).put((byte) (attempted.finished() ? 1 : 0));
+        } else if (record instanceof LedgerRecord.ClaimGranted granted) {
+            out.putLong(granted.digestHigh()).putLong(granted.digestLow());
+            writeText(out, granted.claimant());
+            out.putLong(granted.signedAt()).putLong(granted.claimantPosition());
         }
         int length = out.position() - HEADER_BYTES;
         byte[] frame = java.util.Arrays.copyOf(out.array(), HEADER_BYTES + length);
@@ -73,14 +87,14 @@
         return (int) crc.getValue();
     }
 
-    /** Verifies the checksum of the frame at an offset, and returns the length of the frame. */
+    /** Verifies the length and checksum of the frame at an offset, and returns the length of the frame. */
     public static int checkFrame(byte[] in, int offset, int end) throws InvalidFrameException {
         if (end - offset < HEADER_BYTES) {
             throw new InvalidFrameException("truncated header", true);
         }
         ByteBuffer header = ByteBuffer.wrap(in);
         int length = header.getInt(offset);
-        if (length < 9 || length > MAX_PAYLOAD_BYTES) {
+        if (length < MIN_PAYLOAD_BYTES || length > MAX_PAYLOAD_BYTES) {
             throw new InvalidFrameException("invalid payload length " + length, false);
         }
         if (end - offset - HEADER_BYTES < length) {
@@ -94,33 +108,36 @@
 
     /** Decodes the record of a frame that {@link #checkFrame} has verified. */
     public static LedgerRecord decode(byte[] in, int offset) throws InvalidFrameException {
-        ByteBuffer from = ByteBuffer.wrap(in, offset + HEADER_BYTES, ByteBuffer.wrap(in).getInt(offset));
+        ByteBuffer payload = ByteBuffer.wrap(in, offset + HEADER_BYTES, ByteBuffer.wrap(in).getInt(offset));
         try {
-            int type = from.get();
-            double timestamp = from.getDouble();
-            String customer = readText(from);
-            String id = readText(from);
+            int type = payload.get();
+            double timestamp = payload.getDouble();
+            String customer = readText(payload);
+            String id = readText(payload);
             return switch (type) {
-                case 1 -> new LedgerRecord.ForwardIntended(customer, id, timestamp, from.getLong(), from.getLong(), readText(from),
-                        readText(from), readText(from), readText(from));
-                case 2 -> new LedgerRecord.ProvenNotRun(customer, id, timestamp);
-                case 3 -> {
-                    FinalAnswer.Kind kind = FinalAnswer.Kind.values()[from.get()];
-                    int status = from.getShort();
-                    double retryAfterMillis = from.getDouble();
-                    boolean repeatHarmless = from.get() != 0;
-                    byte[] body = new byte[from.getInt()];
-                    from.get(body);
+                case FORWARD_INTENDED_WITHOUT_PROCESS -> new LedgerRecord.ForwardIntended(customer, id, timestamp,
+                        payload.getLong(), payload.getLong(), readText(payload), readText(payload), readText(payload),
+                        readText(payload));
+                case PROVEN_NOT_RUN -> new LedgerRecord.ProvenNotRun(customer, id, timestamp);
+                case ANSWERED -> {
+                    FinalAnswer.Kind kind = FinalAnswer.Kind.values()[payload.get()];
+                    int status = payload.getShort();
+                    double retryAfterMillis = payload.getDouble();
+                    boolean repeatHarmless = payload.get() != 0;
+                    byte[] body = new byte[payload.getInt()];
+                    payload.get(body);
                     yield new LedgerRecord.Answered(customer, id, timestamp,
                             new FinalAnswer(kind, status, body, retryAfterMillis, repeatHarmless));
                 }
-                case 4 -> new LedgerRecord.DeliveryPromised(customer, id, timestamp, from.getLong(), from.getLong(), readText(from));
-                case 5 -> new LedgerRecord.DeliveryAttempted(customer, id, timestamp, from.getDouble(), from.getInt(),
-                        from.get() != 0);
-                case 6 -> new LedgerRecord.ClaimGranted(customer, id, timestamp, from.getLong(), from.getLong(), readText(from));
-                case 7 -> readForwardIntended(from, customer, id, timestamp);
-                case 8 -> new LedgerRecord.ClaimGranted(customer, id, timestamp, from.getLong(), from.getLong(), readText(from),
-                        from.getLong(), from.getLong());
+                case DELIVERY_PROMISED -> new LedgerRecord.DeliveryPromised(customer, id, timestamp, payload.getLong(),
+                        payload.getLong(), readText(payload));
+                case DELIVERY_ATTEMPTED -> new LedgerRecord.DeliveryAttempted(customer, id, timestamp, payload.getDouble(),
+                        payload.getInt(), payload.get() != 0);
+                case CLAIM_GRANTED_WITHOUT_SIGNED_AT -> new LedgerRecord.ClaimGranted(customer, id, timestamp, payload.getLong(),
+                        payload.getLong(), readText(payload));
+                case FORWARD_INTENDED -> readForwardIntended(payload, customer, id, timestamp);
+                case CLAIM_GRANTED -> new LedgerRecord.ClaimGranted(customer, id, timestamp, payload.getLong(), payload.getLong(),
+                        readText(payload), payload.getLong(), payload.getLong());
                 default -> throw new InvalidFrameException("unknown record type " + type, false);
             };
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
@@ -128,56 +145,55 @@
         }
     }
 
-    private static LedgerRecord readForwardIntended(ByteBuffer from, String customer, String id, double timestamp) {
-        long digestHigh = from.getLong();
-        long digestLow = from.getLong();
-        String group = readText(from);
-        String model = readText(from);
-        String address = readText(from);
-        String forwardId = readText(from);
-        Recipient recipient = new Recipient(readText(from), address, from.getDouble());
+    private static LedgerRecord readForwardIntended(ByteBuffer payload, String customer, String id, double timestamp) {
+        long digestHigh = payload.getLong();
+        long digestLow = payload.getLong();
+        String group = readText(payload);
+        String model = readText(payload);
+        String address = readText(payload);
+        String forwardId = readText(payload);
+        Recipient recipient = new Recipient(readText(payload), address, payload.getDouble());
         return new LedgerRecord.ForwardIntended(customer, id, timestamp, digestHigh, digestLow, group, model, recipient, forwardId,
-                from.getLong());
+                payload.getLong());
     }
 
-    /** Types 1 and 6 are the intents and claims of earlier versions. */
     private static int type(LedgerRecord record) {
         if (record instanceof LedgerRecord.ForwardIntended) {
-            return 7;
+            return FORWARD_INTENDED;
         } else if (record instanceof LedgerRecord.ProvenNotRun) {
-            return 2;
+            return PROVEN_NOT_RUN;
         } else if (record instanceof LedgerRecord.Answered) {
-            return 3;
+            return ANSWERED;
         } else if (record instanceof LedgerRecord.DeliveryPromised) {
-            return 4;
+            return DELIVERY_PROMISED;
         }
-        return record instanceof LedgerRecord.DeliveryAttempted ? 5 : 8;
+        return record instanceof LedgerRecord.DeliveryAttempted ? DELIVERY_ATTEMPTED : CLAIM_GRANTED;
     }
 
     /** An upper bound of the payload's length: up to three bytes of UTF-8 a character, and the fixed parts. */
     private static int maxPayloadBytes(LedgerRecord record) {
-        int size = 64 + 3 * (record.customer().length() + record.id().length());
-        if (record instanceof LedgerRecord.ForwardIntended r) {
-            size += 3 * (r.group().length() + r.model().length() + r.forwardId().length() + r.recipient().address().length()
-                    + r.recipient().instance().length());
-        } else if (record instanceof LedgerRecord.Answered r) {
-            size += r.answer().body().length;
-        } else if (record instanceof LedgerRecord.DeliveryPromised r) {
-            size += 3 * r.group().length();
-        } else if (record instanceof LedgerRecord.ClaimGranted r) {
-            size += 3 * r.claimant().length();
+        int size = MAX_FIXED_FIELDS_BYTES + 3 * (record.customer().length() + record.id().length());
+        if (record instanceof LedgerRecord.ForwardIntended intended) {
+            size += 3 * (intended.group().length() + intended.model().length() + intended.forwardId().length()
+                    + intended.recipient().address().length() + intended.recipient().instance().length());
+        } else if (record instanceof LedgerRecord.Answered answered) {
+            size += answered.answer().body().length;
+        } else if (record instanceof LedgerRecord.DeliveryPromised promised) {
+            size += 3 * promised.group().length();
+        } else if (record instanceof LedgerRecord.ClaimGranted granted) {
+            size += 3 * granted.claimant().length();
         }
         return size;
     }
 
-    private static void writeText(ByteBuffer to, String text) {
+    private static void writeText(ByteBuffer out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        to.putShort((short) bytes.length).put(bytes);
+        out.putShort((short) bytes.length).put(bytes);
     }
 
-    private static String readText(ByteBuffer from) {
-        byte[] bytes = new byte[from.getShort() & 0xffff];
-        from.get(bytes);
+    private static String readText(ByteBuffer payload) {
+        byte[] bytes = new byte[payload.getShort() & 0xffff];
+        payload.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/SegmentScanner.java
+++ b/gateway/src/main/java/gradereach/ledger/SegmentScanner.java
@@ -14,8 +14,8 @@
     /**
      * A range of bytes that held no valid record.
      *
-     * @param startOffset first byte
-     * @param endOffset first byte after it
+     * @param startOffset offset of the first byte
+     * @param endOffset offset of the first byte after the range
      */
     public record Damage(String segment, long startOffset, long endOffset, String reason) {
         @Override
@@ -39,11 +39,11 @@
      *
      * @param start offset of the first frame
      * @param end offset of the end of the bytes
-     * @param durable offset up to which the segment was known to be durable; -1 if all of it was
-     * @param each takes each valid record
+     * @param durableEnd offset up to which the segment was known to be durable; -1 if all of it was
+     * @param consumer receives each valid record
      */
-    public static Result scan(String segment, byte[] bytes, int start, int end, long durable,
-            Consumer<LedgerRecord> each) {
+    public static Result scan(String segment, byte[] bytes, int start, int end, long durableEnd,
+            Consumer<LedgerRecord> consumer) {
         List<Damage> damage = new ArrayList<>();
         int offset = start;
         int validLength = start;
@@ -52,7 +52,7 @@
             InvalidFrameException invalid;
             try {
                 int length = RecordCodec.checkFrame(bytes, offset, end);
-                each.accept(RecordCodec.decode(bytes, offset));
+                consumer.accept(RecordCodec.decode(bytes, offset));
                 recordCount++;
                 offset += length;
                 validLength = offset;
@@ -62,24 +62,24 @@
             }
             int next = findNextFrame(bytes, offset + 1, end);
             if (next < 0) {
-                if (durable < 0 || validLength < durable) {
-                    damage.add(new Damage(segment, offset, durable < 0 ? end : durable, invalid.getMessage()));
+                if (durableEnd < 0 || validLength < durableEnd) {
+                    damage.add(new Damage(segment, offset, durableEnd < 0 ? end : durableEnd, invalid.getMessage()));
                 }
                 break;
             }
             damage.add(new Damage(segment, offset, next, invalid.getMessage()));
             offset = next;
         }
-        if (offset >= end && durable > end) {
-            damage.add(new Damage(segment, end, durable, "the file is shorter than its durable length"));
+        if (offset >= end && durableEnd > end) {
+            damage.add(new Damage(segment, end, durableEnd, "the file is shorter than its durable length"));
         }
         return new Result(damage, validLength, end - validLength, recordCount);
     }
 
     /** The offset of the next valid frame; -1 for none. */
-    private static int findNextFrame(byte[] bytes, int from, int end) {
-        for (int offset = from; offset <= end - RecordCodec.HEADER_BYTES; offset++) {
-            // The first byte of a length is 0 or 1: checked first, because a checksum may run over megabytes.
+    private static int findNextFrame(byte[] bytes, int start, int end) {
+        for (int offset = start; offset <= end - RecordCodec.HEADER_BYTES; offset++) {
+            // The first byte of a length below 32 MiB is 0 or 1. It is checked first, because a checksum may cover megabytes.
             if (bytes[offset] == 0 || bytes[offset] == 1) {
                 try {
                     RecordCodec.checkFrame(bytes, offset, end);
--- a/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
@@ -29,10 +29,11 @@
  */
 public final class DiskLedger implements Ledger, Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(DiskLedger.class);
-    /** Limit of records in one commit: about a megabyte, which takes less time to write than to force. */
+    /** About a megabyte of records in one commit, which takes less time to write than to force. */
     private static final int MAX_BATCH_RECORDS = 2048;
-    private static final long RETRY_NANOS = 500_000_000L;
-    private static final long MAINTENANCE_NANOS = 1_000_000_000L;
+    /** How long after a failure a new segment is tried. */
+    private static final long SEGMENT_RETRY_NANOS = 500_000_000L;
+    private static final long MAINTENANCE_INTERVAL_NANOS = 1_000_000_000L;
 
     /**
      * Limits of a ledger.
@@ -75,8 +76,8 @@
     private volatile boolean closing;
     private volatile boolean asleep;
     private volatile double currentMargin;
-    private long lastMaintenanceAt;
-    private long failedAt;
+    private long lastMaintenanceNanos;
+    private long failedAtNanos;
 
     /** @param decisionThread runs the callbacks of a commit on the decision thread */
     public DiskLedger(Disk disk, Limits limits, CompactionPlanner compactionPlanner, LedgerTime time, Consumer<Runnable> decisionThread,
@@ -100,7 +101,8 @@
     }
 
     /**
-     * Creates the first segment and starts the writer thread. If the segment cannot be created, the ledger is not writable and retries.
+     * Creates the first segment and starts the writer thread. If the segment cannot be created, the ledger is not writable until
+     * a retry succeeds.
      *
      * @param nextSegment number of the segment, higher than all existing ones
      */
@@ -138,6 +140,7 @@
             decisionThread.accept(() -> callback.onComplete(false));
             return;
         }
+        // With the fence in waitForRecords: either this thread sees that the writer is asleep, or the writer sees the record.
         java.lang.invoke.VarHandle.fullFence();
         if (asleep) {
             LockSupport.unpark(thread);
@@ -156,8 +159,8 @@
                 waitForRecords();
             }
             long now = System.nanoTime();
-            if (now - lastMaintenanceAt > MAINTENANCE_NANOS) {
-                lastMaintenanceAt = now;
+            if (now - lastMaintenanceNanos > MAINTENANCE_INTERVAL_NANOS) {
+                lastMaintenanceNanos = now;
                 maintain(now);
             }
         }
@@ -168,7 +171,7 @@
         asleep = true;
         java.lang.invoke.VarHandle.fullFence();
         if (queue.isEmpty() && !closing) {
-            LockSupport.parkNanos(this, MAINTENANCE_NANOS / 2);
+            LockSupport.parkNanos(this, MAINTENANCE_INTERVAL_NANOS / 2);
         }
         asleep = false;
     }
@@ -197,7 +200,7 @@
         }
     }
 
-    /** Appends and forces the records; all of them or none count as durable. */
+    /** Appends the records and forces them; either all of them count as durable or none. */
     private void write(List<LedgerRecord> batchRecords) throws IOException {
         long writtenBefore = writtenBytes;
         buffer.clear();
@@ -231,11 +234,11 @@
         buffer.clear();
     }
 
-    /** Makes the ledger unwritable and gives the current segment up. */
+    /** Makes the ledger unwritable and abandons the current segment. */
     private void handleFailure(String operation, IOException e) {
         writable = false;
         failures.increment();
-        failedAt = System.nanoTime();
+        failedAtNanos = System.nanoTime();
         LOG.atError().addKeyValue("segment", currentSegment).log("ledger {} failed, inferences that need the ledger are shed: {}",
                 operation, String.valueOf(e.getMessage()));
         if (appender != null) {
@@ -259,7 +262,7 @@
         }
     }
 
-    /** Takes note that all that was written is durable. */
+    /** Called when everything that was written is durable. */
     private void advanceDurable() {
         durableBytes = writtenBytes;
         position = LedgerPosition.of(currentSegment, durableBytes);
@@ -296,12 +299,12 @@
         }
     }
 
-    /** Retries a failed segment, watches the disk space and compacts. */
+    /** Retries after a failure, checks the disk space and compacts. */
     private void maintain(long now) {
         currentMargin = commitDelay.margin(now / 1e6);
         try {
             if (appender == null) {
-                if (now - failedAt > RETRY_NANOS && disk.usableSpace(folder.folder) >= limits.minFreeBytes) {
+                if (now - failedAtNanos > SEGMENT_RETRY_NANOS && disk.usableSpace(folder.folder) >= limits.minFreeBytes) {
                     startNextSegment();
                 }
                 return;
--- a/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
@@ -11,7 +11,7 @@
  * inodes of the original files and has others. A folder that was renamed, or whose owner or mode was changed, keeps its inodes.
  */
 final class InodeNumbers {
-    private static final String FILE = "files";
+    private static final String LIST_FILE = "files";
     /** On a file system without inode numbers, a copy cannot be detected. */
     private static final long NO_INODE = 0;
 
@@ -23,7 +23,7 @@
 
     /** Whether a file has another inode than listed; false without a list, as earlier versions left the folder. */
     boolean haveChanged() throws IOException {
-        String text = AtomicTextFile.read(folder, FILE);
+        String text = AtomicTextFile.read(folder, LIST_FILE);
         return text != null && !matches(parse(text), current());
     }
 
@@ -51,7 +51,7 @@
         Map<String, Long> inodes = new TreeMap<>();
         put(inodes, folder.resolve(LedgerFolder.IDENTITY_FILE));
         put(inodes, folder.resolve(LedgerFolder.LOCK_FILE));
-        put(inodes, folder.resolve(FILE));
+        put(inodes, folder.resolve(LIST_FILE));
         for (long segment : LedgerFolder.segmentNumbers(folder)) {
             Path file = LedgerFolder.segmentPath(folder, segment);
             if (Files.size(file) > LedgerFolder.MAGIC.length) {
@@ -84,9 +84,9 @@
     void save(Path segmentPath, Path file) throws IOException {
         Map<String, Long> inodes = current();
         inodes.put(segmentPath.getFileName().toString(), inodeOf(file));
-        inodes.put(FILE, inodeOf(AtomicTextFile.createTemporary(folder, FILE)));
+        inodes.put(LIST_FILE, inodeOf(AtomicTextFile.createTemporary(folder, LIST_FILE)));
         StringBuilder text = new StringBuilder();
         inodes.forEach((name, inode) -> text.append(name).append(' ').append(inode).append('\n'));
-        AtomicTextFile.write(folder, FILE, text.toString());
+        AtomicTextFile.write(folder, LIST_FILE, text.toString());
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerClock.java
@@ -15,10 +15,13 @@
  */
 public final class LedgerClock implements LedgerTime {
     private static final Logger LOG = LoggerFactory.getLogger(LedgerClock.class);
-    private static final String FILE = "clock";
+    private static final String ANCHOR_FILE = "clock";
 
-    /** Stored in the folder: the ledger time at one reading of the machine's uptime. */
-    private record Anchor(MachineUptime uptime, double ledgerTime, double knownSince) {
+    /**
+     * The ledger time at one reading of the machine's uptime, stored in the folder as a line of five fields: boot id, uptime,
+     * ledger time, the time from which durations are known, and monotonic clock.
+     */
+    private record Anchor(MachineUptime uptime, double ledgerTime, double durationsKnownSince) {
         static Anchor parse(String text) {
             String[] fields = text.strip().split(" ");
             return new Anchor(new MachineUptime(fields[0], Double.parseDouble(fields[1]), Double.parseDouble(fields[4])),
@@ -26,21 +29,21 @@
         }
 
         String text() {
-            return uptime.bootId() + " " + uptime.uptimeMillis() + " " + ledgerTime + " " + knownSince + " "
+            return uptime.bootId() + " " + uptime.uptimeMillis() + " " + ledgerTime + " " + durationsKnownSince + " "
                     + uptime.monotonicMillis() + "\n";
         }
     }
 
     /** The ledger time at one moment of monotonic time. */
-    private record Reference(double monotonicTime, double ledgerTime, double knownSince) { }
+    private record Reference(double monotonicTime, double ledgerTime, double durationsKnownSince) { }
 
     private final DoubleSupplier monotonicClock;
     private final DoubleSupplier wallClock;
-    private final Supplier<MachineUptime> uptimes;
+    private final Supplier<MachineUptime> uptimeReader;
     private volatile Reference reference;
 
     /**
-     * A clock that follows the wall clock, and knows no durations, until {@link #resume}.
+     * Creates a clock that starts at the wall clock's time and knows no earlier durations, until {@link #resume}.
      *
      * @param monotonicClock milliseconds
      * @param wallClock Unix milliseconds
@@ -49,10 +52,10 @@
         this(monotonicClock, wallClock, MachineUptimeReader::readMachine);
     }
 
-    LedgerClock(DoubleSupplier monotonicClock, DoubleSupplier wallClock, Supplier<MachineUptime> uptimes) {
+    LedgerClock(DoubleSupplier monotonicClock, DoubleSupplier wallClock, Supplier<MachineUptime> uptimeReader) {
         this.monotonicClock = monotonicClock;
         this.wallClock = wallClock;
-        this.uptimes = uptimes;
+        this.uptimeReader = uptimeReader;
         double wallTime = wallClock.getAsDouble();
         reference = new Reference(monotonicClock.getAsDouble(), wallTime, wallTime);
     }
@@ -63,17 +66,18 @@
      * @param latestTimestamp the latest timestamp of its records; minus infinity without any
      */
     public void resume(Path folder, double latestTimestamp) {
-        MachineUptime uptime = uptimes.get();
+        MachineUptime uptime = uptimeReader.get();
         Anchor anchor = read(folder);
-        double elapsed = anchor == null ? Double.NaN : uptime.millisSince(anchor.uptime);
+        double elapsedMillis = anchor == null ? Double.NaN : uptime.millisSince(anchor.uptime);
         // A time before the latest record means that the uptime counts from another boot.
-        if (Double.isNaN(elapsed) || anchor.ledgerTime + elapsed < latestTimestamp - MachineUptime.READING_TOLERANCE_MILLIS) {
+        if (Double.isNaN(elapsedMillis)
+                || anchor.ledgerTime + elapsedMillis < latestTimestamp - MachineUptime.READING_TOLERANCE_MILLIS) {
             double ledgerTime = Math.max(wallClock.getAsDouble(), latestTimestamp + 1);
             anchor = new Anchor(uptime, ledgerTime, ledgerTime);
-            elapsed = 0;
+            elapsedMillis = 0;
             write(folder, anchor);
         }
-        reference = new Reference(monotonicClock.getAsDouble(), anchor.ledgerTime + elapsed, anchor.knownSince);
+        reference = new Reference(monotonicClock.getAsDouble(), anchor.ledgerTime + elapsedMillis, anchor.durationsKnownSince);
     }
 
     /**
@@ -84,9 +88,10 @@
      */
     public static double retentionCutoff(Path folder, double retention) {
         Anchor anchor = read(folder);
-        double elapsed = anchor == null ? Double.NaN : MachineUptimeReader.readMachine().millisSince(anchor.uptime);
-        boolean known = !Double.isNaN(elapsed) && anchor.ledgerTime + elapsed - retention >= anchor.knownSince;
-        return known ? anchor.ledgerTime + elapsed - retention : Double.NEGATIVE_INFINITY;
+        double elapsedMillis = anchor == null ? Double.NaN : MachineUptimeReader.readMachine().millisSince(anchor.uptime);
+        boolean isKnown = !Double.isNaN(elapsedMillis)
+                && anchor.ledgerTime + elapsedMillis - retention >= anchor.durationsKnownSince;
+        return isKnown ? anchor.ledgerTime + elapsedMillis - retention : Double.NEGATIVE_INFINITY;
     }
 
     /** The ledger time now of a ledger that is not open; NaN if it is not known. */
@@ -97,7 +102,7 @@
 
     private static Anchor read(Path folder) {
         try {
-            String text = AtomicTextFile.read(folder, FILE);
+            String text = AtomicTextFile.read(folder, ANCHOR_FILE);
             return text == null ? null : Anchor.parse(text);
         } catch (IOException | RuntimeException e) {
             return null; // incomplete: without an anchor, durations before the next one are not known
@@ -106,7 +111,7 @@
 
     private static void write(Path folder, Anchor anchor) {
         try {
-            AtomicTextFile.write(folder, FILE, anchor.text());
+            AtomicTextFile.write(folder, ANCHOR_FILE, anchor.text());
         } catch (IOException e) {
             LOG.atWarn().log("ledger clock not stored, the next start cannot tell the age of earlier records: {}",
                     String.valueOf(e.getMessage()));
@@ -120,7 +125,7 @@
 
     @Override
     public double durationsKnownSince() {
-        return reference.knownSince;
+        return reference.durationsKnownSince;
     }
 
     @Override
@@ -132,6 +137,6 @@
     @Override
     public double toMonotonic(double timestamp) {
         Reference current = reference;
-        return timestamp < current.knownSince ? Double.NaN : current.monotonicTime + (timestamp - current.ledgerTime);
+        return timestamp < current.durationsKnownSince ? Double.NaN : current.monotonicTime + (timestamp - current.ledgerTime);
     }
 }
--- a/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/LedgerFolder.java
@@ -44,7 +44,10 @@
     private static final String FORGOTTEN_FILE = "forgotten";
     private static final String FORGOTTEN_CLAIMS_FILE = "forgotten_claims";
     private static final String SUSPECT_FILE = "suspect";
+    private static final String TAIL_FILE = "tail";
+    /** Segment number and length of eight bytes each, and a checksum of four. */
     private static final int TAIL_MARK_BYTES = 20;
+    private static final int TAIL_MARK_CHECKSUM_OFFSET = 16;
 
     /**
      * The result of reading a folder.
@@ -108,7 +111,10 @@
         return readTimestamp(FORGOTTEN_FILE);
     }
 
-    /** The same for the claims that this front end stored as a replica. */
+    /**
+     * The latest signed timestamp, in Unix seconds, among removed claims that this front end stored as a replica; Long.MIN_VALUE
+     * for none.
+     */
     public long claimsForgottenUpTo() throws IOException {
         return readTimestamp(FORGOTTEN_CLAIMS_FILE);
     }
@@ -130,11 +136,11 @@
      * Treats the folder as restored from a copy if the ledger is behind a position that it is known to have reached. A restored
      * snapshot of the file system can only be detected so, because its files keep their inodes.
      *
-     * @param known the position that peers know ({@link LedgerPosition})
+     * @param knownPosition the position that peers know ({@link LedgerPosition})
      */
-    public void checkAgainstKnownPosition(long known) throws IOException {
-        if (known > position()) {
-            RestoredCopy.recover(this, known);
+    public void checkAgainstKnownPosition(long knownPosition) throws IOException {
+        if (knownPosition > position()) {
+            RestoredCopy.recover(this, knownPosition);
         }
     }
 
@@ -203,35 +209,35 @@
         return numbers;
     }
 
-    /** Segments that are read ahead of the one whose records are processed: reading and verifying takes longer than processing. */
+    /** Segments read ahead of the one whose records are processed, since reading and verifying takes longer than processing. */
     private static final int READ_AHEAD_SEGMENTS = 3;
 
     /**
      * Reads all segments, oldest first.
      *
      * @param repair whether to cut off a torn tail of the last segment, so that it is reported only once
-     * @param each takes a record and the number of its segment
+     * @param consumer receives each valid record and the number of its segment
      */
-    public static ReadResult read(Path folder, boolean repair, BiConsumer<LedgerRecord, Long> each) throws IOException {
+    public static ReadResult read(Path folder, boolean repair, BiConsumer<LedgerRecord, Long> consumer) throws IOException {
         List<Damage> damage = new ArrayList<>();
         long tornBytes = 0;
         int recordCount = 0;
         long totalBytes = 0;
         long damagedAt = Long.MIN_VALUE;
         List<Long> numbers = segmentNumbers(folder);
-        long[] durable = readTailMark(folder);
+        long[] tailMark = readTailMark(folder);
         ExecutorService readers = Executors.newFixedThreadPool(READ_AHEAD_SEGMENTS);
         try {
-            ArrayDeque<Future<SegmentFile>> ahead = new ArrayDeque<>();
+            ArrayDeque<Future<SegmentFile>> pendingReads = new ArrayDeque<>();
             int submitted = 0;
             for (int i = 0; i < numbers.size(); i++) {
                 while (submitted < numbers.size() && submitted <= i + READ_AHEAD_SEGMENTS) {
                     long number = numbers.get(submitted);
-                    boolean last = ++submitted == numbers.size();
-                    ahead.add(readers.submit(() -> SegmentFile.read(folder, number, last, durable)));
+                    boolean isLast = ++submitted == numbers.size();
+                    pendingReads.add(readers.submit(() -> SegmentFile.read(folder, number, isLast, tailMark)));
                 }
-                SegmentFile segment = await(ahead.poll());
-                segment.records().forEach(record -> each.accept(record, segment.number()));
+                SegmentFile segment = await(pendingReads.poll());
+                segment.records().forEach(record -> consumer.accept(record, segment.number()));
                 totalBytes += segment.length();
                 damage.addAll(segment.result().damage());
                 recordCount += segment.result().recordCount();
@@ -266,8 +272,8 @@
      * The result of a compaction.
      *
      * @param readResult what was read before
-     * @param keptRecords records that were kept
-     * @param bytes length of the new segment
+     * @param keptRecords number of records that were kept
+     * @param bytes length of the new segment; of all segments if nothing was changed
      */
     public record CompactionResult(ReadResult readResult, int keptRecords, long bytes) { }
 
@@ -341,21 +347,22 @@
 
     /** Makes the names of the folder's files durable. */
     static void syncFolder(Path folder) throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
-    /** The segment and the length that were durable last; null if the mark is missing or incomplete. */
+    /** The number of the segment that was durable last, and its durable length; null if the mark is missing or incomplete. */
     private static long[] readTailMark(Path folder) throws IOException {
-        Path file = folder.resolve("tail");
+        Path file = folder.resolve(TAIL_FILE);
         if (!Files.exists(file) || Files.size(file) < TAIL_MARK_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file));
         CRC32C checksum = new CRC32C();
-        checksum.update(in.array(), 0, 16);
-        return (int) checksum.getValue() == in.getInt(16) ? new long[] {in.getLong(0), in.getLong(8)} : null;
+        checksum.update(in.array(), 0, TAIL_MARK_CHECKSUM_OFFSET);
+        return (int) checksum.getValue() == in.getInt(TAIL_MARK_CHECKSUM_OFFSET)
+                ? new long[] {in.getLong(0), in.getLong(8)} : null;
     }
 
     /**
@@ -364,11 +371,11 @@
      */
     void writeTailMark(long segment, long length) throws IOException {
         if (tailMarkFile == null) {
-            tailMarkFile = FileChannel.open(folder.resolve("tail"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            tailMarkFile = FileChannel.open(folder.resolve(TAIL_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
         ByteBuffer out = ByteBuffer.allocate(TAIL_MARK_BYTES).putLong(segment).putLong(length);
         CRC32C checksum = new CRC32C();
-        checksum.update(out.array(), 0, 16);
+        checksum.update(out.array(), 0, TAIL_MARK_CHECKSUM_OFFSET);
         out.putInt((int) checksum.getValue()).flip();
         while (out.hasRemaining()) {
             tailMarkFile.write(out, out.position());
--- a/gateway/src/main/java/gradereach/ledger/disk/MachineUptimeReader.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/MachineUptimeReader.java
@@ -9,8 +9,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Reads the machine's uptime from proc(5) if it is certainly the machine's. A container may see an uptime of its own for two reasons:
- * a file system mounted over {@code /proc/uptime}, or a time namespace (time_namespaces(7)), which also shifts the monotonic clock.
+ * Reads the uptime from proc(5), and returns it only if it is certainly the machine's. A container may see an uptime of its own
+ * for two reasons: a file system mounted over {@code /proc/uptime}, or a time namespace (time_namespaces(7)), which also shifts
+ * the monotonic clock.
  */
 final class MachineUptimeReader {
     private static final double MILLIS_PER_SECOND = 1000;
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Inodes of other time namespaces are reused after their end and so do not identify one. */
+    /** Only the initial time namespace can be recognized: the inodes of others are reused after their end. */
     private boolean isInInitialTimeNamespace() throws IOException {
         Path namespace = proc.resolve("self/ns/time");
         boolean unsupported = !Files.exists(namespace, LinkOption.NOFOLLOW_LINKS);
--- a/gateway/src/main/java/gradereach/ledger/disk/RestoredCopy.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/RestoredCopy.java
@@ -16,10 +16,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Recovers a folder that was restored from a copy. It lacks what its front end did after the copy was made: a message that it does
- * not hold, or holds as not run, may have run since. Messages that it holds are recorded with an unknown outcome. Messages that it
- * does not hold are refused by their signed timestamp for as long as a message is remembered from now on, because a client may sign
- * its message again when it repeats it. After a crash at any step, the folder is detected as a copy again.
+ * Recovers a folder that was restored from a copy. The copy lacks what its front end did after it was made: a message that it
+ * does not hold, or holds as not run, may have run since. Messages that it holds without a returned answer are recorded with an
+ * unknown outcome. Messages that it does not hold are refused by their signed timestamp for one more retention from now on,
+ * because a client may sign its message anew when it repeats it. After a crash at any step, the folder is detected as a copy
+ * again.
  */
 final class RestoredCopy {
     private static final Logger LOG = LoggerFactory.getLogger(RestoredCopy.class);
@@ -34,15 +35,15 @@
     }
 
     /**
-     * Returns once every message that may have been lost durably has an unknown outcome.
+     * Records every message that may have been lost with an unknown outcome; durable on return.
      *
-     * @param reached the position that the ledger is known to have reached; it continues beyond it ({@link LedgerPosition})
+     * @param knownPosition the {@link LedgerPosition} that the ledger is known to have reached; it continues beyond it
      */
-    static void recover(LedgerFolder ledgerFolder, long reached) throws IOException {
-        new RestoredCopy(ledgerFolder).recover(reached);
+    static void recover(LedgerFolder ledgerFolder, long knownPosition) throws IOException {
+        new RestoredCopy(ledgerFolder).recover(knownPosition);
     }
 
-    private void recover(long reached) throws IOException {
+    private void recover(long knownPosition) throws IOException {
         LedgerFolder.ReadResult readResult = LedgerFolder.read(ledgerFolder.folder, true, (record, segment) -> {
             state.apply(record);
             latestTimestamp = Math.max(latestTimestamp, record.timestamp());
@@ -50,23 +51,29 @@
         long signedUpTo = LedgerRecord.latestPossibleSignedAt(latestTime() + KeyRing.REPLAY_WINDOW_MILLIS);
         ledgerFolder.raiseSuspectUpTo(signedUpTo);
         List<LedgerRecord> intents = unknownOutcomeIntents();
-        long nextSegment = Math.max(readResult.nextSegment(), LedgerPosition.segment(reached) + 1);
+        long nextSegment = Math.max(readResult.nextSegment(), LedgerPosition.segment(knownPosition) + 1);
         writeSegment(intents, nextSegment);
         ledgerFolder.saveInodeNumbers(nextSegment);
         LOG.atError().addKeyValue("folder", ledgerFolder.folder).addKeyValue("messages", intents.size())
                 .addKeyValue("signed_up_to", signedUpTo)
-                .log("ledger restored from a copy: it lacks what its front end did since, so messages that were not returned, and "
-                        + "unknown messages that were signed by then, are answered as unknown");
+                .log("ledger restored from a copy, which lacks later records: its messages without a returned answer, and "
+                        + "unknown messages signed no later than signed_up_to, are answered with an unknown outcome");
     }
 
-    /** Unix milliseconds by the clock that is furthest ahead: one that was set back must not admit messages that may have run. */
+    /**
+     * Unix milliseconds by the clock that is furthest ahead: with one that was set back, messages that may have run would be
+     * admitted.
+     */
     private double latestTime() {
         double byUptime = LedgerClock.now(ledgerFolder.folder);
         double byWallClock = Math.max(System.currentTimeMillis(), latestTimestamp);
         return Double.isNaN(byUptime) ? byWallClock : Math.max(byUptime, byWallClock);
     }
 
-    /** For each message that may have run since, the intent of a forward to an unknown executor, dated at its last record. */
+    /**
+     * For each message that may have run since the copy was made, an intent of a forward to an unknown executor, dated at its
+     * last record.
+     */
     private List<LedgerRecord> unknownOutcomeIntents() {
         List<LedgerRecord> intents = new ArrayList<>();
         for (LedgerState.Message message : state.messages()) {
--- a/gateway/src/main/java/gradereach/ledger/disk/SegmentFile.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/SegmentFile.java
@@ -30,33 +30,33 @@
     /**
      * Reads and verifies a segment.
      *
-     * @param last whether it is the last segment, whose tail may be torn
-     * @param durable the segment and the length that were durable last; null if that is not known
+     * @param isLast whether it is the last segment, whose tail may be torn
+     * @param tailMark number of the segment that was durable last, and its durable length; null if that is not known
      */
-    static SegmentFile read(Path folder, long number, boolean last, long[] durable) throws IOException {
+    static SegmentFile read(Path folder, long number, boolean isLast, long[] tailMark) throws IOException {
         Path file = LedgerFolder.segmentPath(folder, number);
         String fileName = file.getFileName().toString();
         byte[] bytes = Files.readAllBytes(file);
         long lastModifiedAt = Files.getLastModifiedTime(file).toMillis();
-        boolean hasTailMark = durable != null && durable[0] == number;
+        boolean hasTailMark = tailMark != null && tailMark[0] == number;
         if (bytes.length < LedgerFolder.MAGIC.length
                 || !Arrays.equals(bytes, 0, LedgerFolder.MAGIC.length, LedgerFolder.MAGIC, 0, LedgerFolder.MAGIC.length)) {
             // The process may have been killed while it created the last segment.
-            SegmentScanner.Result result = last && !hasTailMark ? new SegmentScanner.Result(List.of(), 0, bytes.length, 0)
+            SegmentScanner.Result result = isLast && !hasTailMark ? new SegmentScanner.Result(List.of(), 0, bytes.length, 0)
                     : new SegmentScanner.Result(List.of(new Damage(fileName, 0, bytes.length, "no ledger segment")), 0, 0, 0);
             return new SegmentFile(number, fileName, bytes.length, List.of(), result, lastModifiedAt);
         }
         // In the last segment only what the tail mark covers is known to have been durable.
-        long durableLength = !last ? -1 : hasTailMark ? durable[1] : LedgerFolder.MAGIC.length;
+        long durableLength = !isLast ? -1 : hasTailMark ? tailMark[1] : LedgerFolder.MAGIC.length;
         List<LedgerRecord> records = new ArrayList<>();
         SegmentScanner.Result scanned = SegmentScanner.scan(fileName, bytes, LedgerFolder.MAGIC.length, bytes.length, durableLength,
                 records::add);
         SegmentScanner.Result result = new SegmentScanner.Result(scanned.damage(), scanned.validLength(),
-                last ? scanned.tornBytes() : 0, scanned.recordCount());
+                isLast ? scanned.tornBytes() : 0, scanned.recordCount());
         return new SegmentFile(number, fileName, bytes.length, records, result, lastModifiedAt);
     }
 
-    /** Cuts a torn tail off; retries, since a temporary disk failure must not make the start fail. */
+    /** Cuts off a torn tail. Retries after a failure, since a temporary one must not make the start fail. */
     static void truncate(Path segment, long length) throws IOException {
         try {
             StartRetry.run(() -> {
@@ -66,7 +66,7 @@
                 }
                 return length;
             }, () -> true, failure -> LOG.atWarn().addKeyValue("segment", segment)
-                    .log("cannot cut off the torn tail yet: {}", FailureText.describe(failure)));
+                    .log("cannot cut off the torn tail of a ledger segment, retrying: {}", FailureText.describe(failure)));
         } catch (IOException | RuntimeException e) {
             throw e;
         } catch (Exception e) {
--- a/gateway/src/main/java/gradereach/members/Membership.java
+++ b/gateway/src/main/java/gradereach/members/Membership.java
@@ -30,21 +30,26 @@
  */
 public final class Membership implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-    /** Above the length of any message: full state exchanges grow with the members, by 60 bytes each. */
+    /** Above the length of any message: the longest one is a full member list, with some 60 bytes for each member. */
     private static final int MAX_DATAGRAM_BYTES = 65_000;
     private static final double UNAUTHENTICATED_LOG_INTERVAL_MILLIS = 60_000;
+    private static final double MIN_JOIN_INTERVAL_MILLIS = 2000;
+    private static final double JOIN_JITTER_MILLIS = 1000;
+    private static final double MAX_RECEIVE_WAIT_MILLIS = 100;
+    /** Weight of the last round's rate: smooths over some three rounds, a lease in all, so that shares follow traffic slowly. */
+    private static final double RATE_SMOOTHING_FACTOR = 0.3;
 
     /**
      * The configuration of a member.
      *
      * @param name name of this front end
      * @param secrets keys of the cluster; the first one encrypts
-     * @param grantorAddresses addresses of all grantors, this front end's included, in the same order on every front end
-     * @param seatCount seats into which shared budgets are divided
+     * @param grantorAddresses all grantors, this front end included, in the same order on every front end
+     * @param seatCount number of seats into which shared budgets are divided
      * @param leaseMillis lease of a seat
      */
-    public record Config(String name, InetSocketAddress listenAddress, String cluster, List<byte[]> secrets, List<String> grantorAddresses,
-            int seatCount, double leaseMillis) { }
+    public record Config(String name, InetSocketAddress listenAddress, String cluster, List<byte[]> secrets,
+            List<String> grantorAddresses, int seatCount, double leaseMillis) { }
 
     /** Notified of this front end's share of the budgets that front ends share. */
     public interface ShareListener {
@@ -52,13 +57,13 @@
          * The share has changed.
          *
          * @param share fraction of the shared budgets that this front end may spend, 0 to 1
-         * @param until when the share ends at the latest unless it is renewed, by the clock given to the constructor
+         * @param validUntil when the share ends at the latest unless it is renewed, by the clock given to the constructor
          */
-        void onShareChanged(double share, double until);
+        void onShareChanged(double share, double validUntil);
     }
 
     /**
-     * A snapshot for monitoring.
+     * A snapshot of the members and the share, for monitoring.
      *
      * @param presentCount members that are present, this one included
      * @param healthScore see {@link Swim#healthScore}
@@ -94,7 +99,7 @@
     private double ownRate;
     private double rateMeasuredAt;
     private double notifiedShare = -1;
-    private double notifiedUntil;
+    private double notifiedValidUntil;
     private volatile View view;
     private volatile boolean stopping;
 
@@ -102,8 +107,8 @@
      * Binds the socket; {@link #start} starts the thread.
      *
      * @param clock monotonic, milliseconds
-     * @param inferencesAccepted total of inferences accepted by this front end
-     * @param shareListener notified when the share or its end changes
+     * @param inferencesAccepted total of inferences that this front end has accepted since its start
+     * @param shareListener notified when the share or its end changes, on the thread of this membership
      */
     public Membership(Config config, Random random, DoubleSupplier clock, DoubleSupplier inferencesAccepted, ShareListener shareListener,
             Counts counts) throws IOException {
@@ -172,14 +177,14 @@
             if (now >= joinAt && swim.presentCount() < config.grantorAddresses.size()) {
                 // Absent grantors are contacted again from time to time: SWIM does not ping dead members.
                 swim.join(config.grantorAddresses);
-                joinAt = now + 2000 + 1000 * random.nextDouble();
+                joinAt = now + MIN_JOIN_INTERVAL_MILLIS + JOIN_JITTER_MILLIS * random.nextDouble();
             }
             swim.tick(now);
             if (now >= holder.nextRoundAt()) {
                 startRound(now);
             }
             publish(now);
-            double nextAt = Math.min(Math.min(swim.nextTickAt(), holder.nextRoundAt()), now + 100);
+            double nextAt = Math.min(Math.min(swim.nextTickAt(), holder.nextRoundAt()), now + MAX_RECEIVE_WAIT_MILLIS);
             try {
                 socket.setSoTimeout((int) Math.max(1, Math.ceil(nextAt - clock.getAsDouble())));
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
@@ -199,7 +204,7 @@
     private void startRound(double now) {
         if (rateMeasuredAt > 0) {
             double currentRate = (inferencesAccepted.getAsDouble() - lastInferencesAccepted) / Math.max(1, now - rateMeasuredAt) * 1000;
-            ownRate += 0.3 * (currentRate - ownRate); // smoothed over some three leases, so that shares follow traffic slowly
+            ownRate += RATE_SMOOTHING_FACTOR * (currentRate - ownRate);
         }
         lastInferencesAccepted = inferencesAccepted.getAsDouble();
         rateMeasuredAt = now;
@@ -221,8 +226,9 @@
 
     private MembershipCodec.SeatResponse handleRequest(MembershipCodec.SeatRequest request, double now) {
         traffic.put(request.holderName(), new Traffic(request.rate(), now));
-        traffic.values().removeIf(last -> now - last.reportedAt > 2 * config.leaseMillis);
-        SeatGrantor.Grant grant = grantor.handleRequest(request.holderName(), request.round(), request.wanted(), request.released(), now);
+        traffic.values().removeIf(report -> now - report.reportedAt > 2 * config.leaseMillis);
+        SeatGrantor.Grant grant = grantor.handleRequest(request.holderName(), request.round(), request.wanted(),
+                request.released(), now);
         return grant == null ? null : new MembershipCodec.SeatResponse(address, request.round(),
                 traffic.values().stream().mapToDouble(Traffic::rate).sum(), traffic.size(), grant.granted(), grant.available());
     }
@@ -236,14 +242,17 @@
         }
     }
 
-    /** Notifies the listener with the time at which the first lease ends, so that the share ends even if this thread stalls. */
+    /**
+     * Notifies the listener of a changed share and updates what is monitored. The listener gets the time at which the first lease
+     * ends, so that the share ends even if this thread stalls.
+     */
     private void publish(double now) {
         double share = holder.share(now);
-        double until = holder.earliestExpiry(now);
-        if (share != notifiedShare || until != notifiedUntil) {
+        double validUntil = holder.earliestExpiry(now);
+        if (share != notifiedShare || validUntil != notifiedValidUntil) {
             notifiedShare = share;
-            notifiedUntil = until;
-            shareListener.onShareChanged(share, until);
+            notifiedValidUntil = validUntil;
+            shareListener.onShareChanged(share, validUntil);
         }
         presentCount.setInUse(swim.presentCount());
         heldSeats.setInUse(Math.round(share * config.seatCount));
@@ -289,7 +298,7 @@
         }
     }
 
-    /** Leaves the cluster in order and stops the thread. The seats stay held until their leases expire. */
+    /** Announces that this member leaves, and stops the thread. Its seats stay held until their leases expire. */
     @Override
     public void close() {
         events.add(() -> {
--- a/gateway/src/main/java/gradereach/members/MembershipCodec.java
+++ b/gateway/src/main/java/gradereach/members/MembershipCodec.java
@@ -11,11 +11,23 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Encodes membership messages: a type byte, then the fields; strings as Java's modified UTF-8 with two bytes of length. */
+/**
+ * Encodes membership messages: a type byte, then the fields; strings as Java's modified UTF-8 with two bytes of length. A
+ * member's state is its ordinal, so the order of {@link Member.State} is part of the format.
+ */
 final class MembershipCodec {
+    private static final int PING = 1;
+    private static final int ACK = 2;
+    private static final int PING_REQUEST = 3;
+    private static final int SYNC = 4;
+    private static final int SEAT_REQUEST = 5;
+    private static final int SEAT_RESPONSE = 6;
+
     /**
      * A holder's request for seats.
      *
+     * @param holderName name of the holder, unique to one run of a front end
+     * @param holderAddress where the response is sent
      * @param rate its traffic in inferences a second
      */
     record SeatRequest(String holderName, String holderAddress, long round, double rate, BitSet wanted, BitSet released) { }
@@ -23,6 +35,7 @@
     /**
      * A grantor's response.
      *
+     * @param grantorAddress the grantor, as listed in the configuration of every front end
      * @param totalRate sum of the rates of all holders with recent requests
      * @param holderCount number of these holders
      */
@@ -35,43 +48,43 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         DataOutputStream out = new DataOutputStream(bytes);
         try {
-            if (message instanceof Message.Ping m) {
-                out.writeByte(1);
-                writeHeader(out, m);
-                out.writeUTF(m.senderAddress());
-                out.writeLong(m.sequenceNumber());
-            } else if (message instanceof Message.Ack m) {
-                out.writeByte(2);
-                writeHeader(out, m);
-                out.writeLong(m.sequenceNumber());
-            } else if (message instanceof Message.PingRequest m) {
-                out.writeByte(3);
-                writeHeader(out, m);
-                out.writeUTF(m.senderAddress());
-                out.writeLong(m.sequenceNumber());
-                out.writeUTF(m.target());
-                out.writeUTF(m.targetAddress());
-            } else if (message instanceof Message.Sync m) {
-                out.writeByte(4);
-                writeHeader(out, m);
-                out.writeUTF(m.senderAddress());
-                out.writeBoolean(m.replyRequested());
-            } else if (message instanceof SeatRequest m) {
-                out.writeByte(5);
-                out.writeUTF(m.holderName);
-                out.writeUTF(m.holderAddress);
-                out.writeLong(m.round);
-                out.writeDouble(m.rate);
-                writeBits(out, m.wanted);
-                writeBits(out, m.released);
-            } else if (message instanceof SeatResponse m) {
-                out.writeByte(6);
-                out.writeUTF(m.grantorAddress);
-                out.writeLong(m.round);
-                out.writeDouble(m.totalRate);
-                out.writeInt(m.holderCount);
-                writeBits(out, m.granted);
-                writeBits(out, m.available);
+            if (message instanceof Message.Ping ping) {
+                out.writeByte(PING);
+                writeHeader(out, ping);
+                out.writeUTF(ping.senderAddress());
+                out.writeLong(ping.sequenceNumber());
+            } else if (message instanceof Message.Ack ack) {
+                out.writeByte(ACK);
+                writeHeader(out, ack);
+                out.writeLong(ack.sequenceNumber());
+            } else if (message instanceof Message.PingRequest pingRequest) {
+                out.writeByte(PING_REQUEST);
+                writeHeader(out, pingRequest);
+                out.writeUTF(pingRequest.senderAddress());
+                out.writeLong(pingRequest.sequenceNumber());
+                out.writeUTF(pingRequest.target());
+                out.writeUTF(pingRequest.targetAddress());
+            } else if (message instanceof Message.Sync sync) {
+                out.writeByte(SYNC);
+                writeHeader(out, sync);
+                out.writeUTF(sync.senderAddress());
+                out.writeBoolean(sync.replyRequested());
+            } else if (message instanceof SeatRequest request) {
+                out.writeByte(SEAT_REQUEST);
+                out.writeUTF(request.holderName);
+                out.writeUTF(request.holderAddress);
+                out.writeLong(request.round);
+                out.writeDouble(request.rate);
+                writeBits(out, request.wanted);
+                writeBits(out, request.released);
+            } else if (message instanceof SeatResponse response) {
+                out.writeByte(SEAT_RESPONSE);
+                out.writeUTF(response.grantorAddress);
+                out.writeLong(response.round);
+                out.writeDouble(response.totalRate);
+                out.writeInt(response.holderCount);
+                writeBits(out, response.granted);
+                writeBits(out, response.available);
             } else {
                 throw new IllegalArgumentException(String.valueOf(message));
             }
@@ -106,26 +119,28 @@
     static Object decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int type = in.readUnsignedByte();
-        String from = in.readUTF();
+        String sender = in.readUTF(); // a name, and in a SeatResponse the grantor's address
         Object message = switch (type) {
-            case 1 -> {
+            case PING -> {
                 List<Member> gossip = readGossip(in);
-                yield new Message.Ping(from, in.readUTF(), in.readLong(), gossip);
+                yield new Message.Ping(sender, in.readUTF(), in.readLong(), gossip);
             }
-            case 2 -> {
+            case ACK -> {
                 List<Member> gossip = readGossip(in);
-                yield new Message.Ack(from, in.readLong(), gossip);
+                yield new Message.Ack(sender, in.readLong(), gossip);
             }
-            case 3 -> {
+            case PING_REQUEST -> {
                 List<Member> gossip = readGossip(in);
-                yield new Message.PingRequest(from, in.readUTF(), in.readLong(), in.readUTF(), in.readUTF(), gossip);
+                yield new Message.PingRequest(sender, in.readUTF(), in.readLong(), in.readUTF(), in.readUTF(), gossip);
             }
-            case 4 -> {
+            case SYNC -> {
                 List<Member> gossip = readGossip(in);
-                yield new Message.Sync(from, in.readUTF(), in.readBoolean(), gossip);
+                yield new Message.Sync(sender, in.readUTF(), in.readBoolean(), gossip);
             }
-            case 5 -> new SeatRequest(from, in.readUTF(), in.readLong(), in.readDouble(), readBits(in), readBits(in));
-            case 6 -> new SeatResponse(from, in.readLong(), in.readDouble(), in.readInt(), readBits(in), readBits(in));
+            case SEAT_REQUEST -> new SeatRequest(sender, in.readUTF(), in.readLong(), in.readDouble(), readBits(in),
+                    readBits(in));
+            case SEAT_RESPONSE -> new SeatResponse(sender, in.readLong(), in.readDouble(), in.readInt(), readBits(in),
+                    readBits(in));
             default -> throw new IOException("unknown message type " + type);
         };
         if (in.available() > 0) {
@@ -141,11 +156,11 @@
             String name = in.readUTF();
             String address = in.readUTF();
             long incarnation = in.readLong();
-            int state = in.readUnsignedByte();
-            if (state >= Member.State.values().length) {
-                throw new IOException("unknown member state " + state);
+            int stateOrdinal = in.readUnsignedByte();
+            if (stateOrdinal >= Member.State.values().length) {
+                throw new IOException("unknown member state " + stateOrdinal);
             }
-            updates.add(new Member(name, address, incarnation, Member.State.values()[state]));
+            updates.add(new Member(name, address, incarnation, Member.State.values()[stateOrdinal]));
         }
         return updates;
     }
--- a/gateway/src/main/java/gradereach/plan/CustomerSettings.java
+++ b/gateway/src/main/java/gradereach/plan/CustomerSettings.java
@@ -12,7 +12,7 @@
 
 /** The customers of a deployment file, their keys and the keys that sign answers to them. Lists are indexed by customer. */
 final class CustomerSettings {
-    /** A key valid then never expires. */
+    /** The last second at which a key can be valid: a key that is valid then never expires. */
     private static final long LAST_EPOCH_SECOND = Long.MAX_VALUE - 1;
 
     private final JsonNode root;
--- a/gateway/src/main/java/gradereach/plan/Deployment.java
+++ b/gateway/src/main/java/gradereach/plan/Deployment.java
@@ -36,7 +36,10 @@
     private static final int MAX_PORT = 65_535;
     private static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
     private static final int DEFAULT_MAX_SERIES_PER_LABEL = 50;
-    /** How long a probe answered as ready is relied on while the roster is unreachable: the shortest drain grace of any operator. */
+    /**
+     * How long the answer "ready" to a probe is relied on while the roster is unreachable: the shortest time that operators grant
+     * to stop sending to a draining executor.
+     */
     private static final double DRAIN_GRACE_MILLIS = 500;
 
     private final JsonNode tree;
@@ -129,7 +132,7 @@
         return tree.path("grpc").path(name).asLong(defaultValue);
     }
 
-    /** Returns how the share of this front end follows the membership; null if shares are fixed by the number of front ends. */
+    /** Returns the settings of the membership, which the share of this front end follows; null if shares are fixed. */
     public Membership.Config membership() {
         return membership.config();
     }
--- a/gateway/src/main/java/gradereach/plan/KeySettings.java
+++ b/gateway/src/main/java/gradereach/plan/KeySettings.java
@@ -36,14 +36,14 @@
         this.errors = errors;
     }
 
-    /** Reads the key at a path of the deployment file; null on errors. */
+    /** Reads the key at a path of the deployment file; on an error, adds it to the errors and returns null. */
     WebhookKey read(String path, JsonNode settings) {
         try {
             if (settings.has("inline")) {
                 return WebhookKey.parse(settings.path("inline").asText());
             }
             Path file = folder.resolve(settings.path("file").asText());
-            if (readableByOthers(file)) {
+            if (isReadableByOthers(file)) {
                 errors.add(path + "/file: readable by others; set its mode to 0600 or 0400");
                 return null;
             }
@@ -56,7 +56,7 @@
         return null;
     }
 
-    private static boolean readableByOthers(Path file) throws IOException {
+    private static boolean isReadableByOthers(Path file) throws IOException {
         Set<PosixFilePermission> permissions = new HashSet<>(Files.getPosixFilePermissions(file));
         permissions.removeAll(OWNER_ONLY);
         return !permissions.isEmpty();
@@ -72,15 +72,15 @@
             return null;
         }
         WebhookKey key = read(path, settings);
-        long from = epochSecond(path + "/from", settings.path("from").asText(""), Long.MIN_VALUE);
-        long until = epochSecond(path + "/until", settings.path("until").asText(""), Long.MAX_VALUE);
-        if (until <= from) {
+        long validFrom = parseEpochSecond(path + "/from", settings.path("from").asText(""), Long.MIN_VALUE);
+        long validUntil = parseEpochSecond(path + "/until", settings.path("until").asText(""), Long.MAX_VALUE);
+        if (validUntil <= validFrom) {
             errors.add(path + "/until: not after /from");
         }
-        return key == null ? null : key.withValidityPeriod(from, until);
+        return key == null ? null : key.withValidityPeriod(validFrom, validUntil);
     }
 
-    private long epochSecond(String path, String text, long defaultValue) {
+    private long parseEpochSecond(String path, String text, long defaultValue) {
         try {
             return text.isEmpty() ? defaultValue : Instant.parse(text).getEpochSecond();
         } catch (DateTimeParseException e) {
--- a/gateway/src/main/java/gradereach/plan/MembershipSettings.java
+++ b/gateway/src/main/java/gradereach/plan/MembershipSettings.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Settings by which the share of this front end follows the membership. */
+/** Settings of the membership, which the share of this front end follows. */
 final class MembershipSettings {
     private static final String DEFAULT_CLUSTER = "gradereach";
     private static final int DEFAULT_SEATS = 240;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Returns null if shares are fixed by the number of front ends. */
+    /** Returns the configuration; null if the file has none, so that shares are fixed by the number of front ends. */
     Membership.Config config() {
         if (settings.isMissingNode()) {
             return null;
--- a/gateway/src/main/java/gradereach/roster/EndpointSliceParser.java
+++ b/gateway/src/main/java/gradereach/roster/EndpointSliceParser.java
@@ -30,7 +30,7 @@
 
     private final List<String> locations;
 
-    /** {@code locations} are the deployment's zone names, in the order of their indices. */
+    /** @param locations the deployment's zone names, in the order of their indices */
     public EndpointSliceParser(List<String> locations) {
         this.locations = locations;
     }
@@ -92,7 +92,7 @@
         return ready && !terminating ? ExecutorState.READY : ExecutorState.DRAINING;
     }
 
-    /** A number for the node, whose executors share their knowledge of repeats; -1 if the node is unknown. */
+    /** A number for the node, whose executors share what they know of repeats; -1 if the node is unknown. */
     private static int cellOf(JsonNode endpoint) {
         String node = endpoint.path("nodeName").asText("");
         if (node.isEmpty()) {
--- a/gateway/src/main/java/gradereach/roster/RosterTracker.java
+++ b/gateway/src/main/java/gradereach/roster/RosterTracker.java
@@ -96,8 +96,12 @@
         return true;
     }
 
-    /** Notifies the listener of the difference to what was published last; {@code fullList} if a complete list was applied. */
-    private void publish(boolean fullList) {
+    /**
+     * Notifies the listener of the difference to what was published last.
+     *
+     * @param isFullList whether a complete list was applied
+     */
+    private void publish(boolean isFullList) {
         Map<String, RosterEntry> current = new LinkedHashMap<>();
         for (List<RosterEntry> entries : slices.values()) {
             for (RosterEntry entry : entries) {
@@ -116,7 +120,7 @@
             }
         }
         // The listener is notified first: if it fails, the same changes are published again with the next list.
-        if (!fullRosterPublished || fullList && !changed.isEmpty()) {
+        if (!fullRosterPublished || isFullList && !changed.isEmpty()) {
             listener.onRosterUpdate(RosterUpdateKind.FULL, List.copyOf(current.values()));
             fullRosterPublished = true;
         } else if (!changed.isEmpty()) {
--- a/gateway/src/main/java/gradereach/roster/RosterWatch.java
+++ b/gateway/src/main/java/gradereach/roster/RosterWatch.java
@@ -58,7 +58,7 @@
      * Durations of watches and of the roster's validity.
      *
      * @param watchDuration requested duration of a watch, after which the server ends it
-     * @param watchGracePeriod how much later a live server has ended the watch at the latest
+     * @param watchGracePeriod how long after {@code watchDuration} a live server has ended the watch at the latest
      * @param validAfterFailure how long the roster counts as complete after it could not be read
      */
     record Timing(Duration watchDuration, Duration watchGracePeriod, Duration validAfterFailure) {
@@ -67,9 +67,9 @@
         }
     }
 
-    /** Allows for a few retries after a failure. */
+    /** The last of these durations allows for a few retries after a failure. */
     private static final Timing DEFAULT_TIMING = new Timing(Duration.ofSeconds(30), Duration.ofSeconds(5), Duration.ofSeconds(4));
-    /** Changes of a file are noticed as fast as those of a watch. */
+    /** Short, so that changes of a file are noticed about as fast as those of a watch. */
     private static final long FILE_POLL_INTERVAL_MILLIS = 100;
 
     private final RosterTracker tracker;
@@ -176,7 +176,8 @@
     private void followWatch() throws IOException, InterruptedException {
         HttpResponse<InputStream> response = get("?watch=1&allowWatchBookmarks=true&timeoutSeconds=" + timing.watchDuration.toSeconds()
                 + "&resourceVersion=" + tracker.resourceVersion(), Duration.ofSeconds(5));
-        Future<?> silenceTimeout = watchdog.schedule(() -> endSilentWatch(response.body()), timing.maxWatchMillis(), TimeUnit.MILLISECONDS);
+        Future<?> silenceTimeout = watchdog.schedule(() -> endSilentWatch(response.body()), timing.maxWatchMillis(),
+                TimeUnit.MILLISECONDS);
         try (InputStream body = response.body();
                 MappingIterator<JsonNode> events = JSON.readerFor(JsonNode.class).readValues(body)) {
             openWatch = body;
@@ -197,7 +198,7 @@
         }
     }
 
-    /** The server should have ended the watch by now, so events may have been missed. */
+    /** Closes a watch that the server should have ended by now, since events may have been missed. */
     private void endSilentWatch(InputStream body) {
         silentWatches.increment();
         LOG.warn("the server did not end the roster watch in time, restarting it");
@@ -233,14 +234,14 @@
         }
     }
 
-    /** The roster was complete at {@code at} and counts as complete for {@code validMillis}. */
-    private void confirm(double at, double validMillis) {
-        confirmedAt = at;
-        validUntil = at + validMillis;
+    /** Records that the roster was complete at {@code confirmedTime} and counts as complete for {@code validMillis}. */
+    private void confirm(double confirmedTime, double validMillis) {
+        confirmedAt = confirmedTime;
+        validUntil = confirmedTime + validMillis;
         validityListener.onValidityChanged(confirmedAt, validUntil);
     }
 
-    /** The roster counts as complete until {@code latest} at most. */
+    /** Lets the roster count as complete until {@code latest} at most. */
     private void limitValidity(double latest) {
         if (latest < validUntil) {
             validUntil = latest;
--- a/gateway/src/test/java/gradereach/claims/ClaimTableTest.java
+++ b/gateway/src/test/java/gradereach/claims/ClaimTableTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which claims a replica grants after older claims have expired. */
+/** Which claims a replica grants after older claims have expired: a message that may be an expired one must not run again. */
 class ClaimTableTest {
-    private static final double RETENTION = 600_000;
+    private static final double RETENTION_MILLIS = 600_000;
     private static final long SIGNED_AT = 1_900_000_000L;
     private static final ClaimReply REFUSED = new ClaimReply(false, null, false);
 
@@ -18,7 +18,7 @@
         return new MessageIdentity("yard", id, 1, 2, timestamp);
     }
 
-    /** The reply of that name in the tables; any other name is a refusal. */
+    /** The reply that a test row names; any other name is a refusal. */
     private static ClaimReply reply(String description) {
         return switch (description) {
             case "granted" -> new ClaimReply(true, null, true);
@@ -30,7 +30,8 @@
 
     @ParameterizedTest
     @CsvSource({
-        // signed timestamp of fe-a's message; then, so many milliseconds later: claimant, message, its signed timestamp, expected reply
+        // signed timestamp of the message m that fe-a claims first; milliseconds until the second claim; its claimant,
+        // message and signed timestamp; expected reply. Signed timestamps are seconds after SIGNED_AT.
         "0, 599999, fe-b/1, m, 0, a's", "0, 599999, fe-a/1, m, 0, again",
         "0, 600000, fe-b/1, m, 0, unknown", "0, 600000, fe-a/1, m, 0, unknown", // expired, for any claimant
         "0, 600000, fe-b/1, other, 0, unknown", "0, 600000, fe-b/1, other, -1, unknown", // it may be an expired one
@@ -43,7 +44,7 @@
     })
     void messagesThatMayHaveExpiredAreRefused(String signedAt, double elapsed, String claimant, String id, String laterSignedAt,
             String expected) {
-        ClaimTable claimTable = new ClaimTable(10, RETENTION);
+        ClaimTable claimTable = new ClaimTable(10, RETENTION_MILLIS);
         assertEquals(reply("granted"), claimTable.claim(message("m", signedAt), "fe-a/1", 1, 0, SIGNED_AT + 300));
         assertEquals(reply(expected), claimTable.claim(message(id, laterSignedAt), claimant, 1, elapsed, SIGNED_AT + 900));
     }
@@ -51,7 +52,7 @@
     @ParameterizedTest
     @CsvSource({"-1, unknown", "0, unknown", "1, granted"})
     void messagesForgottenBeforeARestartAreRefused(String signedAt, String expected) {
-        ClaimTable claimTable = new ClaimTable(10, RETENTION);
+        ClaimTable claimTable = new ClaimTable(10, RETENTION_MILLIS);
         claimTable.markForgottenUpTo(SIGNED_AT);
         assertEquals(reply(expected), claimTable.claim(message("m", signedAt), "fe-b/1", 1, 0, SIGNED_AT + 300));
     }
@@ -60,7 +61,7 @@
     @ParameterizedTest
     @CsvSource({"m, 0", "other, -5"})
     void releasedClaimsDoNotBarLaterOnes(String id, String signedAt) {
-        ClaimTable claimTable = new ClaimTable(10, RETENTION);
+        ClaimTable claimTable = new ClaimTable(10, RETENTION_MILLIS);
         claimTable.claim(message("m", "0"), "fe-a/1", 1, 0, SIGNED_AT + 300);
         claimTable.release("yard", "m", "fe-a/1", 1);
         assertEquals(reply("granted"), claimTable.claim(message(id, signedAt), "fe-b/1", 1, 700_000, SIGNED_AT + 900));
--- a/gateway/src/test/java/gradereach/ledger/LedgerTest.java
+++ b/gateway/src/test/java/gradereach/ledger/LedgerTest.java
@@ -32,6 +32,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * The ledger's records, their encoding and compaction, and the ledger on a disk that is full, failing or damaged: what was
+ * reported durable is restored, and what was not is neither restored nor taken for damage.
+ */
 @Timeout(60)
 class LedgerTest {
     @TempDir
@@ -42,22 +46,23 @@
         return new FinalAnswer(FinalAnswer.Kind.RETURNED, 200, body.getBytes(), 0, true);
     }
 
-    private static LedgerRecord intent(String id, double at) {
-        return new LedgerRecord.ForwardIntended("yard", id, at, 1, 2, "book", "book-1", "10.0.0.1:80", "yard/" + id + "#fe-1-0");
+    private static LedgerRecord intent(String id, double timestamp) {
+        return new LedgerRecord.ForwardIntended("yard", id, timestamp, 1, 2, "book", "book-1", "10.0.0.1:80",
+                "yard/" + id + "#fe-1-0");
     }
 
-    /** One record of each type about a message, in the order in which they are written. */
-    private static List<LedgerRecord> messageRecords(String id, double at) {
-        return List.of(new LedgerRecord.DeliveryPromised("yard", id, at, 1, 2, "book"), intent(id, at + 1),
-                new LedgerRecord.ProvenNotRun("yard", id, at + 2), intent(id, at + 3),
-                new LedgerRecord.Answered("yard", id, at + 4, answer("{\"\u00fc\":1}")),
-                new LedgerRecord.DeliveryAttempted("yard", id, at + 5, at, 1, true),
-                new LedgerRecord.ClaimGranted("yard", id, at + 6, 1, 2, "fe-1/x"));
+    /** Records of each type about a message, a millisecond apart, in the order in which they are written. */
+    private static List<LedgerRecord> messageRecords(String id, double timestamp) {
+        return List.of(new LedgerRecord.DeliveryPromised("yard", id, timestamp, 1, 2, "book"), intent(id, timestamp + 1),
+                new LedgerRecord.ProvenNotRun("yard", id, timestamp + 2), intent(id, timestamp + 3),
+                new LedgerRecord.Answered("yard", id, timestamp + 4, answer("{\"\u00fc\":1}")),
+                new LedgerRecord.DeliveryAttempted("yard", id, timestamp + 5, timestamp, 1, true),
+                new LedgerRecord.ClaimGranted("yard", id, timestamp + 6, 1, 2, "fe-1/x"));
     }
 
     private static byte[] bytes(List<LedgerRecord> records) {
         java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
-        records.forEach(r -> out.writeBytes(RecordCodec.encode(r)));
+        records.forEach(record -> out.writeBytes(RecordCodec.encode(record)));
         return out.toByteArray();
     }
 
@@ -111,6 +116,7 @@
         }
     }
 
+    /** Each letter is a record after the promise: intent, proven not run, returned answer, failed answer. */
     @ParameterizedTest
     @CsvSource({"'', TAKEN, false", "i, MAY_HAVE_RUN, true", "in, PROVEN_NOT_RUN, false", "ini, MAY_HAVE_RUN, true",
         "ia, ANSWERED, false", "if, ANSWERED, true", "ifa, ANSWERED, false", "iaf, ANSWERED, false",
@@ -230,7 +236,7 @@
         }
 
         @Override
-        public long usableSpace(Path at) {
+        public long usableSpace(Path path) {
             return usableBytes;
         }
     }
@@ -238,9 +244,9 @@
     private DiskLedger open(Disk disk, long segmentBytes, LedgerState state) throws IOException {
         LedgerFolder ledgerFolder = new LedgerFolder(folder);
         CompactionPlanner planner = new CompactionPlanner(600_000, 1000);
-        LedgerFolder.ReadResult readResult = LedgerFolder.read(folder, true, (r, s) -> {
-            state.apply(r);
-            planner.onRecordWritten(r, s);
+        LedgerFolder.ReadResult readResult = LedgerFolder.read(folder, true, (record, segment) -> {
+            state.apply(record);
+            planner.onRecordWritten(record, segment);
         });
         assertEquals(List.of(), readResult.damage());
         DiskLedger ledger = new DiskLedger(disk, new DiskLedger.Limits(segmentBytes, 100, 1024), planner, () -> 1000,
@@ -256,6 +262,7 @@
         return durable[0];
     }
 
+    /** Also, no second process can open the folder meanwhile. */
     @Test
     void durableRecordsAreRestoredFromManySegments() throws Exception {
         try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 500, new LedgerState())) {
@@ -338,6 +345,7 @@
         return ids;
     }
 
+    /** The ledger accepts no records below 100 free bytes, and accepts them again above. */
     @Test
     void nearlyFullDiskMakesTheLedgerUnwritable() throws Exception {
         FaultyDisk disk = new FaultyDisk();
@@ -353,6 +361,7 @@
         }
     }
 
+    /** A record that was being written at a crash is cut off; a record that is missing although it was durable is damage. */
     @Test
     void tornTailIsCutOffOnceAndDamageIsReported() throws Exception {
         try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 1 << 20, new LedgerState())) {
@@ -467,6 +476,7 @@
         }
     }
 
+    /** A damaged ledger stays as it is, since its segments show what was lost. */
     @Test
     void damagedLedgerIsNotCompacted() throws Exception {
         try (DiskLedger ledger = open(Disk.FILE_SYSTEM, 4096, new LedgerState())) {
--- a/gateway/src/test/java/gradereach/ledger/disk/ContainerUptimeTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/ContainerUptimeTest.java
@@ -17,8 +17,8 @@
  * ledger time must not fall behind its records, or old records would seem to lie in the future.
  */
 class ContainerUptimeTest {
-    private static final double DAY = 86_400_000;
-    private static final double WALL = 1_900_000_000_000d;
+    private static final double DAY_MILLIS = 86_400_000;
+    private static final double WALL_TIME = 1_900_000_000_000d;
     @TempDir
     Path folder;
 
@@ -27,9 +27,9 @@
         MachineUptime uptime = MachineUptimeReader.readMachine();
         // A first run began with an uptime of a second less than now, and wrote for ten days.
         Files.writeString(folder.resolve("clock"),
-                uptime.bootId() + " " + Math.max(0, uptime.uptimeMillis() - 1000) + " " + WALL + " " + WALL + " "
+                uptime.bootId() + " " + Math.max(0, uptime.uptimeMillis() - 1000) + " " + WALL_TIME + " " + WALL_TIME + " "
                         + Math.max(0, uptime.monotonicMillis() - 1000) + "\n");
-        double latestTimestamp = WALL + 10 * DAY;
+        double latestTimestamp = WALL_TIME + 10 * DAY_MILLIS;
         LedgerClock clock = new LedgerClock(() -> 5000, () -> latestTimestamp + 60_000);
         clock.resume(folder, latestTimestamp);
         double age = 5000 - clock.toMonotonic(latestTimestamp);
@@ -37,8 +37,8 @@
         assertTrue(clock.now() > latestTimestamp, "a new record is dated before an older one");
     }
 
-    private static final double SECOND = 1000;
-    private static final double HOUR = 3_600_000;
+    private static final double SECOND_MILLIS = 1000;
+    private static final double HOUR_MILLIS = 3_600_000;
     private static final String BOOT = "1d38";
 
     private LedgerClock openClock(double wall, MachineUptime uptime, double latestTimestamp) {
@@ -54,7 +54,7 @@
      */
     @ParameterizedTest
     @CsvSource({
-        // uptime and monotonic clock at the first start, at the second one, seconds; age of the record at the second start
+        // in seconds: uptime and monotonic clock at the first start, the same at the second one, age of the record by then
         "600, 600, 3600, 3600, 3000", "600, 600, 600, 600, 0", "600, 500, 3600, 3500, 3000", // the same boot
         "600, 500, 3600, 3000, 3000", // suspended for 500 s in between
         "600, 600.05, 3600, 3600.09, 3000", // the two clocks are read a moment apart
@@ -66,9 +66,11 @@
         "600, NaN, 3600, NaN, NaN", "NaN, 600, 3600, 3600, NaN", "600, 600, NaN, 3600, NaN",
     })
     void durationIsUnknownBetweenIncomparableUptimes(double uptime, double monotonic, double nextUptime, double nextMonotonic, double age) {
-        double written = openClock(WALL, new MachineUptime(BOOT, uptime * SECOND, monotonic * SECOND), Double.NEGATIVE_INFINITY).now();
-        LedgerClock next = openClock(WALL + 10 * HOUR, new MachineUptime(BOOT, nextUptime * SECOND, nextMonotonic * SECOND), written);
-        assertEquals(age * SECOND, 5000 - next.toMonotonic(written), 1);
+        double written = openClock(WALL_TIME, new MachineUptime(BOOT, uptime * SECOND_MILLIS, monotonic * SECOND_MILLIS),
+                Double.NEGATIVE_INFINITY).now();
+        LedgerClock next = openClock(WALL_TIME + 10 * HOUR_MILLIS,
+                new MachineUptime(BOOT, nextUptime * SECOND_MILLIS, nextMonotonic * SECOND_MILLIS), written);
+        assertEquals(age * SECOND_MILLIS, 5000 - next.toMonotonic(written), 1);
         assertTrue(next.now() > written || age == 0, "a new record is dated before an older one");
     }
 
@@ -77,7 +79,8 @@
     @ValueSource(strings = {BOOT + " 600000.0 1.9E12 1.9E12", "other 600000.0 1.9E12 1.9E12 600000.0"})
     void durationIsUnknownForAnIncomparableAnchor(String anchor) throws IOException {
         Files.writeString(folder.resolve("clock"), anchor + "\n");
-        assertEquals(Double.NaN, openClock(WALL + HOUR, new MachineUptime(BOOT, HOUR, HOUR), WALL + 1).toMonotonic(WALL));
+        assertEquals(Double.NaN, openClock(WALL_TIME + HOUR_MILLIS, new MachineUptime(BOOT, HOUR_MILLIS, HOUR_MILLIS),
+                WALL_TIME + 1).toMonotonic(WALL_TIME));
     }
 
     /** Reads the uptime from a folder that stands in for {@code /proc}. */
@@ -95,6 +98,7 @@
         return new MachineUptimeReader(folder, () -> monotonic).read();
     }
 
+    /** An uptime is used only in the initial time namespace, and if it agrees with the kernel's start time of a thread. */
     @ParameterizedTest
     @CsvSource({
         // uptime, start of a thread in hundredths of a second, time namespace, whether the uptime is the machine's
@@ -109,7 +113,7 @@
         assertEquals(ofMachine ? new MachineUptime(BOOT, 600_000, 600_000) : MachineUptime.UNKNOWN, read);
     }
 
-    /** On any machine, a second reading is not earlier than the first. */
+    /** On any machine, a second reading is not earlier than the first, unless the uptime is unknown. */
     @Test
     void uptimeOfThisMachineDoesNotGoBack() {
         MachineUptime first = MachineUptimeReader.readMachine();
--- a/gateway/src/test/java/gradereach/ledger/disk/ForgottenClaimsTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/ForgottenClaimsTest.java
@@ -18,10 +18,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The folder keeps the signed timestamp of a claim whose record is removed. */
+/**
+ * The folder keeps the signed timestamp of a claim whose record is removed. Without it, a repeat of that message would be granted
+ * to another front end as if it were new.
+ */
 @Timeout(30)
 class ForgottenClaimsTest {
-    private static final double RETENTION = 600_000;
+    private static final double RETENTION_MILLIS = 600_000;
     private static final long SIGNED_AT = 1_900_000_000L;
     private static final DiskLedger.Limits ONE_RECORD_A_SEGMENT = new DiskLedger.Limits(50, 0, 64);
 
@@ -32,7 +35,7 @@
 
     @BeforeEach
     void writeTwoClaims() throws Exception {
-        ledger = new DiskLedger(Disk.FILE_SYSTEM, ONE_RECORD_A_SEGMENT, new CompactionPlanner(RETENTION, 1000), () -> now,
+        ledger = new DiskLedger(Disk.FILE_SYSTEM, ONE_RECORD_A_SEGMENT, new CompactionPlanner(RETENTION_MILLIS, 1000), () -> now,
                 Runnable::run, new Counts());
         ledger.start(new LedgerFolder(folder), 1);
         appendClaim("old", 1000, SIGNED_AT);
@@ -40,9 +43,9 @@
         appendClaim("young", 900_000, SIGNED_AT + 1000); // granted a second time
     }
 
-    private void appendClaim(String id, double at, long signedAt) throws Exception {
+    private void appendClaim(String id, double timestamp, long signedAt) throws Exception {
         CompletableFuture<Boolean> durable = new CompletableFuture<>();
-        ledger.append(new LedgerRecord.ClaimGranted("yard", id, at, 1, 2, "fe-1/x", signedAt, 0), durable::complete);
+        ledger.append(new LedgerRecord.ClaimGranted("yard", id, timestamp, 1, 2, "fe-1/x", signedAt, 0), durable::complete);
         assertTrue(durable.get(10, TimeUnit.SECONDS));
     }
 
@@ -62,7 +65,7 @@
     void segmentRemovalRaisesTheTimestamp() throws Exception {
         Path oldest = folder.resolve("0000000000000001.ledger");
         assertTrue(Files.exists(oldest));
-        now = 1000 + RETENTION + 1;
+        now = 1000 + RETENTION_MILLIS + 1;
         while (Files.exists(oldest)) {
             Thread.onSpinWait();
         }
--- a/gateway/src/test/java/gradereach/ledger/disk/LedgerClockTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/LedgerClockTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Runs of a front end on one folder, each with its own wall clock and monotonic clock. */
+/** The age of records over several runs of a front end on one folder, each with its own wall clock and monotonic clock. */
 class LedgerClockTest {
     private static final double MONOTONIC_START = 1e9; // monotonic time starts anew in each run
-    private static final double HOUR = 3_600_000;
-    private static final double TOLERANCE = 10_000; // allows for a slow test, and is far below an hour
+    private static final double HOUR_MILLIS = 3_600_000;
+    private static final double TOLERANCE_MILLIS = 10_000; // allows for a slow test, and is far below an hour
 
     @TempDir
     private Path folder;
@@ -31,7 +31,10 @@
         return System.currentTimeMillis();
     }
 
-    /** Rewrites the stored anchor with another boot id, or as read that much earlier by both clocks of a machine that was not suspended. */
+    /**
+     * Rewrites the stored anchor with another boot id (none for the same one), and as if both clocks had been read that much earlier
+     * on a machine that was not suspended.
+     */
     private void rewriteAnchor(String bootId, double earlierMillis) throws IOException {
         String[] fields = Files.readString(folder.resolve("clock")).strip().split(" ");
         fields[0] = bootId.isEmpty() ? fields[0] : bootId;
@@ -46,21 +49,21 @@
     }
 
     @ParameterizedTest
-    @ValueSource(doubles = {0, HOUR, -HOUR})
+    @ValueSource(doubles = {0, HOUR_MILLIS, -HOUR_MILLIS})
     void durationAcrossARestartFollowsTheUptimeAndNotTheWallClock(double step) throws IOException {
         double written = openClock(wall(), Double.NEGATIVE_INFINITY).now();
-        assertEquals(0, age(openClock(wall() + step, written), written), TOLERANCE);
-        rewriteAnchor("", HOUR / 2);
+        assertEquals(0, age(openClock(wall() + step, written), written), TOLERANCE_MILLIS);
+        rewriteAnchor("", HOUR_MILLIS / 2);
         LedgerClock thirdRun = openClock(wall() + step, written);
-        assertEquals(HOUR / 2, age(thirdRun, written), TOLERANCE);
-        assertEquals(written + HOUR / 2, thirdRun.now(), TOLERANCE);
+        assertEquals(HOUR_MILLIS / 2, age(thirdRun, written), TOLERANCE_MILLIS);
+        assertEquals(written + HOUR_MILLIS / 2, thirdRun.now(), TOLERANCE_MILLIS);
     }
 
     /** After another boot, an uptime that went back, or a missing or torn anchor, the age of earlier records is not known. */
     @ParameterizedTest
     @CsvSource({"other, 0", "'', -3600000", "gone, 0", "torn, 0"})
     void ageOfEarlierRecordsIsUnknownWithoutAValidAnchor(String anchor, double earlier) throws IOException {
-        double written = openClock(wall(), Double.NEGATIVE_INFINITY).now() + HOUR; // as after an hour of that run
+        double written = openClock(wall(), Double.NEGATIVE_INFINITY).now() + HOUR_MILLIS; // as after an hour of that run
         if (anchor.equals("gone")) {
             Files.delete(folder.resolve("clock"));
         } else if (anchor.equals("torn")) {
@@ -72,22 +75,23 @@
         assertEquals(Double.NaN, nextRun.toMonotonic(written));
         assertTrue(nextRun.now() > written, "dated before an older record");
         double laterTimestamp = nextRun.now();
-        assertEquals(0, age(openClock(wall() - HOUR, laterTimestamp), laterTimestamp), TOLERANCE);
-        assertEquals(Double.NaN, openClock(wall() + HOUR, laterTimestamp).toMonotonic(written));
+        assertEquals(0, age(openClock(wall() - HOUR_MILLIS, laterTimestamp), laterTimestamp), TOLERANCE_MILLIS);
+        assertEquals(Double.NaN, openClock(wall() + HOUR_MILLIS, laterTimestamp).toMonotonic(written));
     }
 
     /** {@code ledger compact} must not remove records of unknown age. */
     @Test
     void retentionCutoffIsKnownOnlyOnceTheRetentionHasPassed() throws IOException {
-        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR));
+        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR_MILLIS));
         double written = openClock(wall(), Double.NEGATIVE_INFINITY).now();
-        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR));
-        rewriteAnchor("", 3 * HOUR);
-        assertEquals(written + 2 * HOUR, LedgerClock.retentionCutoff(folder, HOUR), TOLERANCE);
+        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR_MILLIS));
+        rewriteAnchor("", 3 * HOUR_MILLIS);
+        assertEquals(written + 2 * HOUR_MILLIS, LedgerClock.retentionCutoff(folder, HOUR_MILLIS), TOLERANCE_MILLIS);
         rewriteAnchor("other", 0);
-        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR));
+        assertEquals(Double.NEGATIVE_INFINITY, LedgerClock.retentionCutoff(folder, HOUR_MILLIS));
     }
 
+    /** Without a stored anchor, the next start must not date records by an anchor of another boot. */
     @Test
     void ageIsUnknownAfterAnAnchorCouldNotBeStored() throws IOException {
         double written = openClock(wall(), Double.NEGATIVE_INFINITY).now();
--- a/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
@@ -21,9 +21,9 @@
 
 /** The state of messages after a ledger's folder was restored from a copy, and which folders are taken for a copy. */
 class RestoredCopyTest {
-    private static final double AT = 1_900_000_000_000d;
+    private static final double RECORDED_AT = 1_900_000_000_000d;
     private static final long SIGNED_AT = 1_900_000_000L;
-    private static final double TEN_MINUTES = 600_000;
+    private static final double REPLAY_WINDOW_MILLIS = 600_000;
 
     @TempDir
     private Path folder;
@@ -33,7 +33,7 @@
     void createLedger() throws IOException {
         ledger = folder.resolve("ledger");
         try (LedgerFolder ledgerFolder = new LedgerFolder(ledger)) {
-            append(ledgerFolder, 1, new LedgerRecord.ClaimGranted("yard", "claim", AT, 1, 2, "fe-1/x", SIGNED_AT, 0));
+            append(ledgerFolder, 1, new LedgerRecord.ClaimGranted("yard", "claim", RECORDED_AT, 1, 2, "fe-1/x", SIGNED_AT, 0));
         }
     }
 
@@ -57,7 +57,8 @@
         }
     }
 
-    private void restore() throws IOException {
+    /** Replaces the folder with a copy of itself, whose files have other inodes. */
+    private void replaceWithCopy() throws IOException {
         Path aside = Files.move(ledger, folder.resolve("aside"));
         copy(aside, ledger);
     }
@@ -65,11 +66,11 @@
     private static LedgerRecord record(String description) {
         FinalAnswer.Kind kind = description.equals("returned") ? FinalAnswer.Kind.RETURNED : FinalAnswer.Kind.SHED;
         return switch (description) {
-            case "promised" -> new LedgerRecord.DeliveryPromised("yard", "m", AT, 1, 2, "book");
-            case "intended" -> new LedgerRecord.ForwardIntended("yard", "m", AT, 1, 2, "book", "book-1", new Recipient("s-1", "ex:1", 7),
-                    "f", SIGNED_AT);
-            case "not run" -> new LedgerRecord.ProvenNotRun("yard", "m", AT + 1);
-            default -> new LedgerRecord.Answered("yard", "m", AT + 2, new FinalAnswer(kind, 200, new byte[0], 0, true));
+            case "promised" -> new LedgerRecord.DeliveryPromised("yard", "m", RECORDED_AT, 1, 2, "book");
+            case "intended" -> new LedgerRecord.ForwardIntended("yard", "m", RECORDED_AT, 1, 2, "book", "book-1",
+                    new Recipient("s-1", "ex:1", 7), "f", SIGNED_AT);
+            case "not run" -> new LedgerRecord.ProvenNotRun("yard", "m", RECORDED_AT + 1);
+            default -> new LedgerRecord.Answered("yard", "m", RECORDED_AT + 2, new FinalAnswer(kind, 200, new byte[0], 0, true));
         };
     }
 
@@ -86,11 +87,11 @@
             append(ledgerFolder, 2, all.toArray(new LedgerRecord[0]));
             assertEquals(Long.MIN_VALUE, ledgerFolder.suspectUpTo());
         }
-        restore();
+        replaceWithCopy();
         for (int start = 0; start < 2; start++) {
             try (LedgerFolder ledgerFolder = new LedgerFolder(ledger)) {
-                double until = Math.max(AT, System.currentTimeMillis()) + TEN_MINUTES;
-                assertTrue(ledgerFolder.suspectUpTo() >= until / 1000, "a repeat signed by then would be taken for a new message");
+                double latestRepeat = Math.max(RECORDED_AT, System.currentTimeMillis()) + REPLAY_WINDOW_MILLIS;
+                assertTrue(ledgerFolder.suspectUpTo() >= latestRepeat / 1000, "a repeat signed by then would be taken for a new message");
             }
             LedgerState.Message message = read().find("yard", "m");
             assertEquals(state, message.state());
@@ -98,17 +99,17 @@
             assertEquals(forwards, message.unresolvedForwards().size());
             assertEquals(state == LedgerState.MessageState.MAY_HAVE_RUN,
                     message.unresolvedForwards().stream().anyMatch(forward -> !forward.recipient().isKnown()));
-            assertTrue(message.lastRecordedAt() <= AT + 2, "it would be remembered for longer than before");
+            assertTrue(message.lastRecordedAt() <= RECORDED_AT + 2, "it would be remembered for longer than before");
         }
     }
 
-    /** A crash after the messages were recorded as unknown, and before the inodes were saved. */
+    /** After a crash between the recording of unknown outcomes and the saving of the inodes, the next start recovers again. */
     @Test
     void interruptedRecoveryIsRepeated() throws IOException {
         try (LedgerFolder ledgerFolder = new LedgerFolder(ledger)) {
             append(ledgerFolder, 2, record("promised"));
         }
-        restore();
+        replaceWithCopy();
         String inodesBefore = Files.readString(ledger.resolve("files"));
         new LedgerFolder(ledger).close();
         Files.writeString(ledger.resolve("files"), inodesBefore);
@@ -118,13 +119,13 @@
         assertEquals(List.of(), read().anomalies());
     }
 
-    /** A compaction by hand before the first start detects the copy as well. */
+    /** A compaction by hand before the first start must detect the copy as well, since it saves the inodes anew. */
     @Test
     void compactionDoesNotHideTheCopy() throws IOException {
         try (LedgerFolder ledgerFolder = new LedgerFolder(ledger)) {
             append(ledgerFolder, 2, record("promised"));
         }
-        restore();
+        replaceWithCopy();
         LedgerFolder.compact(ledger, 0);
         try (LedgerFolder ledgerFolder = new LedgerFolder(ledger)) {
             assertTrue(ledgerFolder.suspectUpTo() > SIGNED_AT);
@@ -161,7 +162,7 @@
     void foldersThatAreTakenForACopy(String change) throws IOException {
         Path segment = LedgerFolder.segmentPath(ledger, 1);
         switch (change) {
-            case "all" -> restore();
+            case "all" -> replaceWithCopy();
             case "another segment" -> Files.copy(segment, LedgerFolder.segmentPath(ledger, 2));
             case "torn" -> Files.writeString(ledger.resolve("files"), "iden");
             default -> {
--- a/gateway/src/test/java/gradereach/members/MembershipTest.java
+++ b/gateway/src/test/java/gradereach/members/MembershipTest.java
@@ -31,10 +31,10 @@
 @Timeout(60)
 class MembershipTest {
     private static final byte[] KEY = {1, 2, 3};
-    private static final byte[] OTHER = {4, 5, 6};
+    private static final byte[] OTHER_KEY = {4, 5, 6};
 
     /** Waits until the condition holds. */
-    private static void until(BooleanSupplier condition) throws InterruptedException {
+    private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
         while (!condition.getAsBoolean()) {
             Thread.sleep(2);
         }
@@ -47,7 +47,7 @@
     /** A front end that records its share. */
     private static final class TestFrontEnd {
         private volatile double share;
-        private volatile double until;
+        private volatile double validUntil;
         Counts counts = new Counts();
         Membership membership;
 
@@ -56,14 +56,14 @@
             membership.start();
         }
 
-        private synchronized void shareChanged(double newShare, double newUntil) {
+        private synchronized void shareChanged(double newShare, double newValidUntil) {
             share = newShare;
-            until = newUntil;
+            validUntil = newValidUntil;
         }
 
         /** The share that it may spend now. */
         synchronized double currentShare() {
-            return now() < until ? share : 0;
+            return now() < validUntil ? share : 0;
         }
     }
 
@@ -87,19 +87,19 @@
     void sharesFollowThePresentMembers() throws Exception {
         List<TestFrontEnd> frontEnds = startFrontEnds(5);
         try {
-            until(() -> frontEnds.stream()
+            waitUntil(() -> frontEnds.stream()
                     .allMatch(frontEnd -> frontEnd.membership.view() != null && frontEnd.membership.view().presentCount() == 5));
-            until(() -> sum(frontEnds) > 0.9);
+            waitUntil(() -> sum(frontEnds) > 0.9);
             frontEnds.get(4).membership.close();
             double[] maxSum = new double[1];
-            until(() -> {
+            waitUntil(() -> {
                 double sum = sum(frontEnds);
                 maxSum[0] = Math.max(maxSum[0], sum);
                 return frontEnds.subList(0, 4).stream().allMatch(frontEnd -> frontEnd.currentShare() >= 6 / 30.0)
                         && frontEnds.get(4).currentShare() == 0;
             });
             assertTrue(maxSum[0] <= 1 + 1e-9, "sum of all shares: " + maxSum[0]);
-            until(() -> frontEnds.get(0).membership.view().presentCount() == 4);
+            waitUntil(() -> frontEnds.get(0).membership.view().presentCount() == 4);
             assertEquals(0, frontEnds.get(0).counts.value("members_strangers"));
         } finally {
             frontEnds.forEach(frontEnd -> frontEnd.membership.close());
@@ -111,25 +111,30 @@
         return frontEnds.stream().mapToDouble(TestFrontEnd::currentShare).sum();
     }
 
+    /**
+     * Datagrams of other clusters, or without a valid key, change nothing; authentic ones that cannot be decoded are counted
+     * apart.
+     */
     @Test
     void unauthenticatedDatagramsAreOnlyCounted() throws Exception {
         List<TestFrontEnd> frontEnds = startFrontEnds(2);
         try (DatagramSocket stranger = new DatagramSocket()) {
             int port = Integer.parseInt(frontEnds.get(0).membership.address().split(":")[1]);
             for (byte[] datagram : List.of(new byte[0], new byte[100], new DatagramCipher("other", List.of(KEY)).encrypt(new byte[] {1}),
-                    new DatagramCipher("c", List.of(OTHER)).encrypt(new byte[] {1}))) {
+                    new DatagramCipher("c", List.of(OTHER_KEY)).encrypt(new byte[] {1}))) {
                 stranger.send(new DatagramPacket(datagram, datagram.length, InetAddress.getLoopbackAddress(), port));
             }
             byte[] undecodable = new DatagramCipher("c", List.of(KEY)).encrypt(new byte[] {99, 0, 0});
             stranger.send(new DatagramPacket(undecodable, undecodable.length, InetAddress.getLoopbackAddress(), port));
-            until(() -> frontEnds.get(0).counts.value("members_strangers") == 4
+            waitUntil(() -> frontEnds.get(0).counts.value("members_strangers") == 4
                     && frontEnds.get(0).counts.value("members_datagrams_unreadable") == 1);
-            until(() -> frontEnds.get(0).membership.view().presentCount() == 2);
+            waitUntil(() -> frontEnds.get(0).membership.view().presentCount() == 2);
         } finally {
             frontEnds.forEach(frontEnd -> frontEnd.membership.close());
         }
     }
 
+    /** A number from 1 on is the index of a byte in which a bit is flipped; 0 leaves the datagram as it is. */
     @ParameterizedTest
     @CsvSource({"0, true", "1, false", "5, false", "20, false", "last, false", "cut, false", "rotated, true", "other-cluster, false"})
     void onlyCompleteDatagramsOfTheClusterAreDecrypted(String change, boolean decrypted) {
@@ -143,7 +148,8 @@
                 yield sealed;
             }
         };
-        byte[] decryptedMessage = new DatagramCipher("c", change.equals("rotated") ? List.of(OTHER, KEY) : List.of(KEY)).decrypt(sent);
+        byte[] decryptedMessage = new DatagramCipher("c", change.equals("rotated") ? List.of(OTHER_KEY, KEY) : List.of(KEY))
+                .decrypt(sent);
         if (decrypted) {
             assertArrayEquals(message, decryptedMessage);
         } else {
--- a/gateway/src/test/java/gradereach/oip/InferenceJsonConverterTest.java
+++ b/gateway/src/test/java/gradereach/oip/InferenceJsonConverterTest.java
@@ -48,6 +48,7 @@
         assertEquals(request.getParametersMap(), response.getParametersMap());
     }
 
+    /** Raw contents of each datatype; the last column is the expected data, or a part of the expected error. */
     @ParameterizedTest
     @CsvSource({
         "INT8, 80ff, '[-128,-1]'", "UINT8, 80ff, '[128,255]'", "INT16, 0080, [-32768]", "UINT16, ffff, [65535]",
--- a/gateway/src/test/java/gradereach/roster/RosterTrackerTest.java
+++ b/gateway/src/test/java/gradereach/roster/RosterTrackerTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** The roster updates that lists and watch events of slices lead to. */
 class RosterTrackerTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final List<String> updates = new ArrayList<>();
@@ -123,6 +124,7 @@
         assertEquals(List.of("FULL one 10.0.0.1:80", "FULL two 10.0.0.1:80"), published);
     }
 
+    /** A change whose listener failed must not count as published, or it would be missing until the next change. */
     @Test
     void publishesAgainAfterListenerFailure() throws Exception {
         List<String> published = new java.util.ArrayList<>();
--- a/gateway/src/test/java/gradereach/roster/RosterWatchTest.java
+++ b/gateway/src/test/java/gradereach/roster/RosterWatchTest.java
@@ -27,6 +27,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
 
+/**
+ * Failures of a roster watch: an exception on its thread, an unreachable server, and a watch without events that does not end.
+ */
 class RosterWatchTest {
     private static final RosterWatch.Timing TIMING =
             new RosterWatch.Timing(Duration.ofSeconds(1), Duration.ofMillis(200), Duration.ofMillis(100));
--- a/membership/src/main/java/gradereach/membership/GossipQueue.java
+++ b/membership/src/main/java/gradereach/membership/GossipQueue.java
@@ -17,6 +17,7 @@
 
     private static final class Entry {
         final Member update;
+        /** Grows with every update: of equally often transmitted ones, the latest goes first. */
         final long number;
         int transmits;
 
@@ -26,7 +27,7 @@
         }
     }
 
-    private final Map<String, Entry> byName = new HashMap<>();
+    private final Map<String, Entry> entriesByMember = new HashMap<>();
     private final int maxUpdates;
     private long lastNumber;
 
@@ -37,18 +38,22 @@
 
     /** Queues an update. */
     void add(Member update) {
-        byName.put(update.name(), new Entry(update, ++lastNumber));
+        entriesByMember.put(update.name(), new Entry(update, ++lastNumber));
     }
 
     /** How often an update is transmitted with that many members. */
-    static int transmitLimit(int members) {
-        return RETRANSMIT_MULTIPLIER * (int) Math.ceil(Math.log10(members + 1) + 1);
+    static int transmitLimit(int memberCount) {
+        return RETRANSMIT_MULTIPLIER * (int) Math.ceil(Math.log10(memberCount + 1) + 1);
     }
 
-    /** The updates for one message; {@code first} is included regardless of the order, null for none. */
-    List<Member> next(int members, Member first) {
-        int limit = transmitLimit(members);
-        List<Entry> order = new ArrayList<>(byName.values());
+    /**
+     * Takes the updates for one message from the queue.
+     *
+     * @param first an update that is included regardless of the order; null for none
+     */
+    List<Member> next(int memberCount, Member first) {
+        int limit = transmitLimit(memberCount);
+        List<Entry> order = new ArrayList<>(entriesByMember.values());
         order.sort(Comparator.<Entry>comparingInt(queued -> queued.transmits).thenComparing(queued -> -queued.number));
         List<Member> updates = new ArrayList<>();
         if (first != null) {
@@ -60,7 +65,7 @@
             }
             updates.add(entry.update);
             if (++entry.transmits >= limit) {
-                byName.remove(entry.update.name());
+                entriesByMember.remove(entry.update.name());
             }
         }
         return updates;
--- a/membership/src/main/java/gradereach/membership/SeatGrantor.java
+++ b/membership/src/main/java/gradereach/membership/SeatGrantor.java
@@ -12,13 +12,14 @@
  * that it counts by its own monotonic clock. It stores nothing on disk: after a start it grants nothing until every lease that it may
  * have granted before is over.
  *
- * A state machine without I/O: times come in, and the same events give the same answers.
+ * A state machine without I/O and clock: the same events at the same times give the same answers.
  */
 public final class SeatGrantor {
     private final double lease;
     private final String[] holders;
     private final double[] expiresAt;
-    private final double grantsFrom;
+    /** Until then, seats may be held that were granted before this start. */
+    private final double grantsAllowedFrom;
     /** The latest round of each holder: an earlier one that arrives late must not release seats that were requested since. */
     private final Map<String, Round> rounds = new HashMap<>();
 
@@ -29,7 +30,7 @@
         this.lease = lease;
         holders = new String[seats];
         expiresAt = new double[seats];
-        grantsFrom = now + lease;
+        grantsAllowedFrom = now + lease;
     }
 
     /**
@@ -46,9 +47,9 @@
      * @param holderName unique to one run of a front end
      */
     public Grant handleRequest(String holderName, long round, BitSet wanted, BitSet released, double now) {
-        rounds.values().removeIf(last -> now - last.receivedAt > 2 * lease);
-        Round last = rounds.get(holderName);
-        if (last != null && last.number >= round) {
+        rounds.values().removeIf(known -> now - known.receivedAt > 2 * lease);
+        Round latest = rounds.get(holderName);
+        if (latest != null && latest.number >= round) {
             return null;
         }
         rounds.put(holderName, new Round(round, now));
@@ -61,7 +62,7 @@
         BitSet available = new BitSet(holders.length);
         for (int i = 0; i < holders.length; i++) {
             boolean unheld = holders[i] == null || now >= expiresAt[i];
-            if (now < grantsFrom) {
+            if (now < grantsAllowedFrom) {
                 continue;
             }
             if (wanted.get(i) && (unheld || holders[i].equals(holderName))) {
@@ -75,7 +76,7 @@
         return new Grant(granted, available);
     }
 
-    /** The holder of each seat at that time, empty for none; for monitoring. */
+    /** The holder of each seat at that time, by seat; an empty string for none. For monitoring. */
     public List<String> currentHolders(double now) {
         List<String> all = new ArrayList<>();
         for (int i = 0; i < holders.length; i++) {
--- a/membership/src/main/java/gradereach/membership/SeatHolder.java
+++ b/membership/src/main/java/gradereach/membership/SeatHolder.java
@@ -7,19 +7,19 @@
 import java.util.Random;
 
 /**
- * The seats that one front end holds. Shared budgets are divided into a fixed number of seats; see {@link SeatGrantor}. A seat is held
- * once a majority of the grantors has granted it. Its lease is counted from when the request was <em>sent</em>, and shortened by the
- * possible clock drift, so that no grantor's lease on it ends sooner. Two holders of one seat would need two majorities, which share a
- * grantor, and a grantor never grants a seat to two holders at once.
+ * The seats that one front end holds. Shared budgets are divided into a fixed number of seats; see {@link SeatGrantor}. A seat is
+ * held once a majority of the grantors has granted it. Its lease is counted from when the request was <em>sent</em>, and
+ * shortened by the possible clock drift, so that no grantor's lease on it ends sooner. Two holders of one seat would need two
+ * majorities, which share a grantor, and a grantor never grants a seat to two holders at once.
  *
- * The number of seats follows the front end's share of the traffic slowly: it grows by a few seats at a time, only by seats that a
- * majority reports as available, and seats beyond the share are released. A new front end has no seats until some become available,
- * and makes do with the minimum share meanwhile.
+ * The number of seats follows the front end's share of the traffic slowly. It grows by a few seats at a time, and only by seats
+ * that a majority reports as available; seats beyond the share are released. A new front end has no seats until some become
+ * available.
  *
- * A state machine without I/O: times come in, requests go out. Each round sends one request to all grantors.
+ * A state machine without I/O and clock. Each round sends one request to all grantors.
  */
 public final class SeatHolder {
-    /** Largest relative difference in the rate of two clocks: ten times that of quartz clocks and virtual machines. */
+    /** Largest relative difference in the rate of two clocks: ten times what quartz clocks and virtual machines have. */
     public static final double MAX_CLOCK_DRIFT = 0.01;
 
     /**
@@ -31,8 +31,8 @@
     public record Request(long round, BitSet wanted, BitSet released) { }
 
     private final String name;
-    private final int seats;
-    private final int grantors;
+    private final int seatCount;
+    private final int grantorCount;
     private final double lease;
     private final Random random;
     private final double[] heldUntil;
@@ -42,7 +42,7 @@
     private BitSet wanted = new BitSet();
     private final int[] grantCounts;
     private final int[] availableCounts;
-    private final Map<Integer, Boolean> answered = new HashMap<>();
+    private final Map<Integer, Boolean> answeredGrantors = new HashMap<>();
     private BitSet available = new BitSet();
 
     /** A name that is unique to this run of a front end. It is random, since two runs may start at the same clock reading. */
@@ -52,18 +52,20 @@
 
     /**
      * @param name a {@link #uniqueName}
+     * @param seatCount number of seats into which shared budgets are divided
+     * @param grantorCount number of grantors
      * @param lease the grantors' lease, milliseconds
      */
-    public SeatHolder(String name, int seats, int grantors, double lease, Random random) {
+    public SeatHolder(String name, int seatCount, int grantorCount, double lease, Random random) {
         this.name = name;
-        this.seats = seats;
-        this.grantors = grantors;
+        this.seatCount = seatCount;
+        this.grantorCount = grantorCount;
         this.lease = lease;
         this.random = random;
-        heldUntil = new double[seats];
-        grantCounts = new int[seats];
-        availableCounts = new int[seats];
-        released = new BitSet(seats);
+        heldUntil = new double[seatCount];
+        grantCounts = new int[seatCount];
+        availableCounts = new int[seatCount];
+        released = new BitSet(seatCount);
     }
 
     /** The name by which grantors know this holder. */
@@ -82,40 +84,40 @@
      * @param share this front end's share of all traffic, 0 to 1
      */
     public Request startRound(double share, double now) {
-        int target = Math.max(1, (int) Math.floor(share * seats));
+        int targetCount = Math.max(1, (int) Math.floor(share * seatCount));
         BitSet held = heldSeats(now);
-        BitSet next = (BitSet) held.clone();
+        BitSet nextWanted = (BitSet) held.clone();
         released.clear();
         // Seats are released only above a tenth more than the share, so that they do not move back and forth.
-        for (int excess = held.cardinality() - (int) Math.ceil(target * 1.1); excess > 0; excess--) {
-            int seat = next.length() - 1;
-            next.clear(seat);
+        for (int excess = held.cardinality() - (int) Math.ceil(targetCount * 1.1); excess > 0; excess--) {
+            int seat = nextWanted.length() - 1;
+            nextWanted.clear(seat);
             released.set(seat);
             heldUntil[seat] = Double.NEGATIVE_INFINITY;
         }
-        int missing = target - next.cardinality();
+        int missing = targetCount - nextWanted.cardinality();
         // A quarter of the missing seats at a time: of many front ends that grow at once, none takes all.
         int additional = missing <= 0 ? 0 : Math.max(1, (missing + 3) / 4);
         BitSet candidates = (BitSet) available.clone();
-        candidates.andNot(next);
+        candidates.andNot(nextWanted);
         candidates.andNot(released);
         if (round == 0) {
             additional = 0; // the first round only asks which seats are available
         }
         for (; additional > 0 && !candidates.isEmpty(); additional--) {
-            int seat = candidates.nextSetBit(random.nextInt(seats));
+            int seat = candidates.nextSetBit(random.nextInt(seatCount));
             seat = seat < 0 ? candidates.nextSetBit(0) : seat;
             candidates.clear(seat);
-            next.set(seat);
+            nextWanted.set(seat);
         }
         round++;
         sentAt = now;
-        wanted = next;
+        wanted = nextWanted;
         java.util.Arrays.fill(grantCounts, 0);
         java.util.Arrays.fill(availableCounts, 0);
-        answered.clear();
+        answeredGrantors.clear();
         available = new BitSet();
-        return new Request(round, (BitSet) next.clone(), (BitSet) released.clone());
+        return new Request(round, (BitSet) nextWanted.clone(), (BitSet) released.clone());
     }
 
     /**
@@ -125,16 +127,16 @@
      * @param requestRound the round that it answers
      */
     public void handleGrant(int grantor, long requestRound, SeatGrantor.Grant grant) {
-        if (requestRound != round || answered.put(grantor, true) != null) {
+        if (requestRound != round || answeredGrantors.put(grantor, true) != null) {
             return;
         }
-        for (int i = 0; i < seats; i++) {
+        for (int i = 0; i < seatCount; i++) {
             grantCounts[i] += grant.granted().get(i) ? 1 : 0;
             availableCounts[i] += grant.available().get(i) ? 1 : 0;
-            if (wanted.get(i) && grantCounts[i] > grantors / 2) {
+            if (wanted.get(i) && grantCounts[i] > grantorCount / 2) {
                 heldUntil[i] = Math.max(heldUntil[i], sentAt + lease * (1 - MAX_CLOCK_DRIFT));
             }
-            if (availableCounts[i] > grantors / 2) {
+            if (availableCounts[i] > grantorCount / 2) {
                 available.set(i);
             }
         }
@@ -142,8 +144,8 @@
 
     /** The seats that are held at that time. */
     public BitSet heldSeats(double now) {
-        BitSet held = new BitSet(seats);
-        for (int i = 0; i < seats; i++) {
+        BitSet held = new BitSet(seatCount);
+        for (int i = 0; i < seatCount; i++) {
             held.set(i, now < heldUntil[i]);
         }
         return held;
@@ -160,6 +162,6 @@
 
     /** The fraction of the shared budgets that may be spent at that time, 0 to 1. */
     public double share(double now) {
-        return heldSeats(now).cardinality() / (double) seats;
+        return heldSeats(now).cardinality() / (double) seatCount;
     }
 }
--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -16,25 +16,25 @@
 import java.util.Random;
 
 /**
- * One member of a SWIM group (Das, Gupta, Motivala: "SWIM", 2002) with suspicion, and with Lifeguard's local health, which slows down
- * a member that is slow itself (Dadgar, Phillips, Currey: "Lifeguard", 2017). A state machine: messages and time come in, messages go
- * out; no I/O, no clock and no thread; the same events give the same actions.
+ * One member of a SWIM group (Das, Gupta, Motivala: "SWIM", 2002) with suspicion, and with Lifeguard's local health, which slows
+ * down a member that is slow itself (Dadgar, Phillips, Currey: "Lifeguard", 2017). A state machine without I/O, clock and
+ * threads: messages and times come in, messages go out, and the same events give the same actions.
  *
- * In every period one member is pinged, in an order that is shuffled for each round. Without an ack, {@code indirectPings} other
- * members ping it on our behalf. Without an ack by them it becomes suspect, and dead if it does not refute that within a time that
- * grows with the logarithm of the members. Member updates are piggybacked on these messages. From time to time two members exchange
- * their full lists, which repairs lost updates.
+ * In every period one member is pinged, in an order that is shuffled for each round. If its ack is missing, {@code indirectPings}
+ * other members ping it on our behalf. If their acks are missing too, it becomes suspect, and dead if it does not refute that
+ * within a time that grows with the logarithm of the number of members. Member updates are piggybacked on these messages. From
+ * time to time two members exchange their full lists, which repairs lost updates.
  */
 public final class Swim {
     /**
      * Timing of the protocol; times in milliseconds.
      *
-     * @param pingPeriod between two pings
-     * @param ackTimeout for a direct ack, above nearly all round-trip times
+     * @param pingPeriod time between two pings
+     * @param ackTimeout time to wait for a direct ack, above nearly all round-trip times
      * @param indirectPings members that are asked for an indirect ping
      * @param suspicionMultiplier ping periods, times log10 of the members plus one, in which a suspect can refute the suspicion
      * @param syncPeriod mean time between two full exchanges
-     * @param deadRetention for which dead members are remembered, longer than any message may be delayed
+     * @param deadRetention time for which dead members are remembered, longer than any message may be delayed
      */
     public record Timing(double pingPeriod, double ackTimeout, int indirectPings, double suspicionMultiplier, double syncPeriod,
             double deadRetention) {
@@ -55,6 +55,15 @@
     private static final int MAX_UPDATES_PER_MESSAGE = 12;
     /** Maximum of Lifeguard's local health score, which bounds how much timeouts are extended. */
     private static final int MAX_HEALTH_SCORE = 8;
+    /** Ping periods without a tick after which this process counts as having stalled. */
+    private static final int STALL_PING_PERIODS = 3;
+    private static final int STALL_HEALTH_PENALTY = 2;
+    /** Expiry of a ping in ack timeouts: one for the direct ack, and the rest for indirect ones. */
+    private static final double PING_EXPIRY_ACK_TIMEOUTS = 2.5;
+    /** Failed pings of our own after which a suspect member has only the minimum time for refuting. */
+    private static final int MAX_CONFIRMATIONS = 3;
+    /** The time for refuting without confirmations, in multiples of the minimum. */
+    private static final int MAX_SUSPICION_FACTOR = 6;
 
     /** What is known of another member. */
     private static final class Peer {
@@ -162,9 +171,9 @@
         return nextAt;
     }
 
-    /** Performs whatever is due. */
+    /** Does what is due: sends pings and full lists, and handles missing acks and expired suspicions. */
     public void tick(double now) {
-        boolean stalled = !Double.isNaN(lastTickAt) && now - lastTickAt > timing.pingPeriod * 3;
+        boolean stalled = !Double.isNaN(lastTickAt) && now - lastTickAt > timing.pingPeriod * STALL_PING_PERIODS;
         lastTickAt = now;
         if (left) {
             return;
@@ -199,7 +208,7 @@
     private void handleStall(double now) {
         pendingPings.clear();
         pingsByExpiry.clear();
-        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 2);
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + STALL_HEALTH_PENALTY);
         for (Peer peer : peers.values()) {
             if (peer.member.state() == State.SUSPECT) {
                 peer.deadline = now + suspicionTimeout(peer.confirmations);
@@ -225,7 +234,7 @@
         }
         double timeout = timing.ackTimeout * (1 + healthScore);
         PendingPing ping = new PendingPing(++lastSequenceNumber, target.member, now + timeout,
-                now + Math.max(timeout * 2.5, timing.pingPeriod), null, 0);
+                now + Math.max(timeout * PING_EXPIRY_ACK_TIMEOUTS, timing.pingPeriod), null, 0);
         pendingPings.put(ping.sequenceNumber, ping);
         pingsByExpiry.add(ping);
         // A suspect member is told so with the ping, so that it can refute the suspicion.
@@ -243,8 +252,8 @@
         });
         Collections.shuffle(others, random);
         for (Peer helper : others.subList(0, Math.min(timing.indirectPings, others.size()))) {
-            environment.send(helper.member.address(), new PingRequest(self.name(), self.address(), ping.sequenceNumber, ping.target.name(),
-                    ping.target.address(), nextGossip(null)));
+            environment.send(helper.member.address(), new PingRequest(self.name(), self.address(), ping.sequenceNumber,
+                    ping.target.name(), ping.target.address(), nextGossip(null)));
         }
     }
 
@@ -261,7 +270,7 @@
         Peer peer = peers.get(ping.target.name());
         if (peer != null && peer.member.state() == State.SUSPECT) {
             // Only pings of our own count as confirmations: updates of others may all repeat one observation.
-            peer.confirmations = Math.min(3, peer.confirmations + 1);
+            peer.confirmations = Math.min(MAX_CONFIRMATIONS, peer.confirmations + 1);
             peer.deadline = Math.min(peer.deadline, peer.suspectedAt + suspicionTimeout(peer.confirmations));
         } else if (peer != null && peer.member.state() == State.ALIVE && peer.member.incarnation() == ping.target.incarnation()) {
             applyUpdate(new Member(peer.member.name(), peer.member.address(), peer.member.incarnation(), State.SUSPECT), now);
@@ -271,8 +280,9 @@
     /** How long a suspect member can refute the suspicion after that many confirmations. */
     private double suspicionTimeout(int confirmations) {
         double minimum = timing.suspicionMultiplier * timing.pingPeriod * Math.max(1, Math.log10(presentPeers + 1));
-        // Six times as long at first, and shorter with each failed ping of our own (after Lifeguard's "LHA-Suspicion").
-        double factor = 6 - 5 * Math.log(confirmations + 1) / Math.log(4);
+        // Longest at first, and shorter with each failed ping of our own (after Lifeguard's "LHA-Suspicion").
+        double factor = MAX_SUSPICION_FACTOR
+                - (MAX_SUSPICION_FACTOR - 1) * Math.log(confirmations + 1) / Math.log(MAX_CONFIRMATIONS + 1);
         return minimum * Math.max(1, factor) * (1 + healthScore / 2.0);
     }
 
@@ -299,7 +309,7 @@
         }
         boolean mustRefute = false;
         for (Member update : message.gossip()) {
-            // Also if it was refuted before: the refutation did not reach the sender.
+            // Refuted also if this member has done so before, since that refutation did not reach the sender.
             mustRefute |= update.name().equals(self.name()) && update.state() != State.ALIVE;
             applyUpdate(update, now);
         }
--- a/membership/src/test/java/gradereach/membership/SeatLeaseTest.java
+++ b/membership/src/test/java/gradereach/membership/SeatLeaseTest.java
@@ -18,21 +18,21 @@
 /** Seat holders and grantors over a network that loses, delays and duplicates, with clock drift, pauses and restarts. */
 class SeatLeaseTest {
     private static final int SEATS = 60;
-    private static final double LEASE = 3000;
+    private static final double LEASE_MILLIS = 3000;
 
     /** A bug that is injected to show that the test detects it. */
     enum Bug {
         NONE, LEASE_COUNTED_FROM_THE_GRANT, GRANTS_AT_ONCE_AFTER_A_START, ONE_GRANTOR_IS_ENOUGH, SPENDS_RELEASED_SEATS, ACCEPTS_LATE_ROUNDS
     }
 
-    /** An event of the simulation; events at the same time happen in the order in which they were added. */
-    private record Event(double at, long order, Runnable action) { }
+    /** An event of the simulation; events that are due at the same time happen in the order in which they were added. */
+    private record Event(double dueAt, long order, Runnable action) { }
 
     /** A simulation in virtual time; every process has a clock with its own rate and origin. */
     private static final class Simulation {
         final Random random;
         final Bug bug;
-        final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at)
+        final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.dueAt != b.dueAt ? Double.compare(a.dueAt, b.dueAt)
                 : Long.compare(a.order, b.order));
         final int frontEnds;
         final SeatGrantor[] grantors;
@@ -70,32 +70,33 @@
             }
         }
 
-        double clock(int i) {
-            return clockOrigins[i] + now * clockRates[i];
+        double clock(int frontEnd) {
+            return clockOrigins[frontEnd] + now * clockRates[frontEnd];
         }
 
-        void at(double when, Runnable action) {
-            events.add(new Event(when, order++, action));
+        void schedule(double dueAt, Runnable action) {
+            events.add(new Event(dueAt, order++, action));
         }
 
-        void start(int i) {
-            runs[i]++;
+        void start(int frontEnd) {
+            runs[frontEnd]++;
             boolean grantsAtOnce = bug == Bug.GRANTS_AT_ONCE_AFTER_A_START;
-            grantors[i] = new SeatGrantor(SEATS, LEASE, grantsAtOnce ? clock(i) - LEASE : clock(i));
-            holders[i] = new SeatHolder("fe-" + i + "." + runs[i], SEATS, bug == Bug.ONE_GRANTOR_IS_ENOUGH ? 1 : frontEnds, LEASE,
-                    new Random(random.nextLong()));
-            releasedSeats[i] = new BitSet();
-            int runNumber = runs[i];
-            at(now + random.nextDouble() * 500, () -> sendRound(i, runNumber));
+            grantors[frontEnd] = new SeatGrantor(SEATS, LEASE_MILLIS,
+                    grantsAtOnce ? clock(frontEnd) - LEASE_MILLIS : clock(frontEnd));
+            holders[frontEnd] = new SeatHolder("fe-" + frontEnd + "." + runs[frontEnd], SEATS,
+                    bug == Bug.ONE_GRANTOR_IS_ENOUGH ? 1 : frontEnds, LEASE_MILLIS, new Random(random.nextLong()));
+            releasedSeats[frontEnd] = new BitSet();
+            int runNumber = runs[frontEnd];
+            schedule(now + random.nextDouble() * 500, () -> sendRound(frontEnd, runNumber));
         }
 
         /** Runs an event at a process; a paused process handles it when it resumes. */
-        void deliver(int i, int runNumber, Runnable action) {
-            if (runs[i] != runNumber) {
+        void deliver(int frontEnd, int runNumber, Runnable action) {
+            if (runs[frontEnd] != runNumber) {
                 return;
             }
-            if (now < pausedUntil[i]) {
-                at(pausedUntil[i], () -> deliver(i, runNumber, action));
+            if (now < pausedUntil[frontEnd]) {
+                schedule(pausedUntil[frontEnd], () -> deliver(frontEnd, runNumber, action));
             } else {
                 action.run();
             }
@@ -106,61 +107,62 @@
                 if (random.nextInt(12) > 0) {
                     int runNumber = runs[to];
                     double delay = now < delayedUntil[from] ? 2100 + random.nextInt(1500) : 0; // everything that this process sends
-                    at(now + Math.exp(random.nextGaussian()) * 5 + delay + (random.nextInt(50) == 0 ? random.nextInt(4000) : 0),
+                    schedule(now + Math.exp(random.nextGaussian()) * 5 + delay + (random.nextInt(50) == 0 ? random.nextInt(4000) : 0),
                             () -> deliver(to, runNumber, action));
                 }
             }
         }
 
         /** Sends the requests of one round and schedules the next one. */
-        void sendRound(int i, int runNumber) {
-            deliver(i, runNumber, () -> {
-                SeatHolder.Request request = holders[i].startRound(trafficWeights[i] / java.util.Arrays.stream(trafficWeights).sum(),
-                        clock(i));
-                releasedSeats[i].or(request.released());
-                String name = holders[i].name();
+        void sendRound(int frontEnd, int runNumber) {
+            deliver(frontEnd, runNumber, () -> {
+                SeatHolder.Request request = holders[frontEnd].startRound(
+                        trafficWeights[frontEnd] / java.util.Arrays.stream(trafficWeights).sum(), clock(frontEnd));
+                releasedSeats[frontEnd].or(request.released());
+                String name = holders[frontEnd].name();
                 for (int target = 0; target < frontEnds; target++) {
                     int grantor = target;
-                    send(i, target, () -> {
+                    send(frontEnd, target, () -> {
                         long number = bug == Bug.ACCEPTS_LATE_ROUNDS ? order : request.round();
                         SeatGrantor.Grant grant = grantors[grantor].handleRequest(name, number, request.wanted(), request.released(),
                                 clock(grantor));
                         if (grant == null) {
                             return;
                         }
-                        send(grantor, i, () -> {
-                            if (runs[i] == runNumber) {
-                                double receivedAt = bug == Bug.LEASE_COUNTED_FROM_THE_GRANT ? clock(i) : Double.NaN;
-                                holders[i].handleGrant(grantor, request.round(), grant);
+                        send(grantor, frontEnd, () -> {
+                            if (runs[frontEnd] == runNumber) {
+                                double receivedAt = bug == Bug.LEASE_COUNTED_FROM_THE_GRANT ? clock(frontEnd) : Double.NaN;
+                                holders[frontEnd].handleGrant(grantor, request.round(), grant);
                                 if (!Double.isNaN(receivedAt)) {
-                                    extendLease(i, receivedAt);
+                                    extendLease(frontEnd, receivedAt);
                                 }
                             }
                         });
                     });
                 }
-                at(now + LEASE / 3 / clockRates[i], () -> sendRound(i, runNumber));
+                schedule(now + LEASE_MILLIS / 3 / clockRates[frontEnd], () -> sendRound(frontEnd, runNumber));
             });
         }
 
         private final java.util.Map<Integer, Double> extendedUntil = new java.util.HashMap<>();
 
-        private void extendLease(int i, double from) {
-            extendedUntil.put(i, from + LEASE);
+        private void extendLease(int frontEnd, double receivedAt) {
+            extendedUntil.put(frontEnd, receivedAt + LEASE_MILLIS);
         }
 
         /** The seats that a front end may spend; more than it holds where a bug is injected. */
-        BitSet held(int i) {
-            BitSet held = holders[i].heldSeats(clock(i));
-            if (bug == Bug.LEASE_COUNTED_FROM_THE_GRANT && clock(i) < extendedUntil.getOrDefault(i, 0.0)) {
-                held.or(heldBefore[i]);
+        BitSet held(int frontEnd) {
+            BitSet held = holders[frontEnd].heldSeats(clock(frontEnd));
+            if (bug == Bug.LEASE_COUNTED_FROM_THE_GRANT && clock(frontEnd) < extendedUntil.getOrDefault(frontEnd, 0.0)) {
+                held.or(heldBefore[frontEnd]);
             }
             if (bug == Bug.SPENDS_RELEASED_SEATS) {
-                held.or(releasedSeats[i]);
+                held.or(releasedSeats[frontEnd]);
             }
             return held;
         }
 
+        /** The seats that each front end held at the last check; longer than the number of front ends. */
         final BitSet[] heldBefore = new BitSet[100];
 
         /** Checks the invariant after every event: no seat is held by two front ends. */
@@ -184,7 +186,7 @@
                     int affected = random.nextInt(frontEnds);
                     int fault = random.nextInt(6);
                     double pauseLength = random.nextInt(6000);
-                    at(time, () -> {
+                    schedule(time, () -> {
                         if (fault == 0) {
                             start(affected);
                         } else if (fault == 1) {
@@ -192,7 +194,7 @@
                         } else if (fault <= 3) {
                             delayedUntil[affected] = now + 600;
                             trafficWeights[affected] = 0.2 + 3 * random.nextDouble();
-                            at(now + 1100, () -> trafficWeights[affected] = 0.2 + 3 * random.nextDouble());
+                            schedule(now + 1100, () -> trafficWeights[affected] = 0.2 + 3 * random.nextDouble());
                         } else {
                             pausedUntil[affected] = now + pauseLength;
                         }
@@ -200,9 +202,9 @@
                 }
             }
             int checks = 0;
-            while (!events.isEmpty() && events.peek().at < until) {
+            while (!events.isEmpty() && events.peek().dueAt < until) {
                 Event next = events.poll();
-                now = Math.max(now, next.at);
+                now = Math.max(now, next.dueAt);
                 next.action.run();
                 checkInvariant();
                 checks++;
@@ -211,6 +213,10 @@
         }
     }
 
+    /**
+     * Seats must never be spent twice through lost, late or repeated messages, restarts, pauses and clock drift. That the
+     * simulation would show it is checked by bugs that are injected: one of the seeds must detect each.
+     */
     @ParameterizedTest
     @EnumSource(Bug.class)
     void noSeatIsHeldByTwo(Bug bug) {
--- a/membership/src/test/java/gradereach/membership/SwimTest.java
+++ b/membership/src/test/java/gradereach/membership/SwimTest.java
@@ -19,13 +19,13 @@
 class SwimTest {
     private static final Swim.Timing TIMING = new Swim.Timing(500, 200, 3, 4, 15_000, 120_000);
 
-    /** An event of the simulation; events at the same time happen in the order in which they were added. */
-    private record Event(double at, long order, Runnable action) { }
+    /** An event of the simulation; events that are due at the same time happen in the order in which they were added. */
+    private record Event(double dueAt, long order, Runnable action) { }
 
     /** The simulated network with its members. */
     private static final class Network {
         final Random random;
-        final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at)
+        final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.dueAt != b.dueAt ? Double.compare(a.dueAt, b.dueAt)
                 : Long.compare(a.order, b.order));
         final Map<String, Swim> running = new HashMap<>();
         final Map<String, Double> pausedUntil = new HashMap<>();
@@ -43,8 +43,8 @@
             random = new Random(seed);
         }
 
-        void at(double when, Runnable action) {
-            events.add(new Event(when, order++, action));
+        void schedule(double dueAt, Runnable action) {
+            events.add(new Event(dueAt, order++, action));
         }
 
         void start(String name, long incarnation) {
@@ -77,7 +77,7 @@
         /** Repeats the join until a member has replied, as Membership does. */
         private void join(Swim swim, List<String> seeds) {
             swim.join(seeds);
-            at(now + 2000, () -> {
+            schedule(now + 2000, () -> {
                 if (swim.presentCount() == 1 && running.get(swim.self().name()) == swim) {
                     join(swim, seeds);
                 }
@@ -85,12 +85,12 @@
         }
 
         void scheduleTick(String name, Swim swim) {
-            at(Math.max(now + 1, Math.min(swim.nextTickAt(), now + 1000)), () -> {
+            schedule(Math.max(now + 1, Math.min(swim.nextTickAt(), now + 1000)), () -> {
                 if (running.get(name) != swim) {
                     return;
                 }
                 if (now < pausedUntil.getOrDefault(name, 0.0)) {
-                    at(pausedUntil.get(name), () -> scheduleTick(name, swim));
+                    schedule(pausedUntil.get(name), () -> scheduleTick(name, swim));
                     return;
                 }
                 swim.tick(now);
@@ -106,7 +106,7 @@
                 if (partitioned || random.nextDouble() < loss) {
                     continue;
                 }
-                at(now + 0.5 + random.nextDouble() * 3 + (random.nextInt(200) == 0 ? 100 : 0), () -> deliver(to, message));
+                schedule(now + 0.5 + random.nextDouble() * 3 + (random.nextInt(200) == 0 ? 100 : 0), () -> deliver(to, message));
             }
         }
 
@@ -116,16 +116,16 @@
                 return;
             }
             if (now < pausedUntil.getOrDefault(to, 0.0)) {
-                at(pausedUntil.get(to), () -> deliver(to, message));
+                schedule(pausedUntil.get(to), () -> deliver(to, message));
                 return;
             }
             receiver.handleMessage(message, now);
         }
 
         void run(double until) {
-            while (!events.isEmpty() && events.peek().at <= until) {
+            while (!events.isEmpty() && events.peek().dueAt <= until) {
                 Event next = events.poll();
-                now = Math.max(now, next.at);
+                now = Math.max(now, next.dueAt);
                 next.action.run();
             }
             now = until;
@@ -139,11 +139,12 @@
         void startMembers(int count) {
             for (int i = 0; i < count; i++) {
                 String name = String.format("fe-%04d", i);
-                at(i * 2.0, () -> start(name, 1));
+                schedule(i * 2.0, () -> start(name, 1));
             }
         }
     }
 
+    /** Number of members, and the fraction of messages that is lost. */
     @ParameterizedTest
     @CsvSource({"3, 0", "10, 0", "100, 0", "30, 0.1", "300, 0.1"})
     void membersFindEachOtherAndDetectADeadOne(int count, double loss) {
@@ -166,7 +167,7 @@
         network.startMembers(40);
         for (int i = 0; i < 20; i++) {
             String name = String.format("fe-%04d", network.random.nextInt(40));
-            network.at(10_000 + i * 4000, () -> network.pausedUntil.put(name, network.now + 1500));
+            network.schedule(10_000 + i * 4000, () -> network.pausedUntil.put(name, network.now + 1500));
         }
         network.run(150_000);
         assertEquals(0, network.falseDeathReports, "of " + network.deathReports);
@@ -201,8 +202,8 @@
         network.run(20_000);
         for (int i = 0; i < 45; i++) {
             String name = String.format("fe-%04d", i);
-            network.at(20_000 + i * 1000, () -> network.running.remove(name));
-            network.at(20_600 + i * 1000, () -> network.start(name, 2));
+            network.schedule(20_000 + i * 1000, () -> network.running.remove(name));
+            network.schedule(20_600 + i * 1000, () -> network.start(name, 2));
         }
         network.run(120_000);
         assertEquals(50, network.membersCounting(50));
@@ -233,14 +234,14 @@
     @Test
     void messageRateOfAMemberIsConstant() {
         double[] rates = new double[2];
-        for (int n = 0; n < 2; n++) {
-            int count = n == 0 ? 20 : 200;
+        for (int run = 0; run < 2; run++) {
+            int count = run == 0 ? 20 : 200;
             Network network = new Network(3);
             network.startMembers(count);
             network.run(30_000);
             long messagesBefore = network.messages;
             network.run(60_000);
-            rates[n] = (network.messages - messagesBefore) / 30.0 / count;
+            rates[run] = (network.messages - messagesBefore) / 30.0 / count;
         }
         assertTrue(rates[1] < rates[0] * 1.2, rates[0] + " and " + rates[1] + " messages per member and second");
     }
