--- a/gateway/src/main/java/gradereach/claims/PeerClaims.java
+++ b/gateway/src/main/java/gradereach/claims/PeerClaims.java
@@ -78,11 +78,11 @@
     private final Consumer<Consumer<InferenceCoordinator>> decisionThread;
     private final Map<String, Http2ConnectionPool> peerPools = new HashMap<>();
     private final Map<String, Http2ConnectionPool> clientPools = new HashMap<>();
-    private final LongAdder won;
-    private final LongAdder heldByOthers;
-    private final LongAdder unknown;
-    private final LongAdder granted;
-    private final LongAdder refused;
+    private final LongAdder claimsWon;
+    private final LongAdder claimsHeldByOthers;
+    private final LongAdder claimsUnknown;
+    private final LongAdder claimsGranted;
+    private final LongAdder claimsRefused;
     private final LongAdder relayedMessages;
     private final Counts.Limit storedClaims;
     private ClaimCoordinator coordinator;
@@ -117,11 +117,11 @@
                         new Http2ConnectionPool(peer.clientAddress, loops.next(), channelType, POOL_LIMITS, metrics, clock));
             }
         }
-        won = counts.counter("claims_won");
-        heldByOthers = counts.counter("claims_of_others");
-        unknown = counts.counter("claims_unknown");
-        granted = counts.counter("claims_granted");
-        refused = counts.counter("claims_refused");
+        claimsWon = counts.counter("claims_won");
+        claimsHeldByOthers = counts.counter("claims_of_others");
+        claimsUnknown = counts.counter("claims_unknown");
+        claimsGranted = counts.counter("claims_granted");
+        claimsRefused = counts.counter("claims_refused");
         relayedMessages = counts.counter("messages_handed_on");
         storedClaims = counts.limit("claims_kept", Long.MAX_VALUE);
     }
@@ -170,8 +170,8 @@
     }
 
     private void reportResult(Round round, ClaimCallback callback) {
-        (round.result().status() == ClaimStatus.GRANTED ? won
-                : round.result().status() == ClaimStatus.HELD_BY_OTHER ? heldByOthers : unknown).increment();
+        (round.result().status() == ClaimStatus.GRANTED ? claimsWon
+                : round.result().status() == ClaimStatus.HELD_BY_OTHER ? claimsHeldByOthers : claimsUnknown).increment();
         callback.onResult(round.result());
     }
 
@@ -190,7 +190,7 @@
             if (request.replica().equals(ownName)) {
                 handleAsReplica(request.isRelease(), request.message(), new Claimant(claimant, ledger.position()),
                         request.round(), reply -> decisionThread.accept(
-                                inferences -> handleReply(round, callback, ownName, reply.granted(), reply.holder())));
+                                inferenceCoordinator -> handleReply(round, callback, ownName, reply.granted(), reply.holder())));
                 continue;
             }
             ObjectNode body = JSON.createObjectNode().put("claimant", claimant).put("release", request.isRelease())
@@ -204,7 +204,8 @@
                 }
                 boolean replicaGranted = result == ExchangeResult.ANSWERED && status == 200;
                 String holder = result == ExchangeResult.ANSWERED && status == 409 ? holder(replyBody) : null;
-                decisionThread.accept(inferences -> handleReply(round, callback, request.replica(), replicaGranted, holder));
+                decisionThread.accept(
+                        inferenceCoordinator -> handleReply(round, callback, request.replica(), replicaGranted, holder));
             });
         }
     }
@@ -271,7 +272,7 @@
 
     /** Handles a peer's query for the last known position of its ledger; {@code reply} gets the body. Called from any thread. */
     void handlePositionQuery(JsonNode request, Consumer<String> reply) {
-        decisionThread.accept(inferences -> {
+        decisionThread.accept(inferenceCoordinator -> {
             long position = claimTable.lastKnownPosition(request.path("claimant").asText());
             reply.accept("{\"" + POSITION + "\":" + position + "}");
         });
@@ -284,7 +285,7 @@
             hasCommonSet |= frontEndSetDigests.contains(digest.asLong());
         }
         if (!hasCommonSet) {
-            refused.increment();
+            claimsRefused.increment();
             reply.accept(412, "{\"refused\":\"another list of front ends\"}");
             return;
         }
@@ -292,7 +293,7 @@
                 request.path("digest_high").asLong(), request.path("digest_low").asLong(),
                 request.path(SIGNED_AT).asLong(MessageIdentity.SIGNED_AT_UNKNOWN));
         Claimant requester = new Claimant(request.path("claimant").asText(), request.path(POSITION).asLong(LedgerPosition.UNKNOWN));
-        decisionThread.accept(inferences -> handleAsReplica(request.path("release").asBoolean(), message, requester,
+        decisionThread.accept(inferenceCoordinator -> handleAsReplica(request.path("release").asBoolean(), message, requester,
                 request.path("round").asLong(), claimReply -> {
                     if (claimReply.granted()) {
                         reply.accept(200, "{}");
@@ -324,7 +325,7 @@
         ClaimReply claimReply = claimTable.claim(message, requester.name, round, now, latestSignedAt);
         storedClaims.setInUse(claimTable.size());
         if (!claimReply.granted()) {
-            refused.increment();
+            claimsRefused.increment();
             reply.accept(claimReply);
             return;
         }
@@ -333,10 +334,10 @@
                 message.digestHigh(), message.digestLow(), requester.name, message.withDefaultSignedAt(latestSignedAt).signedAt(),
                 requester.position), durable -> {
                     if (durable) {
-                        granted.increment();
+                        claimsGranted.increment();
                         reply.accept(claimReply);
                     } else {
-                        refused.increment();
+                        claimsRefused.increment();
                         reply.accept(new ClaimReply(false, null, false));
                     }
                 });
@@ -369,7 +370,7 @@
                     ? new FinalAnswer(status == 200 ? FinalAnswer.Kind.RETURNED : status == 503
                             ? FinalAnswer.Kind.SHED : FinalAnswer.Kind.FAILED, status, body, retryAfterMillis(headers), true)
                     : FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true);
-            decisionThread.accept(inferences -> message.observer().onFinalAnswer(answer));
+            decisionThread.accept(inferenceCoordinator -> message.observer().onFinalAnswer(answer));
         }, "content-type", "application/json", "webhook-id", message.id(), "webhook-timestamp",
                 Long.toString(message.signedAt()), "webhook-signature", signedBody.signature());
         double timeout = message.model().group().routeTimeout();
--- a/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
+++ b/gateway/src/main/java/gradereach/ledger/CompactionPlanner.java
@@ -31,9 +31,9 @@
     private final double retention;
     private final int maxOpenMessages;
     private final Map<Key, OpenMessage> openMessages = new LinkedHashMap<>();
-    private final TreeMap<Long, Double> latestTimestamps = new TreeMap<>();
-    private final Map<Long, Long> latestSignedAt = new HashMap<>();
-    private final Map<Long, Long> latestClaimSignedAt = new HashMap<>();
+    private final TreeMap<Long, Double> latestTimestampBySegment = new TreeMap<>();
+    private final Map<Long, Long> latestSignedAtBySegment = new HashMap<>();
+    private final Map<Long, Long> latestClaimSignedAtBySegment = new HashMap<>();
     private long discardedOpenMessageCount;
 
     /**
@@ -47,12 +47,12 @@
 
     /** Called when a record has been written to a segment. */
     public void onRecordWritten(LedgerRecord record, long segment) {
-        latestTimestamps.merge(segment, record.timestamp(), Math::max);
+        latestTimestampBySegment.merge(segment, record.timestamp(), Math::max);
         if (record instanceof LedgerRecord.ForwardIntended intended) {
-            latestSignedAt.merge(segment, intended.signedAt(), Math::max);
+            latestSignedAtBySegment.merge(segment, intended.signedAt(), Math::max);
         }
         if (record instanceof LedgerRecord.ClaimGranted claimed) {
-            latestClaimSignedAt.merge(segment, claimed.signedAt(), Math::max);
+            latestClaimSignedAtBySegment.merge(segment, claimed.signedAt(), Math::max);
             return; // claims have the same retention as messages and are never rewritten
         }
         Key key = new Key(record.customer(), record.id());
@@ -90,7 +90,7 @@
 
     /** The oldest segment if it can be removed now, -1 otherwise; never the current one. */
     public long oldestRemovableSegment(double now, long currentSegment) {
-        Map.Entry<Long, Double> oldest = latestTimestamps.firstEntry();
+        Map.Entry<Long, Double> oldest = latestTimestampBySegment.firstEntry();
         return oldest != null && oldest.getKey() < currentSegment && oldest.getValue() < now - retention ? oldest.getKey() : -1;
     }
 
@@ -101,7 +101,8 @@
 
     /** The latest timestamp of all records; minus infinity without any. */
     public double latestTimestamp() {
-        return latestTimestamps.values().stream().mapToDouble(timestamp -> timestamp).max().orElse(Double.NEGATIVE_INFINITY);
+        return latestTimestampBySegment.values().stream().mapToDouble(timestamp -> timestamp).max()
+                .orElse(Double.NEGATIVE_INFINITY);
     }
 
     /**
@@ -121,19 +122,19 @@
 
     /** The latest signed timestamp among the segment's forward intents, in Unix seconds; Long.MIN_VALUE for none. */
     public long latestSignedAt(long segment) {
-        return latestSignedAt.getOrDefault(segment, Long.MIN_VALUE);
+        return latestSignedAtBySegment.getOrDefault(segment, Long.MIN_VALUE);
     }
 
     /** The latest signed timestamp among the segment's claims, in Unix seconds; Long.MIN_VALUE for none. */
     public long latestClaimSignedAt(long segment) {
-        return latestClaimSignedAt.getOrDefault(segment, Long.MIN_VALUE);
+        return latestClaimSignedAtBySegment.getOrDefault(segment, Long.MIN_VALUE);
     }
 
     /** Called when a segment has been removed. */
     public void onSegmentRemoved(long segment) {
-        latestClaimSignedAt.remove(segment);
-        latestTimestamps.remove(segment);
-        latestSignedAt.remove(segment);
+        latestClaimSignedAtBySegment.remove(segment);
+        latestTimestampBySegment.remove(segment);
+        latestSignedAtBySegment.remove(segment);
     }
 
     /** The number of messages whose outcome is unknown or whose delivery is pending. */
--- a/gateway/src/main/java/gradereach/ledger/RecordCodec.java
+++ b/gateway/src/main/java/gradereach/ledger/RecordCodec.java
@@ -48,7 +48,7 @@
     public static byte[] encode(LedgerRecord record) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + maxPayloadBytes(record));
         out.position(HEADER_BYTES);
-        out.put((byte) type(record)).putDouble(record.timestamp());
+        out.put((byte) typeOf(record)).putDouble(record.timestamp());
         writeText(out, record.customer());
         writeText(out, record.id());
         if (record instanceof LedgerRecord.ForwardIntended intended) {
@@ -157,7 +157,7 @@
                 payload.getLong());
     }
 
-    private static int type(LedgerRecord record) {
+    private static int typeOf(LedgerRecord record) {
         if (record instanceof LedgerRecord.ForwardIntended) {
             return FORWARD_INTENDED;
         } else if (record instanceof LedgerRecord.ProvenNotRun) {
--- a/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
@@ -64,7 +64,7 @@
     private final LongAdder bytesWritten;
     private final LongAdder compactedSegments;
     private final Counts.Limit openMessages;
-    private final Thread thread;
+    private final Thread writerThread;
     private final List<Pending> batch = new ArrayList<>();
     private ByteBuffer buffer = ByteBuffer.allocateDirect(1 << 20);
     private Disk.Appender appender;
@@ -74,7 +74,7 @@
     private volatile long position = LedgerPosition.UNKNOWN;
     private volatile boolean writable;
     private volatile boolean closing;
-    private volatile boolean asleep;
+    private volatile boolean isWriterAsleep;
     private volatile double currentMargin;
     private long lastMaintenanceNanos;
     private long failedAtNanos;
@@ -96,8 +96,8 @@
         failedTailMarks = counts.counter("ledger_marks_failed");
         bytesWritten = counts.counter("ledger_bytes_written");
         compactedSegments = counts.counter("ledger_segments_compacted");
-        thread = new Thread(this::run, "ledger");
-        thread.setDaemon(true);
+        writerThread = new Thread(this::run, "ledger");
+        writerThread.setDaemon(true);
     }
 
     /**
@@ -110,7 +110,7 @@
         folder = ledgerFolder;
         currentSegment = nextSegment - 1;
         startNextSegment();
-        thread.start();
+        writerThread.start();
     }
 
     @Override
@@ -142,8 +142,8 @@
         }
         // With the fence in waitForRecords: either this thread sees that the writer is asleep, or the writer sees the record.
         java.lang.invoke.VarHandle.fullFence();
-        if (asleep) {
-            LockSupport.unpark(thread);
+        if (isWriterAsleep) {
+            LockSupport.unpark(writerThread);
         }
     }
 
@@ -168,12 +168,12 @@
 
     /** Sleeps until a record is queued or maintenance is due. */
     private void waitForRecords() {
-        asleep = true;
+        isWriterAsleep = true;
         java.lang.invoke.VarHandle.fullFence();
         if (queue.isEmpty() && !closing) {
             LockSupport.parkNanos(this, MAINTENANCE_INTERVAL_NANOS / 2);
         }
-        asleep = false;
+        isWriterAsleep = false;
     }
 
     /** Writes the batch and notifies its callbacks. */
@@ -346,9 +346,9 @@
         if (folder == null) {
             return; // it was never started
         }
-        LockSupport.unpark(thread);
+        LockSupport.unpark(writerThread);
         try {
-            thread.join(2000);
+            writerThread.join(2000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
@@ -24,7 +24,7 @@
     /** Whether a file has another inode than listed; false without a list, as earlier versions left the folder. */
     boolean haveChanged() throws IOException {
         String text = AtomicTextFile.read(folder, LIST_FILE);
-        return text != null && !matches(parse(text), current());
+        return text != null && !matches(parse(text), currentInodes());
     }
 
     /** A listed segment may have been removed by compaction since; any other difference counts. */
@@ -47,7 +47,7 @@
     }
 
     /** The inodes of the permanent files, of the list itself, and of all segments that hold a record. */
-    private Map<String, Long> current() throws IOException {
+    private Map<String, Long> currentInodes() throws IOException {
         Map<String, Long> inodes = new TreeMap<>();
         put(inodes, folder.resolve(LedgerFolder.IDENTITY_FILE));
         put(inodes, folder.resolve(LedgerFolder.LOCK_FILE));
@@ -82,7 +82,7 @@
      * @param file the file that becomes the next segment and has its inode already
      */
     void save(Path segmentPath, Path file) throws IOException {
-        Map<String, Long> inodes = current();
+        Map<String, Long> inodes = currentInodes();
         inodes.put(segmentPath.getFileName().toString(), inodeOf(file));
         inodes.put(LIST_FILE, inodeOf(AtomicTextFile.createTemporary(folder, LIST_FILE)));
         StringBuilder text = new StringBuilder();
--- a/gateway/src/main/java/gradereach/members/Membership.java
+++ b/gateway/src/main/java/gradereach/members/Membership.java
@@ -84,11 +84,11 @@
     private final Swim swim;
     private final SeatGrantor grantor;
     private final SeatHolder holder;
-    private final Map<String, Traffic> traffic = new HashMap<>();
+    private final Map<String, Traffic> trafficByHolder = new HashMap<>();
     private final ConcurrentLinkedQueue<Runnable> events = new ConcurrentLinkedQueue<>();
-    private final LongAdder unauthenticated;
-    private final LongAdder sent;
-    private final LongAdder unreadable;
+    private final LongAdder unauthenticatedDatagrams;
+    private final LongAdder datagramsSent;
+    private final LongAdder unreadableDatagrams;
     private final Counts.Limit presentCount;
     private final Counts.Limit heldSeats;
     private final Thread thread = new Thread(this::run, "members");
@@ -143,9 +143,9 @@
         // Each run is a holder of its own: the seats of the run before stay with that one until their leases expire.
         String holderName = SeatHolder.uniqueName(config.name, new SecureRandom());
         holder = new SeatHolder(holderName, config.seatCount, config.grantorAddresses.size(), config.leaseMillis, random);
-        unauthenticated = counts.counter("members_strangers");
-        sent = counts.counter("members_datagrams_sent");
-        unreadable = counts.counter("members_datagrams_unreadable");
+        unauthenticatedDatagrams = counts.counter("members_strangers");
+        datagramsSent = counts.counter("members_datagrams_sent");
+        unreadableDatagrams = counts.counter("members_datagrams_unreadable");
         presentCount = counts.limit("members_present", Long.MAX_VALUE);
         heldSeats = counts.limit("members_seats_held", config.seatCount);
         thread.setDaemon(true);
@@ -225,12 +225,13 @@
     }
 
     private MembershipCodec.SeatResponse handleRequest(MembershipCodec.SeatRequest request, double now) {
-        traffic.put(request.holderName(), new Traffic(request.rate(), now));
-        traffic.values().removeIf(report -> now - report.reportedAt > 2 * config.leaseMillis);
+        trafficByHolder.put(request.holderName(), new Traffic(request.rate(), now));
+        trafficByHolder.values().removeIf(report -> now - report.reportedAt > 2 * config.leaseMillis);
         SeatGrantor.Grant grant = grantor.handleRequest(request.holderName(), request.round(), request.wanted(),
                 request.released(), now);
         return grant == null ? null : new MembershipCodec.SeatResponse(address, request.round(),
-                traffic.values().stream().mapToDouble(Traffic::rate).sum(), traffic.size(), grant.granted(), grant.available());
+                trafficByHolder.values().stream().mapToDouble(Traffic::rate).sum(), trafficByHolder.size(), grant.granted(),
+                grant.available());
     }
 
     private void handleResponse(MembershipCodec.SeatResponse response) {
@@ -262,7 +263,7 @@
     private void handleDatagram(byte[] datagram, double now) {
         byte[] message = cipher.decrypt(datagram);
         if (message == null) {
-            unauthenticated.increment();
+            unauthenticatedDatagrams.increment();
             if (now - unauthenticatedLoggedAt > UNAUTHENTICATED_LOG_INTERVAL_MILLIS) {
                 unauthenticatedLoggedAt = now;
                 LOG.warn("received datagrams that no key of this cluster decrypts");
@@ -282,7 +283,7 @@
                 handleResponse(response);
             }
         } catch (IOException e) {
-            unreadable.increment();
+            unreadableDatagrams.increment();
         }
     }
 
@@ -292,7 +293,7 @@
         try {
             socket.send(new DatagramPacket(datagram, datagram.length,
                     new InetSocketAddress(destination.substring(0, colon), Integer.parseInt(destination.substring(colon + 1)))));
-            sent.increment();
+            datagramsSent.increment();
         } catch (IOException | IllegalArgumentException e) {
             // Treated as a lost datagram; SWIM detects a member that does not respond.
         }
--- a/gateway/src/main/java/gradereach/oip/InferenceJsonConverter.java
+++ b/gateway/src/main/java/gradereach/oip/InferenceJsonConverter.java
@@ -64,9 +64,9 @@
     private static void writeInput(JsonGenerator out, ModelInferRequest request, int index) throws IOException, InvalidMessageException {
         InferInputTensor tensor = request.getInputs(index);
         String path = "inputs[" + index + "]";
-        boolean raw = request.getRawInputContentsCount() > 0;
+        boolean hasRawContents = request.getRawInputContentsCount() > 0;
         MessageChecks.require(!tensor.getName().isEmpty(), path + ".name", "missing");
-        MessageChecks.require(!raw || !tensor.hasContents(), path + ".contents", "beside raw_input_contents");
+        MessageChecks.require(!hasRawContents || !tensor.hasContents(), path + ".contents", "beside raw_input_contents");
         out.writeStartObject();
         out.writeStringField("name", tensor.getName());
         out.writeArrayFieldStart("shape");
@@ -77,7 +77,7 @@
         out.writeStringField("datatype", tensor.getDatatype());
         InferParameters.write(out, path + ".parameters", tensor.getParametersMap());
         out.writeArrayFieldStart("data");
-        if (raw) {
+        if (hasRawContents) {
             TensorWriter.writeRaw(out, tensor, request.getRawInputContents(index), RAW_INPUTS + "[" + index + "]", path);
         } else {
             TensorWriter.writeContents(out, tensor, path);
--- a/gateway/src/main/java/gradereach/plan/Deployment.java
+++ b/gateway/src/main/java/gradereach/plan/Deployment.java
@@ -182,8 +182,9 @@
     public FrontEndSettings frontEndSettings() {
         JsonNode settings = tree.path("tier");
         return new FrontEndSettings(settings.path("me").asInt(0), settings.path("front_ends").asInt(1),
-                Math.max(0, locations().indexOf(settings.path("location").asText(""))), false,
-                tree.path("forwards").path("probes").asBoolean(true), false, 0, 0, number(settings, "tick_ms", 4));
+                Math.max(0, locations().indexOf(settings.path("location").asText(""))), /* peerMessagesAllowed */ false,
+                tree.path("forwards").path("probes").asBoolean(true), /* subscribesToRoster */ false, /* probeCost */ 0,
+                /* crossZoneCost */ 0, number(settings, "tick_ms", 4));
     }
 
     /** Returns the seed of random choices, null to draw one. */
@@ -243,15 +244,17 @@
     public LoadingRules loadingRules() {
         JsonNode settings = tree.path("loading");
         return new LoadingRules(settings.path("orders").asBoolean(true), settings.path("loads_by_itself").asBoolean(false),
-                number(settings, "keeps_idle_ms", 10_000), number(settings, "order_timeout_ms", 10_000), 0, List.of());
+                number(settings, "keeps_idle_ms", 10_000), number(settings, "order_timeout_ms", 10_000),
+                /* idleCost */ 0, /* memoryByMachineKind */ List.of());
     }
 
     /** Returns how often and for how long an inference is forwarded. */
     public ForwardRules forwardRules() {
         JsonNode settings = tree.path("forwards");
-        return new ForwardRules(settings.path("most").asInt(5), false, settings.path("cancels").asBoolean(true),
-                connectTimeoutMillis(), number(tree.path("rules"), "answer_slack_ms", 0),
-                number(settings, "longest_pause_ms", 2000), true, DRAIN_GRACE_MILLIS);
+        return new ForwardRules(settings.path("most").asInt(5), /* hedgingAllowed */ false,
+                settings.path("cancels").asBoolean(true), connectTimeoutMillis(),
+                number(tree.path("rules"), "answer_slack_ms", 0), number(settings, "longest_pause_ms", 2000),
+                /* sendsRetryAfter */ true, DRAIN_GRACE_MILLIS);
     }
 
     /** Returns a number of {@code /executors}. */
--- a/gateway/src/main/java/gradereach/plan/ModelSettings.java
+++ b/gateway/src/main/java/gradereach/plan/ModelSettings.java
@@ -47,8 +47,8 @@
     private ModelGroup readGroup(String path, JsonNode settings) {
         RetrySafety retrySafety = RetrySafety.valueOf(settings.path("repeat").asText().toUpperCase().replace('-', '_'));
         DedupScope scope = DedupScope.valueOf(settings.path("dedup_scope").asText("all").toUpperCase());
-        double window = number(settings, "dedup_window_ms", 0);
-        if (retrySafety == RetrySafety.DEDUPED && window <= 0) {
+        double dedupWindow = number(settings, "dedup_window_ms", 0);
+        if (retrySafety == RetrySafety.DEDUPED && dedupWindow <= 0) {
             errors.add(path + "/dedup_window_ms: a deduped group needs the time in which repeats are dropped");
         }
         double slo = number(settings, "slo_ms", 0);
@@ -56,7 +56,7 @@
         if (timeout < slo) {
             errors.add(path + "/route_timeout_ms: shorter than slo_ms");
         }
-        return new ModelGroup(settings.path("name").asText(), retrySafety, scope, window, slo, 0, timeout,
+        return new ModelGroup(settings.path("name").asText(), retrySafety, scope, dedupWindow, slo, /* sloPerWork */ 0, timeout,
                 number(settings, "value", 1), number(settings, "late_share", 0),
                 settings.path("streamed").asBoolean(false));
     }
--- a/gateway/src/test/java/gradereach/ledger/disk/ContainerUptimeTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/ContainerUptimeTest.java
@@ -19,6 +19,7 @@
 class ContainerUptimeTest {
     private static final double DAY_MILLIS = 86_400_000;
     private static final double WALL_TIME = 1_900_000_000_000d;
+    private static final double MONOTONIC_NOW_MILLIS = 5000;
     @TempDir
     Path folder;
 
@@ -30,9 +31,9 @@
                 uptime.bootId() + " " + Math.max(0, uptime.uptimeMillis() - 1000) + " " + WALL_TIME + " " + WALL_TIME + " "
                         + Math.max(0, uptime.monotonicMillis() - 1000) + "\n");
         double latestTimestamp = WALL_TIME + 10 * DAY_MILLIS;
-        LedgerClock clock = new LedgerClock(() -> 5000, () -> latestTimestamp + 60_000);
+        LedgerClock clock = new LedgerClock(() -> MONOTONIC_NOW_MILLIS, () -> latestTimestamp + 60_000);
         clock.resume(folder, latestTimestamp);
-        double age = 5000 - clock.toMonotonic(latestTimestamp);
+        double age = MONOTONIC_NOW_MILLIS - clock.toMonotonic(latestTimestamp);
         assertTrue(Double.isNaN(age) || age >= 0, "its latest record lies " + -age + " ms in the future");
         assertTrue(clock.now() > latestTimestamp, "a new record is dated before an older one");
     }
@@ -42,7 +43,7 @@
     private static final String BOOT = "1d38";
 
     private LedgerClock openClock(double wall, MachineUptime uptime, double latestTimestamp) {
-        LedgerClock clock = new LedgerClock(() -> 5000, () -> wall, () -> uptime);
+        LedgerClock clock = new LedgerClock(() -> MONOTONIC_NOW_MILLIS, () -> wall, () -> uptime);
         clock.resume(folder, latestTimestamp);
         return clock;
     }
@@ -65,12 +66,13 @@
         "600, -80000, 3600, 90000, NaN", "600, 9000000, 3600, -80000, NaN", // a monotonic clock with another origin
         "600, NaN, 3600, NaN, NaN", "NaN, 600, 3600, 3600, NaN", "600, 600, NaN, 3600, NaN",
     })
-    void durationIsUnknownBetweenIncomparableUptimes(double uptime, double monotonic, double nextUptime, double nextMonotonic, double age) {
+    void durationIsUnknownBetweenIncomparableUptimes(double uptime, double monotonic, double nextUptime, double nextMonotonic,
+            double age) {
         double written = openClock(WALL_TIME, new MachineUptime(BOOT, uptime * SECOND_MILLIS, monotonic * SECOND_MILLIS),
                 Double.NEGATIVE_INFINITY).now();
         LedgerClock next = openClock(WALL_TIME + 10 * HOUR_MILLIS,
                 new MachineUptime(BOOT, nextUptime * SECOND_MILLIS, nextMonotonic * SECOND_MILLIS), written);
-        assertEquals(age * SECOND_MILLIS, 5000 - next.toMonotonic(written), 1);
+        assertEquals(age * SECOND_MILLIS, MONOTONIC_NOW_MILLIS - next.toMonotonic(written), 1);
         assertTrue(next.now() > written || age == 0, "a new record is dated before an older one");
     }
 
--- a/gateway/src/test/java/gradereach/roster/RosterTrackerTest.java
+++ b/gateway/src/test/java/gradereach/roster/RosterTrackerTest.java
@@ -79,7 +79,8 @@
         assertEquals(1, updates.size());
         applyWatchEvent("MODIFIED", slice("a", 80, "\"ready\":true", "10.0.0.2"));
         assertEquals("CHANGES [10.0.0.1:80=REMOVED]", updates.get(1));
-        // An executor may be in two slices for a while, as when endpoints are redistributed: ready if one says so, removed if none has it.
+        // An executor may be in two slices for a while, as when endpoints are redistributed: it is ready if one of them says so,
+        // and removed if none has it.
         applyWatchEvent("ADDED", slice("b", 80, "\"ready\":false", "10.0.0.2"));
         applyWatchEvent("DELETED", slice("b", 80, "", "10.0.0.2"));
         assertEquals(2, updates.size());
--- a/membership/src/main/java/gradereach/membership/SeatGrantor.java
+++ b/membership/src/main/java/gradereach/membership/SeatGrantor.java
@@ -15,7 +15,7 @@
  * A state machine without I/O and clock: the same events at the same times give the same answers.
  */
 public final class SeatGrantor {
-    private final double lease;
+    private final double leaseMillis;
     private final String[] holders;
     private final double[] expiresAt;
     /** Until then, seats may be held that were granted before this start. */
@@ -25,12 +25,15 @@
 
     private record Round(long number, double receivedAt) { }
 
-    /** @param lease milliseconds by this grantor's clock */
-    public SeatGrantor(int seats, double lease, double now) {
-        this.lease = lease;
-        holders = new String[seats];
-        expiresAt = new double[seats];
-        grantsAllowedFrom = now + lease;
+    /**
+     * @param seatCount number of seats into which shared budgets are divided
+     * @param leaseMillis lease of a seat, by this grantor's clock
+     */
+    public SeatGrantor(int seatCount, double leaseMillis, double now) {
+        this.leaseMillis = leaseMillis;
+        holders = new String[seatCount];
+        expiresAt = new double[seatCount];
+        grantsAllowedFrom = now + leaseMillis;
     }
 
     /**
@@ -47,7 +50,7 @@
      * @param holderName unique to one run of a front end
      */
     public Grant handleRequest(String holderName, long round, BitSet wanted, BitSet released, double now) {
-        rounds.values().removeIf(known -> now - known.receivedAt > 2 * lease);
+        rounds.values().removeIf(known -> now - known.receivedAt > 2 * leaseMillis);
         Round latest = rounds.get(holderName);
         if (latest != null && latest.number >= round) {
             return null;
@@ -67,7 +70,7 @@
             }
             if (wanted.get(i) && (unheld || holders[i].equals(holderName))) {
                 holders[i] = holderName;
-                expiresAt[i] = now + lease;
+                expiresAt[i] = now + leaseMillis;
                 granted.set(i);
             } else if (unheld) {
                 available.set(i);
--- a/membership/src/main/java/gradereach/membership/SeatHolder.java
+++ b/membership/src/main/java/gradereach/membership/SeatHolder.java
@@ -33,12 +33,12 @@
     private final String name;
     private final int seatCount;
     private final int grantorCount;
-    private final double lease;
+    private final double leaseMillis;
     private final Random random;
     private final double[] heldUntil;
     private final BitSet released;
     private long round;
-    private double sentAt;
+    private double roundSentAt;
     private BitSet wanted = new BitSet();
     private final int[] grantCounts;
     private final int[] availableCounts;
@@ -54,13 +54,13 @@
      * @param name a {@link #uniqueName}
      * @param seatCount number of seats into which shared budgets are divided
      * @param grantorCount number of grantors
-     * @param lease the grantors' lease, milliseconds
+     * @param leaseMillis the grantors' lease
      */
-    public SeatHolder(String name, int seatCount, int grantorCount, double lease, Random random) {
+    public SeatHolder(String name, int seatCount, int grantorCount, double leaseMillis, Random random) {
         this.name = name;
         this.seatCount = seatCount;
         this.grantorCount = grantorCount;
-        this.lease = lease;
+        this.leaseMillis = leaseMillis;
         this.random = random;
         heldUntil = new double[seatCount];
         grantCounts = new int[seatCount];
@@ -75,7 +75,7 @@
 
     /** When the next round is due: after a third of the lease, so that two rounds may be lost. */
     public double nextRoundAt() {
-        return round == 0 ? Double.NEGATIVE_INFINITY : sentAt + lease / 3;
+        return round == 0 ? Double.NEGATIVE_INFINITY : roundSentAt + leaseMillis / 3;
     }
 
     /**
@@ -111,7 +111,7 @@
             nextWanted.set(seat);
         }
         round++;
-        sentAt = now;
+        roundSentAt = now;
         wanted = nextWanted;
         java.util.Arrays.fill(grantCounts, 0);
         java.util.Arrays.fill(availableCounts, 0);
@@ -134,7 +134,7 @@
             grantCounts[i] += grant.granted().get(i) ? 1 : 0;
             availableCounts[i] += grant.available().get(i) ? 1 : 0;
             if (wanted.get(i) && grantCounts[i] > grantorCount / 2) {
-                heldUntil[i] = Math.max(heldUntil[i], sentAt + lease * (1 - MAX_CLOCK_DRIFT));
+                heldUntil[i] = Math.max(heldUntil[i], roundSentAt + leaseMillis * (1 - MAX_CLOCK_DRIFT));
             }
             if (availableCounts[i] > grantorCount / 2) {
                 available.set(i);
--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -115,10 +115,10 @@
     private int presentPeers;
     private int healthScore;
     private long lastSequenceNumber;
-    private double pingAt;
-    private double syncAt;
+    private double nextPingAt;
+    private double nextSyncAt;
     private double lastTickAt = Double.NaN;
-    private boolean left;
+    private boolean hasLeft;
 
     /** @param incarnation higher than any that this name had before, for example the Unix milliseconds of the start */
     public Swim(String name, String address, long incarnation, Timing timing, Random random, double now, Environment environment) {
@@ -127,12 +127,12 @@
         this.environment = environment;
         self = new Member(name, address, incarnation, State.ALIVE);
         // Members that start at the same time do not ping at the same time.
-        pingAt = now + random.nextDouble() * timing.pingPeriod;
-        syncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
+        nextPingAt = now + random.nextDouble() * timing.pingPeriod;
+        nextSyncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
         gossipQueue.add(self);
     }
 
-    /** Requests the full member lists of these addresses. The caller repeats it if nobody replies. */
+    /** Requests the full member lists of the members at these addresses. The caller repeats it if nobody replies. */
     public void join(List<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(self.address())) {
@@ -143,7 +143,7 @@
 
     /** Announces that this member leaves, so that nobody suspects it afterwards. */
     public void leave() {
-        left = true;
+        hasLeft = true;
         self = new Member(self.name(), self.address(), self.incarnation(), State.LEFT);
         List<Member> departure = List.of(self);
         List<Peer> shuffled = new ArrayList<>(peers.values());
@@ -160,7 +160,7 @@
 
     /** When {@link #tick} has to be called next. */
     public double nextTickAt() {
-        double nextAt = left ? Double.POSITIVE_INFINITY : Math.min(pingAt, syncAt);
+        double nextAt = hasLeft ? Double.POSITIVE_INFINITY : Math.min(nextPingAt, nextSyncAt);
         for (PendingPing ping : pendingPings.values()) {
             nextAt = Math.min(nextAt, ping.indirectPingsSent || ping.requesterAddress != null || ping.acknowledged ? ping.expiresAt
                     : ping.indirectPingAt);
@@ -175,7 +175,7 @@
     public void tick(double now) {
         boolean stalled = !Double.isNaN(lastTickAt) && now - lastTickAt > timing.pingPeriod * STALL_PING_PERIODS;
         lastTickAt = now;
-        if (left) {
+        if (hasLeft) {
             return;
         }
         if (stalled) {
@@ -191,12 +191,12 @@
             expirePing(pingsByExpiry.poll(), now);
         }
         expirePeers(now);
-        if (now >= pingAt) {
-            pingAt = now + timing.pingPeriod * (1 + healthScore / 2.0);
+        if (now >= nextPingAt) {
+            nextPingAt = now + timing.pingPeriod * (1 + healthScore / 2.0);
             ping(now);
         }
-        if (now >= syncAt) {
-            syncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
+        if (now >= nextSyncAt) {
+            nextSyncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
             Peer peer = randomPresentPeer();
             if (peer != null) {
                 environment.send(peer.member.address(), new Sync(self.name(), self.address(), true, allMembers()));
@@ -304,7 +304,7 @@
     /** Handles a received message. */
     public void handleMessage(Message message, double now) {
         lastTickAt = Double.isNaN(lastTickAt) ? now : lastTickAt;
-        if (left) {
+        if (hasLeft) {
             return;
         }
         boolean mustRefute = false;
--- a/membership/src/test/java/gradereach/membership/SeatLeaseTest.java
+++ b/membership/src/test/java/gradereach/membership/SeatLeaseTest.java
@@ -102,13 +102,18 @@
             }
         }
 
-        void send(int from, int to, Runnable action) {
+        /**
+         * Sends a message to another front end, where {@code action} handles it. One message in 20 is duplicated, one in 12 is
+         * lost and one in 50 is late by up to four seconds. A front end that is being delayed sends everything more than two
+         * seconds late.
+         */
+        void send(int sender, int receiver, Runnable action) {
             for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
                 if (random.nextInt(12) > 0) {
-                    int runNumber = runs[to];
-                    double delay = now < delayedUntil[from] ? 2100 + random.nextInt(1500) : 0; // everything that this process sends
-                    schedule(now + Math.exp(random.nextGaussian()) * 5 + delay + (random.nextInt(50) == 0 ? random.nextInt(4000) : 0),
-                            () -> deliver(to, runNumber, action));
+                    int runNumber = runs[receiver];
+                    double delay = now < delayedUntil[sender] ? 2100 + random.nextInt(1500) : 0;
+                    schedule(now + Math.exp(random.nextGaussian()) * 5 + delay
+                            + (random.nextInt(50) == 0 ? random.nextInt(4000) : 0), () -> deliver(receiver, runNumber, action));
                 }
             }
         }
@@ -180,6 +185,7 @@
             heldFractionSum += sum / (double) SEATS;
         }
 
+        /** Runs the simulation until a time and returns the mean fraction of the seats that was held at its events. */
         double run(double until, boolean withFaults) {
             if (withFaults) {
                 for (double time = 2000; time < until - 20_000; time += 300 + random.nextInt(1500)) {
--- a/membership/src/test/java/gradereach/membership/SwimTest.java
+++ b/membership/src/test/java/gradereach/membership/SwimTest.java
@@ -98,25 +98,27 @@
             });
         }
 
-        void transmit(String from, String to, Message message) {
+        /** Sends a message. One in 100 is duplicated, and one in 200 is late by 100 ms. */
+        void transmit(String sender, String receiver, Message message) {
             messages++;
             assertTrue(message instanceof Message.Sync || message.gossip().size() <= 12, "more updates than a packet holds");
-            boolean partitioned = !partitionSides.getOrDefault(from, 0).equals(partitionSides.getOrDefault(to, 0));
+            boolean partitioned = !partitionSides.getOrDefault(sender, 0).equals(partitionSides.getOrDefault(receiver, 0));
             for (int copies = random.nextInt(100) == 0 ? 2 : 1; copies > 0; copies--) {
                 if (partitioned || random.nextDouble() < loss) {
                     continue;
                 }
-                schedule(now + 0.5 + random.nextDouble() * 3 + (random.nextInt(200) == 0 ? 100 : 0), () -> deliver(to, message));
+                schedule(now + 0.5 + random.nextDouble() * 3 + (random.nextInt(200) == 0 ? 100 : 0),
+                        () -> deliver(receiver, message));
             }
         }
 
-        private void deliver(String to, Message message) {
-            Swim receiver = running.get(to);
+        private void deliver(String name, Message message) {
+            Swim receiver = running.get(name);
             if (receiver == null) {
                 return;
             }
-            if (now < pausedUntil.getOrDefault(to, 0.0)) {
-                schedule(pausedUntil.get(to), () -> deliver(to, message));
+            if (now < pausedUntil.getOrDefault(name, 0.0)) {
+                schedule(pausedUntil.get(name), () -> deliver(name, message));
                 return;
             }
             receiver.handleMessage(message, now);
