--- a/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
+++ b/gateway/src/test/java/gradereach/ledger/disk/RestoredCopyTest.java
@@ -48,11 +48,11 @@
         return state;
     }
 
-    private static void copy(Path from, Path to) throws IOException {
-        Files.createDirectories(to);
-        try (var files = Files.list(from)) {
+    private static void copy(Path source, Path target) throws IOException {
+        Files.createDirectories(target);
+        try (var files = Files.list(source)) {
             for (Path file : files.toList()) {
-                Files.copy(file, to.resolve(file.getFileName()));
+                Files.copy(file, target.resolve(file.getFileName()));
             }
         }
     }
--- a/gateway/src/test/java/gradereach/members/MembershipTest.java
+++ b/gateway/src/test/java/gradereach/members/MembershipTest.java
@@ -139,17 +139,17 @@
     @CsvSource({"0, true", "1, false", "5, false", "20, false", "last, false", "cut, false", "rotated, true", "other-cluster, false"})
     void onlyCompleteDatagramsOfTheClusterAreDecrypted(String change, boolean decrypted) {
         byte[] message = {7, 8, 9};
-        byte[] sealed = new DatagramCipher(change.equals("other-cluster") ? "d" : "c", List.of(KEY)).encrypt(message);
-        byte[] sent = switch (change) {
-            case "cut" -> Arrays.copyOf(sealed, sealed.length - 1);
-            case "0", "rotated", "other-cluster" -> sealed;
+        byte[] datagram = new DatagramCipher(change.equals("other-cluster") ? "d" : "c", List.of(KEY)).encrypt(message);
+        byte[] received = switch (change) {
+            case "cut" -> Arrays.copyOf(datagram, datagram.length - 1);
+            case "0", "rotated", "other-cluster" -> datagram;
             default -> {
-                sealed[change.equals("last") ? sealed.length - 1 : Integer.parseInt(change)] ^= 1;
-                yield sealed;
+                datagram[change.equals("last") ? datagram.length - 1 : Integer.parseInt(change)] ^= 1;
+                yield datagram;
             }
         };
         byte[] decryptedMessage = new DatagramCipher("c", change.equals("rotated") ? List.of(OTHER_KEY, KEY) : List.of(KEY))
-                .decrypt(sent);
+                .decrypt(received);
         if (decrypted) {
             assertArrayEquals(message, decryptedMessage);
         } else {
--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -32,7 +32,8 @@
      * @param pingPeriod time between two pings
      * @param ackTimeout time to wait for a direct ack, above nearly all round-trip times
      * @param indirectPings members that are asked for an indirect ping
-     * @param suspicionMultiplier ping periods, times log10 of the members plus one, in which a suspect can refute the suspicion
+     * @param suspicionMultiplier least time in which a suspect can refute the suspicion: so many ping periods, times the
+     *     greater of 1 and log10 of the number of present members
      * @param syncPeriod mean time between two full exchanges
      * @param deadRetention time for which dead members are remembered, longer than any message may be delayed
      */
@@ -58,7 +59,7 @@
     /** Ping periods without a tick after which this process counts as having stalled. */
     private static final int STALL_PING_PERIODS = 3;
     private static final int STALL_HEALTH_PENALTY = 2;
-    /** Expiry of a ping in ack timeouts: one for the direct ack, and the rest for indirect ones. */
+    /** Expiry of a ping in ack timeouts, one for the direct ack and the rest for indirect ones; at least a ping period. */
     private static final double PING_EXPIRY_ACK_TIMEOUTS = 2.5;
     /** Failed pings of our own after which a suspect member has only the minimum time for refuting. */
     private static final int MAX_CONFIRMATIONS = 3;
@@ -112,7 +113,7 @@
     private final GossipQueue gossipQueue = new GossipQueue(MAX_UPDATES_PER_MESSAGE);
     private Member self;
     /** Present members other than this one. */
-    private int presentPeers;
+    private int presentPeerCount;
     private int healthScore;
     private long lastSequenceNumber;
     private double nextPingAt;
@@ -150,7 +151,7 @@
         Collections.shuffle(shuffled, random);
         int notified = 0;
         for (Peer peer : shuffled) {
-            if (peer.member.isPresent() && notified++ < GossipQueue.transmitLimit(presentPeers + 1)) {
+            if (peer.member.isPresent() && notified++ < GossipQueue.transmitLimit(presentPeerCount + 1)) {
                 environment.send(peer.member.address(), new Ping(self.name(), self.address(), ++lastSequenceNumber, departure));
             }
         }
@@ -279,7 +280,7 @@
 
     /** How long a suspect member can refute the suspicion after that many confirmations. */
     private double suspicionTimeout(int confirmations) {
-        double minimum = timing.suspicionMultiplier * timing.pingPeriod * Math.max(1, Math.log10(presentPeers + 1));
+        double minimum = timing.suspicionMultiplier * timing.pingPeriod * Math.max(1, Math.log10(presentPeerCount + 1));
         // Longest at first, and shorter with each failed ping of our own (after Lifeguard's "LHA-Suspicion").
         double factor = MAX_SUSPICION_FACTOR
                 - (MAX_SUSPICION_FACTOR - 1) * Math.log(confirmations + 1) / Math.log(MAX_CONFIRMATIONS + 1);
@@ -336,7 +337,7 @@
     }
 
     private List<Member> nextGossip(Member first) {
-        return gossipQueue.next(presentPeers + 1, first);
+        return gossipQueue.next(presentPeerCount + 1, first);
     }
 
     private List<Member> allMembers() {
@@ -374,7 +375,7 @@
             }
             peer = new Peer(update);
             peers.put(update.name(), peer);
-            presentPeers++;
+            presentPeerCount++;
             stateChanged(peer, now);
             // A new member is pinged within the current round, at a random position.
             pingOrder.add(random.nextInt(pingOrder.size() + 1), update.name());
@@ -383,7 +384,7 @@
         if (!update.overrides(peer.member)) {
             return;
         }
-        presentPeers += (update.isPresent() ? 1 : 0) - (peer.member.isPresent() ? 1 : 0);
+        presentPeerCount += (update.isPresent() ? 1 : 0) - (peer.member.isPresent() ? 1 : 0);
         boolean changed = update.state() != peer.member.state() || !update.address().equals(peer.member.address());
         peer.member = update;
         if (changed) {
@@ -419,7 +420,7 @@
 
     /** The number of present members, this one included. It is only an estimate, and no correctness rule may depend on it. */
     public int presentCount() {
-        return presentPeers + 1;
+        return presentPeerCount + 1;
     }
 
     /** Lifeguard's local health score: 0 is healthy, higher values mean that this member itself is slow. */
