--- a/gateway/src/main/java/gradereach/claims/PeerClaims.java
+++ b/gateway/src/main/java/gradereach/claims/PeerClaims.java
@@ -56,6 +56,7 @@
     public record Peer(String name, InetSocketAddress peerAddress, InetSocketAddress clientAddress) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** Two connections of 500 streams; 250 ms to connect, 30 s idle at most; responses up to 16 MiB, stream windows of 1 MiB. */
     private static final Http2ConnectionPool.Limits POOL_LIMITS = new Http2ConnectionPool.Limits(2, 500, 250, 30_000, 16 << 20, 1 << 20);
     private static final Logger LOG = LoggerFactory.getLogger(PeerClaims.class);
     private static final String SIGNED_AT = "signed_at";
@@ -65,7 +66,7 @@
     private static final double RELAY_MARGIN_MILLIS = 20; // the answer still has to reach the client
 
     private final String ownName;
-    private final List<Long> digests;
+    private final List<Long> frontEndSetDigests;
     private final List<FrontEndSet> frontEndSets;
     private final WebhookKey key;
     private final KeyRing keyRing;
@@ -77,24 +78,28 @@
     private final Consumer<Consumer<InferenceCoordinator>> decisionThread;
     private final Map<String, Http2ConnectionPool> peerPools = new HashMap<>();
     private final Map<String, Http2ConnectionPool> clientPools = new HashMap<>();
-    private final LongAdder won;
-    private final LongAdder heldByOthers;
-    private final LongAdder unknown;
-    private final LongAdder granted;
-    private final LongAdder refused;
+    private final LongAdder claimsWon;
+    private final LongAdder claimsHeldByOthers;
+    private final LongAdder claimsUnknown;
+    private final LongAdder claimsGranted;
+    private final LongAdder claimsRefused;
     private final LongAdder relayedMessages;
     private final Counts.Limit storedClaims;
     private ClaimCoordinator coordinator;
     private String claimant;
     private long messagesSent;
 
-    /** @param frontEndSets the active sets of front ends, which place the claims */
+    /**
+     * @param frontEndSets the active sets of front ends, which determine the replicas of each claim
+     * @param clock monotonic time in milliseconds
+     * @param decisionThread runs an action on the decision thread
+     */
     public PeerClaims(String ownName, List<Peer> peers, List<FrontEndSet> frontEndSets, WebhookKey key, Ledger ledger,
             ClaimTable claimTable, Timers timers, DoubleSupplier clock, LongSupplier unixMillis, EventLoopGroup loops,
             Class<? extends Channel> channelType, Consumer<Consumer<InferenceCoordinator>> decisionThread, Counts counts) {
         this.ownName = ownName;
         this.frontEndSets = frontEndSets;
-        this.digests = frontEndSets.stream().map(FrontEndSet::digest).toList();
+        this.frontEndSetDigests = frontEndSets.stream().map(FrontEndSet::digest).toList();
         this.key = key;
         this.keyRing = new KeyRing(List.of(List.of(key)));
         this.ledger = ledger;
@@ -112,11 +117,11 @@
                         new Http2ConnectionPool(peer.clientAddress, loops.next(), channelType, POOL_LIMITS, metrics, clock));
             }
         }
-        won = counts.counter("claims_won");
-        heldByOthers = counts.counter("claims_of_others");
-        unknown = counts.counter("claims_unknown");
-        granted = counts.counter("claims_granted");
-        refused = counts.counter("claims_refused");
+        claimsWon = counts.counter("claims_won");
+        claimsHeldByOthers = counts.counter("claims_of_others");
+        claimsUnknown = counts.counter("claims_unknown");
+        claimsGranted = counts.counter("claims_granted");
+        claimsRefused = counts.counter("claims_refused");
         relayedMessages = counts.counter("messages_handed_on");
         storedClaims = counts.limit("claims_kept", Long.MAX_VALUE);
     }
@@ -130,7 +135,7 @@
      */
     public void recover(String ledgerIdentity, long run, LedgerState ledgerState, double retention) {
         claimant = ownName + "/" + ledgerIdentity;
-        coordinator = new ClaimCoordinator(frontEndSets, run << 32);
+        coordinator = new ClaimCoordinator(frontEndSets, run << 32); // 2^32 rounds for each run
         for (LedgerState.Claim claim : ledgerState.claims()) {
             double now = clock.getAsDouble();
             double grantedAt = ledger.time().toMonotonic(claim.grantedAt());
@@ -165,8 +170,8 @@
     }
 
     private void reportResult(Round round, ClaimCallback callback) {
-        (round.result().status() == ClaimStatus.GRANTED ? won
-                : round.result().status() == ClaimStatus.HELD_BY_OTHER ? heldByOthers : unknown).increment();
+        (round.result().status() == ClaimStatus.GRANTED ? claimsWon
+                : round.result().status() == ClaimStatus.HELD_BY_OTHER ? claimsHeldByOthers : claimsUnknown).increment();
         callback.onResult(round.result());
     }
 
@@ -183,23 +188,24 @@
     private void send(List<ReplicaRequest> requests, Round round, ClaimCallback callback) {
         for (ReplicaRequest request : requests) {
             if (request.replica().equals(ownName)) {
-                handleAsReplica(request.isRelease(), request.message(), new Claimant(claimant, ledger.position()), request.round(),
-                        reply -> decisionThread.accept(
-                                inferences -> handleReply(round, callback, ownName, reply.granted(), reply.holder())));
+                handleAsReplica(request.isRelease(), request.message(), new Claimant(claimant, ledger.position()),
+                        request.round(), reply -> decisionThread.accept(
+                                inferenceCoordinator -> handleReply(round, callback, ownName, reply.granted(), reply.holder())));
                 continue;
             }
             ObjectNode body = JSON.createObjectNode().put("claimant", claimant).put("release", request.isRelease())
                     .put("customer", request.message().customer()).put("id", request.message().id()).put("round", request.round())
                     .put("digest_high", request.message().digestHigh()).put("digest_low", request.message().digestLow())
                     .put(SIGNED_AT, request.message().signedAt()).put(POSITION, ledger.position());
-            digests.forEach(body.putArray("lists")::add);
+            frontEndSetDigests.forEach(body.putArray("lists")::add);
             post(request.replica(), PeerServer.CLAIMS_PATH, body, (result, status, headers, replyBody) -> {
                 if (request.isRelease()) {
                     return;
                 }
                 boolean replicaGranted = result == ExchangeResult.ANSWERED && status == 200;
                 String holder = result == ExchangeResult.ANSWERED && status == 409 ? holder(replyBody) : null;
-                decisionThread.accept(inferences -> handleReply(round, callback, request.replica(), replicaGranted, holder));
+                decisionThread.accept(
+                        inferenceCoordinator -> handleReply(round, callback, request.replica(), replicaGranted, holder));
             });
         }
     }
@@ -266,7 +272,7 @@
 
     /** Handles a peer's query for the last known position of its ledger; {@code reply} gets the body. Called from any thread. */
     void handlePositionQuery(JsonNode request, Consumer<String> reply) {
-        decisionThread.accept(inferences -> {
+        decisionThread.accept(inferenceCoordinator -> {
             long position = claimTable.lastKnownPosition(request.path("claimant").asText());
             reply.accept("{\"" + POSITION + "\":" + position + "}");
         });
@@ -274,12 +280,12 @@
 
     /** Handles a peer's claim or release; {@code reply} gets the HTTP status and the body. Called from any thread. */
     void handleRequest(JsonNode request, java.util.function.BiConsumer<Integer, String> reply) {
-        boolean sameSet = false;
+        boolean hasCommonSet = false;
         for (JsonNode digest : request.path("lists")) {
-            sameSet |= digests.contains(digest.asLong());
+            hasCommonSet |= frontEndSetDigests.contains(digest.asLong());
         }
-        if (!sameSet) {
-            refused.increment();
+        if (!hasCommonSet) {
+            claimsRefused.increment();
             reply.accept(412, "{\"refused\":\"another list of front ends\"}");
             return;
         }
@@ -287,7 +293,7 @@
                 request.path("digest_high").asLong(), request.path("digest_low").asLong(),
                 request.path(SIGNED_AT).asLong(MessageIdentity.SIGNED_AT_UNKNOWN));
         Claimant requester = new Claimant(request.path("claimant").asText(), request.path(POSITION).asLong(LedgerPosition.UNKNOWN));
-        decisionThread.accept(inferences -> handleAsReplica(request.path("release").asBoolean(), message, requester,
+        decisionThread.accept(inferenceCoordinator -> handleAsReplica(request.path("release").asBoolean(), message, requester,
                 request.path("round").asLong(), claimReply -> {
                     if (claimReply.granted()) {
                         reply.accept(200, "{}");
@@ -306,10 +312,11 @@
      */
     private record Claimant(String name, long position) { }
 
-    private void handleAsReplica(boolean release, MessageIdentity message, Claimant requester, long round, Consumer<ClaimReply> reply) {
+    private void handleAsReplica(boolean isRelease, MessageIdentity message, Claimant requester, long round,
+            Consumer<ClaimReply> reply) {
         double now = clock.getAsDouble();
         claimTable.recordPosition(requester.name, requester.position);
-        if (release) {
+        if (isRelease) {
             claimTable.release(message.customer(), message.id(), requester.name, round);
             reply.accept(new ClaimReply(true, null, false));
             return;
@@ -318,19 +325,19 @@
         ClaimReply claimReply = claimTable.claim(message, requester.name, round, now, latestSignedAt);
         storedClaims.setInUse(claimTable.size());
         if (!claimReply.granted()) {
-            refused.increment();
+            claimsRefused.increment();
             reply.accept(claimReply);
             return;
         }
-        // Also if it was granted before: that record may not be durable yet.
+        // A claim that was granted before is recorded again, since its record may not be durable yet.
         ledger.append(new LedgerRecord.ClaimGranted(message.customer(), message.id(), ledger.time().fromMonotonic(now),
                 message.digestHigh(), message.digestLow(), requester.name, message.withDefaultSignedAt(latestSignedAt).signedAt(),
                 requester.position), durable -> {
                     if (durable) {
-                        granted.increment();
+                        claimsGranted.increment();
                         reply.accept(claimReply);
                     } else {
-                        refused.increment();
+                        claimsRefused.increment();
                         reply.accept(new ClaimReply(false, null, false));
                     }
                 });
@@ -346,13 +353,13 @@
     public void relayToHolder(IncomingMessage message, String holder) {
         Http2ConnectionPool holderPool = clientPools.get(holder.substring(0, Math.max(0, holder.indexOf('/'))));
         if (holderPool == null) {
-            // The holder is of a front end set that is no longer active, or is this front end with a ledger that it lost.
+            // The holder belongs to a front end set that is no longer active, or is this front end with a lost ledger.
             message.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true));
             return;
         }
         IncomingMessage.SignedBody signedBody = message.signedBody();
         if (signedBody == null) {
-            // It came by gRPC, and only webhooks are relayed: its client reaches the holder by repeating the message.
+            // Only webhooks are relayed. This message came by gRPC; its client reaches the holder by repeating the message.
             message.observer().onFinalAnswer(FinalAnswer.failed(message.id(), 504, HELD_ELSEWHERE + holder, true));
             return;
         }
@@ -363,7 +370,7 @@
                     ? new FinalAnswer(status == 200 ? FinalAnswer.Kind.RETURNED : status == 503
                             ? FinalAnswer.Kind.SHED : FinalAnswer.Kind.FAILED, status, body, retryAfterMillis(headers), true)
                     : FinalAnswer.failed(message.id(), 504, HOLDER_UNREACHABLE, true);
-            decisionThread.accept(inferences -> message.observer().onFinalAnswer(answer));
+            decisionThread.accept(inferenceCoordinator -> message.observer().onFinalAnswer(answer));
         }, "content-type", "application/json", "webhook-id", message.id(), "webhook-timestamp",
                 Long.toString(message.signedAt()), "webhook-signature", signedBody.signature());
         double timeout = message.model().group().routeTimeout();
--- a/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/DiskLedger.java
@@ -29,10 +29,11 @@
  */
 public final class DiskLedger implements Ledger, Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(DiskLedger.class);
-    /** Limit of records in one commit: about a megabyte, which takes less time to write than to force. */
+    /** About a megabyte of records in one commit, which takes less time to write than to force. */
     private static final int MAX_BATCH_RECORDS = 2048;
-    private static final long RETRY_NANOS = 500_000_000L;
-    private static final long MAINTENANCE_NANOS = 1_000_000_000L;
+    /** How long after a failure a new segment is tried. */
+    private static final long SEGMENT_RETRY_NANOS = 500_000_000L;
+    private static final long MAINTENANCE_INTERVAL_NANOS = 1_000_000_000L;
 
     /**
      * Limits of a ledger.
@@ -63,7 +64,7 @@
     private final LongAdder bytesWritten;
     private final LongAdder compactedSegments;
     private final Counts.Limit openMessages;
-    private final Thread thread;
+    private final Thread writerThread;
     private final List<Pending> batch = new ArrayList<>();
     private ByteBuffer buffer = ByteBuffer.allocateDirect(1 << 20);
     private Disk.Appender appender;
@@ -73,10 +74,10 @@
     private volatile long position = LedgerPosition.UNKNOWN;
     private volatile boolean writable;
     private volatile boolean closing;
-    private volatile boolean asleep;
+    private volatile boolean isWriterAsleep;
     private volatile double currentMargin;
-    private long lastMaintenanceAt;
-    private long failedAt;
+    private long lastMaintenanceNanos;
+    private long failedAtNanos;
 
     /** @param decisionThread runs the callbacks of a commit on the decision thread */
     public DiskLedger(Disk disk, Limits limits, CompactionPlanner compactionPlanner, LedgerTime time, Consumer<Runnable> decisionThread,
@@ -95,12 +96,13 @@
         failedTailMarks = counts.counter("ledger_marks_failed");
         bytesWritten = counts.counter("ledger_bytes_written");
         compactedSegments = counts.counter("ledger_segments_compacted");
-        thread = new Thread(this::run, "ledger");
-        thread.setDaemon(true);
+        writerThread = new Thread(this::run, "ledger");
+        writerThread.setDaemon(true);
     }
 
     /**
-     * Creates the first segment and starts the writer thread. If the segment cannot be created, the ledger is not writable and retries.
+     * Creates the first segment and starts the writer thread. If the segment cannot be created, the ledger is not writable until
+     * a retry succeeds.
      *
      * @param nextSegment number of the segment, higher than all existing ones
      */
@@ -108,7 +110,7 @@
         folder = ledgerFolder;
         currentSegment = nextSegment - 1;
         startNextSegment();
-        thread.start();
+        writerThread.start();
     }
 
     @Override
@@ -138,9 +140,10 @@
             decisionThread.accept(() -> callback.onComplete(false));
             return;
         }
+        // With the fence in waitForRecords: either this thread sees that the writer is asleep, or the writer sees the record.
         java.lang.invoke.VarHandle.fullFence();
-        if (asleep) {
-            LockSupport.unpark(thread);
+        if (isWriterAsleep) {
+            LockSupport.unpark(writerThread);
         }
     }
 
@@ -156,8 +159,8 @@
                 waitForRecords();
             }
             long now = System.nanoTime();
-            if (now - lastMaintenanceAt > MAINTENANCE_NANOS) {
-                lastMaintenanceAt = now;
+            if (now - lastMaintenanceNanos > MAINTENANCE_INTERVAL_NANOS) {
+                lastMaintenanceNanos = now;
                 maintain(now);
             }
         }
@@ -165,12 +168,12 @@
 
     /** Sleeps until a record is queued or maintenance is due. */
     private void waitForRecords() {
-        asleep = true;
+        isWriterAsleep = true;
         java.lang.invoke.VarHandle.fullFence();
         if (queue.isEmpty() && !closing) {
-            LockSupport.parkNanos(this, MAINTENANCE_NANOS / 2);
+            LockSupport.parkNanos(this, MAINTENANCE_INTERVAL_NANOS / 2);
         }
-        asleep = false;
+        isWriterAsleep = false;
     }
 
     /** Writes the batch and notifies its callbacks. */
@@ -197,7 +200,7 @@
         }
     }
 
-    /** Appends and forces the records; all of them or none count as durable. */
+    /** Appends the records and forces them; either all of them count as durable or none. */
     private void write(List<LedgerRecord> batchRecords) throws IOException {
         long writtenBefore = writtenBytes;
         buffer.clear();
@@ -231,11 +234,11 @@
         buffer.clear();
     }
 
-    /** Makes the ledger unwritable and gives the current segment up. */
+    /** Makes the ledger unwritable and abandons the current segment. */
     private void handleFailure(String operation, IOException e) {
         writable = false;
         failures.increment();
-        failedAt = System.nanoTime();
+        failedAtNanos = System.nanoTime();
         LOG.atError().addKeyValue("segment", currentSegment).log("ledger {} failed, inferences that need the ledger are shed: {}",
                 operation, String.valueOf(e.getMessage()));
         if (appender != null) {
@@ -259,7 +262,7 @@
         }
     }
 
-    /** Takes note that all that was written is durable. */
+    /** Called when everything that was written is durable. */
     private void advanceDurable() {
         durableBytes = writtenBytes;
         position = LedgerPosition.of(currentSegment, durableBytes);
@@ -296,12 +299,12 @@
         }
     }
 
-    /** Retries a failed segment, watches the disk space and compacts. */
+    /** Retries after a failure, checks the disk space and compacts. */
     private void maintain(long now) {
         currentMargin = commitDelay.margin(now / 1e6);
         try {
             if (appender == null) {
-                if (now - failedAt > RETRY_NANOS && disk.usableSpace(folder.folder) >= limits.minFreeBytes) {
+                if (now - failedAtNanos > SEGMENT_RETRY_NANOS && disk.usableSpace(folder.folder) >= limits.minFreeBytes) {
                     startNextSegment();
                 }
                 return;
@@ -343,9 +346,9 @@
         if (folder == null) {
             return; // it was never started
         }
-        LockSupport.unpark(thread);
+        LockSupport.unpark(writerThread);
         try {
-            thread.join(2000);
+            writerThread.join(2000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
+++ b/gateway/src/main/java/gradereach/ledger/disk/InodeNumbers.java
@@ -11,7 +11,7 @@
  * inodes of the original files and has others. A folder that was renamed, or whose owner or mode was changed, keeps its inodes.
  */
 final class InodeNumbers {
-    private static final String FILE = "files";
+    private static final String LIST_FILE = "files";
     /** On a file system without inode numbers, a copy cannot be detected. */
     private static final long NO_INODE = 0;
 
@@ -23,8 +23,8 @@
 
     /** Whether a file has another inode than listed; false without a list, as earlier versions left the folder. */
     boolean haveChanged() throws IOException {
-        String text = AtomicTextFile.read(folder, FILE);
-        return text != null && !matches(parse(text), current());
+        String text = AtomicTextFile.read(folder, LIST_FILE);
+        return text != null && !matches(parse(text), currentInodes());
     }
 
     /** A listed segment may have been removed by compaction since; any other difference counts. */
@@ -47,11 +47,11 @@
     }
 
     /** The inodes of the permanent files, of the list itself, and of all segments that hold a record. */
-    private Map<String, Long> current() throws IOException {
+    private Map<String, Long> currentInodes() throws IOException {
         Map<String, Long> inodes = new TreeMap<>();
         put(inodes, folder.resolve(LedgerFolder.IDENTITY_FILE));
         put(inodes, folder.resolve(LedgerFolder.LOCK_FILE));
-        put(inodes, folder.resolve(FILE));
+        put(inodes, folder.resolve(LIST_FILE));
         for (long segment : LedgerFolder.segmentNumbers(folder)) {
             Path file = LedgerFolder.segmentPath(folder, segment);
             if (Files.size(file) > LedgerFolder.MAGIC.length) {
@@ -82,11 +82,11 @@
      * @param file the file that becomes the next segment and has its inode already
      */
     void save(Path segmentPath, Path file) throws IOException {
-        Map<String, Long> inodes = current();
+        Map<String, Long> inodes = currentInodes();
         inodes.put(segmentPath.getFileName().toString(), inodeOf(file));
-        inodes.put(FILE, inodeOf(AtomicTextFile.createTemporary(folder, FILE)));
+        inodes.put(LIST_FILE, inodeOf(AtomicTextFile.createTemporary(folder, LIST_FILE)));
         StringBuilder text = new StringBuilder();
         inodes.forEach((name, inode) -> text.append(name).append(' ').append(inode).append('\n'));
-        AtomicTextFile.write(folder, FILE, text.toString());
+        AtomicTextFile.write(folder, LIST_FILE, text.toString());
     }
 }
--- a/gateway/src/main/java/gradereach/plan/Deployment.java
+++ b/gateway/src/main/java/gradereach/plan/Deployment.java
@@ -36,7 +36,10 @@
     private static final int MAX_PORT = 65_535;
     private static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
     private static final int DEFAULT_MAX_SERIES_PER_LABEL = 50;
-    /** How long a probe answered as ready is relied on while the roster is unreachable: the shortest drain grace of any operator. */
+    /**
+     * How long the answer "ready" to a probe is relied on while the roster is unreachable: the shortest time that operators grant
+     * to stop sending to a draining executor.
+     */
     private static final double DRAIN_GRACE_MILLIS = 500;
 
     private final JsonNode tree;
@@ -129,7 +132,7 @@
         return tree.path("grpc").path(name).asLong(defaultValue);
     }
 
-    /** Returns how the share of this front end follows the membership; null if shares are fixed by the number of front ends. */
+    /** Returns the settings of the membership, which the share of this front end follows; null if shares are fixed. */
     public Membership.Config membership() {
         return membership.config();
     }
@@ -179,8 +182,9 @@
     public FrontEndSettings frontEndSettings() {
         JsonNode settings = tree.path("tier");
         return new FrontEndSettings(settings.path("me").asInt(0), settings.path("front_ends").asInt(1),
-                Math.max(0, locations().indexOf(settings.path("location").asText(""))), false,
-                tree.path("forwards").path("probes").asBoolean(true), false, 0, 0, number(settings, "tick_ms", 4));
+                Math.max(0, locations().indexOf(settings.path("location").asText(""))), /* peerMessagesAllowed */ false,
+                tree.path("forwards").path("probes").asBoolean(true), /* subscribesToRoster */ false, /* probeCost */ 0,
+                /* crossZoneCost */ 0, number(settings, "tick_ms", 4));
     }
 
     /** Returns the seed of random choices, null to draw one. */
@@ -240,15 +244,17 @@
     public LoadingRules loadingRules() {
         JsonNode settings = tree.path("loading");
         return new LoadingRules(settings.path("orders").asBoolean(true), settings.path("loads_by_itself").asBoolean(false),
-                number(settings, "keeps_idle_ms", 10_000), number(settings, "order_timeout_ms", 10_000), 0, List.of());
+                number(settings, "keeps_idle_ms", 10_000), number(settings, "order_timeout_ms", 10_000),
+                /* idleCost */ 0, /* memoryByMachineKind */ List.of());
     }
 
     /** Returns how often and for how long an inference is forwarded. */
     public ForwardRules forwardRules() {
         JsonNode settings = tree.path("forwards");
-        return new ForwardRules(settings.path("most").asInt(5), false, settings.path("cancels").asBoolean(true),
-                connectTimeoutMillis(), number(tree.path("rules"), "answer_slack_ms", 0),
-                number(settings, "longest_pause_ms", 2000), true, DRAIN_GRACE_MILLIS);
+        return new ForwardRules(settings.path("most").asInt(5), /* hedgingAllowed */ false,
+                settings.path("cancels").asBoolean(true), connectTimeoutMillis(),
+                number(tree.path("rules"), "answer_slack_ms", 0), number(settings, "longest_pause_ms", 2000),
+                /* sendsRetryAfter */ true, DRAIN_GRACE_MILLIS);
     }
 
     /** Returns a number of {@code /executors}. */
--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -16,25 +16,26 @@
 import java.util.Random;
 
 /**
- * One member of a SWIM group (Das, Gupta, Motivala: "SWIM", 2002) with suspicion, and with Lifeguard's local health, which slows down
- * a member that is slow itself (Dadgar, Phillips, Currey: "Lifeguard", 2017). A state machine: messages and time come in, messages go
- * out; no I/O, no clock and no thread; the same events give the same actions.
+ * One member of a SWIM group (Das, Gupta, Motivala: "SWIM", 2002) with suspicion, and with Lifeguard's local health, which slows
+ * down a member that is slow itself (Dadgar, Phillips, Currey: "Lifeguard", 2017). A state machine without I/O, clock and
+ * threads: messages and times come in, messages go out, and the same events give the same actions.
  *
- * In every period one member is pinged, in an order that is shuffled for each round. Without an ack, {@code indirectPings} other
- * members ping it on our behalf. Without an ack by them it becomes suspect, and dead if it does not refute that within a time that
- * grows with the logarithm of the members. Member updates are piggybacked on these messages. From time to time two members exchange
- * their full lists, which repairs lost updates.
+ * In every period one member is pinged, in an order that is shuffled for each round. If its ack is missing, {@code indirectPings}
+ * other members ping it on our behalf. If their acks are missing too, it becomes suspect, and dead if it does not refute that
+ * within a time that grows with the logarithm of the number of members. Member updates are piggybacked on these messages. From
+ * time to time two members exchange their full lists, which repairs lost updates.
  */
 public final class Swim {
     /**
      * Timing of the protocol; times in milliseconds.
      *
-     * @param pingPeriod between two pings
-     * @param ackTimeout for a direct ack, above nearly all round-trip times
+     * @param pingPeriod time between two pings
+     * @param ackTimeout time to wait for a direct ack, above nearly all round-trip times
      * @param indirectPings members that are asked for an indirect ping
-     * @param suspicionMultiplier ping periods, times log10 of the members plus one, in which a suspect can refute the suspicion
+     * @param suspicionMultiplier least time in which a suspect can refute the suspicion: so many ping periods, times the
+     *     greater of 1 and log10 of the number of present members
      * @param syncPeriod mean time between two full exchanges
-     * @param deadRetention for which dead members are remembered, longer than any message may be delayed
+     * @param deadRetention time for which dead members are remembered, longer than any message may be delayed
      */
     public record Timing(double pingPeriod, double ackTimeout, int indirectPings, double suspicionMultiplier, double syncPeriod,
             double deadRetention) {
@@ -55,6 +56,15 @@
     private static final int MAX_UPDATES_PER_MESSAGE = 12;
     /** Maximum of Lifeguard's local health score, which bounds how much timeouts are extended. */
     private static final int MAX_HEALTH_SCORE = 8;
+    /** Ping periods without a tick after which this process counts as having stalled. */
+    private static final int STALL_PING_PERIODS = 3;
+    private static final int STALL_HEALTH_PENALTY = 2;
+    /** Expiry of a ping in ack timeouts, one for the direct ack and the rest for indirect ones; at least a ping period. */
+    private static final double PING_EXPIRY_ACK_TIMEOUTS = 2.5;
+    /** Failed pings of our own after which a suspect member has only the minimum time for refuting. */
+    private static final int MAX_CONFIRMATIONS = 3;
+    /** The time for refuting without confirmations, in multiples of the minimum. */
+    private static final int MAX_SUSPICION_FACTOR = 6;
 
     /** What is known of another member. */
     private static final class Peer {
@@ -103,13 +113,13 @@
     private final GossipQueue gossipQueue = new GossipQueue(MAX_UPDATES_PER_MESSAGE);
     private Member self;
     /** Present members other than this one. */
-    private int presentPeers;
+    private int presentPeerCount;
     private int healthScore;
     private long lastSequenceNumber;
-    private double pingAt;
-    private double syncAt;
+    private double nextPingAt;
+    private double nextSyncAt;
     private double lastTickAt = Double.NaN;
-    private boolean left;
+    private boolean hasLeft;
 
     /** @param incarnation higher than any that this name had before, for example the Unix milliseconds of the start */
     public Swim(String name, String address, long incarnation, Timing timing, Random random, double now, Environment environment) {
@@ -118,12 +128,12 @@
         this.environment = environment;
         self = new Member(name, address, incarnation, State.ALIVE);
         // Members that start at the same time do not ping at the same time.
-        pingAt = now + random.nextDouble() * timing.pingPeriod;
-        syncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
+        nextPingAt = now + random.nextDouble() * timing.pingPeriod;
+        nextSyncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
         gossipQueue.add(self);
     }
 
-    /** Requests the full member lists of these addresses. The caller repeats it if nobody replies. */
+    /** Requests the full member lists of the members at these addresses. The caller repeats it if nobody replies. */
     public void join(List<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(self.address())) {
@@ -134,14 +144,14 @@
 
     /** Announces that this member leaves, so that nobody suspects it afterwards. */
     public void leave() {
-        left = true;
+        hasLeft = true;
         self = new Member(self.name(), self.address(), self.incarnation(), State.LEFT);
         List<Member> departure = List.of(self);
         List<Peer> shuffled = new ArrayList<>(peers.values());
         Collections.shuffle(shuffled, random);
         int notified = 0;
         for (Peer peer : shuffled) {
-            if (peer.member.isPresent() && notified++ < GossipQueue.transmitLimit(presentPeers + 1)) {
+            if (peer.member.isPresent() && notified++ < GossipQueue.transmitLimit(presentPeerCount + 1)) {
                 environment.send(peer.member.address(), new Ping(self.name(), self.address(), ++lastSequenceNumber, departure));
             }
         }
@@ -151,7 +161,7 @@
 
     /** When {@link #tick} has to be called next. */
     public double nextTickAt() {
-        double nextAt = left ? Double.POSITIVE_INFINITY : Math.min(pingAt, syncAt);
+        double nextAt = hasLeft ? Double.POSITIVE_INFINITY : Math.min(nextPingAt, nextSyncAt);
         for (PendingPing ping : pendingPings.values()) {
             nextAt = Math.min(nextAt, ping.indirectPingsSent || ping.requesterAddress != null || ping.acknowledged ? ping.expiresAt
                     : ping.indirectPingAt);
@@ -162,11 +172,11 @@
         return nextAt;
     }
 
-    /** Performs whatever is due. */
+    /** Does what is due: sends pings and full lists, and handles missing acks and expired suspicions. */
     public void tick(double now) {
-        boolean stalled = !Double.isNaN(lastTickAt) && now - lastTickAt > timing.pingPeriod * 3;
+        boolean stalled = !Double.isNaN(lastTickAt) && now - lastTickAt > timing.pingPeriod * STALL_PING_PERIODS;
         lastTickAt = now;
-        if (left) {
+        if (hasLeft) {
             return;
         }
         if (stalled) {
@@ -182,12 +192,12 @@
             expirePing(pingsByExpiry.poll(), now);
         }
         expirePeers(now);
-        if (now >= pingAt) {
-            pingAt = now + timing.pingPeriod * (1 + healthScore / 2.0);
+        if (now >= nextPingAt) {
+            nextPingAt = now + timing.pingPeriod * (1 + healthScore / 2.0);
             ping(now);
         }
-        if (now >= syncAt) {
-            syncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
+        if (now >= nextSyncAt) {
+            nextSyncAt = now + timing.syncPeriod * (0.5 + random.nextDouble());
             Peer peer = randomPresentPeer();
             if (peer != null) {
                 environment.send(peer.member.address(), new Sync(self.name(), self.address(), true, allMembers()));
@@ -199,7 +209,7 @@
     private void handleStall(double now) {
         pendingPings.clear();
         pingsByExpiry.clear();
-        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 2);
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + STALL_HEALTH_PENALTY);
         for (Peer peer : peers.values()) {
             if (peer.member.state() == State.SUSPECT) {
                 peer.deadline = now + suspicionTimeout(peer.confirmations);
@@ -225,7 +235,7 @@
         }
         double timeout = timing.ackTimeout * (1 + healthScore);
         PendingPing ping = new PendingPing(++lastSequenceNumber, target.member, now + timeout,
-                now + Math.max(timeout * 2.5, timing.pingPeriod), null, 0);
+                now + Math.max(timeout * PING_EXPIRY_ACK_TIMEOUTS, timing.pingPeriod), null, 0);
         pendingPings.put(ping.sequenceNumber, ping);
         pingsByExpiry.add(ping);
         // A suspect member is told so with the ping, so that it can refute the suspicion.
@@ -243,8 +253,8 @@
         });
         Collections.shuffle(others, random);
         for (Peer helper : others.subList(0, Math.min(timing.indirectPings, others.size()))) {
-            environment.send(helper.member.address(), new PingRequest(self.name(), self.address(), ping.sequenceNumber, ping.target.name(),
-                    ping.target.address(), nextGossip(null)));
+            environment.send(helper.member.address(), new PingRequest(self.name(), self.address(), ping.sequenceNumber,
+                    ping.target.name(), ping.target.address(), nextGossip(null)));
         }
     }
 
@@ -261,7 +271,7 @@
         Peer peer = peers.get(ping.target.name());
         if (peer != null && peer.member.state() == State.SUSPECT) {
             // Only pings of our own count as confirmations: updates of others may all repeat one observation.
-            peer.confirmations = Math.min(3, peer.confirmations + 1);
+            peer.confirmations = Math.min(MAX_CONFIRMATIONS, peer.confirmations + 1);
             peer.deadline = Math.min(peer.deadline, peer.suspectedAt + suspicionTimeout(peer.confirmations));
         } else if (peer != null && peer.member.state() == State.ALIVE && peer.member.incarnation() == ping.target.incarnation()) {
             applyUpdate(new Member(peer.member.name(), peer.member.address(), peer.member.incarnation(), State.SUSPECT), now);
@@ -270,9 +280,10 @@
 
     /** How long a suspect member can refute the suspicion after that many confirmations. */
     private double suspicionTimeout(int confirmations) {
-        double minimum = timing.suspicionMultiplier * timing.pingPeriod * Math.max(1, Math.log10(presentPeers + 1));
-        // Six times as long at first, and shorter with each failed ping of our own (after Lifeguard's "LHA-Suspicion").
-        double factor = 6 - 5 * Math.log(confirmations + 1) / Math.log(4);
+        double minimum = timing.suspicionMultiplier * timing.pingPeriod * Math.max(1, Math.log10(presentPeerCount + 1));
+        // Longest at first, and shorter with each failed ping of our own (after Lifeguard's "LHA-Suspicion").
+        double factor = MAX_SUSPICION_FACTOR
+                - (MAX_SUSPICION_FACTOR - 1) * Math.log(confirmations + 1) / Math.log(MAX_CONFIRMATIONS + 1);
         return minimum * Math.max(1, factor) * (1 + healthScore / 2.0);
     }
 
@@ -294,12 +305,12 @@
     /** Handles a received message. */
     public void handleMessage(Message message, double now) {
         lastTickAt = Double.isNaN(lastTickAt) ? now : lastTickAt;
-        if (left) {
+        if (hasLeft) {
             return;
         }
         boolean mustRefute = false;
         for (Member update : message.gossip()) {
-            // Also if it was refuted before: the refutation did not reach the sender.
+            // Refuted also if this member has done so before, since that refutation did not reach the sender.
             mustRefute |= update.name().equals(self.name()) && update.state() != State.ALIVE;
             applyUpdate(update, now);
         }
@@ -326,7 +337,7 @@
     }
 
     private List<Member> nextGossip(Member first) {
-        return gossipQueue.next(presentPeers + 1, first);
+        return gossipQueue.next(presentPeerCount + 1, first);
     }
 
     private List<Member> allMembers() {
@@ -364,7 +375,7 @@
             }
             peer = new Peer(update);
             peers.put(update.name(), peer);
-            presentPeers++;
+            presentPeerCount++;
             stateChanged(peer, now);
             // A new member is pinged within the current round, at a random position.
             pingOrder.add(random.nextInt(pingOrder.size() + 1), update.name());
@@ -373,7 +384,7 @@
         if (!update.overrides(peer.member)) {
             return;
         }
-        presentPeers += (update.isPresent() ? 1 : 0) - (peer.member.isPresent() ? 1 : 0);
+        presentPeerCount += (update.isPresent() ? 1 : 0) - (peer.member.isPresent() ? 1 : 0);
         boolean changed = update.state() != peer.member.state() || !update.address().equals(peer.member.address());
         peer.member = update;
         if (changed) {
@@ -409,7 +420,7 @@
 
     /** The number of present members, this one included. It is only an estimate, and no correctness rule may depend on it. */
     public int presentCount() {
-        return presentPeers + 1;
+        return presentPeerCount + 1;
     }
 
     /** Lifeguard's local health score: 0 is healthy, higher values mean that this member itself is slow. */
