--- a/rehearsal/src/main/java/gradereach/measure/GrpcLoadGenerator.java
+++ b/rehearsal/src/main/java/gradereach/measure/GrpcLoadGenerator.java
@@ -19,16 +19,18 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Sends signed unary calls with a tensor of 64 numbers over several connections in turn. */
+/** Sends signed unary gRPC calls, each with a tensor of 64 numbers, over several connections in turn. */
 final class GrpcLoadGenerator implements AutoCloseable {
     private static final String METHOD_NAME = GRPCInferenceServiceGrpc.getModelInferMethod().getFullMethodName();
     private static final Metadata.Key<String> ID = asciiKey(CallSignature.ID);
     private static final Metadata.Key<String> TIMESTAMP = asciiKey(CallSignature.TIMESTAMP);
     private static final Metadata.Key<String> SIGNATURE = asciiKey(CallSignature.SIGNATURE);
+    private static final int TENSOR_SIZE = 64;
     private final List<ManagedChannel> channels = new ArrayList<>();
     private final WebhookKey key;
-    /** Requests by model; {@code signedContents} has the content that is signed for each. */
+    /** Requests by model. */
     private final Map<String, ModelInferRequest> requests = new HashMap<>();
+    /** The content that the signature of a request covers, by model. */
     private final Map<String, byte[]> signedContents = new HashMap<>();
     private int nextChannel;
 
@@ -45,15 +47,15 @@
 
     private static ModelInferRequest createRequest(String model) {
         InferTensorContents.Builder numbers = InferTensorContents.newBuilder();
-        for (int i = 0; i < 64; i++) {
+        for (int i = 0; i < TENSOR_SIZE; i++) {
             numbers.addFp32Contents(0.125f);
         }
         return ModelInferRequest.newBuilder().setModelName(model).addInputs(ModelInferRequest.InferInputTensor.newBuilder()
-                .setName("x").setDatatype("FP32").addShape(64).setContents(numbers)).build();
+                .setName("x").setDatatype("FP32").addShape(TENSOR_SIZE).setContents(numbers)).build();
     }
 
     /**
-     * Sends one call. To be called on one thread only.
+     * Sends one call. Not thread-safe.
      *
      * @param onEnd gets, on an I/O thread, whether the call returned an answer
      */
@@ -74,7 +76,7 @@
                 onEnd.accept(status.isOk());
             }
         }, headers);
-        call.request(2);
+        call.request(2); // as generated stubs do for a unary call
         call.sendMessage(request);
         call.halfClose();
     }
--- a/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/LatencyBenchmark.java
@@ -51,11 +51,17 @@
     private static final int MODELS = 16;
     /** Connections of the gRPC load. The HTTP load has three pools, each with up to four connections. */
     private static final int GRPC_CONNECTIONS = 6;
+    private static final int PUSHER_COUNT = 60;
+    /** Before the time of the next request, the sender busy-waits this long, since a parked thread wakes up late. */
+    private static final long BUSY_WAIT_NANOS = 50_000;
+    /** Shorter waits are busy-waited as a whole. */
+    private static final long MIN_PARK_NANOS = 100_000;
 
     /**
      * One measurement: rates in requests a second, latencies in microseconds.
      *
-     * @param cpuMicros CPU time of the front end for each inference, negative where it is not measured
+     * @param path the way of the requests, or the variant of the front end that they went through
+     * @param cpuMicros CPU time of the front end for each inference; negative if it is not measured
      * @param memoryMb resident memory of the front end
      */
     public record LoadMeasurement(String path, int requestedRate, double achievedRate, long errors, long p50, long p99, long p999,
@@ -70,7 +76,7 @@
 
     private final Path folder;
     private final List<String> frontEndCommand;
-    private final boolean ledger;
+    private final boolean usesLedger;
     private final PrintStream out;
     private final WebhookKey key = WebhookKey.parse(WebhookKey.newSecret(new SecureRandom()));
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
@@ -79,15 +85,27 @@
     private final List<Process> processes = new ArrayList<>();
     private Histogram lastLatencies;
 
-    /** @param ledger whether the inferences are non-retriable, so that every one is recorded in a ledger */
-    public LatencyBenchmark(Path folder, List<String> frontEndCommand, boolean ledger, PrintStream out) {
-        this.ledger = ledger;
+    /**
+     * Creates a benchmark that has not started yet.
+     *
+     * @param folder gets configurations and logs
+     * @param frontEndCommand starts a front end when a deployment file is appended
+     * @param usesLedger whether the inferences are non-retriable, so that every one is recorded in a ledger
+     */
+    public LatencyBenchmark(Path folder, List<String> frontEndCommand, boolean usesLedger, PrintStream out) {
+        this.usesLedger = usesLedger;
         this.folder = folder;
         this.frontEndCommand = frontEndCommand;
         this.out = out;
     }
 
-    /** Runs each rate directly, through the front end by webhook and through it by gRPC, {@code rounds} times in turn. */
+    /**
+     * Runs each rate directly, through the front end by webhook and through it by gRPC, {@code rounds} times.
+     *
+     * @param rates requests a second
+     * @param seconds length of each measurement
+     * @param openConnections idle connections that the front end holds open meanwhile
+     */
     public List<LoadMeasurement> run(int[] rates, int seconds, int rounds, int openConnections)
             throws IOException, InterruptedException {
         List<LoadMeasurement> measurements = new ArrayList<>();
@@ -130,8 +148,9 @@
     }
 
     /**
-     * Measures what remote write costs: the same load on front ends that push to a healthy receiver, to one that drops every
-     * second write, to one that answers after half a minute, and on two that do not push, whose difference is the noise.
+     * Measures what remote write costs, by the same load on five front ends. Three of them push: to a healthy receiver, to one
+     * that drops every second write, and to one that answers after half a minute. Two do not push; their difference is the
+     * noise of the measurement.
      */
     public void runRemoteWrite(int rate, int seconds, int rounds) throws IOException, InterruptedException {
         Map<String, RemoteWriteServer> receivers = new LinkedHashMap<>();
@@ -191,7 +210,7 @@
         int intervalMillis = 15_000;
         List<Pusher> pushers = new ArrayList<>();
         try (RemoteWriteServer receiver = new RemoteWriteServer()) {
-            for (int i = 0; i < 60; i++) {
+            for (int i = 0; i < PUSHER_COUNT; i++) {
                 ServiceMetrics service = new ServiceMetrics(List.of("a", "b", "c"), 50, System::currentTimeMillis);
                 for (int n = 0; n < 100; n++) {
                     service.recordInference(n % 3, "c-" + n % 7, n % 7, "m-" + n, n * 0x9e3779b97f4a7c15L,
@@ -212,7 +231,7 @@
                     writesBySecond[second]++;
                 }
             }
-            double meanRate = 60_000.0 / intervalMillis;
+            double meanRate = PUSHER_COUNT * 1000.0 / intervalMillis;
             out.println(String.format(
                     "sixty that start at once: %.0f writes a second in the mean, most in one second of the first interval %d,"
                     + " of the next two %d; %d series, %.1f bytes a sample", meanRate,
@@ -236,10 +255,11 @@
     }
 
     /**
-     * @param pushTo a receiver's URL, null for no remote write; the front end pushes every 200 ms, so that a run of seconds has
-     *        many pushes
+     * Writes the configuration of a front end and returns the command that starts it.
+     *
+     * @param receiverUrl null for no remote write; the front end pushes every 200 ms, so that a run of seconds has many pushes
      */
-    private List<String> writeFrontEndCommand(List<Integer> ports, String pushTo, String name) throws IOException {
+    private List<String> writeFrontEndCommand(List<Integer> ports, String receiverUrl, String name) throws IOException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode endpointSlices = json.createObjectNode();
         ArrayNode items = endpointSlices.putArray("items");
@@ -259,15 +279,15 @@
         deployment.putObject("roster").put("file", "roster.json");
         deployment.putArray("customers").addObject().put("name", "yard").putArray("keys").addObject().put("file", "key");
         deployment.putArray("model_groups").addObject().put("name", "g")
-                .put("repeat", ledger ? "non-retriable" : "retriable").put("slo_ms", 500).put("route_timeout_ms", 5000);
+                .put("repeat", usesLedger ? "non-retriable" : "retriable").put("slo_ms", 500).put("route_timeout_ms", 5000);
         deployment.putArray("models").addObject().put("name", "m-*").put("group", "g").put("lanes", 64);
-        if (ledger) {
+        if (usesLedger) {
             deployment.putObject("ledger").put("folder", "ledger");
         }
         deployment.putObject("limits").put("remembered", 2_000_000).put("remembered_bytes", 256L << 20)
                 .put("idle_ms", 600_000).put("connections", 20_000);
-        if (pushTo != null) {
-            deployment.putObject("metrics").putObject("remote_write").put("url", pushTo).put("interval_ms", 200);
+        if (receiverUrl != null) {
+            deployment.putObject("metrics").putObject("remote_write").put("url", receiverUrl).put("interval_ms", 200);
         }
         Files.write(folder.resolve(name + ".json"), json.writeValueAsBytes(deployment));
         List<String> command = new ArrayList<>(frontEndCommand);
@@ -286,6 +306,12 @@
         return line;
     }
 
+    /**
+     * Sends {@code rate} requests a second and waits until they have ended.
+     *
+     * @param path {@code direct} for requests to an executor, {@code grpc} for calls to a front end; otherwise webhooks to one
+     * @param measured the process whose CPU time and memory are measured; null for none
+     */
     private LoadMeasurement runLoad(String path, InetSocketAddress address, int rate, int seconds, Process measured)
             throws InterruptedException {
         Http2ConnectionPool[] pools = new Http2ConnectionPool[3];
@@ -309,8 +335,8 @@
         for (long i = 0; i < count; i++) {
             long dueNanos = start + (long) (i * intervalNanos);
             for (long now; (now = System.nanoTime()) < dueNanos;) {
-                if (dueNanos - now > 100_000) {
-                    LockSupport.parkNanos(dueNanos - now - 50_000);
+                if (dueNanos - now > MIN_PARK_NANOS) {
+                    LockSupport.parkNanos(dueNanos - now - BUSY_WAIT_NANOS);
                 } else {
                     Thread.onSpinWait();
                 }
--- a/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
+++ b/rehearsal/src/main/java/gradereach/measure/StreamingBenchmark.java
@@ -44,6 +44,11 @@
     /** Clients with one connection each, as a connection carries at most a thousand streams. */
     private static final int CLIENTS = 20;
 
+    /** Before the time of the next stream, the sender busy-waits this long, since a parked thread wakes up late. */
+    private static final long BUSY_WAIT_NANOS = 50_000;
+    /** Shorter waits are busy-waited as a whole. */
+    private static final long MIN_PARK_NANOS = 100_000;
+
     private final Path folder;
     private final List<String> frontEndCommand;
     private final PrintStream out;
@@ -51,15 +56,25 @@
     private final List<FrontEndTransport> clients = new ArrayList<>();
     private int requestCount;
 
-    /** @param frontEndCommand starts a front end when a deployment file is appended */
+    /**
+     * Creates a benchmark that has not started yet.
+     *
+     * @param folder gets configurations, logs and the transcript of the stand-ins
+     * @param frontEndCommand starts a front end when a deployment file is appended
+     */
     public StreamingBenchmark(Path folder, List<String> frontEndCommand, PrintStream out) {
         this.folder = folder;
         this.frontEndCommand = frontEndCommand;
         this.out = out;
     }
 
-    /** @param open streams that are open at the same time in the last measurement */
-    public void run(int rounds, int open) throws IOException, InterruptedException {
+    /**
+     * Runs all measurements.
+     *
+     * @param rounds how often each measurement is repeated, except the last one
+     * @param streamCount streams that are open at the same time in the last measurement
+     */
+    public void run(int rounds, int streamCount) throws IOException, InterruptedException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode models = (ObjectNode) json.readTree("""
                 {"model_groups": [{"name": "t", "repeat": "retriable", "slo_ms": 2000, "route_timeout_ms": 20000, "streamed": true}],
@@ -78,8 +93,8 @@
                 if (output == null) {
                     throw new IOException("the front end did not start: see " + folder.resolve("front-end.log"));
                 }
-                String through = "127.0.0.1:" + output.replaceAll(".*:", "");
-                runAll(fleet.addresses().get(0), through, frontEnd, rounds, open);
+                String frontEndAddress = "127.0.0.1:" + output.replaceAll(".*:", "");
+                runAll(fleet.addresses().get(0), frontEndAddress, frontEnd, rounds, streamCount);
             } finally {
                 children.close();
                 clients.forEach(FrontEndTransport::close);
@@ -87,23 +102,24 @@
         }
     }
 
-    private void runAll(String direct, String through, Process frontEnd, int rounds, int open) throws InterruptedException {
-        // Loads the model at the executors, and the classes in all processes.
-        measureFirstParts(through, 500, 5000);
-        loadModel(direct);
-        measureFirstParts(direct, 500, 2000);
+    private void runAll(String executorAddress, String frontEndAddress, Process frontEnd, int rounds, int streamCount)
+            throws InterruptedException {
+        // Loads the model at the executors and warms up the classes of all processes.
+        measureFirstParts(frontEndAddress, 500, 5000);
+        loadModel(executorAddress);
+        measureFirstParts(executorAddress, 500, 2000);
         for (int round = 0; round < rounds; round++) {
-            printLatencies("first part, direct", measureFirstParts(direct, 500, 3000));
-            printLatencies("first part, through", measureFirstParts(through, 500, 3000));
+            printLatencies("first part, direct", measureFirstParts(executorAddress, 500, 3000));
+            printLatencies("first part, through", measureFirstParts(frontEndAddress, 500, 3000));
         }
         for (int round = 0; round < rounds; round++) {
-            measureFairness(through);
+            measureFairness(frontEndAddress);
         }
         for (int round = 0; round < rounds; round++) {
-            printLatencies("500 streams alone", measureBesideSlowReader(through, false));
-            printLatencies("500 beside one at a crawl", measureBesideSlowReader(through, true));
+            printLatencies("500 streams alone", measureBesideSlowReader(frontEndAddress, false));
+            printLatencies("500 beside one at a crawl", measureBesideSlowReader(frontEndAddress, true));
         }
-        measureOpenStreams(through, frontEnd, open);
+        measureOpenStreams(frontEndAddress, frontEnd, streamCount);
     }
 
     private void printLatencies(String label, Histogram latencies) {
@@ -113,11 +129,12 @@
     }
 
     /** Loads the model at an executor that is called directly, as no front end sends load orders there. */
-    private static void loadModel(String executor) throws InterruptedException {
+    private static void loadModel(String executorAddress) throws InterruptedException {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        int colon = executor.indexOf(':');
+        int colon = executorAddress.indexOf(':');
         CountDownLatch loaded = new CountDownLatch(1);
-        new Http2ConnectionPool(new InetSocketAddress(executor.substring(0, colon), Integer.parseInt(executor.substring(colon + 1))),
+        new Http2ConnectionPool(
+                new InetSocketAddress(executorAddress.substring(0, colon), Integer.parseInt(executorAddress.substring(colon + 1))),
                 loops.next(), NioSocketChannel.class, new Http2ConnectionPool.Limits(1, 10, 1000, 1000, 1 << 16, 1 << 16),
                 new Http2ConnectionPool.Metrics(new Counts(), "hold"), () -> System.nanoTime() / 1e6)
                 .send("POST", "/v2/repository/models/t-0/load", "{\"parameters\":{\"copies\":1}}".getBytes(StandardCharsets.UTF_8),
@@ -130,47 +147,48 @@
         return InferParameter.newBuilder().setDoubleParam(value).build();
     }
 
-    private FrontEndTransport.Attempt openStream(String address, int client, int parts, int bytes, double intervalMillis,
-            Consumer<Object> onPart, Consumer<AttemptOutcome> onEnd) {
+    /** Opens a stream of {@code parts} parts, each {@code intervalMillis} after the one before. */
+    private FrontEndTransport.Attempt openStream(String address, int clientIndex, int parts, int partBytes,
+            double intervalMillis, Consumer<Object> onPart, Consumer<AttemptOutcome> onEnd) {
         ModelInferRequest request = ModelInferRequest.newBuilder().setModelName("t-0").putParameters("parts", doubleParameter(parts))
-                .putParameters("part_bytes", doubleParameter(bytes)).putParameters("part_ms", doubleParameter(intervalMillis)).build();
-        return clients.get(client % CLIENTS).stream(address,
+                .putParameters("part_bytes", doubleParameter(partBytes)).putParameters("part_ms", doubleParameter(intervalMillis)).build();
+        return clients.get(clientIndex % CLIENTS).stream(address,
                 new Inference("s-" + System.nanoTime() + "-" + requestCount++, "t-0", request), 600_000, onPart, onEnd);
     }
 
-    /** Opens {@code rate} streams a second of five parts each; returns the times from when each was due to its first part. */
+    /** Opens {@code rate} streams a second, of five parts each; returns the time of each first part since its stream was due. */
     private Histogram measureFirstParts(String address, int rate, int millis) throws InterruptedException {
         Recorder recorder = new Recorder(TimeUnit.SECONDS.toNanos(60), 3);
         int count = (int) ((long) rate * millis / 1000);
-        CountDownLatch openStreams = new CountDownLatch(count);
+        CountDownLatch unfinishedStreams = new CountDownLatch(count);
         AtomicInteger failed = new AtomicInteger();
         long start = System.nanoTime();
         for (int i = 0; i < count; i++) {
             long dueNanos = start + i * 1_000_000_000L / rate;
             for (long now; (now = System.nanoTime()) < dueNanos;) {
-                if (dueNanos - now > 100_000) {
-                    LockSupport.parkNanos(dueNanos - now - 50_000);
+                if (dueNanos - now > MIN_PARK_NANOS) {
+                    LockSupport.parkNanos(dueNanos - now - BUSY_WAIT_NANOS);
                 }
             }
-            boolean[] first = new boolean[1];
+            boolean[] hasFirstPart = new boolean[1];
             openStream(address, i, 5, 256, 2, part -> {
-                if (!first[0]) {
-                    first[0] = true;
+                if (!hasFirstPart[0]) {
+                    hasFirstPart[0] = true;
                     recorder.recordValue(System.nanoTime() - dueNanos);
                 }
             }, outcome -> {
                 failed.addAndGet(outcome.kind() == AttemptOutcome.Kind.RETURNED ? 0 : 1);
-                openStreams.countDown();
+                unfinishedStreams.countDown();
             });
         }
-        openStreams.await(30, TimeUnit.SECONDS);
-        if (failed.get() + openStreams.getCount() > 0) {
-            out.println(failed.get() + " broke, " + openStreams.getCount() + " did not end");
+        unfinishedStreams.await(30, TimeUnit.SECONDS);
+        if (failed.get() + unfinishedStreams.getCount() > 0) {
+            out.println(failed.get() + " broke, " + unfinishedStreams.getCount() + " did not end");
         }
         return recorder.getIntervalHistogram();
     }
 
-    /** A hundred streams at full speed over one connection: the parts that each receives in two seconds after all have started. */
+    /** Counts the parts that each of a hundred streams over one connection gets at full speed in the two seconds after all began. */
     private void measureFairness(String address) throws InterruptedException {
         AtomicInteger[] received = new AtomicInteger[100];
         List<FrontEndTransport.Attempt> streams = new ArrayList<>();
@@ -183,11 +201,11 @@
         while (Arrays.stream(received).anyMatch(n -> n.get() == 0) && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
-        int[] before = Arrays.stream(received).mapToInt(AtomicInteger::get).toArray();
+        int[] partsBefore = Arrays.stream(received).mapToInt(AtomicInteger::get).toArray();
         Thread.sleep(2000);
         int[] receivedMeanwhile = new int[received.length];
         for (int i = 0; i < receivedMeanwhile.length; i++) {
-            receivedMeanwhile[i] = received[i].get() - before[i];
+            receivedMeanwhile[i] = received[i].get() - partsBefore[i];
         }
         streams.forEach(FrontEndTransport.Attempt::cancel);
         double sum = Arrays.stream(receivedMeanwhile).sum();
@@ -198,7 +216,7 @@
                 receivedMeanwhile[0], receivedMeanwhile[50], receivedMeanwhile[99], sum / 2));
     }
 
-    /** Latencies of the first parts at 500 streams a second, with or without another stream whose reader takes one part a second. */
+    /** Measures the first parts of 500 streams a second, with or without another stream whose reader takes one part a second. */
     private Histogram measureBesideSlowReader(String address, boolean withSlowReader) throws InterruptedException {
         FrontEndTransport.Attempt slowStream = !withSlowReader ? null : openStream(address, 0, 1_000_000, 1024, 0,
                 part -> LockSupport.parkNanos(1_000_000_000L), end -> { });
@@ -209,17 +227,17 @@
         return latencies;
     }
 
-    /** Memory of the front end without and with {@code open} streams, each of which gets a part every two seconds. */
-    private void measureOpenStreams(String address, Process frontEnd, int open) throws InterruptedException {
-        long memoryBefore = residentMb(frontEnd);
+    /** Measures the memory of the front end without and with open streams, each of which gets a part every two seconds. */
+    private void measureOpenStreams(String address, Process frontEnd, int streamCount) throws InterruptedException {
+        long memoryBeforeMb = residentMb(frontEnd);
         AtomicInteger started = new AtomicInteger();
         AtomicInteger ended = new AtomicInteger();
         long start = System.nanoTime();
-        for (int i = 0; i < open; i++) {
-            boolean[] first = new boolean[1];
+        for (int i = 0; i < streamCount; i++) {
+            boolean[] hasFirstPart = new boolean[1];
             openStream(address, i, 1000, 64, 2000, part -> {
-                if (!first[0]) {
-                    first[0] = true;
+                if (!hasFirstPart[0]) {
+                    hasFirstPart[0] = true;
                     started.incrementAndGet();
                 }
             }, end -> ended.incrementAndGet());
@@ -228,15 +246,15 @@
             }
         }
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (started.get() + ended.get() < open && System.nanoTime() < deadline) {
+        while (started.get() + ended.get() < streamCount && System.nanoTime() < deadline) {
             Thread.sleep(10);
         }
         double elapsedSeconds = (System.nanoTime() - start) / 1e9;
         Histogram latenciesMeanwhile = measureFirstParts(address, 100, 5000);
-        long memoryWith = residentMb(frontEnd);
+        long memoryWithMb = residentMb(frontEnd);
         out.println(String.format("open at once               %d of %d streams after %.1f s, %d ended; %d MB resident before, %d with: "
-                + "%.1f KB each", started.get(), open, elapsedSeconds, ended.get(), memoryBefore, memoryWith,
-                (memoryWith - memoryBefore) * 1024.0 / Math.max(1, started.get())));
+                + "%.1f KB each", started.get(), streamCount, elapsedSeconds, ended.get(), memoryBeforeMb, memoryWithMb,
+                (memoryWithMb - memoryBeforeMb) * 1024.0 / Math.max(1, started.get())));
         printLatencies("first part beside them", latenciesMeanwhile);
     }
 
@@ -249,6 +267,7 @@
         }
     }
 
+    /** Writes the configuration of a front end and returns the command that starts it. */
     private List<String> writeFrontEndCommand(ObjectNode models, int rosterPort) throws IOException {
         Path keyFile = folder.resolve("key");
         Files.deleteIfExists(keyFile);
--- a/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/AlertMonitor.java
@@ -15,13 +15,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Receives the metrics that the front ends of a rehearsal push, and evaluates the shipped alert rules over them meanwhile.
+ * Receives the metrics that the front ends of a rehearsal push, and evaluates the shipped alert rules over them while
+ * the rehearsal runs.
  * A minute of the rules lasts one second here, so that a rehearsal of one minute covers an hour of the rules.
  */
 public final class AlertMonitor implements AutoCloseable {
     private static final double RULE_MINUTE_MILLIS = 1000;
+    /** Maximum age of a sample: Prometheus's default of five minutes. */
     private static final long LOOKBACK_MILLIS = (long) (5 * RULE_MINUTE_MILLIS);
 
+    /** An event of the script and the time of its start. */
     private record ScriptEvent(String kind, long timeMillis) { }
 
     private final RemoteWriteServer receiver = new RemoteWriteServer();
@@ -32,7 +35,7 @@
         return thread;
     });
     private final List<ScriptEvent> events = new ArrayList<>();
-    private long startedAt;
+    private long startedAtMillis;
 
     /** @param script the rehearsal script, from which the alert rules take objectives and load times */
     public AlertMonitor(JsonNode script) throws IOException {
@@ -55,7 +58,7 @@
 
     /** Starts evaluating the rules; called once the front ends serve. */
     synchronized void start() {
-        startedAt = System.currentTimeMillis();
+        startedAtMillis = System.currentTimeMillis();
         timer.scheduleAtFixedRate(() -> rules.evaluate(System.currentTimeMillis()), rules.intervalMillis(), rules.intervalMillis(),
                 TimeUnit.MILLISECONDS);
     }
@@ -74,12 +77,13 @@
     public synchronized void print(PrintStream out) {
         out.println("alerts (a minute of the rules is a second here): " + (rules.firedAlerts().isEmpty() ? "none" : ""));
         for (RuleEvaluator.FiredAlert fired : rules.firedAlerts()) {
-            ScriptEvent last = null;
+            ScriptEvent precedingEvent = null;
             for (ScriptEvent event : events) {
-                last = event.timeMillis <= fired.firedAt() ? event : last;
+                precedingEvent = event.timeMillis <= fired.firedAt() ? event : precedingEvent;
             }
-            out.println(String.format("  %-28s %-60s at %5.1f s%s", fired.alert(), fired.labels(), (fired.firedAt() - startedAt) / 1e3,
-                    last == null ? "" : String.format(", %.1f s after %s", (fired.firedAt() - last.timeMillis) / 1e3, last.kind)));
+            out.println(String.format("  %-28s %-60s at %5.1f s%s", fired.alert(), fired.labels(),
+                    (fired.firedAt() - startedAtMillis) / 1e3, precedingEvent == null ? "" : String.format(", %.1f s after %s",
+                            (fired.firedAt() - precedingEvent.timeMillis) / 1e3, precedingEvent.kind)));
         }
         out.println("  " + receiver.store.seriesCount() + " series, " + receiver.requestCount() + " writes, "
                 + receiver.acceptedSamples() + " samples");
--- a/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Auditor.java
@@ -17,14 +17,27 @@
 
 /**
  * Checks the five rules against the transcripts of the clients and of the stand-in executors. It reads nothing that a
- * front end reports about itself.
+ * front end reports about itself. The rules:
+ *
+ * <ol>
+ * <li>Every inference gets one final answer in time, and nothing is sent to executors after it.
+ * <li>No deduped or non-retriable inference is executed twice.
+ * <li>Nothing new is sent to an executor that drains or was removed.
+ * <li>No executor that has just started is overloaded until it collapses.
+ * <li>Load orders keep within their budget.
+ * </ol>
  */
 public final class Auditor {
     /**
      * Parameters of the rules.
      *
+     * @param answerSlackMillis how long after the client's deadline an answer still counts as in time
+     * @param drainGraceMillis how long a front end may send to an executor after the first report that it is not ready
+     * @param freeLoadOrders load orders that a front end may send in any window
+     * @param loadOrdersPerRequest further load orders for each request sent to the front end in the window
      * @param loadOrderWindowMillis 0 where there is no load order budget
-     * @param sharesMessages whether front ends know of each other's messages and keep them over a restart
+     * @param dedupWindowMillis how long after its first forward a deduped message may be sent again
+     * @param sharesMessages whether front ends share claims on messages and keep the messages over a restart
      */
     public record RuleParameters(double answerSlackMillis, double drainGraceMillis, double freeLoadOrders,
             double loadOrdersPerRequest, double loadOrderWindowMillis, double dedupWindowMillis, boolean sharesMessages) { }
@@ -50,7 +63,7 @@
             return conclusive() && results.stream().allMatch(RuleResult::passed);
         }
 
-        /** Whether the run shows a violation or nothing kept one from being seen. */
+        /** Whether the run shows a violation, or would have shown one. */
         public boolean conclusive() {
             return inconclusiveReasons.isEmpty() || !results.stream().allMatch(RuleResult::passed);
         }
@@ -61,17 +74,18 @@
 
     private record ClientOutcome(double time, String outcome, boolean signed, int digest, boolean neverSent) { }
 
+    /** {@code subject} is a message, or a model in a load order; {@code forward} is empty for a load order. */
     private record ExecutorEvent(double time, String executor, String frontEnd, String subject, String forward) { }
 
     private record ReportedState(double time, boolean ready) { }
 
     /** Tolerance for the clocks of the transcripts and for late threads on a busy machine. */
     private static final double CLOCK_TOLERANCE_MILLIS = 50;
-    /** A load order may wait for a connection as long as the connect timeout before it arrives. */
+    /** A load order may wait for a connection up to the connect timeout before it arrives. */
     private static final double CONNECT_TIMEOUT_MILLIS = 250;
 
     private final RuleParameters parameters;
-    private final Map<String, String> repeatByGroup;
+    private final Map<String, String> retrySafetyByGroup;
     private final Map<String, Double> sloMillisByGroup;
     private final Map<String, AuditedRequest> requests = new HashMap<>();
     private final Map<String, ClientOutcome> outcomes = new HashMap<>();
@@ -96,16 +110,16 @@
     /**
      * Creates an auditor that has read no transcript yet.
      *
-     * @param repeatByGroup {@code retriable}, {@code deduped} or {@code non-retriable}, by model group
+     * @param retrySafetyByGroup {@code retriable}, {@code deduped} or {@code non-retriable}, by model group
      * @param sloMillisByGroup SLO time by model group
      */
-    public Auditor(RuleParameters parameters, Map<String, String> repeatByGroup, Map<String, Double> sloMillisByGroup) {
+    public Auditor(RuleParameters parameters, Map<String, String> retrySafetyByGroup, Map<String, Double> sloMillisByGroup) {
         this.parameters = parameters;
-        this.repeatByGroup = repeatByGroup;
+        this.retrySafetyByGroup = retrySafetyByGroup;
         this.sloMillisByGroup = sloMillisByGroup;
     }
 
-    /** Adds all events of a transcript. */
+    /** Adds all events of a transcript, a file with one JSON object a line. */
     public void readTranscript(Path transcript) throws IOException {
         try (MappingIterator<JsonNode> lines = new ObjectMapper().readerFor(JsonNode.class)
                 .readValues(transcript.toFile())) {
@@ -187,11 +201,11 @@
     private long countWithinSlo() {
         long count = 0;
         for (List<AuditedRequest> attempts : requestsByMessage.values()) {
-            double first = attempts.stream().mapToDouble(AuditedRequest::time).min().orElse(0);
+            double firstAttemptTime = attempts.stream().mapToDouble(AuditedRequest::time).min().orElse(0);
             for (AuditedRequest request : attempts) {
                 ClientOutcome outcome = outcomes.get(request.message + "@" + request.attempt);
                 if (outcome != null && outcome.outcome.equals("returned")
-                        && outcome.time - first <= sloMillisByGroup.getOrDefault(request.group, 0d)) {
+                        && outcome.time - firstAttemptTime <= sloMillisByGroup.getOrDefault(request.group, 0d)) {
                     count++;
                     break;
                 }
@@ -217,6 +231,7 @@
                 violation = lastEventTime > deadline && !killed ? "no answer" : null;
             } else {
                 switch (outcome.outcome) {
+                    // The client cancelled the request or stopped waiting.
                     case "left" -> violation = killed ? null
                             : violationIfLate("no answer", entry.getKey(), clientLags, outcome.time, deadline);
                     // A client goes on writing to the connection of a killed process until it notices the close.
@@ -224,18 +239,19 @@
                             || killedBetween(request.frontEnd, request.time - UNNOTICED_CLOSE_MILLIS, deadline) ? null : "connection lost";
                     case "refused" -> violation = request.forged ? null : "refused";
                     case "accepted" -> {
-                        Double delivered = webhookTimes.get(request.message.substring(request.message.indexOf('/') + 1) + ".answer");
+                        Double deliveryTime = webhookTimes.get(request.message.substring(request.message.indexOf('/') + 1) + ".answer");
                         // With a ledger, an accepted inference survives a restart; only its delivery may be late.
-                        boolean excused = killed && !(parameters.sharesMessages && delivered == null
+                        boolean excused = killed && !(parameters.sharesMessages && deliveryTime == null
                                 && lastEventTime > deadline + DELIVERY_AFTER_RESTART_MILLIS);
-                        violation = excused || lastEventTime < deadline + WEBHOOK_DELIVERY_MILLIS ? null : delivered == null ? "no webhook"
-                                : delivered > deadline + WEBHOOK_DELIVERY_MILLIS && !killed ? "late webhook" : null;
+                        violation = excused || lastEventTime < deadline + WEBHOOK_DELIVERY_MILLIS ? null
+                                : deliveryTime == null ? "no webhook"
+                                : deliveryTime > deadline + WEBHOOK_DELIVERY_MILLIS && !killed ? "late webhook" : null;
                     }
                     default -> {
-                        String late = killed ? null : violationIfLate(
+                        String lateAnswer = killed ? null : violationIfLate(
                                 "answered " + Math.round(outcome.time - request.time - request.budgetMillis) + " ms late",
                                 entry.getKey(), clientLags, firstPartTimes.getOrDefault(entry.getKey(), outcome.time), deadline);
-                        violation = request.forged ? "a forged message was answered" : late != null ? late
+                        violation = request.forged ? "a forged message was answered" : lateAnswer != null ? lateAnswer
                                 : !outcome.signed ? "answer not signed" : null;
                     }
                 }
@@ -273,8 +289,8 @@
     }
 
     /**
-     * Returns {@code violation} where an event at {@code time} came after {@code bound}, otherwise null. Where the
-     * process that recorded the time was late, the event may have come before; this is added to the inconclusive reasons.
+     * Returns {@code violation} where an event at {@code time} came after {@code bound}, otherwise null. If the process that
+     * recorded the time was so late that the event may have come before, the result is null and an inconclusive reason is added.
      */
     private String violationIfLate(String violation, String subject, LagIntervals lags, double time, double bound) {
         if (time <= bound) {
@@ -298,15 +314,15 @@
         List<String> violations = new ArrayList<>();
         for (Map.Entry<String, List<ExecutorEvent>> entry : executions.entrySet()) {
             List<AuditedRequest> attempts = requestsByMessage.getOrDefault(entry.getKey(), List.of());
-            String repeat = attempts.isEmpty() ? "retriable" : repeatByGroup.getOrDefault(attempts.get(0).group, "retriable");
+            String retrySafety = attempts.isEmpty() ? "retriable" : retrySafetyByGroup.getOrDefault(attempts.get(0).group, "retriable");
             List<ExecutorEvent> runs = entry.getValue();
-            if (!repeat.equals("retriable") && runs.size() > 1) {
+            if (!retrySafety.equals("retriable") && runs.size() > 1) {
                 violations.add(entry.getKey() + " ran " + runs.size() + " times");
             }
             for (AuditedRequest request : attempts) {
                 ClientOutcome outcome = outcomes.get(request.message + "@" + request.attempt);
                 // A shed answer promises that a retry is safe. That is wrong where a non-retriable inference was executed.
-                if (repeat.equals("non-retriable") && outcome != null && outcome.outcome.equals("shed")
+                if (retrySafety.equals("non-retriable") && outcome != null && outcome.outcome.equals("shed")
                         && runs.stream().anyMatch(run -> belongsToAttempt(request, outcome, attempts, run.forward))) {
                     violations.add(request.message + " ran and was shed");
                 }
@@ -315,7 +331,7 @@
         Map<String, Double> firstArrivals = new HashMap<>();
         for (ExecutorEvent arrival : arrivals) {
             List<AuditedRequest> attempts = requestsByMessage.getOrDefault(arrival.subject, List.of());
-            if (!attempts.isEmpty() && "deduped".equals(repeatByGroup.get(attempts.get(0).group))) {
+            if (!attempts.isEmpty() && "deduped".equals(retrySafetyByGroup.get(attempts.get(0).group))) {
                 double firstTime = firstArrivals.merge(arrival.subject, arrival.time, Math::min);
                 if (executions.containsKey(arrival.subject)
                         && arrival.time > firstTime + parameters.dedupWindowMillis + CLOCK_TOLERANCE_MILLIS) {
@@ -324,17 +340,18 @@
             }
         }
         requestsByMessage.forEach((message, attempts) -> {
-            boolean notRetriable = !"retriable".equals(repeatByGroup.get(attempts.get(0).group));
-            boolean sharedAnswer = parameters.sharesMessages && notRetriable;
+            boolean notRetriable = !"retriable".equals(retrySafetyByGroup.get(attempts.get(0).group));
+            boolean answerIsShared = parameters.sharesMessages && notRetriable;
             boolean returned = attempts.stream().anyMatch(request -> outcomes.containsKey(message + "@" + request.attempt)
                     && outcomes.get(message + "@" + request.attempt).outcome.equals("returned"));
             if (returned && notRetriable && !executions.containsKey(message)) {
                 violations.add(message + " was returned and never ran");
             }
+            // Without shared messages, only a front end that was never killed must repeat its own answer.
             Set<Integer> answerDigests = new HashSet<>();
             for (AuditedRequest request : attempts) {
                 ClientOutcome outcome = outcomes.get(message + "@" + request.attempt);
-                if (outcome != null && outcome.outcome.equals("returned") && (sharedAnswer || request.frontEnd.equals(
+                if (outcome != null && outcome.outcome.equals("returned") && (answerIsShared || request.frontEnd.equals(
                         attempts.get(0).frontEnd) && killTimes.getOrDefault(request.frontEnd, List.of()).isEmpty())) {
                     answerDigests.add(outcome.digest);
                 }
@@ -372,7 +389,7 @@
             if (current == null || current.getValue().ready) {
                 continue;
             }
-            // It was reported as not ready at that time; several such reports in a row count from the first.
+            // The executor was reported as not ready at that time. Of several such reports in a row, the first one counts.
             double since = current.getKey();
             for (Map.Entry<Double, ReportedState> previous = states.lowerEntry(since); previous != null
                     && !previous.getValue().ready; previous = states.lowerEntry(since)) {
@@ -397,25 +414,27 @@
                 orders.sort((a, b) -> Double.compare(a.time, b.time));
                 double[] requestTimesSorted = requestTimes.getOrDefault(entry.getKey(), List.of()).stream().mapToDouble(t -> t).sorted()
                         .toArray();
-                int from = 0;
-                int windowStart = 0;
-                int windowEnd = 0;
+                // The window before the current order: its first order, and its first and past its last request.
+                int firstOrder = 0;
+                int firstRequest = 0;
+                int endRequest = 0;
                 for (int i = 0; i < orders.size(); i++) {
-                    double t = orders.get(i).time;
-                    while (orders.get(from).time < t - parameters.loadOrderWindowMillis + CONNECT_TIMEOUT_MILLIS) {
-                        from++;
+                    double orderTime = orders.get(i).time;
+                    while (orders.get(firstOrder).time < orderTime - parameters.loadOrderWindowMillis + CONNECT_TIMEOUT_MILLIS) {
+                        firstOrder++;
                     }
-                    while (windowEnd < requestTimesSorted.length && requestTimesSorted[windowEnd] <= t) {
-                        windowEnd++;
+                    while (endRequest < requestTimesSorted.length && requestTimesSorted[endRequest] <= orderTime) {
+                        endRequest++;
                     }
-                    while (windowStart < requestTimesSorted.length
-                            && requestTimesSorted[windowStart] < t - parameters.loadOrderWindowMillis - CLOCK_TOLERANCE_MILLIS) {
-                        windowStart++;
+                    while (firstRequest < requestTimesSorted.length
+                            && requestTimesSorted[firstRequest] < orderTime - parameters.loadOrderWindowMillis - CLOCK_TOLERANCE_MILLIS) {
+                        firstRequest++;
                     }
                     checked++;
-                    double allowed = parameters.freeLoadOrders + parameters.loadOrdersPerRequest * (windowEnd - windowStart);
-                    if (i - from + 1 > allowed && !killedBetween(entry.getKey(), t - parameters.loadOrderWindowMillis, t)) {
-                        violations.add(entry.getKey() + " ordered " + (i - from + 1) + " where " + allowed + " were allowed");
+                    double allowed = parameters.freeLoadOrders + parameters.loadOrdersPerRequest * (endRequest - firstRequest);
+                    if (i - firstOrder + 1 > allowed
+                            && !killedBetween(entry.getKey(), orderTime - parameters.loadOrderWindowMillis, orderTime)) {
+                        violations.add(entry.getKey() + " ordered " + (i - firstOrder + 1) + " where " + allowed + " were allowed");
                     }
                 }
             }
--- a/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ChildProcesses.java
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Starts a child process.
+     * Starts a child process and registers it.
      *
-     * @throws IOException if it cannot be started or this run has ended
+     * @throws IOException if it cannot be started or the run has ended
      */
     public synchronized Process start(ProcessBuilder command) throws IOException {
         if (closed) {
@@ -41,19 +41,20 @@
         running.remove(process);
     }
 
-    private synchronized List<Process> stopStarting() {
+    /** Starts no further processes from now on; returns the running ones. */
+    private synchronized List<Process> closeAndGetRunning() {
         closed = true;
         return List.copyOf(running);
     }
 
     private void killAll() {
-        stopStarting().forEach(Process::destroyForcibly);
+        closeAndGetRunning().forEach(Process::destroyForcibly);
     }
 
-    /** Stops all of them: by SIGTERM, and by SIGKILL those that still run after their timeout. */
+    /** Stops all processes by SIGTERM, and by SIGKILL those that still run after the termination timeout. */
     @Override
     public void close() {
-        List<Process> remaining = stopStarting();
+        List<Process> remaining = closeAndGetRunning();
         remaining.forEach(Process::destroy);
         try {
             for (Process process : remaining) {
--- a/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/FaultyFrontEnd.java
@@ -18,18 +18,20 @@
 
 /**
  * A front end process with one injected fault. Arguments: {@code FAULT FILE}, or {@code FAULT warm FILE} for a front end
- * that warms up and shuts down gracefully.
+ * that warms up and shuts down gracefully; {@code FILE} is its deployment file.
  *
  * <p>{@code write:N:before|torn|after}, {@code force:N:after} and {@code forward:N:before|after} end the process at the
  * N-th such step like kill -9: nothing is flushed and no shutdown hook runs. {@code full:MILLIS} simulates a full disk for
- * that long from the first write on, {@code slow:MILLIS} a disk whose force takes that long, {@code none} injects nothing.
- * The header that is written when a segment begins is not counted.
+ * that long from the first write on, {@code slow:MILLIS} a disk whose force takes that much longer, {@code none} injects
+ * nothing. The header of a segment, and its force, are not counted.
  */
 public final class FaultyFrontEnd {
     /** The exit code of a process that was killed by SIGKILL: 128 + 9. */
     static final int KILLED_EXIT_CODE = 137;
 
+    /** The fault argument, split at its colons. */
     private static String[] fault;
+    /** When the simulated disk has space again, by {@link System#nanoTime}. */
     private static volatile long fullUntilNanos;
 
     private FaultyFrontEnd() { }
@@ -45,10 +47,12 @@
         Thread.sleep(Long.MAX_VALUE); // runs until it is killed from outside or by its fault
     }
 
+    /** Whether the fault is {@code step:number:when}. */
     private static boolean faultMatches(String step, int number, String when) {
         return fault[0].equals(step) && Integer.parseInt(fault[1]) == number && fault[2].equals(when);
     }
 
+    /** Ends the process if the fault is {@code step:number:when}. */
     private static void crashAt(String step, int number, String when) {
         if (faultMatches(step, number, when)) {
             Runtime.getRuntime().halt(KILLED_EXIT_CODE);
@@ -60,8 +64,8 @@
         return (ExecutorTransport) Proxy.newProxyInstance(ExecutorTransport.class.getClassLoader(),
                 new Class<?>[] {ExecutorTransport.class},
                 (proxy, method, args) -> {
-                    boolean forward = args[0] instanceof InFlightForward && method.getName().equals("forward");
-                    int number = forward ? forwards.incrementAndGet() : 0;
+                    boolean isForward = args[0] instanceof InFlightForward && method.getName().equals("forward");
+                    int number = isForward ? forwards.incrementAndGet() : 0;
                     crashAt("forward", number, "before");
                     try {
                         method.invoke(real, args);
@@ -69,7 +73,7 @@
                         throw e.getCause();
                     }
                     if (faultMatches("forward", number, "after")) {
-                        Thread.sleep(100); // another thread writes it to the connection
+                        Thread.sleep(100); // for the I/O thread to write the forward to the connection
                         crashAt("forward", number, "after");
                     }
                     return null;
--- a/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/InferenceMessages.java
@@ -5,13 +5,15 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 
-/** Builds the requests of scripted clients, as a webhook body and as a gRPC message. */
+/** Creates the requests of scripted clients. */
 final class InferenceMessages {
     private InferenceMessages() { }
 
     /**
-     * @param budgetMillis milliseconds that the client waits
-     * @param workMillis milliseconds that the executor takes
+     * Creates the body of a webhook that requests an inference.
+     *
+     * @param budgetMillis how long the client waits
+     * @param workMillis how long the executor works on it
      */
     static byte[] webhookBody(String model, double budgetMillis, double workMillis) {
         return ("{\"type\":\"inference.requested\",\"timestamp\":\"" + Instant.now() + "\",\"data\":{\"model\":\""
@@ -20,8 +22,10 @@
     }
 
     /**
-     * @param budgetMillis milliseconds that the client waits
-     * @param workMillis milliseconds that the executor takes
+     * Creates the gRPC message that requests an inference.
+     *
+     * @param budgetMillis how long the client waits
+     * @param workMillis how long the executor works on it
      */
     static ModelInferRequest grpcRequest(String model, double budgetMillis, double workMillis) {
         return ModelInferRequest.newBuilder().setModelName(model).putParameters("work_ms", doubleParameter(workMillis))
--- a/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/Rehearsal.java
@@ -37,17 +37,19 @@
 
 /**
  * Runs a scripted rehearsal: it starts the stand-in executors and the front ends as processes of their own, runs the
- * scripted clients in this process, plays the events of the script, and has the auditor check the transcripts.
+ * scripted clients in this process, runs the events of the script, and has the auditor check the transcripts.
  */
 public final class Rehearsal {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long FRONT_END_STOP_SECONDS = 20; // for the answers to their open requests
     private static final long STAND_IN_STOP_SECONDS = 10;
     private static final long EVENT_STOP_SECONDS = 5;
+    private static final int LAST_WEBHOOKS_WAIT_MILLIS = 1500;
+    private static final int LAST_EVENTS_WAIT_MILLIS = 200;
     /** How long a rehearsal goes on for events that are running at its end, such as the start of a front end. */
     private static final double MAX_EVENT_MILLIS = 30_000;
 
-    /** The script cannot be read or does not match the schema; the message names the place. */
+    /** The script cannot be read or does not match the schema; the message names the place in the script. */
     public static final class InvalidScriptException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -67,10 +69,15 @@
     private final List<Process> frontEndProcesses = new ArrayList<>();
     private final RunningEvents runningEvents = new RunningEvents();
     private double maxEventMillis = MAX_EVENT_MILLIS;
+    /** Where the front ends listen for webhooks, by number. */
     private final List<InetSocketAddress> addresses = new ArrayList<>();
+    /** Where the front ends listen for gRPC, by number; empty where they don't. */
     private final List<InetSocketAddress> grpcAddresses = new ArrayList<>();
     private final List<WebhookKey> customerKeys = new ArrayList<>();
-    /** With peers: the front ends' client ports, then their peer ports; each configuration names them all, so they are chosen first. */
+    /**
+     * With peers, the client ports of the front ends, then their peer ports; otherwise empty. They are chosen before the first
+     * start, since each configuration names them all.
+     */
     private final List<Integer> ports = new ArrayList<>();
     private Transcript transcript;
     /** Null where no alert rules are evaluated. */
@@ -121,7 +128,7 @@
                 throw new InvalidScriptException(errors.toString());
             }
         } catch (IOException e) {
-            throw new IllegalStateException("schema not in the jar", e);
+            throw new IllegalStateException("cannot read the script schema day.schema.json", e);
         }
         return script;
     }
@@ -139,8 +146,8 @@
         ObjectNode script = base.deepCopy();
         overrides.properties().forEach(field -> {
             JsonNode existing = script.path(field.getKey());
-            boolean both = existing.isObject() && field.getValue().isObject();
-            script.set(field.getKey(), both ? merge(existing, field.getValue()) : field.getValue());
+            boolean bothObjects = existing.isObject() && field.getValue().isObject();
+            script.set(field.getKey(), bothObjects ? merge(existing, field.getValue()) : field.getValue());
         });
         return script;
     }
@@ -192,7 +199,7 @@
                     alertMonitor.start();
                 }
                 for (JsonNode event : script.path("events")) {
-                    timer.schedule(() -> playEvent(event, clients, controlPort, timer), event.path("at_ms").asLong(),
+                    timer.schedule(() -> runEvent(event, clients, controlPort, timer), event.path("at_ms").asLong(),
                             TimeUnit.MILLISECONDS);
                 }
                 clients.run(script.path("length_ms").asDouble(), maxEventMillis, runningEvents::millisSinceLastEnd);
@@ -200,11 +207,11 @@
                     alertMonitor.stop();
                 }
             }
-            // Leaves time for the last webhooks or events of the stand-ins to reach their transcripts.
-            Thread.sleep(script.path("clients").path("async").asDouble(0) > 0 ? 1500 : 200);
+            // Leaves time for the last webhooks, or else the last events of the stand-ins, to reach the transcripts.
+            Thread.sleep(script.path("clients").path("async").asDouble(0) > 0 ? LAST_WEBHOOKS_WAIT_MILLIS : LAST_EVENTS_WAIT_MILLIS);
         } finally {
             for (String event : runningEvents.descriptions()) {
-                transcript.write("cut-short", "what", "not at its end when the day was: " + event);
+                transcript.write("cut-short", "what", "event still running at the end of the rehearsal: " + event);
             }
             timer.shutdownNow();
             frontEnds.close();
@@ -221,11 +228,11 @@
     }
 
     private Auditor createAuditor() {
-        Map<String, String> repeatByGroup = new HashMap<>();
+        Map<String, String> retrySafetyByGroup = new HashMap<>();
         Map<String, Double> sloMillisByGroup = new HashMap<>();
         double maxDedupWindowMillis = 0;
         for (JsonNode group : script.path("model_groups")) {
-            repeatByGroup.put(group.path("name").asText(), group.path("repeat").asText());
+            retrySafetyByGroup.put(group.path("name").asText(), group.path("repeat").asText());
             sloMillisByGroup.put(group.path("name").asText(), group.path("slo_ms").asDouble());
             maxDedupWindowMillis = Math.max(maxDedupWindowMillis, group.path("dedup_window_ms").asDouble(0));
         }
@@ -233,7 +240,7 @@
         return new Auditor(new Auditor.RuleParameters(script.path("rules").path("answer_slack_ms").asDouble(10),
                 script.path("drain_grace_ms").asDouble(500), loadOrderBudget.path("free").asDouble(0),
                 loadOrderBudget.path("share").asDouble(0), loadOrderBudget.path("span_ms").asDouble(0), maxDedupWindowMillis,
-                script.path("peers").asBoolean()), repeatByGroup, sloMillisByGroup);
+                script.path("peers").asBoolean()), retrySafetyByGroup, sloMillisByGroup);
     }
 
     private Process startStandIns() throws IOException {
@@ -315,7 +322,7 @@
     private static final int PORT_ATTEMPTS = 100;
 
     /**
-     * A port on which a process of this rehearsal will listen shortly. It lies outside the ephemeral range, where any
+     * Selects a port on which a process of this rehearsal will listen shortly. It lies outside the ephemeral range, where any
      * outgoing connection of the machine could take it before.
      */
     private static int freePort() throws IOException {
@@ -341,19 +348,19 @@
         }
     }
 
-    private void startFrontEnd(int i) throws IOException {
+    private void startFrontEnd(int index) throws IOException {
         List<String> command = new ArrayList<>(frontEndCommand);
         if (script.has("front_end_fault")) {
             command = new ArrayList<>(javaCommand("gradereach.rehearsal.FaultyFrontEnd"));
             command.addAll(List.of(script.path("front_end_fault").asText(), "warm"));
         }
-        command.add(folder.resolve("fe-" + i + ".json").toString());
+        command.add(folder.resolve("fe-" + index + ".json").toString());
         Process process = frontEnds.start(new ProcessBuilder(command)
-                .redirectError(ProcessBuilder.Redirect.appendTo(folder.resolve("fe-" + i + ".log").toFile())));
+                .redirectError(ProcessBuilder.Redirect.appendTo(folder.resolve("fe-" + index + ".log").toFile())));
         BufferedReader output = process.inputReader(StandardCharsets.UTF_8);
         String line = output.readLine();
         if (line == null || !line.startsWith("listening ")) {
-            throw new IOException("front end did not start: see " + folder.resolve("fe-" + i + ".log"));
+            throw new IOException("front end did not start: see " + folder.resolve("fe-" + index + ".log"));
         }
         String[] words = line.split(" ");
         InetSocketAddress address = parseAddress(words[1]);
@@ -362,8 +369,8 @@
         outputReader.setDaemon(true);
         outputReader.start();
         synchronized (this) {
-            if (i < frontEndProcesses.size()) {
-                frontEndProcesses.set(i, process);
+            if (index < frontEndProcesses.size()) {
+                frontEndProcesses.set(index, process);
             } else {
                 frontEndProcesses.add(process);
                 addresses.add(address);
@@ -387,7 +394,7 @@
         new ProcessBuilder("kill", "-" + signal, Long.toString(frontEndProcesses.get(frontEnd).pid())).start().waitFor();
     }
 
-    private void playEvent(JsonNode event, ScriptedClients clients, int controlPort, ScheduledExecutorService timer) {
+    private void runEvent(JsonNode event, ScriptedClients clients, int controlPort, ScheduledExecutorService timer) {
         String kind = event.path("kind").asText();
         long durationMillis = event.path("for_ms").asLong(1000);
         if (alertMonitor != null) {
@@ -409,14 +416,14 @@
                 case "kill_front_end" -> {
                     int frontEnd = event.path("fe").asInt(0);
                     Path file = folder.resolve("fe-" + frontEnd + ".json");
-                    // It restarts on the ports that its clients use.
+                    // It restarts on the same ports, which its clients go on using.
                     ObjectNode deployment = (ObjectNode) JSON.readTree(file.toFile());
                     deployment.put("listen", "127.0.0.1:" + addresses.get(frontEnd).getPort());
                     if (!grpcAddresses.isEmpty()) {
                         deployment.putObject("grpc").put("listen", "127.0.0.1:" + grpcAddresses.get(frontEnd).getPort());
                     }
                     Files.write(file, JSON.writeValueAsBytes(deployment));
-                    // Recorded before and after the kill, since the auditor takes times from both as possible times of death.
+                    // Recorded before and after the kill: the process ends at some time in between.
                     transcript.write("killed", "fe", "fe-" + frontEnd);
                     frontEndProcesses.get(frontEnd).destroyForcibly().waitFor();
                     transcript.write("killed", "fe", "fe-" + frontEnd);
@@ -430,13 +437,14 @@
                     Thread.sleep(durationMillis);
                     signalFrontEnd(frontEnd, "CONT");
                 }
+                // The stand-ins inject all other kinds of faults.
                 default -> {
                     HttpResponse<Void> response = httpClient.send(HttpRequest.newBuilder(
                             URI.create("http://127.0.0.1:" + controlPort + "/fault"))
                             .POST(HttpRequest.BodyPublishers.ofString(event.toString())).build(),
                             HttpResponse.BodyHandlers.discarding());
                     if (response.statusCode() != 200) {
-                        throw new IOException("stand-ins refused " + event);
+                        throw new IOException("stand-ins refused the event " + event);
                     }
                 }
             }
--- a/rehearsal/src/main/java/gradereach/rehearsal/RunningEvents.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/RunningEvents.java
@@ -23,6 +23,7 @@
         return running.isEmpty() ? (System.nanoTime() - lastEndNanos) / 1e6 : 0;
     }
 
+    /** The running events, each as its JSON text. */
     synchronized List<String> descriptions() {
         return running.stream().map(JsonNode::toString).toList();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
@@ -36,18 +36,32 @@
     private static final int REPLAY_ATTEMPT = 100;
     private static final int DUPLICATE_ATTEMPT = 1000;
 
+    /** A customer, with its share of the requests. */
     private record Customer(String name, WebhookKey key, double share) { }
 
+    /**
+     * The inferences of one model group.
+     *
+     * @param repeat retry safety of the group
+     * @param timeoutMillis the longest budget
+     * @param share share of the requests
+     * @param cumulativeWeights how often each model is drawn, added up over the models before it
+     * @param workMillis how long an executor works on an inference on average
+     */
     private record InferenceKind(String group, String repeat, boolean streamed, double timeoutMillis, double share, String[] models,
             double[] cumulativeWeights, double workMillis) { }
 
-    /** Requests of each kind that each front end rejects before the scripted traffic starts. */
+    /** Requests of each protocol that each front end rejects before the scripted traffic starts. */
     private static final int WARM_UP_REQUESTS = 50;
     private static final double WARM_UP_BUDGET_MILLIS = 1000;
     private static final double WARM_UP_TIMEOUT_MILLIS = 3000;
     /** Requests go on this long after the last event, so that its after-effects are tested too. */
     private static final double QUIET_PERIOD_MILLIS = 500;
-    /** Above every budget of the scripts plus the time that a client waits after it. */
+    /** How long a client waits after its budget, so that a late answer is still received. */
+    private static final double WAIT_AFTER_BUDGET_MILLIS = 1000;
+    private static final int MAX_REPLAY_DELAY_MILLIS = 400;
+    private static final int MAX_DUPLICATE_DELAY_MILLIS = 300;
+    /** Longer than every budget of the scripts plus the time that a client waits after it. */
     private static final double FINAL_ANSWERS_TIMEOUT_MILLIS = 15_000;
 
     private final Transcript transcript;
@@ -56,7 +70,7 @@
     private final Http2ConnectionPool[] frontEndPools;
     /** Addresses of the gRPC listeners; empty where there are none. */
     private final List<InetSocketAddress> grpcAddresses;
-    /** gRPC clients, one a customer; the client library retries nothing at this level. */
+    /** gRPC clients, one for each customer. At this level the client library retries nothing. */
     private final List<FrontEndTransport> grpcClients = new ArrayList<>();
     private final List<Customer> customers = new ArrayList<>();
     private final List<InferenceKind> kinds = new ArrayList<>();
@@ -107,8 +121,8 @@
 
     /**
      * Sends every front end some requests that it rejects, so that classes are loaded on both sides before the scripted
-     * traffic. They take the same path as that traffic: the first call, prepared 188 ms late on two cores, counted as a
-     * late answer.
+     * traffic. They take the same path as that traffic. Without them, the first call was prepared 188 ms late on two cores,
+     * which counted as a late answer.
      */
     void warmUp() {
         for (int frontEnd = 0; frontEnd < frontEndPools.length; frontEnd++) {
@@ -157,22 +171,23 @@
      * Sends requests for {@code millis} and then until the events have ended and a quiet period is over; then waits until
      * every request has ended.
      *
-     * @param maxExtraMillis how long it may go on after {@code millis}
+     * @param maxExtraMillis how long it may go on sending after {@code millis}
      * @param millisSinceLastEvent milliseconds since the last event ended, 0 while one is running
      */
     void run(double millis, double maxExtraMillis, DoubleSupplier millisSinceLastEvent) {
         EventLoopLagMonitor.watch(loops, "clients", transcript);
-        double start = System.nanoTime() / 1e6;
-        double next = start;
-        while (next < start + millis || next < start + millis + maxExtraMillis
+        double startTime = System.nanoTime() / 1e6;
+        double nextSendTime = startTime;
+        while (nextSendTime < startTime + millis || nextSendTime < startTime + millis + maxExtraMillis
                 && millisSinceLastEvent.getAsDouble() < QUIET_PERIOD_MILLIS) {
             double now = System.nanoTime() / 1e6;
-            if (next > now) {
-                LockSupport.parkNanos((long) ((next - now) * 1e6));
+            if (nextSendTime > now) {
+                LockSupport.parkNanos((long) ((nextSendTime - now) * 1e6));
                 continue;
             }
             sendNext();
-            next += -Math.log(1 - random.nextDouble()) * 1000 / (clientSettings.path("rate").asDouble(100) * rateMultiplier);
+            // Exponentially distributed intervals.
+            nextSendTime += -Math.log(1 - random.nextDouble()) * 1000 / (clientSettings.path("rate").asDouble(100) * rateMultiplier);
         }
         awaitAnswers(FINAL_ANSWERS_TIMEOUT_MILLIS);
     }
@@ -218,12 +233,12 @@
         ScriptedRequest request = new ScriptedRequest(customer, kind, "m-" + runId + "-" + requestCount, body, Math.round(budgetMillis),
                 requestCount++ % frontEndPools.length, transcript);
         double choice = random.nextDouble();
-        double forged = clientSettings.path("forged").asDouble(0);
-        double replayed = clientSettings.path("replayed").asDouble(0);
-        double cancelled = clientSettings.path("leaving").asDouble(0);
-        request.forged = choice < forged;
-        request.replayed = choice >= forged && choice < forged + replayed;
-        request.cancelAfterMillis = choice > 1 - cancelled ? budgetMillis * random.nextDouble() : -1;
+        double forgedShare = clientSettings.path("forged").asDouble(0);
+        double replayedShare = clientSettings.path("replayed").asDouble(0);
+        double cancelledShare = clientSettings.path("leaving").asDouble(0);
+        request.forged = choice < forgedShare;
+        request.replayed = choice >= forgedShare && choice < forgedShare + replayedShare;
+        request.cancelAfterMillis = choice > 1 - cancelledShare ? budgetMillis * random.nextDouble() : -1;
         request.async = !request.replayed && request.cancelAfterMillis < 0
                 && random.nextDouble() < clientSettings.path("async").asDouble(0);
         request.grpc = !request.forged && !request.async && !grpcAddresses.isEmpty()
@@ -234,7 +249,7 @@
         request.send(0);
         for (int i = 1; i < clientSettings.path("copies").asInt(1); i++) {
             int attempt = DUPLICATE_ATTEMPT + i;
-            request.sendAfter(attempt, random.nextInt(300));
+            request.sendAfter(attempt, random.nextInt(MAX_DUPLICATE_DELAY_MILLIS));
         }
     }
 
@@ -244,7 +259,7 @@
         final InferenceKind kind;
         final String id;
         final byte[] body;
-        final double budget;
+        final double budgetMillis;
         final int firstFrontEnd;
         final Transcript transcript;
         boolean forged;
@@ -255,21 +270,21 @@
         double cancelAfterMillis = -1;
         private volatile int lastFrontEnd;
 
-        ScriptedRequest(Customer customer, InferenceKind kind, String id, byte[] body, double budget, int first,
-                Transcript transcript) {
+        ScriptedRequest(Customer customer, InferenceKind kind, String id, byte[] body, double budgetMillis,
+                int firstFrontEnd, Transcript transcript) {
             this.customer = customer;
             this.kind = kind;
             this.id = id;
             this.body = body;
-            this.budget = budget;
-            this.firstFrontEnd = first;
+            this.budgetMillis = budgetMillis;
+            this.firstFrontEnd = firstFrontEnd;
             this.transcript = transcript;
         }
 
         /**
-         * Selects the front end of an attempt. A replay goes where the message was sent last, as other front ends know of
-         * the message only by claims. Otherwise a first attempt that was never sent, its retry elsewhere and a replay at a
-         * front end that never received the message look like a violation.
+         * Selects the front end of an attempt. A replay goes to the front end of the last attempt, as the others know the
+         * message only by its claim. If it went to the front end of a first attempt that was never sent, while a retry went
+         * elsewhere, the replay would be new to that front end and look like a violation.
          */
         private int selectFrontEnd(int attempt) {
             if (attempt != REPLAY_ATTEMPT) {
@@ -278,7 +293,7 @@
             return lastFrontEnd;
         }
 
-        /** Sends after a delay; the request counts as open meanwhile, so that the run does not end before it is sent. */
+        /** Sends an attempt after a delay; the request counts as open meanwhile, so that the run does not end before it is sent. */
         void sendAfter(int attempt, long delayMillis) {
             openRequests.incrementAndGet();
             loops.schedule(() -> {
@@ -301,9 +316,9 @@
             InetSocketAddress socketAddress = grpcAddresses.get(frontEnd);
             openRequests.incrementAndGet();
             transcript.write("asked", "mark", customer.name + "/" + id, "n", attempt, "fe", "fe-" + frontEnd, "group", kind.group,
-                    "budget", budget, "async", false, "forged", false, "grpc", true);
+                    "budget", budgetMillis, "async", false, "forged", false, "grpc", true);
             boolean[] cancelled = new boolean[1];
-            int[] digest = {1};
+            int[] digest = {1}; // 1 until the first part
             Inference inference = new Inference(id, grpcMessage.getModelName(), grpcMessage);
             Consumer<Object> onPart = part -> {
                 if (digest[0] == 1) {
@@ -311,23 +326,24 @@
                 }
                 digest[0] = 31 * digest[0] + part.hashCode();
             };
-            Consumer<gradereach.client.AttemptOutcome> onEnd = outcome -> {
+            Consumer<gradereach.client.AttemptOutcome> onEnd = attemptOutcome -> {
                 openRequests.decrementAndGet();
-                boolean neverSent = outcome.kind() == gradereach.client.AttemptOutcome.Kind.NEVER_SENT;
-                String result = cancelled[0] ? "left" : neverSent ? "lost" : outcome.kind().name().toLowerCase();
-                transcript.write("heard", "mark", customer.name + "/" + id, "n", attempt, "what", result,
-                        "end", String.valueOf(outcome.detail()), "signed", true,
-                        "digest", kind.streamed ? digest[0] : String.valueOf(outcome.answer()).hashCode(), "never_sent",
+                boolean neverSent = attemptOutcome.kind() == gradereach.client.AttemptOutcome.Kind.NEVER_SENT;
+                String outcome = cancelled[0] ? "left" : neverSent ? "lost" : attemptOutcome.kind().name().toLowerCase();
+                transcript.write("heard", "mark", customer.name + "/" + id, "n", attempt, "what", outcome,
+                        "end", String.valueOf(attemptOutcome.detail()), "signed", true,
+                        "digest", kind.streamed ? digest[0] : String.valueOf(attemptOutcome.answer()).hashCode(), "never_sent",
                         neverSent, "grpc", true);
-                boolean retryAllowed = result.equals("shed") || neverSent || outcome.retrySafe() && result.equals("failed")
-                        || result.equals("lost") && kind.repeat.equals("retriable");
-                retry(attempt, retryAllowed, outcome.retryAfterMillis());
+                boolean retryAllowed = outcome.equals("shed") || neverSent || attemptOutcome.retrySafe() && outcome.equals("failed")
+                        || outcome.equals("lost") && kind.repeat.equals("retriable");
+                retry(attempt, retryAllowed, attemptOutcome.retryAfterMillis());
             };
             FrontEndTransport transport = grpcClients.get(customers.indexOf(customer));
             String address = socketAddress.getHostString() + ":" + socketAddress.getPort();
-            // As by webhook, the call is closed well after its budget, so that a late answer is still received.
-            FrontEndTransport.Attempt call = kind.streamed ? transport.stream(address, inference, budget + 1000, onPart, onEnd)
-                    : transport.send(address, inference, budget + 1000, onEnd);
+            // As by webhook, the call ends well after its budget.
+            FrontEndTransport.Attempt call = kind.streamed
+                    ? transport.stream(address, inference, budgetMillis + WAIT_AFTER_BUDGET_MILLIS, onPart, onEnd)
+                    : transport.send(address, inference, budgetMillis + WAIT_AFTER_BUDGET_MILLIS, onEnd);
             scheduleReplayAndCancel(attempt, () -> {
                 cancelled[0] = true;
                 call.cancel();
@@ -341,7 +357,7 @@
             openRequests.incrementAndGet();
             double time = Transcript.now();
             transcript.writeAt(time, "asked", "mark", customer.name + "/" + id, "n", attempt, "fe", "fe-" + frontEnd, "group",
-                    kind.group, "budget", budget, "async", async, "forged", forged);
+                    kind.group, "budget", budgetMillis, "async", async, "forged", forged);
             String[] headers = {"content-type", "application/json", "webhook-id", id, "webhook-timestamp",
                 Long.toString(timestamp), "webhook-signature", signature, "prefer", async ? "respond-async" : "wait=60"};
             Http2ConnectionPool.Request[] request = new Http2ConnectionPool.Request[1];
@@ -365,11 +381,12 @@
 
         private void scheduleReplayAndCancel(int attempt, Runnable cancel) {
             if (replayed && attempt == 0) {
-                sendAfter(REPLAY_ATTEMPT, randomBelow(400));
+                sendAfter(REPLAY_ATTEMPT, randomBelow(MAX_REPLAY_DELAY_MILLIS));
             }
             // The client cancels a request that is not answered well after its budget, or earlier where the script says so.
             if (cancelAfterMillis >= 0 || !grpc) {
-                loops.schedule(cancel, (long) (cancelAfterMillis >= 0 ? cancelAfterMillis : budget + 1000), TimeUnit.MILLISECONDS);
+                loops.schedule(cancel, (long) (cancelAfterMillis >= 0 ? cancelAfterMillis : budgetMillis + WAIT_AFTER_BUDGET_MILLIS),
+                        TimeUnit.MILLISECONDS);
             }
         }
 
@@ -398,6 +415,7 @@
             if (forged || attempt >= clientSettings.path("repeats").asInt(2) || !retryAllowed || async) {
                 return;
             }
+            // The same clients always wait as long as the front end asks, the others never do.
             boolean honorsRetryAfter = clientSettings.path("heeds_pause").asDouble(0.5) > Math.abs(id.hashCode() % 100) / 100.0;
             long delayMillis = honorsRetryAfter ? (long) retryAfterMillis : 0;
             sendAfter(attempt + 1, delayMillis);
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/ExecutorFaults.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/ExecutorFaults.java
@@ -20,6 +20,11 @@
     private static final long DOWNTIME_MILLIS = 800;
     private static final int MIN_PROBE_DELAY_MILLIS = 2000;
     private static final int PROBE_DELAY_RANGE_MILLIS = 10_000;
+    private static final int MIN_DRAIN_MILLIS = 2000;
+    private static final int DRAIN_RANGE_MILLIS = 9000;
+    private static final int MIN_READ_PAUSE_MILLIS = 300;
+    private static final int READ_PAUSE_RANGE_MILLIS = 1500;
+    private static final double MAX_FAULT_RATE = 0.4;
 
     private final PeerEventLoops loops;
     private final RequestAuditor auditor;
@@ -53,7 +58,10 @@
         roster.publishInitial(executors);
     }
 
-    /** Requests that reached a process without the model, as a front end took it for loaded, by how the takeover was announced. */
+    /**
+     * Counts the requests that reached a new process without their model, as a front end took the model for loaded there. The
+     * key tells how the takeover was announced.
+     */
     Map<String, Integer> missesByAnnouncement() {
         Map<String, Integer> misses = new TreeMap<>();
         startedEmpty.forEach((executor, announcement) -> misses.merge(announcement.name(), executor.missCount(), Integer::sum));
@@ -72,14 +80,14 @@
                 return takeOver(number, Takeover.draw(random));
             }
             case LATE_PROBES -> delayProbeAnswers(executor, random);
-            case BAD_ANSWERS -> executor.faultRate = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 0.4;
-            case UNREAD -> executor.pauseReading(300 + random.nextInt(1500));
+            case BAD_ANSWERS -> executor.faultRate = random.nextInt(3) == 0 ? 0 : random.nextDouble() * MAX_FAULT_RATE;
+            case UNREAD -> executor.pauseReading(MIN_READ_PAUSE_MILLIS + random.nextInt(READ_PAUSE_RANGE_MILLIS));
             default -> executor.resetConnections();
         }
         return true;
     }
 
-    /** Delays the probe answers of one executor, or of all, as when the network back from all of them is slow. */
+    /** Delays the probe answers of one executor, or of all of them, as a slow network from them would. */
     private void delayProbeAnswers(FrameExecutor selected, Random random) {
         long durationMillis = MIN_PROBE_DELAY_MILLIS + random.nextInt(PROBE_DELAY_RANGE_MILLIS);
         boolean onlyOne = random.nextBoolean();
@@ -95,7 +103,7 @@
         if (unavailable.size() >= MAX_UNAVAILABLE || !unavailable.add(number)) {
             return false;
         }
-        long drainMillis = 2000 + random.nextInt(9000);
+        long drainMillis = MIN_DRAIN_MILLIS + random.nextInt(DRAIN_RANGE_MILLIS);
         tasks.start(() -> {
             FrameExecutor executor = executors.get(number);
             addToHistory(executor.processName + " drains at " + executor.address + " for " + drainMillis);
@@ -128,7 +136,7 @@
             startedEmpty.put(next, takeover.telling());
             addToHistory(next.processName + " for " + old.processName + " at " + next.address + ": " + takeover);
             announceStart(takeover, old, next);
-            unavailable.remove(number); // a fault may hit the new one before the end of the old one is announced
+            unavailable.remove(number); // the new one may get a fault before the end of the old one is announced
             announceEnd(takeover, old);
         });
         return true;
@@ -151,9 +159,9 @@
     }
 
     /**
-     * Announces the end of the old process. Where the event about it is unreadable, it counts as announced with the full list
-     * that follows. Where the new process keeps the id, the end is never announced: a connection to the old one cannot be
-     * told from one to the new one.
+     * Announces the end of the old process. If the event about it is unreadable, the end counts as announced by the full list
+     * that follows. If the new process has the same id, the end is never announced, since the connections to the two processes
+     * cannot be told apart.
      */
     private void announceEnd(Takeover takeover, FrameExecutor old) throws InterruptedException {
         switch (takeover.telling()) {
@@ -169,6 +177,7 @@
         }
     }
 
+    /** Adds a fault with the time of its start. */
     private void addToHistory(String description) {
         history.add(Math.round(loops.now()) + " " + description);
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndChildProcess.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/FrontEndChildProcess.java
@@ -21,9 +21,9 @@
 /** A front end as a child process that is controlled by signals. */
 public final class FrontEndChildProcess implements AutoCloseable {
     private static final int READY_SECONDS = 30;
-    private static final String LISTENING = "listening /";
+    private static final String LISTENING_PREFIX = "listening /";
 
-    /** The address that it listens on. */
+    /** The address at which it listens. */
     public final InetSocketAddress address;
     private final List<String> log = new ArrayList<>();
     private final Path configFile;
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Starts a front end and returns once it serves.
+     * Starts a front end and returns once it serves, or kills it if that takes too long.
      *
      * @param processes the child processes of the soak; this one is added as soon as it is started
-     * @param command starts the front end
+     * @param command starts the front end; EDGE_CONFIG names its configuration
      * @param config the configuration file, written with {@code json}
      * @param shim makes the system calls of the process fail as given by {@code faults}
      */
@@ -83,9 +83,9 @@
                 synchronized (log) {
                     log.add(line);
                 }
-                int index = line.indexOf(LISTENING);
+                int index = line.indexOf(LISTENING_PREFIX);
                 if (index >= 0) {
-                    String[] parts = line.substring(index + LISTENING.length()).split("[: ]");
+                    String[] parts = line.substring(index + LISTENING_PREFIX.length()).split("[: ]");
                     listening.complete(new InetSocketAddress(parts[0], Integer.parseInt(parts[1])));
                 }
             }
@@ -124,7 +124,7 @@
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** How the process exited without being told to; null where it did not. */
+    /** How the process exited without having been stopped; null where it did not. */
     public String crashReport() {
         return stopRequested || process.isAlive() ? null : "exit code " + process.exitValue() + ": " + lastLines();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/RosterPublisher.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/RosterPublisher.java
@@ -20,11 +20,13 @@
         this.changelog = changelog;
     }
 
+    /** @param startedAt Unix time in milliseconds; 0 where the start is not reported */
     private static InstanceEntry createEntry(FrameExecutor executor, String state, long startedAt) {
         return new InstanceEntry(executor.instanceId, ChangelogServer.instanceJson(executor.instanceId, executor.address, state, startedAt),
                 state.equals("gone"));
     }
 
+    /** Applies the entries to the expected list and returns them as the JSON of one event. */
     private String applyAndJoin(Stream<InstanceEntry> entries) {
         return entries.peek(entry -> {
             if (entry.removed) {
@@ -40,7 +42,7 @@
         changelog.publish(applyAndJoin(executors.stream().map(executor -> createEntry(executor, "ready", 0))), true);
     }
 
-    /** Publishes a state of an executor; like all such methods it returns the result of {@link ChangelogServer#publish}. */
+    /** Publishes a state of an executor. Like all methods here that return a map, it returns what {@link ChangelogServer#publish} does. */
     synchronized Map<Integer, Long> publishState(FrameExecutor executor, String state) {
         return changelog.publish(applyAndJoin(Stream.of(createEntry(executor, state, 0))), false);
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Soak.java
@@ -34,22 +34,37 @@
 public final class Soak implements AutoCloseable {
     private static final int CLIENTS_PER_FRONT_END = 6;
     private static final double DRAIN_GRACE_MILLIS = 500;
-    /** As rule 4 in the front ends' configuration; the last value is the mean of the work that executors draw. */
+    /**
+     * The values of rule 4 in front-end.json.template. The last one is the mean time in milliseconds that executors take for a
+     * request.
+     */
     private static final ColdStartCheck.ColdStartParameters COLD_START_PARAMETERS =
             new ColdStartCheck.ColdStartParameters(0.2, 17_000, 3, 3000, 24.5);
-    /** The longest deadline of the configuration's classes. */
+    /** The longest deadline in front-end.json.template. */
     private static final long MAX_DEADLINE_MILLIS = 1500;
     /** How long beyond the longest deadline a front end may take to exit after SIGTERM before it is killed. */
     private static final long TERMINATION_GRACE_MILLIS = 700;
     private static final long FINAL_ANSWERS_WAIT_MILLIS = 2500;
-    private static final long DOWNTIME_MILLIS = 800;
+    private static final long KILL_TIMEOUT_MILLIS = 800;
+    /** How long a front end gets no further fault after one of its own. */
+    private static final long RECOVERY_MILLIS = 800;
+    private static final int MIN_OUTAGE_MILLIS = 3000;
+    private static final int OUTAGE_RANGE_MILLIS = 12_000;
+    private static final int MIN_SUSPENSION_MILLIS = 300;
+    private static final int SUSPENSION_RANGE_MILLIS = 4000;
+    private static final int MAX_RELOADS = 4;
+    private static final int MAX_RELOAD_PAUSE_MILLIS = 120;
+    private static final int MIN_SILENT_CONNECTIONS = 20;
+    private static final int SILENT_CONNECTIONS_RANGE = 250;
+    private static final int MIN_SILENCE_MILLIS = 300;
+    private static final int SILENCE_RANGE_MILLIS = 2000;
     private static final int MIN_PAUSE_MILLIS = 200;
     private static final int PAUSE_RANGE_MILLIS = 1500;
     private static final int CHANGELOG_COUNT = 2;
     /** Covers the longest tasks: an outage of 15 s, the start of a front end of 30 s. */
     private static final int MAX_TASK_SECONDS = 60;
 
-    /** The faults to draw from; one that stands twice is drawn twice as often. */
+    /** The faults to draw from; one that is listed twice is drawn twice as often. */
     private static final SoakFault[] INJECTED_FAULTS = {SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.DRAIN, SoakFault.TAKEOVER,
         SoakFault.TAKEOVER, SoakFault.STANDSTILL, SoakFault.TERMINATION, SoakFault.KILL, SoakFault.RELOAD, SoakFault.CROWD,
         SoakFault.BAD_ANSWERS, SoakFault.LATE_PROBES, SoakFault.LATE_PROBES, SoakFault.UNREAD, SoakFault.RESET};
@@ -74,6 +89,7 @@
     private final ExecutorFaults executorFaults;
     private volatile boolean changelogUnavailable;
     private final List<TimeRange> outages = Collections.synchronizedList(new ArrayList<>());
+    /** The number of the next front end. */
     private int startedCount;
 
     private record TimeRange(double from, double to) {
@@ -102,20 +118,20 @@
         for (int i = 0; i < plan.frontEndCount(); i++) {
             startFrontEnd(drawStartParameters());
         }
-        double from = loops.now();
-        double until = from + TimeUnit.SECONDS.toMillis(plan.seconds());
-        while (loops.now() < until) {
+        double startTime = loops.now();
+        double endTime = startTime + TimeUnit.SECONDS.toMillis(plan.seconds());
+        while (loops.now() < endTime) {
             Thread.sleep(MIN_PAUSE_MILLIS + random.nextInt(PAUSE_RANGE_MILLIS));
             inject(INJECTED_FAULTS[random.nextInt(INJECTED_FAULTS.length)], new Random(random.nextLong()));
         }
         if (!tasks.awaitCompletion(MAX_TASK_SECONDS)) {
             crashes.add("the soak itself: its background tasks did not finish in time");
         }
-        return finish(from);
+        return finish(startTime);
     }
 
-    private SoakReport finish(double from) throws IOException, InterruptedException {
-        double stoppedAt = loops.now();
+    private SoakReport finish(double startTime) throws IOException, InterruptedException {
+        double clientsStoppedAt = loops.now();
         allFrontEnds.forEach(frontEnd -> frontEnd.clients().forEach(RequestClient::stop));
         Thread.sleep(FINAL_ANSWERS_WAIT_MILLIS);
         for (SoakFrontEnd frontEnd : allFrontEnds) {
@@ -127,10 +143,11 @@
             auditor.addConnectionLog(frontEnd.process().address, new FrontEndConnectionLog(frontEnd.process().connectionEvents(),
                     loops, changelog.ports(), changelog.resyncRequests()));
         }
-        double successRate = auditor.successRate(time -> time >= from && time < stoppedAt && !inOutage(time));
-        List<RequestAuditor.Finding> findings = auditor.findings(stoppedAt);
-        return new SoakReport(auditor.requestCount(), successRate, auditor.successRate(this::inOutage), findings, auditor.inconclusiveFindings(),
-                auditor.allowanceCounts(), List.copyOf(crashes), new TreeMap<>(faultCounts), systemFaults(), loops.longestLagMillis(),
+        double successRate = auditor.successRate(time -> time >= startTime && time < clientsStoppedAt && !inOutage(time));
+        List<RequestAuditor.Finding> findings = auditor.findings(clientsStoppedAt);
+        return new SoakReport(auditor.requestCount(), successRate, auditor.successRate(this::inOutage), findings,
+                auditor.inconclusiveFindings(), auditor.allowanceCounts(), List.copyOf(crashes), new TreeMap<>(faultCounts),
+                systemFaults(), loops.longestLagMillis(),
                 auditor.coldStartCheck.highestLoadRatio(), executorFaults.missesByAnnouncement(), List.copyOf(history));
     }
 
@@ -138,6 +155,7 @@
         return outages.stream().anyMatch(outage -> outage.contains(time));
     }
 
+    /** The system call faults of each front end, by its address. */
     private Map<String, String> systemFaults() {
         Map<String, String> faults = new TreeMap<>();
         allFrontEnds.forEach(frontEnd -> faults.put(frontEnd.process().address.toString(), frontEnd.faults().toString()));
@@ -201,6 +219,7 @@
         }
     }
 
+    /** Injects a fault of this plan and counts it, unless it cannot be injected now. */
     private void inject(SoakFault fault, Random ownRandom) {
         if (!plan.faults().contains(fault)) {
             return;
@@ -218,12 +237,13 @@
         }
     }
 
+    /** Like the methods of the other faults, returns whether the fault could be injected. */
     private boolean startOutage(Random ownRandom) {
         if (changelogUnavailable) {
             return false;
         }
         Outage kind = Outage.values()[ownRandom.nextInt(Outage.values().length)];
-        long durationMillis = 3000 + ownRandom.nextInt(12_000);
+        long durationMillis = MIN_OUTAGE_MILLIS + ownRandom.nextInt(OUTAGE_RANGE_MILLIS);
         changelogUnavailable = true;
         tasks.start(() -> {
             double from = loops.now();
@@ -254,14 +274,14 @@
         if (frontEnd == null) {
             return false;
         }
-        long durationMillis = 300 + ownRandom.nextInt(4000);
+        long durationMillis = MIN_SUSPENSION_MILLIS + ownRandom.nextInt(SUSPENSION_RANGE_MILLIS);
         tasks.start(() -> {
             double from = loops.now();
             frontEnd.process().sendSignal("STOP");
             Thread.sleep(durationMillis);
             frontEnd.process().sendSignal("CONT");
             auditor.frontEndStalled(frontEnd.process().address, from, loops.now());
-            Thread.sleep(DOWNTIME_MILLIS);
+            Thread.sleep(RECOVERY_MILLIS);
             busyFrontEnds.remove(frontEnd);
         });
         return true;
@@ -295,7 +315,7 @@
         servingFrontEnds.remove(frontEnd);
         tasks.start(() -> {
             frontEnd.process().sendSignal("KILL");
-            boolean exited = frontEnd.process().awaitExit(DOWNTIME_MILLIS);
+            boolean exited = frontEnd.process().awaitExit(KILL_TIMEOUT_MILLIS);
             auditor.frontEndKilled(frontEnd.process().address, loops.now());
             if (exited) {
                 auditor.frontEndExited(frontEnd.process().address, loops.now());
@@ -312,10 +332,10 @@
         if (frontEnd == null) {
             return false;
         }
-        int reloads = 1 + ownRandom.nextInt(4);
+        int reloads = 1 + ownRandom.nextInt(MAX_RELOADS);
         List<Integer> pauseMillis = new ArrayList<>();
         for (int i = 0; i < reloads; i++) {
-            pauseMillis.add(ownRandom.nextInt(120));
+            pauseMillis.add(ownRandom.nextInt(MAX_RELOAD_PAUSE_MILLIS));
         }
         tasks.start(() -> {
             for (int i = 0; i < reloads; i++) {
@@ -323,7 +343,7 @@
                 frontEnd.process().reconfigure(renderConfig("n", (i + 1) % CHANGELOG_COUNT));
                 Thread.sleep(pauseMillis.get(i));
             }
-            Thread.sleep(DOWNTIME_MILLIS);
+            Thread.sleep(RECOVERY_MILLIS);
             busyFrontEnds.remove(frontEnd);
         });
         return true;
@@ -335,7 +355,9 @@
             return false;
         }
         busyFrontEnds.remove(frontEnd);
-        RequestClient.openSilentConnections(loops, frontEnd.process().address, 20 + ownRandom.nextInt(250), 300 + ownRandom.nextInt(2000));
+        RequestClient.openSilentConnections(loops, frontEnd.process().address,
+                MIN_SILENT_CONNECTIONS + ownRandom.nextInt(SILENT_CONNECTIONS_RANGE),
+                MIN_SILENCE_MILLIS + ownRandom.nextInt(SILENCE_RANGE_MILLIS));
         return true;
     }
 
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFault.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakFault.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** A kind of fault that a soak may inject; each can be left out, to reduce a failing seed. */
+/** A kind of fault that a soak may inject. Each can be left out, to find the ones that a failing seed needs. */
 public enum SoakFault {
     /** The change log is unavailable for some seconds. */
     OUTAGE,
@@ -20,7 +20,7 @@
     TERMINATION,
     /** A front end is killed and replaced. */
     KILL,
-    /** SIGHUP in quick succession, each with another address of the change log. */
+    /** A front end gets SIGHUP several times in quick succession, each time with another address of the change log. */
     RELOAD,
     /** Clients that send nothing use up the connections of a front end. */
     CROWD,
@@ -48,7 +48,7 @@
     /** Longer than any process of a soak runs. */
     private static final long UNLIMITED_MILLIS = 1_000_000_000;
     private static final long HOUR_MILLIS = 3_600_000;
-    /** The latest start of a burst of faults within a process run; a step of the clock may come as much later. */
+    /** The latest start of a burst of faults within a process run, and of the second clock step after the first. */
     private static final int MAX_START_MILLIS = 8000;
     private static final int MAX_BURST_MILLIS = 3000;
 
@@ -60,14 +60,14 @@
 
     /** Draws the system call faults of one process run; empty where this fault is injected in another way. */
     List<SystemFault> drawSystemFaults(Random random) {
-        long from = random.nextInt(MAX_START_MILLIS);
-        long burst = from + 500 + random.nextInt(MAX_BURST_MILLIS);
+        long burstStart = random.nextInt(MAX_START_MILLIS);
+        long burstEnd = burstStart + 500 + random.nextInt(MAX_BURST_MILLIS);
         return switch (this) {
-            case ACCEPT -> List.of(SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, random), 0.3, 0, burst),
+            case ACCEPT -> List.of(SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, random), 0.3, 0, burstEnd),
                     SystemFault.error(FaultyCall.ACCEPT, randomErrno(ACCEPT_ERRORS, random), 0.03, 0, UNLIMITED_MILLIS));
-            case CONNECT -> List.of(SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, random), 0.3, from, burst),
+            case CONNECT -> List.of(SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, random), 0.3, burstStart, burstEnd),
                     SystemFault.error(FaultyCall.SOCKET, randomErrno(SOCKET_ERRORS, random), 0.05, 0, UNLIMITED_MILLIS),
-                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, random), 0.5, from, burst),
+                    SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, random), 0.5, burstStart, burstEnd),
                     SystemFault.error(FaultyCall.CONNECT, randomErrno(CONNECT_ERRORS, random), 0.05, 0, UNLIMITED_MILLIS));
             case SHORT_TRANSFERS -> List.of(SystemFault.shortTransfer(FaultyCall.READ, 0.3, 0, UNLIMITED_MILLIS),
                     SystemFault.shortTransfer(FaultyCall.WRITE, 0.3, 0, UNLIMITED_MILLIS));
@@ -75,9 +75,9 @@
             case BROKEN_CONNECTIONS -> List.of(
                     SystemFault.error(FaultyCall.READ_CONNECTED, randomErrno(TRANSFER_ERRORS, random), 0.002, 0, UNLIMITED_MILLIS),
                     SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, random), 0.002, 0, UNLIMITED_MILLIS),
-                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, random), 0.1, from, burst));
-            case WALL_CLOCK -> List.of(SystemFault.clockStep(randomClockStepMillis(random), from, burst),
-                    SystemFault.clockStep(randomClockStepMillis(random), burst + random.nextInt(MAX_START_MILLIS), UNLIMITED_MILLIS));
+                    SystemFault.error(FaultyCall.WRITE_CONNECTED, randomErrno(TRANSFER_ERRORS, random), 0.1, burstStart, burstEnd));
+            case WALL_CLOCK -> List.of(SystemFault.clockStep(randomClockStepMillis(random), burstStart, burstEnd),
+                    SystemFault.clockStep(randomClockStepMillis(random), burstEnd + random.nextInt(MAX_START_MILLIS), UNLIMITED_MILLIS));
             default -> List.of();
         };
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakPlan.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakPlan.java
@@ -6,7 +6,7 @@
 /**
  * The parameters of a soak.
  *
- * @param seed of the random draws, which determine every fault
+ * @param seed seed of the random draws, which determine every fault
  * @param seconds how long faults are injected
  * @param frontEndCount front ends that run at the same time
  * @param faults the faults that may be injected
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
@@ -15,8 +15,8 @@
  * @param outageSuccessRate the same for the requests sent while it was not; NaN without an outage
  * @param violations of the rules, as the peers observed them
  * @param inconclusiveFindings possible violations that cannot be decided, as the peers were late when they recorded the times
- * @param excused what looked like a violation and was none, by the recorded system calls
- * @param crashes front ends that did not start, or exited without being told to
+ * @param excused how often the recorded system calls showed that a seeming violation was none, by the reason
+ * @param crashes front ends that did not start or exited without having been stopped, and failures of the soak itself
  * @param faultCounts how often each fault took effect; each failed system call counts
  * @param systemFaults the system call faults configured for each front end, by its address
  * @param peerLagMillis the longest delay of the peers themselves; recorded times may be wrong by as much
@@ -24,9 +24,9 @@
  * @param misses requests that reached a new process for a model it had not loaded, by how the takeover was announced
  * @param history when executors drained, were taken over or answered late, and when the change log was unavailable
  */
-public record SoakReport(int requests, double successRate, double outageSuccessRate, List<Finding> violations, List<Finding> inconclusiveFindings,
-        Map<Allowance, Integer> excused, List<String> crashes, Map<SoakFault, Long> faultCounts, Map<String, String> systemFaults,
-        double peerLagMillis, double coldStartLoad, Map<String, Integer> misses, List<String> history) {
+public record SoakReport(int requests, double successRate, double outageSuccessRate, List<Finding> violations,
+        List<Finding> inconclusiveFindings, Map<Allowance, Integer> excused, List<String> crashes, Map<SoakFault, Long> faultCounts,
+        Map<String, String> systemFaults, double peerLagMillis, double coldStartLoad, Map<String, Integer> misses, List<String> history) {
     private static final int MAX_SHOWN_PER_KIND = 5;
 
     /** Whether the soak was conclusive, no rule was violated, and no front end crashed. */
@@ -34,7 +34,7 @@
         return conclusive() && violations.isEmpty() && crashes.isEmpty();
     }
 
-    /** Whether the soak shows a violation or a crash, or nothing kept one from being seen. */
+    /** Whether the soak shows a violation or a crash, or would have shown one. */
     public boolean conclusive() {
         return inconclusiveFindings.isEmpty() || !violations.isEmpty() || !crashes.isEmpty();
     }
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/Takeover.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/Takeover.java
@@ -3,13 +3,14 @@
 import java.util.Random;
 
 /**
- * How the process of an executor is replaced by another one at the same address, mostly under another id.
+ * How the process of an executor is replaced by another one at the same address, mostly under another id. The components are
+ * printed under their names.
  *
  * @param telling how the change log announces it
  * @param stalls milliseconds by which the old process delays its answers before it ends
- * @param lingers milliseconds for which its connections stay open then; 0 where they are reset at once
+ * @param lingers milliseconds for which its connections stay open after that; 0 where they are reset at once
  * @param pause milliseconds between two events that announce it
- * @param seed of the random draws of the new process
+ * @param seed seed of the random draws of the new process
  */
 record Takeover(Announcement telling, long stalls, long lingers, long pause, long seed) {
     /** The events by which the change log announces the takeover, in their order. */
