--- a/rehearsal/src/test/java/gradereach/rehearsal/AuditorTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/AuditorTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks that the auditor can detect violations: each row plants one change in a good transcript. */
+/** Checks that the auditor can detect violations: each row makes one change to a transcript that keeps all rules. */
 class AuditorTest {
-    private static final String GOOD = """
+    private static final String VALID_TRANSCRIPT = """
             1000 asked mark=y/a n=0 fe=f0 group=book budget=500 async=false forged=false
             1010 told fe=f0 ex=e1 ready=true
             1020 arrived ex=e1 fe=f0 fwd=a#0 mark=y/a
@@ -31,11 +31,11 @@
             9000 end
             """;
 
-    private static AuditReport evaluate(String text) throws Exception {
+    private static AuditReport evaluate(String transcript) throws Exception {
         Auditor auditor = new Auditor(new Auditor.RuleParameters(10, 500, 1, 0.5, 5000, 1000, false),
                 Map.of("look", "retriable", "mark", "deduped", "book", "non-retriable"),
                 Map.of("look", 400d, "mark", 400d, "book", 400d));
-        for (String line : text.strip().split("\n")) {
+        for (String line : transcript.strip().split("\n")) {
             String[] words = line.strip().split(" ");
             StringBuilder json = new StringBuilder("{\"t\":" + words[0] + ",\"ev\":\"" + words[1] + "\"");
             for (int i = 2; i < words.length; i++) {
@@ -48,7 +48,10 @@
         return auditor.evaluate();
     }
 
-    /** Guards against false violations and false passes where the processes that recorded the times were late. */
+    /**
+     * Guards against false violations and false passes. Where the process that recorded a time was late, an event may have
+     * happened before its limit.
+     */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         // removed text, inserted text, whether the run is conclusive, whether the rules passed
@@ -64,11 +67,12 @@
         "9000 end | 8000 cut-short what=restart;9000 end | false | false",
     })
     void lateTimestampsAreInconclusive(String removed, String inserted, boolean conclusive, boolean passed) throws Exception {
-        AuditReport report = evaluate(GOOD.replaceFirst(removed, inserted).replace(";", "\n"));
+        AuditReport report = evaluate(VALID_TRANSCRIPT.replaceFirst(removed, inserted).replace(";", "\n"));
         assertEquals(conclusive, report.conclusive(), report.toString());
         assertEquals(passed, report.passed(), report.toString());
     }
 
+    /** Guards against a rule that misses a violation or reports one where there is none. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', nullValues = "none", value = {
         // removed text, inserted text, the violated rule or 0, the expected violation
@@ -96,8 +100,9 @@
         "2020 arrived | 2012 order ex=e1 fe=f0 model=m copies=1;2013 order ex=e1 fe=f0 model=m copies=1;2014 order ex=e1 fe=f0 model=m copies=0;2020 arrived | 5 | f0 ordered 3 where 2.0 were allowed",
     })
     void plantedViolationIsDetected(String removed, String inserted, int rule, String expectedViolation) throws Exception {
-        String text = removed == null ? GOOD : GOOD.replaceFirst(removed, inserted == null ? "1 nothing" : inserted).replace(";", "\n");
-        AuditReport report = evaluate(text);
+        String transcript = removed == null ? VALID_TRANSCRIPT
+                : VALID_TRANSCRIPT.replaceFirst(removed, inserted == null ? "1 nothing" : inserted).replace(";", "\n");
+        AuditReport report = evaluate(transcript);
         for (Auditor.RuleResult result : report.results()) {
             assertEquals(result.rule() != rule, result.passed(), result.toString());
             assertTrue(result.rule() != rule || result.violations().contains(expectedViolation), result.toString());
--- a/rehearsal/src/test/java/gradereach/rehearsal/BreachingFrontEnd.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/BreachingFrontEnd.java
@@ -16,9 +16,22 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** A front end that violates one rule of the auditor on purpose, by a proxy around the router's actions: {@code RULE FILE}. */
+/**
+ * A front end that violates one rule of the auditor on purpose, by a proxy around the router's actions. Arguments:
+ * {@code RULE FILE}, the number of the rule and a deployment file.
+ */
 public final class BreachingFrontEnd {
-    /** One of this many forwards goes to a draining executor; if all did, the router would soon find no executor that answers. */
+    /** Rule 1: this forward is delayed beyond the deadline, and with it all that the decision thread does. */
+    private static final int DELAYED_FORWARD = 20;
+    private static final int FORWARD_DELAY_MILLIS = 3000;
+    /** Rule 5: further load orders that are sent with each one. */
+    private static final int EXTRA_LOAD_ORDERS = 5;
+    /** Rule 4: further forwards that are sent with each one to an executor that started recently. */
+    private static final int EXTRA_FORWARDS = 300;
+    /**
+     * Rule 3: one of this many forwards goes to an executor that drains or was removed. If all did, the router would soon find
+     * no executor that answers.
+     */
     private static final int MISDIRECT_INTERVAL = 4;
 
     private BreachingFrontEnd() { }
@@ -31,33 +44,33 @@
 
     private static RouterActions wrapActions(RouterActions real, int rule) {
         Set<Executor> usedExecutors = new LinkedHashSet<>();
-        int[] count = {0};
+        int[] forwardCount = {0};
         return (RouterActions) Proxy.newProxyInstance(RouterActions.class.getClassLoader(),
                 new Class<?>[] {RouterActions.class},
                 (proxy, method, args) -> {
                     String name = method.getName();
                     if (name.equals("sendForward")) {
                         usedExecutors.add((Executor) args[1]);
-                        if (rule == 1 && ++count[0] == 20) {
-                            Thread.sleep(3000);
+                        if (rule == 1 && ++forwardCount[0] == DELAYED_FORWARD) {
+                            Thread.sleep(FORWARD_DELAY_MILLIS);
                         }
                         if (rule == 2 && ((Inference) args[0]).group.retrySafety() == RetrySafety.NON_RETRIABLE) {
                             real.sendForward((Inference) args[0], (Executor) args[1], (Double) args[2]);
                         }
-                        if (rule == 3 && ++count[0] % MISDIRECT_INTERVAL == 0) {
+                        if (rule == 3 && ++forwardCount[0] % MISDIRECT_INTERVAL == 0) {
                             args[1] = usedExecutors.stream().filter(executor -> executor.state != ExecutorState.READY).findFirst()
                                     .orElse((Executor) args[1]);
                         }
                     }
                     if (name.equals("sendOrder") && (Integer) args[2] > 0) {
-                        for (int i = 0; rule == 5 && i < 5; i++) {
+                        for (int i = 0; rule == 5 && i < EXTRA_LOAD_ORDERS; i++) {
                             real.sendOrder((Executor) args[0], (Model) args[1], (Integer) args[2]);
                         }
                     }
                     try {
                         Object result = method.invoke(real, args);
                         if (rule == 4 && name.equals("sendForward") && ((Executor) args[1]).startedAt > 0) {
-                            for (int i = 0; i < 300; i++) {
+                            for (int i = 0; i < EXTRA_FORWARDS; i++) {
                                 real.sendForward((Inference) args[0], (Executor) args[1], (Double) args[2]);
                             }
                         }
--- a/rehearsal/src/test/java/gradereach/rehearsal/CrashPointsTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/CrashPointsTest.java
@@ -48,7 +48,10 @@
         testbed.close();
     }
 
-    /** Every step of an inference with {@code commits} commits to the ledger and one forward. */
+    /**
+     * Every step of an inference with {@code commits} commits to the ledger and one forward. At {@code heard} the test kills
+     * the front end once the client has its answer; the other steps are faults of {@link FaultyFrontEnd}.
+     */
     private static List<String> crashSteps(int commits) {
         List<String> steps = new ArrayList<>(List.of("forward:1:before", "forward:1:after", "heard"));
         for (int i = 1; i <= commits; i++) {
@@ -73,8 +76,9 @@
     }
 
     /**
-     * A synchronous request commits an intent and an outcome; an asynchronous one commits the acceptance, the intent, and the
-     * outcome, which serves both repeats and the webhook delivery.
+     * Guards against a reservation that runs twice or gets two answers. A synchronous request commits an intent and an outcome.
+     * An asynchronous one commits the acceptance, the intent, and the outcome, which serves both repeats and the webhook
+     * delivery.
      */
     @Test
     void reservationRunsOnceWhenFrontEndCrashesAtAnyStep() throws Exception {
@@ -137,7 +141,7 @@
                 firstResponse = frontEnds[0].sendUntilReturned("three-" + step, "book-1");
                 frontEnds[0].kill();
             } else {
-                // Right after their start the peers may not grant claims yet: the request is answered so and sent again.
+                // Right after their start the peers may not grant claims yet: the request is rejected and sent again.
                 do {
                     firstResponse = frontEnds[0].send("three-" + step, "book-1", false);
                 } while (firstResponse != null && firstResponse.statusCode() != 200);
@@ -163,7 +167,7 @@
         }
     }
 
-    /** Two claim replicas whose clocks are an hour ahead during one process run still know which front end owns the message. */
+    /** Guards against two claim replicas that drop a claim early, after a process run in which their clocks were an hour ahead. */
     @Test
     void claimsSurviveWrongReplicaClocks() throws Exception {
         List<Integer> ports = ReservationTestbed.freePorts(6);
@@ -210,7 +214,7 @@
         assertEquals(null, testbed.transcriptEvents("ran", "mark").get("yard/second"));
     }
 
-    /** One force commits all waiting records, so that many concurrent requests succeed on a slow disk. */
+    /** Guards against one force for each record: many concurrent requests would not be answered in time on a slow disk. */
     @Test
     void slowDiskCommitsWaitingRecordsTogether() throws Exception {
         FrontEndTestProcess frontEnd = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "slow:50", 0);
@@ -231,7 +235,7 @@
         testbed.transcriptEvents("ran", "mark").forEach((message, runs) -> assertEquals(1, runs.size(), message));
     }
 
-    /** A signed message is replayed after a restart: the same message, and its id with another body. */
+    /** Guards against executing a signed message that is replayed after a restart, as it was or with another body. */
     @Test
     void replayAfterRestartIsNotExecuted() throws Exception {
         FrontEndTestProcess first = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
@@ -247,7 +251,7 @@
         assertEquals(1, testbed.transcriptEvents("ran", "mark").get("yard/once").size());
     }
 
-    /** Makes the ledger of a stopped front end take {@code millis} as passed, by setting back both clocks that it has stored. */
+    /** Makes a stopped front end believe that {@code millis} have passed, by setting back both clocks stored in its ledger. */
     private void advanceLedgerClock(int frontEnd, long millis) throws IOException {
         Path clock = folder.resolve("fe-" + frontEnd + ".ledger").resolve("clock");
         String[] fields = Files.readString(clock).strip().split(" ");
@@ -258,22 +262,24 @@
     }
 
     /**
-     * The message is forgotten for its age and its segment deleted; then the wall clock is set back, so that its signature
-     * is valid again. Eleven minutes pass by the ledger's clock and by the wall clock of the second process run.
+     * Guards against executing an old message again. The front end forgets the message for its age and deletes its segment.
+     * Then the wall clock is set back, so that the signature is valid again. Eleven minutes pass by the ledger's clock and by
+     * the wall clock of the second process run.
      */
     @Test
     void replayAfterClockRollbackIsNotExecuted() throws Exception {
-        long elevenMinutes = 660_000;
+        long elevenMinutesMillis = 660_000;
         FrontEndTestProcess first = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
         long signedAt = System.currentTimeMillis() / 1000;
         HttpResponse<String> answer;
         do {
             answer = first.send("old", "book-1", false, signedAt);
-        } while (answer.statusCode() == 503); // the executors were not known in time: it was never sent
+        } while (answer.statusCode() == 503); // no executor was known in time, so it was never forwarded
         assertEquals(200, answer.statusCode());
         first.kill();
-        advanceLedgerClock(0, elevenMinutes);
-        FrontEndTestProcess second = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", elevenMinutes);
+        advanceLedgerClock(0, elevenMinutesMillis);
+        FrontEndTestProcess second = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none",
+                elevenMinutesMillis);
         second.sendUntilReturned("other", "book-1");
         second.kill();
         FrontEndTestProcess third = testbed.startFrontEnd(folder, testbed.createDeployment(folder, 0, List.of()), "none", 0);
@@ -286,12 +292,12 @@
     }
 
     /**
-     * The claim has expired at its replicas, and the owner is down; then the clocks of the replicas are set back, so that the
-     * signature is valid there again.
+     * Guards against a second grant of an old claim. The claim has expired at its replicas, and the owner is down. Then the
+     * clocks of the replicas are set back, so that the signature is valid there again.
      */
     @Test
     void expiredClaimIsNotGrantedAgainAfterClockRollback() throws Exception {
-        long elevenMinutes = 660_000;
+        long elevenMinutesMillis = 660_000;
         List<Integer> ports = ReservationTestbed.freePorts(6);
         FrontEndTestProcess[] frontEnds = new FrontEndTestProcess[3];
         for (int i = 0; i < 3; i++) {
@@ -301,9 +307,9 @@
         assertEquals(200, sendUntilAccepted(frontEnds[0], signedAt).statusCode());
         for (int i = 0; i < 3; i++) {
             frontEnds[i].kill();
-            advanceLedgerClock(i, elevenMinutes);
+            advanceLedgerClock(i, elevenMinutesMillis);
         }
-        for (long aheadMillis : new long[] {elevenMinutes, 0}) {
+        for (long aheadMillis : new long[] {elevenMinutesMillis, 0}) {
             for (int i = 1; i < 3; i++) {
                 frontEnds[i] = testbed.startFrontEnd(folder, testbed.createDeployment(folder, i, ports), "none", aheadMillis);
             }
@@ -325,7 +331,7 @@
 
     private static final int REPLAYS = 10;
 
-    /** Repeats a request that was not sent because peers granted no claims yet or no executors were known right after the start. */
+    /** Repeats a request that is rejected after the start, while peers grant no claims yet or no executors are known. */
     private HttpResponse<String> sendUntilAccepted(FrontEndTestProcess frontEnd, long signedAt) throws InterruptedException {
         HttpResponse<String> answer;
         do {
--- a/rehearsal/src/test/java/gradereach/rehearsal/FrontEndTestProcess.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/FrontEndTestProcess.java
@@ -24,13 +24,13 @@
 final class FrontEndTestProcess {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
-    private static final long ALWAYS_MILLIS = 1_000_000; // longer than any test
+    private static final long UNLIMITED_MILLIS = 1_000_000; // longer than any test
     private static final int SHED_STATUS = 503;
     /** The time within which every front end must be ready after its start. */
     private static final long READY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     final Process process;
-    private final long startedAt = System.nanoTime();
+    private final long startedAtNanos = System.nanoTime();
     private final URI address;
     private final WebhookKey key;
     private final long clockAheadMillis;
@@ -38,6 +38,7 @@
     /**
      * Starts a front end and returns once it listens.
      *
+     * @param fault an argument of {@link FaultyFrontEnd}
      * @param processes the processes to kill at the end of the test; this one is added even if its start fails
      * @param clockAheadMillis how far its wall clock is ahead; its client uses that clock too
      */
@@ -55,7 +56,8 @@
                 .redirectError(ProcessBuilder.Redirect.appendTo(directory.resolve("log").toFile()));
         if (clockAheadMillis != 0) {
             FaultShim.compile(directory).preload(start,
-                    List.of(SystemFault.clockStep(clockAheadMillis, 0, ALWAYS_MILLIS)), 1, Files.createTempFile(directory, "faults", ""));
+                    List.of(SystemFault.clockStep(clockAheadMillis, 0, UNLIMITED_MILLIS)), 1,
+                    Files.createTempFile(directory, "faults", ""));
         }
         process = start.start();
         processes.add(process);
@@ -65,7 +67,7 @@
         address = URI.create("http://" + line.split(" ")[1] + "/v1/inferences");
     }
 
-    /** Sends one request; null where the connection broke. */
+    /** Sends one request; returns null where the connection broke. */
     HttpResponse<String> send(String id, String model, boolean async) throws InterruptedException {
         return send(id, model, async, (System.currentTimeMillis() + clockAheadMillis) / 1000);
     }
@@ -89,13 +91,13 @@
 
     /**
      * Repeats a request until it is not shed, as a front end may shed until it is ready after its start. A shed request was
-     * not sent to an executor, so each such answer must allow a safe retry. Null where the connection broke.
+     * not sent to an executor, so each such answer must allow a safe retry. Returns null where the connection broke.
      */
     HttpResponse<String> sendUntilNotShed(String id, String model) throws InterruptedException {
         HttpResponse<String> answer = send(id, model, false);
         while (answer != null && answer.statusCode() == SHED_STATUS) {
             assertTrue(answer.body().contains("\"repeat_harmless\":true"), id + " was shed, and its client got " + answer.body());
-            assertTrue(System.nanoTime() - startedAt < READY_TIMEOUT_NANOS, id + " is shed by a front end that should be ready");
+            assertTrue(System.nanoTime() - startedAtNanos < READY_TIMEOUT_NANOS, id + " is shed by a front end that should be ready");
             answer = send(id, model, false);
         }
         return answer;
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalEndTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The end of a rehearsal while a front end is still starting, as one that was killed does not become ready again. */
+/** The end of a rehearsal in which a front end is killed and the process that replaces it never becomes ready. */
 @Timeout(120)
 class RehearsalEndTest {
     @TempDir
@@ -39,7 +39,7 @@
         ObjectNode script = (ObjectNode) Rehearsal.loadScript("quick").deepCopy();
         script.put("length_ms", 1500).put("front_ends", 1);
         script.putArray("events").addObject().put("at_ms", 300).put("kind", "kill_front_end").put("fe", 0).put("for_ms", 100);
-        return new Rehearsal(script, folder.resolve("play"), List.of("sh", command.toString()),
+        return new Rehearsal(script, folder.resolve("run"), List.of("sh", command.toString()),
                 new PrintStream(PrintStream.nullOutputStream())).withMaxEventMillis(500).run();
     }
 
@@ -70,7 +70,7 @@
         assertFalse(report.conclusive(), report.toString());
     }
 
-    /** The same where a signal terminates the rehearsal at that moment. */
+    /** Guards against a front end that outlives a rehearsal which a signal terminates while the front end starts. */
     @Test
     void startingFrontEndStopsWhenRehearsalIsTerminated() throws Exception {
         Process rehearsal = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
--- a/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RehearsalTest.java
@@ -33,6 +33,7 @@
         return report;
     }
 
+    /** Guards against a front end that breaks a rule under the events of the short day. */
     @Test
     void shortDayPassesAllRules() throws Exception {
         AuditReport report = runRehearsal(Rehearsal.loadScript("short-day"), Rehearsal.javaCommand("gradereach.serve.FrontEndProcess"));
@@ -56,7 +57,7 @@
         assertTrue(report.counts().get("heard returned") > 4 * report.counts().get("ran"), report.counts().toString());
     }
 
-    /** Without claims and ledgers, the auditor must detect reservations that are executed twice. */
+    /** Guards against an auditor that misses double executions: without claims and ledgers, reservations run twice. */
     @Test
     void doubleExecutionWithoutClaimsIsDetected() throws Exception {
         ObjectNode script = (ObjectNode) Rehearsal.loadScript("reservations").deepCopy();
@@ -66,7 +67,7 @@
         assertFalse(runRehearsal(script, Rehearsal.javaCommand("gradereach.serve.FrontEndProcess")).results().get(1).passed());
     }
 
-    /** A front end that violates a rule is detected from the transcripts alone. */
+    /** Guards against an auditor that misses a violation by a front end, which it must detect from the transcripts alone. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5})
     void ruleViolationIsDetected(int rule) throws Exception {
@@ -81,6 +82,7 @@
         assertFalse(report.results().get(rule - 1).passed(), report.results().toString());
     }
 
+    /** Guards against a shipped script that does not match the schema, and against an error that does not name the key. */
     @Test
     void shippedScriptsAreValidAndInvalidScriptIsNamed() throws Exception {
         List<Path> scripts;
--- a/rehearsal/src/test/java/gradereach/rehearsal/RestartInquirySocketTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RestartInquirySocketTest.java
@@ -30,13 +30,13 @@
 
 /**
  * A front end process is killed while a reservation is in flight, and after its restart inquires about the outcome at the
- * address that the forward went to. There may be the same executor with a wrong clock, a restarted one, or another one.
- * Executions are counted at the stand-in executors.
+ * address that the forward went to. By then, the same executor with a wrong clock, a restarted one, or another one may listen
+ * there. Executions are counted at the stand-in executors.
  */
 @Timeout(60)
 class RestartInquirySocketTest {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** The models as configured at front ends. Executors drop no repeat here: the dedup window has closed before any comes. */
+    /** The models as configured at front ends. The dedup window closes before any repeat, so that executors drop none. */
     private static final String MODELS = """
             {"model_groups": [{"name": "book", "repeat": "non-retriable", "slo_ms": 1000, "route_timeout_ms": 3000},
               {"name": "mark", "repeat": "deduped", "dedup_window_ms": 100, "slo_ms": 1000, "route_timeout_ms": 3000}],
@@ -61,7 +61,7 @@
         }
     }
 
-    /** One message that a client sends repeatedly, and the number of its executions. */
+    /** One message that a client sends repeatedly, with the executors and the ledger of its own scenario. */
     private final class Reservation {
         private final String id;
         private final String model;
@@ -97,7 +97,7 @@
         /** The first executor executes the reservation and its answer is lost; then the front end is killed. */
         void executeThenKillFrontEnd() throws Exception {
             FrontEndTestProcess first = startFrontEnd("none", 0);
-            first.sendUntilReturned(id + "-before", model); // the executors are known and the model is loaded after it
+            first.sendUntilReturned(id + "-before", model); // then the executors are known and the model is loaded
             injectFault("answers_lost", 0, HOUR_MILLIS);
             CompletableFuture<Map<String, Object>> executed = fleet.nextEvent("ran", "mark", "yard/" + id);
             Thread client = new Thread(() -> {
@@ -116,7 +116,7 @@
         /** The forward reaches the executor's socket and is not read; then the front end, which has given it up, is killed. */
         void sendUnreadThenKillFrontEnd() throws Exception {
             FrontEndTestProcess first = startFrontEnd("none", 0);
-            first.sendUntilReturned(id + "-before", model); // the executors are known and a connection is open after it
+            first.sendUntilReturned(id + "-before", model); // then the executors are known and a connection is open
             injectFault("unread", 0, 0);
             HttpResponse<String> answer = first.sendUntilNotShed(id, model);
             assertEquals(504, answer.statusCode(), id + ": " + answer.body());
@@ -145,7 +145,7 @@
                     .put("for_ms", (long) durationMillis).put("by", 1));
         }
 
-        /** Sends the reservation until an answer is returned; returns the status of each attempt. */
+        /** Sends the reservation until an answer is returned, {@code MAX_ATTEMPTS} times at most; returns the status of each attempt. */
         List<String> sendUntilReturned(FrontEndTestProcess frontEnd) throws InterruptedException, IOException {
             List<String> statuses = new ArrayList<>();
             for (int i = 0; i < MAX_ATTEMPTS && (statuses.isEmpty() || !statuses.get(i - 1).startsWith("200")); i++) {
@@ -268,12 +268,14 @@
         }
     }
 
+    /** Guards against a double execution caused by an inquiry that is answered by another process than the forward went to. */
     @Test
     void reservationRunsOnceWhicheverExecutorIsAtTheAddress() throws Exception {
         runAll(List.of(this::restartedExecutorClockIsBehind, this::addressTakenByAnotherExecutor,
                 this::sameProcessKnowsOutcome, this::forwardWasNeverSent));
     }
 
+    /** Guards against a double execution by a front end whose wall clock was set back or was ahead. */
     @Test
     void reservationRunsOnceWithWrongFrontEndClock() throws Exception {
         runAll(List.of(this::dedupWindowHasClosed, this::outcomeSurvivesWrongFrontEndClock));
--- a/rehearsal/src/test/java/gradereach/rehearsal/RestoredLedgerTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/RestoredLedgerTest.java
@@ -63,17 +63,17 @@
         }
     }
 
-    /** Copies new files and replaces those whose bytes differ, as rsync does. */
-    private static Path copyChangedFiles(Path from, Path to) throws IOException {
-        Files.createDirectories(to);
-        for (Path file : listFiles(from)) {
-            Path target = to.resolve(file.getFileName());
+    /** Copies new files and replaces those whose bytes differ, as rsync does; returns the target. */
+    private static Path copyChangedFiles(Path source, Path destination) throws IOException {
+        Files.createDirectories(destination);
+        for (Path file : listFiles(source)) {
+            Path target = destination.resolve(file.getFileName());
             if (!Files.exists(target) || Files.mismatch(file, target) >= 0) {
-                Path temporary = Files.copy(file, to.resolve("." + file.getFileName()));
+                Path temporary = Files.copy(file, destination.resolve("." + file.getFileName()));
                 Files.move(temporary, target, StandardCopyOption.REPLACE_EXISTING);
             }
         }
-        return to;
+        return destination;
     }
 
     private static void restore(Path copy, Path ledger, RestoreMethod method) throws IOException {
@@ -108,24 +108,24 @@
     @CsvSource({"1, NOTHING, AFTER_DELETING_IT", "1, A_SEGMENT, AFTER_DELETING_IT", "1, A_COMPACTION, AFTER_DELETING_IT",
         "1, NOTHING, AFTER_RENAMING_IT", "1, A_SEGMENT, REPLACING_WHAT_DIFFERS", "1, A_COMPACTION, REPLACING_WHAT_DIFFERS",
         "3, NOTHING, AFTER_DELETING_IT", "3, A_SEGMENT, AFTER_RENAMING_IT", "3, A_COMPACTION, AFTER_DELETING_IT"})
-    void whatRanSinceTheCopyDoesNotRunAgain(int frontEnds, LedgerActivity since, RestoreMethod method) throws Exception {
+    void whatRanSinceTheCopyDoesNotRunAgain(int frontEnds, LedgerActivity activitySinceCopy, RestoreMethod method) throws Exception {
         ports = frontEnds == 1 ? List.of() : ReservationTestbed.freePorts(2 * frontEnds);
         List<FrontEndTestProcess> peers = new ArrayList<>();
         for (int i = 1; i < frontEnds; i++) {
             peers.add(startFrontEnd(i));
         }
         FrontEndTestProcess first = startFrontEnd(0);
-        HttpResponse<String> before = first.sendUntilReturned("before", MODEL);
+        HttpResponse<String> answerBefore = first.sendUntilReturned("before", MODEL);
         first.kill();
         Path ledger = ReservationTestbed.ledgerFolder(folder, 0);
         Path copy = copyChangedFiles(ledger, folder.resolve("copy"));
         FrontEndTestProcess second = startFrontEnd(0);
-        for (int i = 0; since == LedgerActivity.A_SEGMENT && i < SEGMENT_FILL_REQUESTS; i++) {
+        for (int i = 0; activitySinceCopy == LedgerActivity.A_SEGMENT && i < SEGMENT_FILL_REQUESTS; i++) {
             second.sendUntilReturned("filler-" + i, MODEL);
         }
         second.sendUntilReturned("since", MODEL);
         second.kill();
-        if (since == LedgerActivity.A_COMPACTION) {
+        if (activitySinceCopy == LedgerActivity.A_COMPACTION) {
             LedgerFolder.compact(ledger, 0);
         }
         restore(copy, ledger, method);
@@ -134,15 +134,16 @@
         for (FrontEndTestProcess peer : peers) {
             statuses.addAll(sendRepeats(peer, "since"));
         }
-        assertEquals(before.body(), third.sendUntilReturned("before", MODEL).body(), "what is in the copy is known");
+        assertEquals(answerBefore.body(), third.sendUntilReturned("before", MODEL).body(), "what is in the copy is known");
         third.kill();
         statuses.addAll(sendRepeats(startFrontEnd(0), "since"));
         assertRanOnce("since", statuses);
     }
 
     /**
-     * The ledger is restored with its inode numbers, as by a file system snapshot: the folder itself does not show it, but
-     * the peers detect it. The snapshot lacks a reservation and a later one that the peers know of.
+     * Guards against a restored ledger that passes for the latest one. It is restored with its inode numbers, as by a file
+     * system snapshot, so that only the peers can detect it. The snapshot lacks a reservation and a later one that the peers
+     * know of.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -185,7 +186,10 @@
         Files.write(ledger.resolve("files"), lines);
     }
 
-    /** The restored front end is a claim replica: it granted the claim to another one after the copy, while the third was down. */
+    /**
+     * Guards against a second grant of a claim. The restored front end is a replica that granted the claim to another front end
+     * after the copy was made, while the third one was down.
+     */
     @Test
     void claimGrantedSinceTheCopyIsNotGrantedAgain() throws Exception {
         ports = ReservationTestbed.freePorts(6);
@@ -204,7 +208,7 @@
         assertRanOnce("since", sendRepeats(startFrontEnd(2), "since"));
     }
 
-    /** A front end that is stopped and restarted on its renamed ledger folder works as before. */
+    /** Guards against taking a ledger for a restored copy after its folder was renamed while the front end was stopped. */
     @Test
     void renamedFolderIsNotARestoredCopy() throws Exception {
         FrontEndTestProcess first = startFrontEnd(0);
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndChildProcessTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/FrontEndChildProcessTest.java
@@ -28,8 +28,8 @@
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
         Thread starter = new Thread(() -> {
             try {
-                new FrontEndChildProcess(processes, List.of("sh", "-c", "echo $$ > " + starting + ".tmp; mv " + starting + ".tmp " + starting
-                        + "; exec sleep 60"), folder.resolve("config.json"), "{}", shim, List.of(), 1);
+                new FrontEndChildProcess(processes, List.of("sh", "-c", "echo $$ > " + starting + ".tmp; mv " + starting + ".tmp "
+                        + starting + "; exec sleep 60"), folder.resolve("config.json"), "{}", shim, List.of(), 1);
                 ended.complete(null);
             } catch (Exception e) {
                 ended.complete(e);
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/HeldProbesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A front end loses its watch of the change log, an executor drains right after, and its probe answers come over a second
- * late, the last of them still "ready". No such answer may let a request go to it after the drain grace.
+ * A front end loses its watch of the change log, an executor drains right after, and its probe answers come up to 4 s late,
+ * the last of them still "ready". Guards against requests that are sent to it after the drain grace because of such an answer.
  */
 @Timeout(60)
 class HeldProbesTest {
@@ -32,7 +32,7 @@
     private static final int CLIENTS = 6;
     private static final double DRAIN_GRACE_MILLIS = 500;
     private static final long INITIAL_SERVICE_MILLIS = 3000;
-    /** Executors are probed at least every second, so that each is probed within this time. */
+    /** Executors are probed at least once a second, so that each gets a probe within this time. */
     private static final long FIRST_PROBE_WAIT_MILLIS = 1500;
     /** Lets the front end notice the broken watch before the drain. */
     private static final long DRAIN_DELAY_MILLIS = 50;
@@ -65,7 +65,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1200, 2500, 3100, 4000})
-    void lateProbeAnswerReleasesNoRequest(long probeDelayMillis) throws Exception {
+    void lateProbeAnswerAllowsNoRequestAfterDrain(long probeDelayMillis) throws Exception {
         try (PeerEventLoops loops = new PeerEventLoops(); ChildProcesses processes = new ChildProcesses(0)) {
             RequestAuditor auditor = new RequestAuditor(DRAIN_GRACE_MILLIS, loops.lagIntervals());
             ChangelogServer changelog = new ChangelogServer(loops);
--- a/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/soak/SoakTest.java
@@ -15,7 +15,8 @@
 
 /**
  * Soaks with front ends as processes that get the JVM options of the deploy file. The build runs fixed seeds; {@code
- * gradereach rehearse soak} runs others. A soak depends on real time, so what it finds is made a deterministic test.
+ * gradereach rehearse soak} runs others. As a soak depends on real time, a fault that it finds gets a deterministic test of its
+ * own.
  */
 @Timeout(180)
 class SoakTest {
@@ -54,7 +55,10 @@
         assertTrue(report.passed(), report::toString);
     }
 
-    /** Incident 1c4c95: executors drain while the change log is unavailable. Front ends must go on serving meanwhile. */
+    /**
+     * Guards against front ends that stop serving while the change log is unavailable, although executors drain meanwhile
+     * (incident 1c4c95).
+     */
     @Test
     void servesWhileChangelogIsUnavailable() throws Exception {
         SoakReport report = runSoak(2, EnumSet.of(SoakFault.OUTAGE, SoakFault.DRAIN, SoakFault.STANDSTILL, SoakFault.TERMINATION,
