--- a/client/src/main/java/gradereach/client/GradereachClient.java
+++ b/client/src/main/java/gradereach/client/GradereachClient.java
@@ -124,7 +124,7 @@
             parts.accept((ModelInferResponse) part);
         };
         return submit(new Inference(newId(), request.getModelName(), request), effect, timeout, counted, count)
-                .thenApply(last -> count.get());
+                .thenApply(answer -> count.get());
     }
 
     private static String newId() {
@@ -216,7 +216,7 @@
 
         private void onAttemptEnded(int attemptNumber, FrontEndSelector.Target target, AttemptOutcome outcome) {
             if (outcome.frontEndDraining()) {
-                frontEnds.markUnavailable(target, now());
+                frontEnds.markUnavailable(target, now()); // it drains or could not be reached
             } else if (outcome.kind() != AttemptOutcome.Kind.LOST) {
                 frontEnds.markReachable(target);
             }
--- a/client/src/test/java/gradereach/client/GoAwayServer.java
+++ b/client/src/test/java/gradereach/client/GoAwayServer.java
@@ -57,6 +57,7 @@
         }
     }
 
+    /** Writes a frame header without flags, for stream 0. */
     private static void writeFrameHeader(DataOutputStream out, int length, int type) throws IOException {
         out.writeByte(0);
         out.writeShort(length);
@@ -69,7 +70,7 @@
     private static int readFrameType(DataInputStream in) throws IOException {
         int length = in.readUnsignedByte() << 16 | in.readUnsignedShort();
         int type = in.readUnsignedByte();
-        in.skipNBytes(1 + Integer.BYTES + length);
+        in.skipNBytes(1 + Integer.BYTES + length); // flags, stream id and payload
         return type;
     }
 
--- a/core/src/main/java/gradereach/state/SlidingWindowSum.java
+++ b/core/src/main/java/gradereach/state/SlidingWindowSum.java
@@ -31,6 +31,6 @@
         while (!amounts.isEmpty() && amounts.peek()[0] < time) {
             sum -= amounts.poll()[1];
         }
-        return amounts.isEmpty() ? sum = 0 : sum;
+        return amounts.isEmpty() ? sum = 0 : sum; // an empty window clears the rounding errors of the sum
     }
 }
--- a/gateway/src/main/java/gradereach/http2/StreamAllocator.java
+++ b/gateway/src/main/java/gradereach/http2/StreamAllocator.java
@@ -91,6 +91,7 @@
         for (PooledConnection<C> connection : connections) {
             usable += connection.draining ? 0 : 1;
         }
+        // Another connection is opened only if those being opened cannot take all waiting streams and this one.
         boolean opensConnection = usable < maxConnections && waitingCount >= connectingCount * maxStreamsPerConnection;
         if (!opensConnection && connectingCount == 0) {
             return Placement.FULL;
--- a/gateway/src/main/java/gradereach/roster/RosterTracker.java
+++ b/gateway/src/main/java/gradereach/roster/RosterTracker.java
@@ -12,11 +12,11 @@
 import java.util.Objects;
 
 /**
- * Holds the current slices of the roster and publishes changes. An executor may move from one slice to another or be in two
- * for a while: it is removed only when no slice contains it, and ready if one slice says so.
+ * Holds the current Kubernetes EndpointSlices, whose union is the roster, and publishes changes. An executor may move from one
+ * slice to another or be in two for a while: it is removed only when no slice contains it, and ready if one slice says so.
  *
- * A list replaces all slices, a watch event replaces one. The roster is the union of the slices; {@link #publish} computes the
- * difference to what was published last. A malformed slice changes nothing: its previous version stays.
+ * A list replaces all slices, a watch event replaces one. {@link #publish} computes the difference to what was published last.
+ * A malformed slice changes nothing: its previous version stays.
  */
 public final class RosterTracker {
     /** Receives roster updates: the full roster or the changed entries. */
@@ -76,7 +76,8 @@
     }
 
     /**
-     * Applies one event of a watch (API concepts, "Efficient detection of changes"): ADDED, MODIFIED, DELETED, BOOKMARK.
+     * Applies one event of a watch (Kubernetes API concepts, "Efficient detection of changes"): ADDED, MODIFIED, DELETED or
+     * BOOKMARK.
      *
      * @return false if the list must be fetched again before watching further: ERROR, usually 410 Gone
      */
--- a/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
+++ b/gateway/src/test/java/gradereach/desk/InferenceCoordinatorTest.java
@@ -44,12 +44,12 @@
         return CoordinatorHarness.GROUPS.stream().filter(group -> group.name().equals(name)).findFirst().orElseThrow();
     }
 
-    /** A router that throws on the n-th call of a method. */
-    static Router failingOnCall(Router real, String method, int n) {
+    /** A router that throws on one call of a method; {@code failingCall} is the number of that call, from 1. */
+    static Router failingOnCall(Router real, String method, int failingCall) {
         int[] calls = {0};
         return (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class},
                 (proxy, invoked, args) -> {
-                    if (invoked.getName().equals(method) && ++calls[0] == n) {
+                    if (invoked.getName().equals(method) && ++calls[0] == failingCall) {
                         throw new IllegalStateException("injected");
                     }
                     return invoked.invoke(real, args);
@@ -209,10 +209,10 @@
     @Test
     void secondInferenceStaysWithinTheDedupWindowOfTheFirst() {
         harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        double first = harness.awaitForward().forward.sentAt;
+        double firstSentAt = harness.awaitForward().forward.sentAt;
         harness.advanceTo(harness.now + 1100);
         Client again = harness.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
-        assertEquals(first + 1500, again.inferenceState.inference.deadlineAt, 1e-6);
+        assertEquals(firstSentAt + 1500, again.inferenceState.inference.deadlineAt, 1e-6);
         harness.updateRoster(RosterUpdateKind.FULL);
         harness.advanceTo(harness.now + 2000);
         // The second inference did not run, but the first may have: the answer must not call a repeat harmless.
@@ -282,7 +282,7 @@
     @Test
     void inferenceIgnoredByTheRouterIsAnsweredAtItsDeadline() {
         CoordinatorHarness ignoring = harness(real -> (Router) Proxy.newProxyInstance(Router.class.getClassLoader(),
-                new Class<?>[] {Router.class}, (p, called, args) ->
+                new Class<?>[] {Router.class}, (proxy, called, args) ->
                         called.getName().equals("onInferenceAccepted") ? null : called.invoke(real, args)));
         double start = ignoring.now;
         Client client = ignoring.sendMessage("a", CoordinatorHarness.RETRIABLE, 1);
@@ -507,7 +507,7 @@
         assertEquals(1, harness.counts.value("answers_started"));
     }
 
-    /** A share stays valid until its expiry, also over a router failure; after that the share is 0. */
+    /** A front end share stays valid until its expiry, also over a router failure; after that the share is 0. */
     @Test
     void shareExpiresAndSurvivesARouterFailure() {
         List<Double> shares = new ArrayList<>();
--- a/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
+++ b/gateway/src/test/java/gradereach/desk/RestartInquiryTest.java
@@ -21,13 +21,14 @@
 
 /**
  * Outcome inquiries after a restart of the front end: which executor is asked, and which clocks count. The process to which
- * the forward was sent reports process number 0, any other process another number. {@code CoordinatorHarness.now} is the
- * real time.
+ * the forward was sent reports process number 0, any other process another number. Real numbers are random; some tests use a
+ * process's start time by its own clock, since no order of the numbers may prove anything. {@code CoordinatorHarness.now} is
+ * the real time.
  */
 class RestartInquiryTest {
     private static final double START = 100_000_000;
     private static final String ADDRESS = "10.0.0.1:80";
-    private static final RosterEntry SENT_TO = rosterEntry("s-1", ADDRESS);
+    private static final RosterEntry TARGET_ENTRY = rosterEntry("s-1", ADDRESS);
     private final ManualCommitLedger ledger = new ManualCommitLedger();
 
     private static RosterEntry rosterEntry(String instance, String address) {
@@ -91,7 +92,7 @@
     @CsvSource({"UNSEEN, 0", "UNSEEN, 500", "UNSEEN, 99999999", "UNSEEN, 100003000", "UNSEEN, NaN",
         "FENCED, 0", "FENCED, 500", "FENCED, 99999999", "FENCED, 100003000", "FENCED, NaN"})
     void anotherInstanceAtTheAddressProvesNothing(InquiryScheduler.OutcomeReply reply, double processNumber) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, TARGET_ENTRY);
         ledger.crash();
         CoordinatorHarness second = start(START + 6000, 0, rosterEntry("s-other", ADDRESS));
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
@@ -105,16 +106,16 @@
     /** The executor restarted three seconds after the intent was recorded, and has never seen the forward. */
     @ParameterizedTest
     @CsvSource({
-        // this front end's clock error at the intent and after the restart, the executor's clock error
+        // reply, this front end's clock error at the intent and after the restart, the executor's clock error
         "UNSEEN, 3600000, 3600000, 0", "UNSEEN, 10000, 0, 0", "UNSEEN, 0, 0, -7000", "UNSEEN, -3600000, -3600000, -3700000",
         "UNSEEN, 0, 0, 0", "UNSEEN, -10000, -10000, 0", "FENCED, 3600000, 3600000, 0", "FENCED, 10000, 0, 0",
         "FENCED, 0, 0, -7000", "FENCED, -3600000, -3600000, -3700000", "FENCED, 0, 0, 0", "FENCED, -10000, -10000, 0",
     })
     void processStartedLaterProvesNothingWhateverTheClocksShow(InquiryScheduler.OutcomeReply reply, double clockErrorBefore,
             double clockErrorAfter, double executorClockError) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, TARGET_ENTRY);
         ledger.crash();
-        CoordinatorHarness second = start(START + 6000, clockErrorAfter, SENT_TO);
+        CoordinatorHarness second = start(START + 6000, clockErrorAfter, TARGET_ENTRY);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         answerInquiriesUntil(second, START + 25_000, reply, START + 3000 + executorClockError);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
@@ -129,7 +130,7 @@
         "FENCED, s-other, 0, 500", "FENCED, s-1, 10000, 3000", "FENCED, s-1, 0, -7000"})
     void laterProcessProvesNothingWithoutARestart(InquiryScheduler.OutcomeReply reply, String laterInstance, double clockErrorAfter,
             double processNumber) {
-        CoordinatorHarness harness = startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
+        CoordinatorHarness harness = startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, TARGET_ENTRY);
         answerInquiriesUntil(harness, START + 1500, InquiryScheduler.OutcomeReply.NOTHING, 0);
         harness.updateRoster(RosterUpdateKind.FULL);
         harness.wallClockOffset = clockErrorAfter;
@@ -147,9 +148,9 @@
         "FENCED, 0, -60000", "FENCED, 60000, 0", "FENCED, 30000, -30000"})
     void processProvesNothingOnceItsOutcomeRetentionIsOver(InquiryScheduler.OutcomeReply reply, double clockErrorBefore,
             double clockErrorAfter) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, TARGET_ENTRY);
         ledger.crash();
-        CoordinatorHarness second = start(START + 60_000, clockErrorAfter, SENT_TO);
+        CoordinatorHarness second = start(START + 60_000, clockErrorAfter, TARGET_ENTRY);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         answerInquiriesUntil(second, START + 75_000, reply, 0);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
@@ -161,9 +162,9 @@
     @ParameterizedTest
     @CsvSource({"0, -10000, 10000", "10000, 0, 6000", "0, -1400, 2000"})
     void closedDedupWindowStaysClosedWhateverTheClockShows(double clockErrorBefore, double clockErrorAfter, double delay) {
-        startWithOpenForward(CoordinatorHarness.DEDUPED, clockErrorBefore, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.DEDUPED, clockErrorBefore, TARGET_ENTRY);
         ledger.crash();
-        CoordinatorHarness second = start(START + delay, clockErrorAfter, SENT_TO);
+        CoordinatorHarness second = start(START + delay, clockErrorAfter, TARGET_ENTRY);
         Client again = second.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         answerInquiriesUntil(second, START + delay + 2000, InquiryScheduler.OutcomeReply.NOTHING, 0);
         assertNotRunAgain(second, again);
@@ -172,9 +173,9 @@
 
     @Test
     void openDedupWindowIsUsedAfterARestart() {
-        startWithOpenForward(CoordinatorHarness.DEDUPED, 0, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.DEDUPED, 0, TARGET_ENTRY);
         ledger.crash();
-        CoordinatorHarness second = start(START + 200, 0, SENT_TO);
+        CoordinatorHarness second = start(START + 200, 0, TARGET_ENTRY);
         second.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         advanceWithCommits(second);
         assertEquals(1, second.forwards.size());
@@ -185,9 +186,9 @@
     @CsvSource({"FINISHED, 0, 0", "FENCED, 0, 0", "FENCED, 3600000, 3600000", "FENCED, 20000, 0", "FINISHED, 20000, 0"})
     void replyOfTheTargetProcessCountsWhateverTheClockShows(InquiryScheduler.OutcomeReply reply, double clockErrorBefore,
             double clockErrorAfter) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, clockErrorBefore, TARGET_ENTRY);
         ledger.crash();
-        CoordinatorHarness second = start(START + 6000, clockErrorAfter, SENT_TO);
+        CoordinatorHarness second = start(START + 6000, clockErrorAfter, TARGET_ENTRY);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         answerInquiriesUntil(second, START + 17_000, reply, 0);
         Client again = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
@@ -202,9 +203,9 @@
     /** A process that had not seen the forward when it was asked may have seen it before its reply arrived. */
     @Test
     void inquiryReplyCountsAsOfTheTimeItWasSent() {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, TARGET_ENTRY);
         ledger.crash();
-        CoordinatorHarness second = start(START + 100, 0, SENT_TO);
+        CoordinatorHarness second = start(START + 100, 0, TARGET_ENTRY);
         second.advanceTo(START + 5500);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         second.answerInquiries(ADDRESS, InquiryScheduler.OutcomeReply.UNSEEN, 0); // the inquiry was sent at START + 200
@@ -216,9 +217,9 @@
     @ParameterizedTest
     @ValueSource(doubles = {6000, 12_000, 29_000})
     void unseenProvesNothingWithoutAFence(double lastReplyAfter) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, TARGET_ENTRY);
         ledger.crash();
-        CoordinatorHarness second = start(START + 100, 0, SENT_TO);
+        CoordinatorHarness second = start(START + 100, 0, TARGET_ENTRY);
         answerInquiriesUntil(second, START + lastReplyAfter - 500, InquiryScheduler.OutcomeReply.UNSEEN, 0);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         answerInquiriesUntil(second, START + lastReplyAfter, InquiryScheduler.OutcomeReply.UNSEEN, 0);
@@ -229,7 +230,7 @@
     /** The intent waited for the disk, so the forward was sent 900 ms later and may arrive up to five seconds after that. */
     @Test
     void forwardMayArriveForFiveSecondsAfterItWasSent() {
-        CoordinatorHarness first = start(START, 0, SENT_TO);
+        CoordinatorHarness first = start(START, 0, TARGET_ENTRY);
         first.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         first.answerLoadOrders(1);
         first.advanceTo(START + 900);
@@ -239,7 +240,7 @@
         }
         assertEquals(1, first.forwards.size(), "the forward was not sent");
         ledger.crash();
-        CoordinatorHarness second = start(START + 1200, 0, SENT_TO);
+        CoordinatorHarness second = start(START + 1200, 0, TARGET_ENTRY);
         answerInquiriesUntil(second, START + 4900, InquiryScheduler.OutcomeReply.UNSEEN, 0);
         Client waiting = second.sendMessage("a", CoordinatorHarness.NON_RETRIABLE, 1);
         answerInquiriesUntil(second, START + 5850, InquiryScheduler.OutcomeReply.UNSEEN, 0);
@@ -251,14 +252,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"UNSEEN", "FENCED"})
     void forwardsOfTwoInferencesAreInquiredSeparately(InquiryScheduler.OutcomeReply reply) {
-        startWithOpenForward(CoordinatorHarness.DEDUPED, 0, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.DEDUPED, 0, TARGET_ENTRY);
         ledger.crash();
         CoordinatorHarness second = start(START + 200, 0, rosterEntry("s-2", "10.0.0.2:80"));
         second.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         advanceWithCommits(second);
         assertEquals("s-2", second.forwards.get(0).endpoint.instance);
         ledger.crash();
-        CoordinatorHarness third = start(START + 6000, 0, SENT_TO, rosterEntry("s-2", "10.0.0.2:80"));
+        CoordinatorHarness third = start(START + 6000, 0, TARGET_ENTRY, rosterEntry("s-2", "10.0.0.2:80"));
         Client waiting = third.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
         answerInquiriesUntil(third, START + 16_000, reply, 0);
         Client again = third.sendMessage("a", CoordinatorHarness.DEDUPED, 1);
@@ -269,7 +270,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"s-1", "s-other"})
     void inquiriesAddNoEndpoints(String laterInstance) {
-        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
+        startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, TARGET_ENTRY);
         ledger.crash();
         CoordinatorHarness second = start(START + 6000, 0, rosterEntry(laterInstance, ADDRESS));
         answerInquiriesUntil(second, START + 40_000, InquiryScheduler.OutcomeReply.NOTHING, 0);
@@ -280,13 +281,13 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void messageExpiredByAWrongClockIsNotAcceptedAsNew(boolean answered) {
-        CoordinatorHarness first = startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, SENT_TO);
+        CoordinatorHarness first = startWithOpenForward(CoordinatorHarness.NON_RETRIABLE, 0, TARGET_ENTRY);
         if (answered) {
             first.endForward(first.forwards.get(0), Outcome.RETURNED);
             ledger.commit(first, true);
         }
         ledger.crash();
-        CoordinatorHarness second = start(START + 6000, 3_600_000, SENT_TO);
+        CoordinatorHarness second = start(START + 6000, 3_600_000, TARGET_ENTRY);
         second.wallClockOffset = 0;
         Client replayed = second.new Client();
         second.runBatch(second.now, () -> second.coordinator.onMessage(new IncomingMessage(0, "a", 1, 0,
--- a/gateway/src/test/java/gradereach/serve/GatewayTest.java
+++ b/gateway/src/test/java/gradereach/serve/GatewayTest.java
@@ -130,12 +130,12 @@
         assertEquals(200, answer.status);
         assertEquals("inference.returned", answer.body.path("type").asText());
         assertEquals("look-1", answer.body.at("/data/output/model_name").asText());
-        String[] names = {"webhook-id", "webhook-timestamp", "webhook-signature"};
+        String[] headers = {"webhook-id", "webhook-timestamp", "webhook-signature"}; // each name is replaced by its value
         for (int i = 0; i < 3; i++) {
-            names[i] = answer.head.replaceAll("(?s).*" + names[i] + ": ([^\r]+).*", "$1");
+            headers[i] = answer.head.replaceAll("(?s).*" + headers[i] + ": ([^\r]+).*", "$1");
         }
-        assertEquals("a.answer", names[0]);
-        assertEquals(0, new KeyRing(List.of(List.of(key))).verify(names[0], names[1], names[2],
+        assertEquals("a.answer", headers[0]);
+        assertEquals(0, new KeyRing(List.of(List.of(key))).verify(headers[0], headers[1], headers[2],
                 JSON.writeValueAsBytes(answer.body), System.currentTimeMillis() / 1000, -1).customer());
     }
 
@@ -212,7 +212,7 @@
 
     @Test
     void connectionsOverTheLimitAreClosed() throws Exception {
-        Socket[] open = new Socket[13];
+        Socket[] open = new Socket[13]; // one more than the limit
         for (int i = 0; i < 13; i++) {
             open[i] = openConnection();
         }
@@ -312,7 +312,7 @@
             write(socket, requestHead("p1", body, "expect: 100-continue\r\n"), new byte[0]);
             assertReturned("p0", read(socket));
             assertEquals("HTTP/1.1 100 Continue\r\n", new String(socket.getInputStream().readNBytes(23), StandardCharsets.US_ASCII));
-            socket.getInputStream().readNBytes(2);
+            socket.getInputStream().readNBytes(2); // the empty line that ends the interim response
             write(socket, "", body);
             assertReturned("p1", read(socket));
         }
--- a/membership/src/main/java/gradereach/membership/Swim.java
+++ b/membership/src/main/java/gradereach/membership/Swim.java
@@ -32,8 +32,8 @@
      * @param pingPeriod time between two pings
      * @param ackTimeout time to wait for a direct ack, above nearly all round-trip times
      * @param indirectPings members that are asked for an indirect ping
-     * @param suspicionMultiplier least time in which a suspect can refute the suspicion: so many ping periods, times the
-     *     greater of 1 and log10 of the number of present members
+     * @param suspicionMultiplier a suspect can refute the suspicion for at least this many ping periods, times the greater of 1
+     *     and log10 of the number of present members
      * @param syncPeriod mean time between two full exchanges
      * @param deadRetention time for which dead members are remembered, longer than any message may be delayed
      */
@@ -376,7 +376,7 @@
             peer = new Peer(update);
             peers.put(update.name(), peer);
             presentPeerCount++;
-            stateChanged(peer, now);
+            handleStateChange(peer, now);
             // A new member is pinged within the current round, at a random position.
             pingOrder.add(random.nextInt(pingOrder.size() + 1), update.name());
             return;
@@ -388,13 +388,14 @@
         boolean changed = update.state() != peer.member.state() || !update.address().equals(peer.member.address());
         peer.member = update;
         if (changed) {
-            stateChanged(peer, now);
+            handleStateChange(peer, now);
         } else {
             gossipQueue.add(update);
         }
     }
 
-    private void stateChanged(Peer peer, double now) {
+    /** Sets the deadline for the state, gossips the member and notifies the environment; also for a new member or address. */
+    private void handleStateChange(Peer peer, double now) {
         State state = peer.member.state();
         peer.confirmations = 0;
         peer.suspectedAt = now;
--- a/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/ScriptedClients.java
@@ -55,7 +55,7 @@
     private static final int WARM_UP_REQUESTS = 50;
     private static final double WARM_UP_BUDGET_MILLIS = 1000;
     private static final double WARM_UP_TIMEOUT_MILLIS = 3000;
-    /** Requests go on this long after the last event, so that its after-effects are tested too. */
+    /** Requests go on this long after the last event of the script, so that its after-effects are tested too. */
     private static final double QUIET_PERIOD_MILLIS = 500;
     /** How long a client waits after its budget, so that a late answer is still received. */
     private static final double WAIT_AFTER_BUDGET_MILLIS = 1000;
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Sends requests for {@code millis} and then until the events have ended and a quiet period is over; then waits until
-     * every request has ended.
+     * Sends requests for {@code millis} and then until the events of the script have ended and a quiet period is over; then waits
+     * until every request has ended.
      *
      * @param maxExtraMillis how long it may go on sending after {@code millis}
      * @param millisSinceLastEvent milliseconds since the last event ended, 0 while one is running
@@ -415,7 +415,7 @@
             if (forged || attempt >= clientSettings.path("repeats").asInt(2) || !retryAllowed || async) {
                 return;
             }
-            // The same clients always wait as long as the front end asks, the others never do.
+            // Depends on the message id: the retries of one message all wait as long as the front end asks, or none does.
             boolean honorsRetryAfter = clientSettings.path("heeds_pause").asDouble(0.5) > Math.abs(id.hashCode() % 100) / 100.0;
             long delayMillis = honorsRetryAfter ? (long) retryAfterMillis : 0;
             sendAfter(attempt + 1, delayMillis);
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/SoakReport.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 
 /**
- * The result of a soak.
+ * The result of a soak. Its peers are the scripted clients, executors and change log that the front ends are connected to.
  *
  * @param requests number of requests sent
  * @param successRate share of successful answers among the requests sent while the change log was available
@@ -27,7 +27,8 @@
 public record SoakReport(int requests, double successRate, double outageSuccessRate, List<Finding> violations,
         List<Finding> inconclusiveFindings, Map<Allowance, Integer> excused, List<String> crashes, Map<SoakFault, Long> faultCounts,
         Map<String, String> systemFaults, double peerLagMillis, double coldStartLoad, Map<String, Integer> misses, List<String> history) {
-    private static final int MAX_SHOWN_PER_KIND = 5;
+    /** Limit for each kind of violation, and for all inconclusive findings together. */
+    private static final int MAX_SHOWN = 5;
 
     /** Whether the soak was conclusive, no rule was violated, and no front end crashed. */
     public boolean passed() {
@@ -39,7 +40,10 @@
         return inconclusiveFindings.isEmpty() || !violations.isEmpty() || !crashes.isEmpty();
     }
 
-    /** A summary line, then a line for each crash and for the first violations of each kind. */
+    /**
+     * A summary line, then a line for each crash, for the first violations of each kind and for the first inconclusive findings.
+     * If the soak did not pass, the history and the system call faults follow.
+     */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder(("%d requests, served %.3f, in outages %.3f, %d breaches %s, %d undecided, allowed %s, "
@@ -49,9 +53,9 @@
                 coldStartLoad, misses, peerLagMillis, faultCounts));
         crashes.forEach(crash -> text.append("\n  crash: ").append(crash));
         violations.stream().collect(Collectors.groupingBy(Finding::violation, TreeMap::new, Collectors.toList()))
-                .forEach((violation, findings) -> findings.stream().limit(MAX_SHOWN_PER_KIND)
+                .forEach((violation, findings) -> findings.stream().limit(MAX_SHOWN)
                         .forEach(finding -> text.append("\n  ").append(violation).append(' ').append(finding.description())));
-        inconclusiveFindings.stream().limit(MAX_SHOWN_PER_KIND).forEach(finding -> text.append("\n  not decided, the peers were late: ")
+        inconclusiveFindings.stream().limit(MAX_SHOWN).forEach(finding -> text.append("\n  not decided, the peers were late: ")
                 .append(finding.violation()).append(' ').append(finding.description()));
         if (!passed()) {
             history.forEach(event -> text.append("\n  at ").append(event));
--- a/rehearsal/src/main/java/gradereach/rehearsal/soak/package-info.java
+++ b/rehearsal/src/main/java/gradereach/rehearsal/soak/package-info.java
@@ -1,2 +1,5 @@
-/** Soak tests: front end processes under randomly drawn faults, checked by what their peers observe on the sockets. */
+/**
+ * Soak tests: front end processes under randomly drawn faults, checked by what the scripted clients, executors and change log
+ * observe on the sockets.
+ */
 package gradereach.rehearsal.soak;
--- a/rehearsal/src/test/java/gradereach/rehearsal/ReservationTestbed.java
+++ b/rehearsal/src/test/java/gradereach/rehearsal/ReservationTestbed.java
@@ -75,7 +75,12 @@
         return directory.resolve("fe-" + frontEnd + ".ledger");
     }
 
-    /** @param clockAheadMillis how far its wall clock is ahead */
+    /**
+     * Starts a front end and returns once it listens.
+     *
+     * @param fault an argument of {@link FaultyFrontEnd}
+     * @param clockAheadMillis how far its wall clock is ahead
+     */
     FrontEndTestProcess startFrontEnd(Path directory, ObjectNode deployment, String fault, long clockAheadMillis)
             throws IOException, InterruptedException {
         return new FrontEndTestProcess(directory, deployment, fault, key, processes, clockAheadMillis);
--- a/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
+++ b/standins/src/test/java/gradereach/standins/faults/FaultedProcess.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Makes calls of every kind that the shim can fail, and prints the observed errors, partial transfers and clocks. */
+/** Makes calls of every kind that {@link FaultShim} can fail, and prints the observed errors, partial transfers and clocks. */
 final class FaultedProcess {
     static final int ROUNDS = 200;
     static final int BYTES = 1000;
@@ -41,6 +41,7 @@
         }
         System.out.println("errors=" + process.errors);
         System.out.println("short=" + (process.shortReads > 0) + "," + (process.shortWrites > 0));
+        // A dot ends each number.
         System.out.println("unix=" + System.currentTimeMillis() + ".");
         System.out.println("monotonic=" + (System.nanoTime() - startNanos) / 1_000_000 + ".");
     }
